--- a/samphirerill/core/admission.py
+++ b/samphirerill/core/admission.py
@@ -16,12 +16,12 @@
 
 from samphirerill.core.model import HIGH, NORMAL
 
-NORMAL_EVERY = 6
-_RATE_SMOOTHING = 0.1
+NORMAL_INTERVAL = 6
+_INTERVAL_SMOOTHING = 0.1
 
 
 @dataclass(slots=True)
-class Ticket:
+class QueueEntry:
     """One waiting request; `cost` is estimated tokens over weight."""
 
     request_id: str
@@ -31,107 +31,128 @@
 
 
 @dataclass(slots=True)
-class _Class:
+class _PriorityClass:
     """The waiting requests of one priority."""
 
-    queues: dict[str, deque[Ticket]] = field(default_factory=dict)
-    clocks: dict[str, float] = field(default_factory=dict)
-    virtual: float = 0
+    queues: dict[str, deque[QueueEntry]] = field(default_factory=dict)
+    start_tags: dict[str, float] = field(default_factory=dict)
+    virtual_time: float = 0
 
     def size(self) -> int:
         return sum(len(queue) for queue in self.queues.values())
 
 
-class Pool:
+class FairQueue:
     """The requests that wait for one model or one plain-service route."""
 
-    __slots__ = ('_classes', '_high_streak', 'last_pick', 'pick_gap_s')
+    __slots__ = (
+        '_classes',
+        '_high_streak',
+        'last_dequeue_at',
+        'dequeue_interval_s',
+    )
 
     def __init__(self) -> None:
-        self._classes = {HIGH: _Class(), NORMAL: _Class()}
+        self._classes = {HIGH: _PriorityClass(), NORMAL: _PriorityClass()}
         self._high_streak = 0
-        self.last_pick = 0.0
-        self.pick_gap_s = 0.0
+        self.last_dequeue_at = 0.0
+        self.dequeue_interval_s = 0.0
 
     def size(self) -> int:
         """Return how many requests wait."""
-        return sum(kind.size() for kind in self._classes.values())
+        return sum(
+            priority_class.size() for priority_class in self._classes.values()
+        )
 
-    def ahead_of(self, account: str, priority: str) -> int:
+    def estimate_ahead(self, account: str, priority: str) -> int:
         """Estimate how many picks come before a new request of an account.
 
         Every other account gets a turn for each of this account's own, so a
         deep queue of one account does not count against the others.
         """
-        waiting = self._classes[priority].queues
-        own = len(waiting.get(account, ()))
-        same = sum(min(len(queue), own + 1) for queue in waiting.values())
+        queues = self._classes[priority].queues
+        own = len(queues.get(account, ()))
+        same = sum(min(len(queue), own + 1) for queue in queues.values())
         if priority == HIGH:
             return same
         high = self._classes[HIGH].size()
-        return same + min(high, (same + 1) * (NORMAL_EVERY - 1))
+        return same + min(high, (same + 1) * (NORMAL_INTERVAL - 1))
 
-    def add(self, ticket: Ticket, *, in_front: bool = False) -> None:
+    def add(self, entry: QueueEntry, *, at_front: bool = False) -> None:
         """Let a request wait; `in_front` is for work that has started."""
-        kind = self._classes[ticket.priority]
-        queue = kind.queues.setdefault(ticket.account, deque())
+        priority_class = self._classes[entry.priority]
+        queue = priority_class.queues.setdefault(entry.account, deque())
         if not queue:
-            clock = kind.clocks.get(ticket.account, 0)
-            kind.clocks[ticket.account] = max(clock, kind.virtual)
-        if in_front:
-            queue.appendleft(ticket)
+            start_tag = priority_class.start_tags.get(entry.account, 0)
+            priority_class.start_tags[entry.account] = max(
+                start_tag, priority_class.virtual_time
+            )
+        if at_front:
+            queue.appendleft(entry)
         else:
-            queue.append(ticket)
+            queue.append(entry)
 
     def remove(self, request_id: str, account: str, priority: str) -> bool:
         """Take out a request that ended while it waited."""
         queue = self._classes[priority].queues.get(account, deque())
-        for ticket in queue:
-            if ticket.request_id == request_id:
-                queue.remove(ticket)
-                self._forget_empty(self._classes[priority], account)
+        for entry in queue:
+            if entry.request_id == request_id:
+                queue.remove(entry)
+                self._remove_if_idle(self._classes[priority], account)
                 return True
         return False
 
-    def candidates(self) -> list[Ticket]:
+    def candidates(self) -> list[QueueEntry]:
         """Return the first request of each account, next pick first."""
         order = [HIGH, NORMAL]
-        if self._high_streak >= NORMAL_EVERY - 1:
+        if self._high_streak >= NORMAL_INTERVAL - 1:
             order.reverse()
-        return [ticket for name in order for ticket in self._heads(name)]
+        return [entry for name in order for entry in self._list_heads(name)]
 
-    def take(self, ticket: Ticket, now: float) -> None:
+    def dequeue(self, entry: QueueEntry, now: float) -> None:
         """Remove a candidate that is about to run and charge its account."""
-        kind = self._classes[ticket.priority]
-        kind.queues[ticket.account].popleft()
-        kind.virtual = max(kind.virtual, kind.clocks[ticket.account])
-        kind.clocks[ticket.account] += ticket.cost
-        self._forget_empty(kind, ticket.account)
-        self._count_streak(ticket.priority)
-        self._measure_rate(now)
-
-    def _heads(self, priority: str) -> list[Ticket]:
-        kind = self._classes[priority]
-        accounts = sorted(kind.queues, key=kind.clocks.__getitem__)
-        return [kind.queues[name][0] for name in accounts]
+        priority_class = self._classes[entry.priority]
+        priority_class.queues[entry.account].popleft()
+        priority_class.virtual_time = max(
+            priority_class.virtual_time,
+            priority_class.start_tags[entry.account],
+        )
+        priority_class.start_tags[entry.account] += entry.cost
+        self._remove_if_idle(priority_class, entry.account)
+        self._count_streak(entry.priority)
+        self._update_interval(now)
+
+    def _list_heads(self, priority: str) -> list[QueueEntry]:
+        priority_class = self._classes[priority]
+        accounts = sorted(
+            priority_class.queues, key=priority_class.start_tags.__getitem__
+        )
+        return [priority_class.queues[name][0] for name in accounts]
 
     def _count_streak(self, priority: str) -> None:
         self._high_streak = self._high_streak + 1 if priority == HIGH else 0
 
-    def _measure_rate(self, now: float) -> None:
-        if self.last_pick and self.size():
-            gap = now - self.last_pick
-            self.pick_gap_s += _RATE_SMOOTHING * (gap - self.pick_gap_s)
-        self.last_pick = now
-
-    def _forget_empty(self, kind: _Class, account: str) -> None:
+    def _update_interval(self, now: float) -> None:
+        if self.last_dequeue_at and self.size():
+            interval_s = now - self.last_dequeue_at
+            self.dequeue_interval_s += _INTERVAL_SMOOTHING * (
+                interval_s - self.dequeue_interval_s
+            )
+        self.last_dequeue_at = now
+
+    def _remove_if_idle(
+        self, priority_class: _PriorityClass, account: str
+    ) -> None:
         """Drop an idle account's queue; its clock stays while it is ahead.
 
         Without this, 1,100 accounts would stay in every pool for ever. A
         clock that is ahead must stay, or an account could jump the queue by
         emptying its own.
         """
-        if not kind.queues[account]:
-            kind.queues.pop(account)
-            if kind.clocks[account] <= kind.virtual:
-                kind.clocks.pop(account)
+        if not priority_class.queues[account]:
+            priority_class.queues.pop(account)
+            if (
+                priority_class.start_tags[account]
+                <= priority_class.virtual_time
+            ):
+                priority_class.start_tags.pop(account)
--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -57,9 +57,9 @@
 def forget_request(state: CoreState, req: RequestState) -> None:
     """Drop a request, its place in a queue and its running attempt."""
     if req.phase is Phase.QUEUED:
-        pool = state.pools.get(name_pool(req))
-        if pool is not None:
-            pool.remove(req.request_id, req.account, req.priority)
+        queue = state.pools.get(get_queue_name(req))
+        if queue is not None:
+            queue.remove(req.request_id, req.account, req.priority)
     else:
         release_account(state, req)
     attempt = state.attempts.get(req.attempt_id)
@@ -88,7 +88,7 @@
         state.running_by_account.pop(req.account)
 
 
-def name_pool(req: RequestState) -> str:
+def get_queue_name(req: RequestState) -> str:
     """Return the pool a request waits in: its model's or its route's."""
     return req.route.model or f'route {req.route.name}'
 
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -14,7 +14,7 @@
 from samphirerill.core.ending import (
     drop_attempt,
     finish_request,
-    name_pool,
+    get_queue_name,
 )
 from samphirerill.core.events import (
     AttemptBroke,
@@ -38,10 +38,10 @@
     predict_ms,
 )
 from samphirerill.core.starting import (
-    dispatch_pool,
+    dispatch_queue,
     retry_or_refuse,
     start_attempt,
-    wait_in_front,
+    requeue_at_front,
 )
 from samphirerill.core.state import Health
 
@@ -150,7 +150,7 @@
         'endpoint-refused',
         detail,
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(AttemptBroke)
@@ -168,12 +168,12 @@
         probe_stages(state, attempt)
     state.counters['attempts.broke'] += 1
     if refuse_held(state, req, now):
-        dispatch_pool(state, name_pool(req), now)
+        dispatch_queue(state, get_queue_name(req), now)
         return
     retry_or_refuse(
         state, req, now, HTTPStatus.BAD_GATEWAY, 'attempt-broke', event.detail
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(ServiceAnswered)
@@ -232,7 +232,7 @@
     drop_attempt(state, attempt)
     finish_request(state, req)
     state.emit(CancelAttempt(attempt.attempt_id))
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 def _extend_progress(
@@ -289,7 +289,7 @@
     req.avoid.add(target)
     state.counters['moved.slow_link'] += 1
     if not start_attempt(state, req, now):
-        wait_in_front(state, req, now)
+        requeue_at_front(state, req, now)
 
 
 def _add_excess(attempt: AttemptState, index: int, excess_ms: float) -> None:
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -14,15 +14,15 @@
 )
 from samphirerill.core.ending import (
     forget_request,
-    name_pool,
+    get_queue_name,
     refuse_request,
 )
 from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import (
-    dispatch_pool,
+    dispatch_queue,
     start_attempt,
-    wait_in_front,
+    requeue_at_front,
 )
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         return
     req.claimed = True
     if not start_attempt(state, req, now):
-        wait_in_front(state, req, now)
+        requeue_at_front(state, req, now)
 
 
 @handle.register(ClaimTaken)
@@ -62,7 +62,7 @@
         problem = _explain_taken(event)
         state.emit(RefuseRequest(req.request_id, problem))
         state.counters[f'refused.{problem.code}'] += 1
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(ClaimFailed)
@@ -79,7 +79,7 @@
         'the platform service cannot record the idempotency key now',
         _OUTAGE_RETRY_S,
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 def _explain_taken(event: ClaimTaken) -> Problem:
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -11,10 +11,14 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.core.ending import name_pool, refuse_request, tell_outcome
+from samphirerill.core.ending import (
+    get_queue_name,
+    refuse_request,
+    tell_outcome,
+)
 from samphirerill.core.events import EvidenceTold
 from samphirerill.core.handling import handle
-from samphirerill.core.starting import dispatch_pool
+from samphirerill.core.starting import dispatch_queue
 from samphirerill.quarantine import Death
 from samphirerill.quarantine.book import BEGINNING_S, SETTLE_S
 from samphirerill.quarantine.messages import take_told
@@ -132,7 +136,7 @@
         if attempt is not None and _has_survived(attempt):
             continue
         refuse_held(state, req, now)
-        dispatch_pool(state, name_pool(req), now)
+        dispatch_queue(state, get_queue_name(req), now)
 
 
 def _has_survived(attempt: AttemptState) -> bool:
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -16,7 +16,7 @@
 from samphirerill.core.on_attempts import suspect_endpoint
 from samphirerill.core.on_endings import note_probe
 from samphirerill.core.placement import GENTLE_S
-from samphirerill.core.starting import dispatch_all, dispatch_pool
+from samphirerill.core.starting import dispatch_all_queues, dispatch_queue
 from samphirerill.core.state import EndpointState, Health
 from samphirerill.core.subsets import group_by_model
 
@@ -51,7 +51,7 @@
     state.endpoints = kept
     state.by_model = group_by_model(state.node, kept)
     state.links.retain(kept)
-    dispatch_all(state, now)
+    dispatch_all_queues(state, now)
 
 
 @handle.register(VmListRead)
@@ -69,7 +69,7 @@
         if state.leaving.get(name, now) < now:
             state.leaving.pop(name)
             _revive(state, name)
-    dispatch_all(state, now)
+    dispatch_all_queues(state, now)
 
 
 def _revive(state: CoreState, name: str) -> None:
@@ -103,7 +103,7 @@
     found.own_at_report = found.in_flight
     found.reported_at = now
     if found.endpoint.model:
-        dispatch_pool(state, found.endpoint.model, now)
+        dispatch_queue(state, found.endpoint.model, now)
 
 
 @handle.register(ProbeAnswered)
@@ -120,7 +120,7 @@
         return
     if found.health is Health.SUSPECT:
         found.health = Health.LIVE
-        dispatch_all(state, now)
+        dispatch_all_queues(state, now)
 
 
 @handle.register(NodesSeen)
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -5,9 +5,13 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from samphirerill.core.admission import Ticket
+from samphirerill.core.admission import QueueEntry
 from samphirerill.core.commands import Outcome, Problem, RefuseRequest
-from samphirerill.core.ending import forget_request, name_pool, tell_outcome
+from samphirerill.core.ending import (
+    forget_request,
+    get_queue_name,
+    tell_outcome,
+)
 from samphirerill.core.events import (
     CallerLeft,
     DrainRequested,
@@ -18,7 +22,7 @@
 from samphirerill.core.handling import handle
 from samphirerill.core.model import choose_priority
 from samphirerill.core.on_endings import find_quarantine
-from samphirerill.core.starting import dispatch_pool, earn_retry, find_pool
+from samphirerill.core.starting import dispatch_queue, earn_retry, get_queue
 from samphirerill.core.state import Phase, RequestState
 
 if TYPE_CHECKING:
@@ -46,13 +50,13 @@
     earn_retry(state, req)
     account = state.configuration.accounts[req.account]
     cost = req.tokens / account.weight
-    pool_name = name_pool(req)
-    find_pool(state, pool_name).add(
-        Ticket(req.request_id, req.account, req.priority, cost),
+    queue_name = get_queue_name(req)
+    get_queue(state, queue_name).add(
+        QueueEntry(req.request_id, req.account, req.priority, cost),
     )
     state.wake_at(req.queue_deadline, 'queue', req.request_id)
     state.wake_at(req.deadline, 'request', req.request_id)
-    dispatch_pool(state, pool_name, now)
+    dispatch_queue(state, queue_name, now)
 
 
 @handle.register(CallerLeft)
@@ -71,7 +75,7 @@
     outcome = tell_outcome(req)
     forget_request(state, req)
     state.counters[f'left.{outcome.value}'] += 1
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(DrainRequested)
@@ -148,18 +152,18 @@
     Waiting for a certain refusal helps nobody: the caller would learn late
     what is known now.
     """
-    pool = find_pool(state, route.model or f'route {route.name}')
-    waiting = pool.size()
-    if waiting >= state.configuration.limits.max_queue:
+    queue = get_queue(state, route.model or f'route {route.name}')
+    length = queue.size()
+    if length >= state.configuration.limits.max_queue:
         return _refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'overloaded',
             'the queue is full',
             _FULL_RETRY_S,
         )
-    ahead = pool.ahead_of(account.name, choose_priority(route, account))
-    wait_s = ahead * pool.pick_gap_s
-    if waiting and now + wait_s > _queue_deadline(event, route, now):
+    ahead = queue.estimate_ahead(account.name, choose_priority(route, account))
+    wait_s = ahead * queue.dequeue_interval_s
+    if length and now + wait_s > _queue_deadline(event, route, now):
         detail = f'about {wait_s:.1f} s of work wait ahead of this request'
         return _refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import ProbeEndpoint
-from samphirerill.core.ending import name_pool, refuse_request
+from samphirerill.core.ending import get_queue_name, refuse_request
 from samphirerill.core.events import AttemptBroke, TimePassed
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import on_attempt_broke
 from samphirerill.core.on_endings import judge
-from samphirerill.core.starting import dispatch_pool
+from samphirerill.core.starting import dispatch_queue
 from samphirerill.core.state import Health, Phase
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
         'deadline-passed',
         'the deadline has passed',
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 def _check_attempt(state: CoreState, name: str, now: float) -> None:
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -6,11 +6,11 @@
 from math import ceil
 from typing import TYPE_CHECKING
 
-from samphirerill.core.admission import Pool, Ticket
+from samphirerill.core.admission import FairQueue, QueueEntry
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import OpenAttempt, Stage, WriteClaim
 from samphirerill.core.ending import (
-    name_pool,
+    get_queue_name,
     refuse_request,
     release_account,
 )
@@ -24,25 +24,25 @@
 _RETRY_AFTER_S = 1.0
 
 
-def find_pool(state: CoreState, name: str) -> Pool:
+def get_queue(state: CoreState, name: str) -> FairQueue:
     """Return the pool of a name, made on first use."""
     if name not in state.pools:
-        state.pools[name] = Pool()
+        state.pools[name] = FairQueue()
     return state.pools[name]
 
 
-def dispatch_all(state: CoreState, now: float) -> None:
+def dispatch_all_queues(state: CoreState, now: float) -> None:
     """Start what can start in every pool."""
     for name in tuple(state.pools):
-        dispatch_pool(state, name, now)
+        dispatch_queue(state, name, now)
 
 
-def dispatch_pool(state: CoreState, name: str, now: float) -> None:
+def dispatch_queue(state: CoreState, name: str, now: float) -> None:
     """Start waiting requests of one pool while there is room for them."""
-    pool = find_pool(state, name)
+    queue = get_queue(state, name)
     started = True
     while started:
-        started = _start_next(state, pool, now)
+        started = _start_next(state, queue, now)
 
 
 def start_attempt(state: CoreState, req: RequestState, now: float) -> bool:
@@ -125,17 +125,17 @@
         return
     state.counters['retries'] += 1
     if not start_attempt(state, req, now):
-        wait_in_front(state, req, now)
+        requeue_at_front(state, req, now)
 
 
-def wait_in_front(state: CoreState, req: RequestState, now: float) -> None:
+def requeue_at_front(state: CoreState, req: RequestState, now: float) -> None:
     """Put work that has started before all that has not."""
     req.phase = Phase.QUEUED
     release_account(state, req)
     req.queue_deadline = min(req.deadline, now + req.route.queue_timeout_s)
     state.wake_at(req.queue_deadline, 'queue', req.request_id)
-    ticket = Ticket(req.request_id, req.account, req.priority, 0)
-    find_pool(state, name_pool(req)).add(ticket, in_front=True)
+    entry = QueueEntry(req.request_id, req.account, req.priority, 0)
+    get_queue(state, get_queue_name(req)).add(entry, at_front=True)
 
 
 def earn_retry(state: CoreState, req: RequestState) -> None:
@@ -143,16 +143,16 @@
     _find_budget(state, req).earn()
 
 
-def _start_next(state: CoreState, pool: Pool, now: float) -> bool:
+def _start_next(state: CoreState, queue: FairQueue, now: float) -> bool:
     """Start the next request that may start; return whether one did."""
-    for ticket in pool.candidates():
-        req = state.requests[ticket.request_id]
+    for entry in queue.candidates():
+        req = state.requests[entry.request_id]
         if _is_over_limit(state, req):
             continue
         stages = choose_stages(state, req)
         if not stages:
             return False
-        pool.take(ticket, now)
+        queue.dequeue(entry, now)
         state.running_by_account[req.account] += 1
         _start_taken(state, req, stages, now)
         return True
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from samphirerill.core.admission import Pool
+from samphirerill.core.admission import FairQueue
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import Command, Stage
 from samphirerill.core.links import LinkMap
@@ -165,7 +165,7 @@
         self.attempts: dict[str, AttemptState] = {}
         self.endpoints: dict[str, EndpointState] = {}
         self.by_model: dict[str, list[EndpointState]] = {}
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, FairQueue] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.leaving: dict[str, float] = {}
         self.links = LinkMap()
--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from samphirerill.core.admission import NORMAL_EVERY, Pool, Ticket
+from samphirerill.core.admission import NORMAL_INTERVAL, FairQueue, QueueEntry
 from samphirerill.core.commands import (
     Command,
     FinishAnswer,
@@ -30,18 +30,18 @@
 from samphirerill.properties.world import build_document
 
 
-def _fill(pool: Pool, account: str, priority: str, count: int) -> None:
+def _fill(queue: FairQueue, account: str, priority: str, count: int) -> None:
     for number in range(count):
         name = f'{account}-{priority}-{number}'
-        pool.add(Ticket(name, account, priority, cost=10))
+        queue.add(QueueEntry(name, account, priority, cost=10))
 
 
-def _drain(pool: Pool, count: int) -> list[Ticket]:
+def _drain(queue: FairQueue, count: int) -> list[QueueEntry]:
     taken = []
     for number in range(count):
-        ticket = pool.candidates()[0]
-        pool.take(ticket, now=float(number))
-        taken.append(ticket)
+        entry = queue.candidates()[0]
+        queue.dequeue(entry, now=float(number))
+        taken.append(entry)
     return taken
 
 
@@ -55,47 +55,47 @@
         Sequence: one account queues a hundred; another asks once.
         Cause: the queue was one line for all.
         """
-        pool = Pool()
-        _fill(pool, 'large', NORMAL, 100)
-        _drain(pool, 5)
-        _fill(pool, 'small', NORMAL, 1)
-        self.assertIn('small', {item.account for item in _drain(pool, 2)})
+        queue = FairQueue()
+        _fill(queue, 'large', NORMAL, 100)
+        _drain(queue, 5)
+        _fill(queue, 'small', NORMAL, 1)
+        self.assertIn('small', {item.account for item in _drain(queue, 2)})
 
     def test_idle_time_earns_no_credit(self) -> None:
         """An account that comes back shares from now on, not for the past."""
-        pool = Pool()
-        _fill(pool, 'one', NORMAL, 60)
-        _drain(pool, 40)
-        _fill(pool, 'two', NORMAL, 20)
-        counts = Counter(item.account for item in _drain(pool, 20))
+        queue = FairQueue()
+        _fill(queue, 'one', NORMAL, 60)
+        _drain(queue, 40)
+        _fill(queue, 'two', NORMAL, 20)
+        counts = Counter(item.account for item in _drain(queue, 20))
         self.assertEqual(counts, {'one': 10, 'two': 10})
 
     def test_high_goes_first_and_normal_never_starves(self) -> None:
         """Every sixth pick is normal work."""
-        pool = Pool()
-        _fill(pool, 'a', HIGH, 50)
-        _fill(pool, 'b', NORMAL, 50)
-        priorities = [item.priority for item in _drain(pool, 24)]
-        self.assertEqual(priorities[: NORMAL_EVERY - 1], [HIGH] * 5)
+        queue = FairQueue()
+        _fill(queue, 'a', HIGH, 50)
+        _fill(queue, 'b', NORMAL, 50)
+        priorities = [item.priority for item in _drain(queue, 24)]
+        self.assertEqual(priorities[: NORMAL_INTERVAL - 1], [HIGH] * 5)
         self.assertEqual(priorities.count(NORMAL), 4)
 
     def test_weights_share_in_proportion(self) -> None:
         """Twice the weight, twice the work."""
-        pool = Pool()
+        queue = FairQueue()
         for number in range(60):
-            pool.add(Ticket(f'l{number}', 'light', NORMAL, cost=10))
-            pool.add(Ticket(f'h{number}', 'heavy', NORMAL, cost=5))
-        counts = Counter(item.account for item in _drain(pool, 30))
+            queue.add(QueueEntry(f'l{number}', 'light', NORMAL, cost=10))
+            queue.add(QueueEntry(f'h{number}', 'heavy', NORMAL, cost=5))
+        counts = Counter(item.account for item in _drain(queue, 30))
         self.assertEqual(counts, {'heavy': 20, 'light': 10})
 
     def test_forgotten_accounts_leave_nothing(self) -> None:
         """An empty pool holds no queue."""
-        pool = Pool()
-        _fill(pool, 'a', NORMAL, 3)
-        _drain(pool, 2)
-        self.assertTrue(pool.remove('a-normal-2', 'a', NORMAL))
-        self.assertEqual(pool.size(), 0)
-        self.assertEqual(pool.candidates(), [])
+        queue = FairQueue()
+        _fill(queue, 'a', NORMAL, 3)
+        _drain(queue, 2)
+        self.assertTrue(queue.remove('a-normal-2', 'a', NORMAL))
+        self.assertEqual(queue.size(), 0)
+        self.assertEqual(queue.candidates(), [])
 
 
 class RouterCase(unittest.TestCase):
