--- a/samphirerill/core/budget.py
+++ b/samphirerill/core/budget.py
@@ -15,16 +15,16 @@
     """Retries left for one route; never above `ceiling`."""
 
     ratio: float
-    ceiling: float
-    left: float
+    max_balance: float
+    balance: float
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Add what one first attempt earns."""
-        self.left = min(self.ceiling, self.left + self.ratio)
+        self.balance = min(self.max_balance, self.balance + self.ratio)
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry; return whether one was left."""
-        if self.left < 1:
+        if self.balance < 1:
             return False
-        self.left -= 1
+        self.balance -= 1
         return True
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -22,7 +22,7 @@
 from samphirerill.core.handling import handle
 from samphirerill.core.model import choose_priority
 from samphirerill.core.on_endings import find_quarantine
-from samphirerill.core.starting import dispatch_queue, earn_retry, get_queue
+from samphirerill.core.starting import dispatch_queue, deposit_retry, get_queue
 from samphirerill.core.state import Phase, RequestState
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     req = _build_request(event, state, now)
     state.requests[req.request_id] = req
     state.counters['arrived'] += 1
-    earn_retry(state, req)
+    deposit_retry(state, req)
     account = state.configuration.accounts[req.account]
     cost = req.tokens / account.weight
     queue_name = get_queue_name(req)
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -27,7 +27,7 @@
         'waiting': {name: pool.size() for name, pool in state.pools.items()},
         'endpoints': _describe_endpoints(state, now),
         'retry_budgets': {
-            name: round(budget.left, 1)
+            name: round(budget.balance, 1)
             for name, budget in state.budgets.items()
         },
         'known_prefixes': state.prefixes.size(),
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -120,7 +120,7 @@
         return
     limits = state.configuration.limits
     req.failures += 1
-    if req.failures >= limits.max_attempts or not _spend_retry(state, req):
+    if req.failures >= limits.max_attempts or not _withdraw_retry(state, req):
         refuse_request(state, req, status, code, detail, _RETRY_AFTER_S)
         return
     state.counters['retries'] += 1
@@ -138,9 +138,9 @@
     get_queue(state, get_queue_name(req)).add(entry, at_front=True)
 
 
-def earn_retry(state: CoreState, req: RequestState) -> None:
+def deposit_retry(state: CoreState, req: RequestState) -> None:
     """Let a first attempt pay into its route's retry budget."""
-    _find_budget(state, req).earn()
+    _get_budget(state, req).deposit()
 
 
 def _start_next(state: CoreState, queue: FairQueue, now: float) -> bool:
@@ -203,11 +203,11 @@
     return not req.unsure_attempts and not req.delivered
 
 
-def _spend_retry(state: CoreState, req: RequestState) -> bool:
-    return _find_budget(state, req).spend()
+def _withdraw_retry(state: CoreState, req: RequestState) -> bool:
+    return _get_budget(state, req).try_withdraw()
 
 
-def _find_budget(state: CoreState, req: RequestState) -> RetryBudget:
+def _get_budget(state: CoreState, req: RequestState) -> RetryBudget:
     limits = state.configuration.limits
     name = req.route.name
     if name not in state.budgets:
