--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -18,22 +18,22 @@
     from samphirerill.core.state import AttemptState, CoreState, RequestState
 
 
-def tell_outcome(req: RequestState) -> Outcome:
+def determine_outcome(req: RequestState) -> Outcome:
     """Return the outcome of a request that ends without a whole answer.
 
     "Not run" is only said when no attempt is left that may have run: one
     that was never sent, or that its endpoint refused in so many words.
     """
-    if req.unsure_attempts or req.delivered:
+    if req.ambiguous_attempts or req.delivered:
         return Outcome.MAY_HAVE_RUN
     return Outcome.NOT_RUN
 
 
 def finish_request(state: CoreState, req: RequestState) -> None:
     """End a request whose answer is whole."""
-    _settle(state, req, Outcome.ANSWERED)
+    _settle_claim(state, req, Outcome.ANSWERED)
     state.emit(FinishAnswer(req.request_id))
-    forget_request(state, req)
+    remove_request(state, req)
     state.counters['answered'] += 1
 
 
@@ -46,30 +46,30 @@
     retry_after_s: float = 0,
 ) -> None:
     """End a request without a whole answer and say what is known of it."""
-    outcome = tell_outcome(req)
+    outcome = determine_outcome(req)
     problem = Problem(status, code, detail, outcome, retry_after_s)
-    _settle(state, req, outcome)
-    forget_request(state, req)
+    _settle_claim(state, req, outcome)
+    remove_request(state, req)
     state.emit(RefuseRequest(req.request_id, problem))
     state.counters[f'refused.{code}'] += 1
 
 
-def forget_request(state: CoreState, req: RequestState) -> None:
+def remove_request(state: CoreState, req: RequestState) -> None:
     """Drop a request, its place in a queue and its running attempt."""
     if req.phase is Phase.QUEUED:
         queue = state.pools.get(get_queue_name(req))
         if queue is not None:
             queue.remove(req.request_id, req.account, req.priority)
     else:
-        release_account(state, req)
+        release_account_slot(state, req)
     attempt = state.attempts.get(req.attempt_id)
     if attempt is not None:
-        drop_attempt(state, attempt)
+        remove_attempt(state, attempt)
         state.emit(CancelAttempt(attempt.attempt_id))
     state.requests.pop(req.request_id, None)
 
 
-def drop_attempt(state: CoreState, attempt: AttemptState) -> None:
+def remove_attempt(state: CoreState, attempt: AttemptState) -> None:
     """Forget an attempt and free the places it took at its endpoints."""
     state.attempts.pop(attempt.attempt_id, None)
     for stage in attempt.stages:
@@ -81,7 +81,7 @@
         req.attempt_id = ''
 
 
-def release_account(state: CoreState, req: RequestState) -> None:
+def release_account_slot(state: CoreState, req: RequestState) -> None:
     """Give back the request's place among its account's running ones."""
     state.running_by_account[req.account] -= 1
     if state.running_by_account[req.account] <= 0:
@@ -93,6 +93,8 @@
     return req.route.model or f'route {req.route.name}'
 
 
-def _settle(state: CoreState, req: RequestState, outcome: Outcome) -> None:
+def _settle_claim(
+    state: CoreState, req: RequestState, outcome: Outcome
+) -> None:
     if req.claimed:
         state.emit(SettleClaim(req.request_id, outcome))
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -12,7 +12,7 @@
     ProbeEndpoint,
 )
 from samphirerill.core.ending import (
-    drop_attempt,
+    remove_attempt,
     finish_request,
     get_queue_name,
 )
@@ -68,7 +68,7 @@
     if attempt is None or attempt.sent:
         return
     attempt.sent = True
-    state.requests[attempt.request_id].unsure_attempts += 1
+    state.requests[attempt.request_id].ambiguous_attempts += 1
 
 
 @handle.register(TokenArrived)
@@ -134,8 +134,8 @@
     req = state.requests[attempt.request_id]
     head = attempt.stages[0].endpoint
     if attempt.sent:
-        req.unsure_attempts -= 1
-    drop_attempt(state, attempt)
+        req.ambiguous_attempts -= 1
+    remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     req.avoid.add(head)
     if event.detail == LEAVING_DETAIL:
@@ -160,7 +160,7 @@
     if attempt is None:
         return
     req = state.requests[attempt.request_id]
-    drop_attempt(state, attempt)
+    remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     is_unclear = not _blame_stages(state, attempt, event, req, now)
     may_have_ended = note_break(state, attempt, req, now)
@@ -229,7 +229,7 @@
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> None:
     note_survival(state, req, now)
-    drop_attempt(state, attempt)
+    remove_attempt(state, attempt)
     finish_request(state, req)
     state.emit(CancelAttempt(attempt.attempt_id))
     dispatch_queue(state, get_queue_name(req), now)
@@ -284,7 +284,7 @@
     _add_excess(attempt, event.index, current_ms - other_ms)
     if attempt.excess_ms < _MOVE_COST_MS:
         return
-    drop_attempt(state, attempt)
+    remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     req.avoid.add(target)
     state.counters['moved.slow_link'] += 1
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -13,7 +13,7 @@
     SettleClaim,
 )
 from samphirerill.core.ending import (
-    forget_request,
+    remove_request,
     get_queue_name,
     refuse_request,
 )
@@ -54,7 +54,7 @@
     req = state.requests.get(event.request_id)
     if req is None:
         return
-    forget_request(state, req)
+    remove_request(state, req)
     if event.state == 'answered':
         state.emit(ReplayAnswer(req.request_id))
         state.counters['replayed'] += 1
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -14,7 +14,7 @@
 from samphirerill.core.ending import (
     get_queue_name,
     refuse_request,
-    tell_outcome,
+    determine_outcome,
 )
 from samphirerill.core.events import EvidenceTold
 from samphirerill.core.handling import handle
@@ -113,7 +113,7 @@
     if problem is None:
         return False
     status = problem.status
-    if tell_outcome(req) is Outcome.MAY_HAVE_RUN:
+    if determine_outcome(req) is Outcome.MAY_HAVE_RUN:
         # 503 would promise that nothing ran.
         status = HTTPStatus.BAD_GATEWAY
     refuse_request(
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -8,9 +8,9 @@
 from samphirerill.core.admission import QueueEntry
 from samphirerill.core.commands import Outcome, Problem, RefuseRequest
 from samphirerill.core.ending import (
-    forget_request,
+    remove_request,
     get_queue_name,
-    tell_outcome,
+    determine_outcome,
 )
 from samphirerill.core.events import (
     CallerLeft,
@@ -72,8 +72,8 @@
     state.counters['callers_left'] += 1
     if req.claimed or req.phase is Phase.CLAIMING:
         return
-    outcome = tell_outcome(req)
-    forget_request(state, req)
+    outcome = determine_outcome(req)
+    remove_request(state, req)
     state.counters[f'left.{outcome.value}'] += 1
     dispatch_queue(state, get_queue_name(req), now)
 
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -12,7 +12,7 @@
 from samphirerill.core.ending import (
     get_queue_name,
     refuse_request,
-    release_account,
+    release_account_slot,
 )
 from samphirerill.core.model import SERVICE_ROUTE
 from samphirerill.core.placement import choose_pipeline, choose_service
@@ -131,7 +131,7 @@
 def requeue_at_front(state: CoreState, req: RequestState, now: float) -> None:
     """Put work that has started before all that has not."""
     req.phase = Phase.QUEUED
-    release_account(state, req)
+    release_account_slot(state, req)
     req.queue_deadline = min(req.deadline, now + req.route.queue_timeout_s)
     state.wake_at(req.queue_deadline, 'queue', req.request_id)
     entry = QueueEntry(req.request_id, req.account, req.priority, 0)
@@ -200,7 +200,7 @@
 def _may_repeat(req: RequestState) -> bool:
     if req.route.idempotent:
         return True
-    return not req.unsure_attempts and not req.delivered
+    return not req.ambiguous_attempts and not req.delivered
 
 
 def _withdraw_retry(state: CoreState, req: RequestState) -> bool:
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -70,7 +70,7 @@
     delivered: int = 0
     attempts: int = 0
     failures: int = 0
-    unsure_attempts: int = 0
+    ambiguous_attempts: int = 0
     attempt_id: str = ''
     avoid: set[str] = field(default_factory=set)
 
