--- a/samphirerill/core/links.py
+++ b/samphirerill/core/links.py
@@ -13,55 +13,55 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-_ENOUGH_REPORTS = 3
-_BELIEVED_S = 30.0
+_MIN_SAMPLES = 3
+_SAMPLE_TTL_S = 30.0
 
 Link = tuple[str, str]
 
 
-class LinkTimes:
+class LinkSamples:
     """The latest reports of one link, in milliseconds.
 
     `lapses_at` is when they are too old to be believed, on the node's clock.
     """
 
-    __slots__ = ('lapses_at', 'reports')
+    __slots__ = ('expires_at', 'hops_ms')
 
     def __init__(self) -> None:
-        self.reports: deque[float] = deque(maxlen=_ENOUGH_REPORTS)
-        self.lapses_at = 0.0
+        self.hops_ms: deque[float] = deque(maxlen=_MIN_SAMPLES)
+        self.expires_at = 0.0
 
 
-class LinkMap:
+class LinkLatencies:
     """Measured links by source and target endpoint."""
 
-    __slots__ = ('_known',)
+    __slots__ = ('_samples',)
 
     def __init__(self) -> None:
-        self._known: dict[Link, LinkTimes] = {}
+        self._samples: dict[Link, LinkSamples] = {}
 
     def observe(self, link: Link, hop_ms: float, now: float) -> None:
         """Take a report."""
-        known = self._known.get(link)
-        if known is None or known.lapses_at <= now:
-            known = LinkTimes()
-            self._known[link] = known
-        known.reports.append(hop_ms)
-        known.lapses_at = now + _BELIEVED_S
-
-    def find_ms(self, link: Link, now: float) -> float | None:
+        samples = self._samples.get(link)
+        if samples is None or samples.expires_at <= now:
+            samples = LinkSamples()
+            self._samples[link] = samples
+        samples.hops_ms.append(hop_ms)
+        samples.expires_at = now + _SAMPLE_TTL_S
+
+    def estimate_ms(self, link: Link, now: float) -> float | None:
         """Return what a link takes; none if that is not known well enough."""
-        known = self._known.get(link)
-        if known is None or known.lapses_at <= now:
+        samples = self._samples.get(link)
+        if samples is None or samples.expires_at <= now:
             return None
-        if len(known.reports) < _ENOUGH_REPORTS:
+        if len(samples.hops_ms) < _MIN_SAMPLES:
             return None
-        return min(known.reports)
+        return min(samples.hops_ms)
 
     def retain(self, endpoints: Collection[str]) -> None:
         """Forget the links of all other endpoints."""
-        self._known = {
-            link: known
-            for link, known in self._known.items()
+        self._samples = {
+            link: samples
+            for link, samples in self._samples.items()
             if link[0] in endpoints and link[1] in endpoints
         }
--- a/samphirerill/core/placement.py
+++ b/samphirerill/core/placement.py
@@ -271,7 +271,7 @@
 
 
 def _hop_ms(state: CoreState, source: str, target: str) -> float:
-    measured = state.links.find_ms((source, target), state.now)
+    measured = state.links.estimate_ms((source, target), state.now)
     if measured is not None:
         return measured
     ends = state.endpoints.get(source), state.endpoints.get(target)
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -16,7 +16,7 @@
 from samphirerill.core.admission import FairQueue
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import Command, Stage
-from samphirerill.core.links import LinkMap
+from samphirerill.core.links import LinkLatencies
 from samphirerill.core.model import Configuration, Endpoint
 from samphirerill.core.prefixes import PrefixMap
 from samphirerill.quarantine import Quarantine
@@ -168,7 +168,7 @@
         self.pools: dict[str, FairQueue] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.leaving: dict[str, float] = {}
-        self.links = LinkMap()
+        self.links = LinkLatencies()
         self.prefixes = PrefixMap()
         self.quarantine = Quarantine()
         # Of endpoints that are asked whether they live, what broke off there.
--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -6,7 +6,7 @@
 
 from samphirerill.core.commands import OpenAttempt
 from samphirerill.core.events import AttemptSent, CacheReported, TokenArrived
-from samphirerill.core.links import LinkMap
+from samphirerill.core.links import LinkLatencies
 from samphirerill.core.prefixes import CacheNews
 from samphirerill.testing.clients import complete
 from samphirerill.testing.cluster import wait_for
@@ -26,30 +26,30 @@
     """Reports of one link."""
 
     def setUp(self) -> None:
-        self.links = LinkMap()
+        self.links = LinkLatencies()
 
     def test_a_slow_moment_makes_no_slow_link(self) -> None:
         """Work isn't taken off a link because its target was busy once."""
         for hop_ms in (_FAST_MS, _SLOW_MS, _SLOW_MS, _FAST_MS):
             self.links.observe(_LINK, hop_ms, 1)
-        self.assertEqual(self.links.find_ms(_LINK, 2), _FAST_MS)
+        self.assertEqual(self.links.estimate_ms(_LINK, 2), _FAST_MS)
 
     def test_a_link_that_stays_slow_is_slow(self) -> None:
         for _ in range(3):
             self.links.observe(_LINK, _SLOW_MS, 1)
-        self.assertEqual(self.links.find_ms(_LINK, 2), _SLOW_MS)
+        self.assertEqual(self.links.estimate_ms(_LINK, 2), _SLOW_MS)
 
     def test_an_avoided_link_is_tried_again(self) -> None:
         """A link that was slow isn't left unused for good."""
         for _ in range(3):
             self.links.observe(_LINK, _SLOW_MS, 1)
-        self.assertIsNone(self.links.find_ms(_LINK, _LONG_AFTER_S))
+        self.assertIsNone(self.links.estimate_ms(_LINK, _LONG_AFTER_S))
 
     def test_links_of_endpoints_that_are_gone_are_forgotten(self) -> None:
         for _ in range(3):
             self.links.observe(_LINK, _SLOW_MS, 1)
         self.links.retain({'one'})
-        self.assertIsNone(self.links.find_ms(_LINK, 2))
+        self.assertIsNone(self.links.estimate_ms(_LINK, 2))
 
 
 class TestMoves(RouterCase):
