--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -53,12 +53,12 @@
     )
 
 LEAVING_DETAIL = 'leaving'
-SUSPECT_FOR_S = 2.0
-_MOVE_GAIN = 0.6
-_MOVE_LEAST_MS = 5.0
-_MOVE_LEAST_TOKENS = 4
+PROBE_INTERVAL_S = 2.0
+_MAX_MIGRATION_RATIO = 0.6
+_MIN_SLOW_HOP_MS = 5.0
+_MIN_REMAINING_TOKENS = 4
 # Reading a usual prompt on another pipeline takes about so long.
-_MOVE_COST_MS = 300.0
+_MIGRATION_COST_MS = 300.0
 
 
 @handle.register(AttemptSent)
@@ -86,8 +86,8 @@
         return
     if attempt.epoch != event.epoch:
         state.counters['dropped.epoch'] += 1
-        broke = AttemptBroke(event.attempt_id, 'a token of another epoch')
-        on_attempt_broke(broke, state, now)
+        failure = AttemptBroke(event.attempt_id, 'a token of another epoch')
+        on_attempt_broke(failure, state, now)
         return
     req = state.requests[attempt.request_id]
     if event.index < req.delivered:
@@ -95,8 +95,8 @@
         return
     if event.index > req.delivered:
         state.counters['dropped.gap'] += 1
-        broke = AttemptBroke(event.attempt_id, 'a token is missing')
-        on_attempt_broke(broke, state, now)
+        failure = AttemptBroke(event.attempt_id, 'a token is missing')
+        on_attempt_broke(failure, state, now)
         return
     req.delivered += 1
     attempt.got_token = True
@@ -110,7 +110,7 @@
         _finish_attempt(state, attempt, req, now)
     elif event.hops_ms:
         observe_hops(state, attempt.stages, event.hops_ms)
-        _move_off_slow_link(state, attempt, req, event, now)
+        _migrate_from_slow_link(state, attempt, req, event, now)
 
 
 @handle.register(AttemptProgressed)
@@ -162,9 +162,11 @@
     req = state.requests[attempt.request_id]
     remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
-    is_unclear = not _blame_stages(state, attempt, event, req, now)
+    is_stage_unknown = not _exclude_failed_stage(
+        state, attempt, event, req, now
+    )
     may_have_ended = note_break(state, attempt, req, now)
-    if is_unclear or may_have_ended:
+    if is_stage_unknown or may_have_ended:
         probe_stages(state, attempt)
     state.counters['attempts.broke'] += 1
     if refuse_held(state, req, now):
@@ -190,14 +192,14 @@
     _finish_attempt(state, attempt, req, now)
 
 
-def suspect_endpoint(state: CoreState, name: str, now: float) -> None:
+def mark_suspect(state: CoreState, name: str, now: float) -> None:
     """Send an endpoint nothing until a probe has found it alive."""
     found = state.endpoints.get(name)
     if found is None or found.health is Health.LEAVING:
         return
     found.health = Health.SUSPECT
-    found.suspect_until = now + SUSPECT_FOR_S
-    state.wake_at(found.suspect_until, 'endpoint', name)
+    found.next_probe_at = now + PROBE_INTERVAL_S
+    state.wake_at(found.next_probe_at, 'endpoint', name)
 
 
 def probe_stages(state: CoreState, attempt: AttemptState) -> None:
@@ -206,7 +208,7 @@
         state.emit(ProbeEndpoint(stage.endpoint, stage.address))
 
 
-def _blame_stages(
+def _exclude_failed_stage(
     state: CoreState,
     attempt: AttemptState,
     event: AttemptBroke,
@@ -217,10 +219,10 @@
     if 0 <= event.failed_stage < len(attempt.stages):
         name = attempt.stages[event.failed_stage].endpoint
         req.avoid.add(name)
-        suspect_endpoint(state, name, now)
+        mark_suspect(state, name, now)
         return True
     if not event.connected:
-        suspect_endpoint(state, attempt.stages[0].endpoint, now)
+        mark_suspect(state, attempt.stages[0].endpoint, now)
     req.avoid.add(attempt.stages[0].endpoint)
     return False
 
@@ -242,13 +244,13 @@
     timeout_s = limits.first_token_timeout_s
     if attempt.got_token:
         timeout_s = limits.progress_timeout_s
-    was = attempt.progress_deadline
+    previous_deadline = attempt.progress_deadline
     attempt.progress_deadline = now + timeout_s
-    if attempt.progress_deadline < was:
+    if attempt.progress_deadline < previous_deadline:
         state.wake_at(attempt.progress_deadline, 'attempt', attempt.attempt_id)
 
 
-def _move_off_slow_link(
+def _migrate_from_slow_link(
     state: CoreState,
     attempt: AttemptState,
     req: RequestState,
@@ -262,11 +264,11 @@
     because its target is busy, costs less than the move.
     """
     hops_ms = event.hops_ms
-    if not req.route.idempotent or max(hops_ms) < _MOVE_LEAST_MS:
-        attempt.slow_index = -1
+    if not req.route.idempotent or max(hops_ms) < _MIN_SLOW_HOP_MS:
+        attempt.last_slow_index = -1
         attempt.excess_ms = 0
         return
-    if 0 < req.tokens - req.delivered < _MOVE_LEAST_TOKENS:
+    if 0 < req.tokens - req.delivered < _MIN_REMAINING_TOKENS:
         # Its prompt would be read once more for hardly anything; where one hop
         # looks slow for a moment, short answers ran twice. An estimate that is
         # used up tells nothing of what is left.
@@ -277,12 +279,14 @@
         target = attempt.stages[worst].endpoint
     current_ms = measure_ms(state, attempt.stages, hops_ms)
     avoid = req.avoid | {target}
-    other = choose_pipeline(state, req.route.model, avoid)
-    other_ms = predict_ms(state, other) if other else float('inf')
-    if other_ms > _MOVE_GAIN * current_ms:
+    alternative = choose_pipeline(state, req.route.model, avoid)
+    alternative_ms = (
+        predict_ms(state, alternative) if alternative else float('inf')
+    )
+    if alternative_ms > _MAX_MIGRATION_RATIO * current_ms:
         return
-    _add_excess(attempt, event.index, current_ms - other_ms)
-    if attempt.excess_ms < _MOVE_COST_MS:
+    _add_excess_ms(attempt, event.index, current_ms - alternative_ms)
+    if attempt.excess_ms < _MIGRATION_COST_MS:
         return
     remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
@@ -292,8 +296,10 @@
         requeue_at_front(state, req, now)
 
 
-def _add_excess(attempt: AttemptState, index: int, excess_ms: float) -> None:
+def _add_excess_ms(attempt: AttemptState, index: int, excess_ms: float) -> None:
     """Add what slow hops have cost since they were last found slow."""
-    tokens = 1 if attempt.slow_index < 0 else index - attempt.slow_index
-    attempt.slow_index = index
+    tokens = (
+        1 if attempt.last_slow_index < 0 else index - attempt.last_slow_index
+    )
+    attempt.last_slow_index = index
     attempt.excess_ms += tokens * excess_ms
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -13,7 +13,7 @@
     VmListRead,
 )
 from samphirerill.core.handling import handle
-from samphirerill.core.on_attempts import suspect_endpoint
+from samphirerill.core.on_attempts import mark_suspect
 from samphirerill.core.on_endings import note_probe
 from samphirerill.core.placement import GENTLE_S
 from samphirerill.core.starting import dispatch_all_queues, dispatch_queue
@@ -116,7 +116,7 @@
     if found is None or found.health is Health.LEAVING:
         return
     if not event.alive:
-        suspect_endpoint(state, event.endpoint, now)
+        mark_suspect(state, event.endpoint, now)
         return
     if found.health is Health.SUSPECT:
         found.health = Health.LIVE
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -101,7 +101,7 @@
     found = state.endpoints.get(name)
     if found is None or found.health is not Health.SUSPECT:
         return
-    if found.suspect_until <= now:
+    if found.next_probe_at <= now:
         state.emit(ProbeEndpoint(name, found.endpoint.address))
 
 
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -92,7 +92,7 @@
     got_token: bool = False
     first_token_at: float = 0
     last_token_at: float = 0
-    slow_index: int = -1
+    last_slow_index: int = -1
     excess_ms: float = 0
 
 
@@ -111,7 +111,7 @@
     running: int = 0
     waiting: int = 0
     own_at_report: int = 0
-    suspect_until: float = 0
+    next_probe_at: float = 0
     reported_at: float = 0
     gentle_until: float = 0
 
