--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -26,10 +26,10 @@
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.on_endings import (
-    note_break,
-    note_survival,
-    note_token,
-    refuse_held,
+    record_failure,
+    record_survival,
+    record_token,
+    refuse_quarantined,
 )
 from samphirerill.core.placement import (
     choose_pipeline,
@@ -100,7 +100,7 @@
         return
     req.delivered += 1
     attempt.got_token = True
-    note_token(state, attempt, req, now)
+    record_token(state, attempt, req, now)
     req.failures = 0
     _extend_progress(state, attempt, now)
     state.emit(
@@ -165,11 +165,11 @@
     is_stage_unknown = not _exclude_failed_stage(
         state, attempt, event, req, now
     )
-    may_have_ended = note_break(state, attempt, req, now)
-    if is_stage_unknown or may_have_ended:
+    may_have_crashed = record_failure(state, attempt, req, now)
+    if is_stage_unknown or may_have_crashed:
         probe_stages(state, attempt)
     state.counters['attempts.broke'] += 1
-    if refuse_held(state, req, now):
+    if refuse_quarantined(state, req, now):
         dispatch_queue(state, get_queue_name(req), now)
         return
     retry_or_refuse(
@@ -230,7 +230,7 @@
 def _finish_attempt(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> None:
-    note_survival(state, req, now)
+    record_survival(state, req, now)
     remove_attempt(state, attempt)
     finish_request(state, req)
     state.emit(CancelAttempt(attempt.attempt_id))
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -29,17 +29,17 @@
 
 QUARANTINE_DETAIL = 'endpoints end when they run this request'
 # Wakes may come a moment early.
-_TICK_S = 0.005
+_TIMER_SLACK_S = 0.005
 
 
 @handle.register(EvidenceTold)
 def on_evidence_told(event: EvidenceTold, state: CoreState, now: float) -> None:
     """Take what another node knows against requests."""
     if take_told(state.quarantine, event.records, now):
-        _judge_soon(state, now)
+        _schedule_evaluation(state, now)
 
 
-def find_quarantine(
+def find_quarantine_problem(
     state: CoreState, identity: bytes, now: float
 ) -> Problem | None:
     """Return the refusal of a request that is held back, if it is."""
@@ -55,61 +55,61 @@
     )
 
 
-def note_break(
+def record_failure(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> bool:
     """An attempt broke; return whether its endpoints may have ended by it."""
     if not req.identity or not attempt.sent:
         return False
-    if _has_survived(attempt):
-        note_survival(state, req, now)
+    if _has_survived_start(attempt):
+        record_survival(state, req, now)
         return False
     for stage in attempt.stages:
         death = Death(stage.endpoint, req.request_id, now)
-        broken = state.broken.setdefault(stage.endpoint, {})
-        broken[req.identity] = death
+        crashes = state.suspected_crashes.setdefault(stage.endpoint, {})
+        crashes[req.identity] = death
     return True
 
 
-def note_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
+def record_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
     """An endpoint was asked: what broke off there counts, or not."""
-    broken = state.broken.pop(event.endpoint, {})
+    crashes = state.suspected_crashes.pop(event.endpoint, {})
     if not event.has_ended:
         return
-    for identity, death in broken.items():
+    for identity, death in crashes.items():
         state.quarantine.note_death(identity, death, now)
-        _judge_soon(state, now)
+        _schedule_evaluation(state, now)
 
 
-def note_token(
+def record_token(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> None:
     """A token has come; who sends them for long enough is no suspect."""
     attempt.first_token_at = attempt.first_token_at or now
     attempt.last_token_at = now
-    if _has_survived(attempt):
-        note_survival(state, req, now)
+    if _has_survived_start(attempt):
+        record_survival(state, req, now)
 
 
-def note_survival(state: CoreState, req: RequestState, now: float) -> None:
+def record_survival(state: CoreState, req: RequestState, now: float) -> None:
     """A run went on, or came to its end, and its endpoint lives."""
     if state.quarantine.note_survival(req.identity, now):
         state.counters['quarantine.refuted'] += 1
-        _judge_soon(state, now)
+        _schedule_evaluation(state, now)
 
 
-def judge(state: CoreState, now: float) -> None:
+def evaluate_quarantine(state: CoreState, now: float) -> None:
     """Decide who is held back; what they have begun or wait for is ended."""
-    for news in state.quarantine.judge(now):
-        kind = 'held' if news.until else 'released'
+    for decision in state.quarantine.judge(now):
+        kind = 'held' if decision.until else 'released'
         state.counters[f'quarantine.{kind}'] += 1
-        if news.until:
-            _end_requests(state, news.request, now)
+        if decision.until:
+            _refuse_affected(state, decision.request, now)
 
 
-def refuse_held(state: CoreState, req: RequestState, now: float) -> bool:
+def refuse_quarantined(state: CoreState, req: RequestState, now: float) -> bool:
     """End a request that is held back; return whether it was."""
-    problem = find_quarantine(state, req.identity, now)
+    problem = find_quarantine_problem(state, req.identity, now)
     if problem is None:
         return False
     status = problem.status
@@ -127,21 +127,21 @@
     return True
 
 
-def _end_requests(state: CoreState, identity: bytes, now: float) -> None:
-    concerned = [
+def _refuse_affected(state: CoreState, identity: bytes, now: float) -> None:
+    affected = [
         req for req in state.requests.values() if req.identity == identity
     ]
-    for req in concerned:
+    for req in affected:
         attempt = state.attempts.get(req.attempt_id)
-        if attempt is not None and _has_survived(attempt):
+        if attempt is not None and _has_survived_start(attempt):
             continue
-        refuse_held(state, req, now)
+        refuse_quarantined(state, req, now)
         dispatch_queue(state, get_queue_name(req), now)
 
 
-def _has_survived(attempt: AttemptState) -> bool:
+def _has_survived_start(attempt: AttemptState) -> bool:
     return attempt.last_token_at - attempt.first_token_at >= BEGINNING_S
 
 
-def _judge_soon(state: CoreState, now: float) -> None:
-    state.wake_at(now + SETTLE_S + _TICK_S, 'quarantine', '')
+def _schedule_evaluation(state: CoreState, now: float) -> None:
+    state.wake_at(now + SETTLE_S + _TIMER_SLACK_S, 'quarantine', '')
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -14,7 +14,7 @@
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import mark_suspect
-from samphirerill.core.on_endings import note_probe
+from samphirerill.core.on_endings import record_probe
 from samphirerill.core.placement import GENTLE_S
 from samphirerill.core.starting import dispatch_all_queues, dispatch_queue
 from samphirerill.core.state import EndpointState, Health
@@ -111,7 +111,7 @@
     event: ProbeAnswered, state: CoreState, now: float
 ) -> None:
     """Trust an endpoint again, or keep it suspect and ask again later."""
-    note_probe(state, event, now)
+    record_probe(state, event, now)
     found = state.endpoints.get(event.endpoint)
     if found is None or found.health is Health.LEAVING:
         return
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -21,7 +21,7 @@
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.model import choose_priority
-from samphirerill.core.on_endings import find_quarantine
+from samphirerill.core.on_endings import find_quarantine_problem
 from samphirerill.core.starting import dispatch_queue, deposit_retry, get_queue
 from samphirerill.core.state import Phase, RequestState
 
@@ -136,8 +136,10 @@
             'the deadline has passed',
             0,
         )
-    held = find_quarantine(state, event.identity, now)
-    return held or _find_overload(event, state, now, route, account)
+    quarantine_problem = find_quarantine_problem(state, event.identity, now)
+    return quarantine_problem or _find_overload(
+        event, state, now, route, account
+    )
 
 
 def _find_overload(
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -11,7 +11,7 @@
 from samphirerill.core.events import AttemptBroke, TimePassed
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import on_attempt_broke
-from samphirerill.core.on_endings import judge
+from samphirerill.core.on_endings import evaluate_quarantine
 from samphirerill.core.starting import dispatch_queue
 from samphirerill.core.state import Health, Phase
 
@@ -107,7 +107,7 @@
 
 def _check_quarantine(state: CoreState, name: str, now: float) -> None:
     """Judge what has become known against requests."""
-    judge(state, now)
+    evaluate_quarantine(state, now)
 
 
 _CHECKS = {
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -133,7 +133,7 @@
 
     __slots__ = (
         'attempts',
-        'broken',
+        'suspected_crashes',
         'budgets',
         'by_model',
         'configuration',
@@ -172,7 +172,7 @@
         self.prefixes = PrefixMap()
         self.quarantine = Quarantine()
         # Of endpoints that are asked whether they live, what broke off there.
-        self.broken: dict[str, dict[bytes, Death]] = {}
+        self.suspected_crashes: dict[str, dict[bytes, Death]] = {}
         self.running_by_account: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
         self.deadlines: list[tuple[float, str, str]] = []
