--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -15,7 +15,7 @@
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import mark_suspect
 from samphirerill.core.on_endings import record_probe
-from samphirerill.core.placement import GENTLE_S
+from samphirerill.core.placement import SLOW_START_S
 from samphirerill.core.starting import dispatch_all_queues, dispatch_queue
 from samphirerill.core.state import EndpointState, Health
 from samphirerill.core.subsets import group_by_model
@@ -40,17 +40,17 @@
         state.counters['configuration.stale'] += 1
         return
     state.configuration = configuration
-    kept = {}
+    replicas = {}
     for name, endpoint in configuration.endpoints.items():
-        found = state.endpoints.get(name)
-        if found is None or found.endpoint.address != endpoint.address:
-            gentle_until = now if is_first else now + GENTLE_S
-            found = _build_endpoint_state(state, endpoint, gentle_until)
-        found.endpoint = endpoint
-        kept[name] = found
-    state.endpoints = kept
-    state.by_model = group_by_model(state.node, kept)
-    state.links.retain(kept)
+        replica = state.endpoints.get(name)
+        if replica is None or replica.endpoint.address != endpoint.address:
+            slow_start_until = now if is_first else now + SLOW_START_S
+            replica = _build_endpoint_state(state, endpoint, slow_start_until)
+        replica.endpoint = endpoint
+        replicas[name] = replica
+    state.endpoints = replicas
+    state.by_model = group_by_model(state.node, replicas)
+    state.links.retain(replicas)
     dispatch_all_queues(state, now)
 
 
@@ -68,42 +68,42 @@
     for name in event.live:
         if state.leaving.get(name, now) < now:
             state.leaving.pop(name)
-            _revive(state, name)
+            _mark_live(state, name)
     dispatch_all_queues(state, now)
 
 
-def _revive(state: CoreState, name: str) -> None:
-    found = state.endpoints.get(name)
-    if found is not None:
-        found.health = Health.LIVE
+def _mark_live(state: CoreState, name: str) -> None:
+    replica = state.endpoints.get(name)
+    if replica is not None:
+        replica.health = Health.LIVE
 
 
 def _build_endpoint_state(
-    state: CoreState, endpoint: Endpoint, gentle_until: float
+    state: CoreState, endpoint: Endpoint, slow_start_until: float
 ) -> EndpointState:
     """Return the state of an endpoint that the configuration brings.
 
     One that is known to be leaving stays so, even if operators took it out
     and put it back meanwhile.
     """
-    found = EndpointState(endpoint, gentle_until=gentle_until)
+    replica = EndpointState(endpoint, slow_start_until=slow_start_until)
     if endpoint.name in state.leaving:
-        found.health = Health.LEAVING
-    return found
+        replica.health = Health.LEAVING
+    return replica
 
 
 @handle.register(LoadReported)
 def on_load_reported(event: LoadReported, state: CoreState, now: float) -> None:
     """Remember an endpoint's late figures beside this node's own share."""
-    found = state.endpoints.get(event.endpoint)
-    if found is None:
+    replica = state.endpoints.get(event.endpoint)
+    if replica is None:
         return
-    found.running = event.running
-    found.waiting = event.waiting
-    found.own_at_report = found.in_flight
-    found.reported_at = now
-    if found.endpoint.model:
-        dispatch_queue(state, found.endpoint.model, now)
+    replica.running = event.running
+    replica.waiting = event.waiting
+    replica.own_at_report = replica.in_flight
+    replica.reported_at = now
+    if replica.endpoint.model:
+        dispatch_queue(state, replica.endpoint.model, now)
 
 
 @handle.register(ProbeAnswered)
@@ -112,14 +112,14 @@
 ) -> None:
     """Trust an endpoint again, or keep it suspect and ask again later."""
     record_probe(state, event, now)
-    found = state.endpoints.get(event.endpoint)
-    if found is None or found.health is Health.LEAVING:
+    replica = state.endpoints.get(event.endpoint)
+    if replica is None or replica.health is Health.LEAVING:
         return
     if not event.alive:
         mark_suspect(state, event.endpoint, now)
         return
-    if found.health is Health.SUSPECT:
-        found.health = Health.LIVE
+    if replica.health is Health.SUSPECT:
+        replica.health = Health.LIVE
         dispatch_all_queues(state, now)
 
 
--- a/samphirerill/core/placement.py
+++ b/samphirerill/core/placement.py
@@ -27,7 +27,7 @@
 _JITTER = 0.1
 _CACHE_GAIN = 0.5
 _LEAST_HOP_MS = 0.3
-GENTLE_S = 5.0
+SLOW_START_S = 5.0
 
 
 @dataclass(slots=True)
@@ -122,7 +122,7 @@
     return total
 
 
-def count_free(state: CoreState, found: EndpointState) -> int:
+def count_free_slots(state: CoreState, found: EndpointState) -> int:
     """Return how many more requests this node may send to an endpoint.
 
     Reports are late and all nodes read the same ones, so a node may always
@@ -133,14 +133,14 @@
     slots = found.endpoint.slots
     share = max(1, slots // max(1, state.node_count))
     allowed = max(share, slots - found.others())
-    if state.now < found.gentle_until:
-        grown = 1 - (found.gentle_until - state.now) / GENTLE_S
+    if state.now < found.slow_start_until:
+        grown = 1 - (found.slow_start_until - state.now) / SLOW_START_S
         allowed = min(allowed, max(1, int(slots * grown)))
     return allowed - found.in_flight
 
 
 def _is_usable(state: CoreState, found: EndpointState) -> bool:
-    return found.health is Health.LIVE and count_free(state, found) > 0
+    return found.health is Health.LIVE and count_free_slots(state, found) > 0
 
 
 def _find_usable(
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.core.placement import count_free
+from samphirerill.core.placement import count_free_slots
 from samphirerill.quarantine.messages import build_told
 from samphirerill.quarantine.records import describe_record
 
@@ -73,7 +73,7 @@
             'in_flight': found.in_flight,
             'reported_running': found.running,
             'reported_waiting': found.waiting,
-            'free': count_free(state, found),
+            'free': count_free_slots(state, found),
         }
         for name, found in state.endpoints.items()
     }
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -113,7 +113,7 @@
     own_at_report: int = 0
     next_probe_at: float = 0
     reported_at: float = 0
-    gentle_until: float = 0
+    slow_start_until: float = 0
 
     def others(self) -> int:
         """Return how much of the endpoint other nodes use."""
--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from samphirerill.core.commands import OpenAttempt
 from samphirerill.core.events import ConfigurationAccepted, RequestArrived
 from samphirerill.core.model import build_configuration
-from samphirerill.core.placement import GENTLE_S, count_free
+from samphirerill.core.placement import SLOW_START_S, count_free_slots
 from samphirerill.core.router import Router
 from samphirerill.core.subsets import SUBSET
 
@@ -68,7 +68,7 @@
         """Return how much an endpoint may be sent at a time."""
         state = self.router.state
         state.now = now
-        return count_free(state, state.endpoints[name])
+        return count_free_slots(state, state.endpoints[name])
 
     def test_share_grows_from_one_to_all(self) -> None:
         """All nodes hear of it at once; together they must not fill it.
@@ -79,9 +79,9 @@
         Cause: an empty endpoint was taken for one that is free for oneself.
         """
         self.assertEqual(self.find_free('new', 10), 1)
-        halfway = self.find_free('new', 10 + GENTLE_S / 2)
+        halfway = self.find_free('new', 10 + SLOW_START_S / 2)
         self.assertEqual(halfway, 16)
-        self.assertEqual(self.find_free('new', 10 + GENTLE_S), 32)
+        self.assertEqual(self.find_free('new', 10 + SLOW_START_S), 32)
 
     def test_node_that_starts_takes_the_fleet_as_it_is(self) -> None:
         """For a new node all endpoints are new, but none has just joined."""
