--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -39,7 +39,7 @@
     event: RequestArrived, state: CoreState, now: float
 ) -> None:
     """Queue a request, or refuse it at once if it can't be served."""
-    problem = _find_obstacle(event, state, now)
+    problem = _find_refusal(event, state, now)
     if problem is not None:
         state.emit(RefuseRequest(event.request_id, problem))
         state.counters[f'refused.{problem.code}'] += 1
@@ -102,19 +102,19 @@
     state.forbidden = ''
 
 
-def _find_obstacle(
+def _find_refusal(
     event: RequestArrived, state: CoreState, now: float
 ) -> Problem | None:
     """Return why a new request can't be taken, or nothing."""
     if state.draining:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'draining',
             'this node is leaving',
             _DRAIN_RETRY_S,
         )
     if state.forbidden:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'not-in-force',
             state.forbidden,
@@ -123,14 +123,14 @@
     route = state.configuration.routes.get(event.route)
     account = state.configuration.accounts.get(event.account)
     if route is None or account is None or event.route not in account.routes:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.NOT_FOUND,
             'unknown-route',
             f'no route {event.route!r}',
             0,
         )
     if event.deadline <= now:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.GATEWAY_TIMEOUT,
             'deadline-passed',
             'the deadline has passed',
@@ -157,7 +157,7 @@
     queue = get_queue(state, route.model or f'route {route.name}')
     length = queue.size()
     if length >= state.configuration.limits.max_queue:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'overloaded',
             'the queue is full',
@@ -165,9 +165,9 @@
         )
     ahead = queue.estimate_ahead(account.name, choose_priority(route, account))
     wait_s = ahead * queue.dequeue_interval_s
-    if length and now + wait_s > _queue_deadline(event, route, now):
+    if length and now + wait_s > _compute_queue_deadline(event, route, now):
         detail = f'about {wait_s:.1f} s of work wait ahead of this request'
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'overloaded',
             detail,
@@ -187,7 +187,7 @@
         route=route,
         priority=choose_priority(route, account),
         deadline=event.deadline,
-        queue_deadline=_queue_deadline(event, route, now),
+        queue_deadline=_compute_queue_deadline(event, route, now),
         tokens=max(1, event.tokens),
         key=event.key,
         fingerprint=event.fingerprint,
@@ -197,11 +197,13 @@
     )
 
 
-def _queue_deadline(event: RequestArrived, route: Route, now: float) -> float:
+def _compute_queue_deadline(
+    event: RequestArrived, route: Route, now: float
+) -> float:
     return min(event.deadline, now + route.queue_timeout_s)
 
 
-def _refusal(
+def _build_refusal(
     status: int, code: str, detail: str, retry_after_s: float
 ) -> Problem:
     return Problem(status, code, detail, Outcome.NOT_RUN, retry_after_s)
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -18,18 +18,18 @@
 if TYPE_CHECKING:
     from samphirerill.core.state import CoreState
 
-_LATE_RETRY_S = 1.0
+_QUEUE_TIMEOUT_RETRY_S = 1.0
 # A timer that fires later than this shows that the node's loop was blocked.
-_LEAST_LAG_S = 0.1
+_MIN_LAG_S = 0.1
 # However long it was blocked, endpoints get so much time more.
-_MOST_EXTENSION_S = 0.3
+_MAX_EXTENSION_S = 0.3
 
 
 @handle.register(TimePassed)
 def on_time_passed(event: TimePassed, state: CoreState, now: float) -> None:
     """Act on every deadline that is due."""
-    if event.lag_s > _LEAST_LAG_S:
-        _extend_attempts(state, now + min(event.lag_s, _MOST_EXTENSION_S))
+    if event.lag_s > _MIN_LAG_S:
+        _extend_attempts(state, now + min(event.lag_s, _MAX_EXTENSION_S))
     while state.deadlines and state.deadlines[0][0] <= now:
         _, kind, name = heapq.heappop(state.deadlines)
         _CHECKS[kind](state, name, now)
@@ -58,7 +58,7 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
         'overloaded',
         'no room came in time',
-        _LATE_RETRY_S,
+        _QUEUE_TIMEOUT_RETRY_S,
     )
 
 
@@ -98,11 +98,11 @@
 
 def _check_endpoint(state: CoreState, name: str, now: float) -> None:
     """Ask a suspect endpoint whether it is back."""
-    found = state.endpoints.get(name)
-    if found is None or found.health is not Health.SUSPECT:
+    replica = state.endpoints.get(name)
+    if replica is None or replica.health is not Health.SUSPECT:
         return
-    if found.next_probe_at <= now:
-        state.emit(ProbeEndpoint(name, found.endpoint.address))
+    if replica.next_probe_at <= now:
+        state.emit(ProbeEndpoint(name, replica.endpoint.address))
 
 
 def _check_quarantine(state: CoreState, name: str, now: float) -> None:
