--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -33,9 +33,9 @@
 )
 from samphirerill.core.placement import (
     choose_pipeline,
-    measure_ms,
+    compute_token_ms,
     observe_hops,
-    predict_ms,
+    predict_token_ms,
 )
 from samphirerill.core.starting import (
     dispatch_queue,
@@ -277,11 +277,11 @@
     target = attempt.stages[(worst + 1) % len(attempt.stages)].endpoint
     if worst + 1 == len(attempt.stages):
         target = attempt.stages[worst].endpoint
-    current_ms = measure_ms(state, attempt.stages, hops_ms)
+    current_ms = compute_token_ms(state, attempt.stages, hops_ms)
     avoid = req.avoid | {target}
     alternative = choose_pipeline(state, req.route.model, avoid)
     alternative_ms = (
-        predict_ms(state, alternative) if alternative else float('inf')
+        predict_token_ms(state, alternative) if alternative else float('inf')
     )
     if alternative_ms > _MAX_MIGRATION_RATIO * current_ms:
         return
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -100,7 +100,7 @@
         return
     replica.running = event.running
     replica.waiting = event.waiting
-    replica.own_at_report = replica.in_flight
+    replica.in_flight_at_report = replica.in_flight
     replica.reported_at = now
     if replica.endpoint.model:
         dispatch_queue(state, replica.endpoint.model, now)
--- a/samphirerill/core/placement.py
+++ b/samphirerill/core/placement.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import Stage
-from samphirerill.core.prefixes import NOBODY
+from samphirerill.core.prefixes import NO_ENDPOINTS
 from samphirerill.core.state import EndpointState, Health
 
 if TYPE_CHECKING:
@@ -22,11 +22,11 @@
 
     from samphirerill.core.state import CoreState
 
-_CANDIDATES = 6
-_HEADS = 3
+_MAX_CANDIDATES = 6
+_MAX_HEADS = 3
 _JITTER = 0.1
-_CACHE_GAIN = 0.5
-_LEAST_HOP_MS = 0.3
+_CACHE_HIT_FACTOR = 0.5
+_MIN_HOP_MS = 0.3
 SLOW_START_S = 5.0
 
 
@@ -42,7 +42,7 @@
     state: CoreState,
     model_name: str,
     avoid: set[str],
-    preferred: frozenset[str] = NOBODY,
+    preferred: frozenset[str] = NO_ENDPOINTS,
 ) -> tuple[Stage, ...]:
     """Return the cheapest pipeline with room, or an empty tuple.
 
@@ -62,8 +62,8 @@
     tuple of Stage
         Stages whose layers are ``0..layers-1``, each once, in order.
     """
-    for shunned in (avoid, set()):
-        usable = _find_usable(state, model_name, shunned)
+    for excluded in (avoid, set()):
+        usable = _find_usable(state, model_name, excluded)
         path = _find_path(state, model_name, usable, preferred)
         if path is not None:
             return path.stages
@@ -75,16 +75,21 @@
 ) -> tuple[Stage, ...]:
     """Return the plain service with the least in flight, as one stage."""
     usable = [
-        found
+        replica
         for name in names
-        if (found := state.endpoints.get(name)) and _is_usable(state, found)
+        if (replica := state.endpoints.get(name)) and _is_usable(state, replica)
     ]
-    fresh = [found for found in usable if found.endpoint.name not in avoid]
-    pool = fresh or usable
-    if not pool:
+    untried = [
+        replica for replica in usable if replica.endpoint.name not in avoid
+    ]
+    candidates = untried or usable
+    if not candidates:
         return ()
-    pool = state.random.sample(pool, min(2, len(pool)))
-    best = min(pool, key=lambda found: found.in_flight + found.others())
+    candidates = state.random.sample(candidates, min(2, len(candidates)))
+    best = min(
+        candidates,
+        key=lambda replica: replica.in_flight + replica.count_other_load(),
+    )
     return (_build_stage(best, 0, 0),)
 
 
@@ -98,31 +103,31 @@
         state.links.observe(link, hop_ms, state.now)
 
 
-def predict_ms(state: CoreState, stages: tuple[Stage, ...]) -> float:
+def predict_token_ms(state: CoreState, stages: tuple[Stage, ...]) -> float:
     """Return the predicted milliseconds per token of a whole pipeline."""
     following = stages[1:] + stages[:1]
     hops_ms = [
-        _hop_ms(state, stage.endpoint, target.endpoint)
+        _predict_hop_ms(state, stage.endpoint, target.endpoint)
         for stage, target in zip(stages, following, strict=True)
         if stage is not target
     ]
-    return measure_ms(state, stages, hops_ms)
+    return compute_token_ms(state, stages, hops_ms)
 
 
-def measure_ms(
+def compute_token_ms(
     state: CoreState, stages: tuple[Stage, ...], hops_ms: Iterable[float]
 ) -> float:
     """Return the milliseconds per token if hops take as long as given."""
     total = sum(hops_ms)
     for stage in stages:
-        found = state.endpoints.get(stage.endpoint)
-        if found is None:
+        replica = state.endpoints.get(stage.endpoint)
+        if replica is None:
             return float('inf')
-        total += _stage_ms(state, found, stage.last - stage.first + 1)
+        total += _predict_stage_ms(state, replica, stage.last - stage.first + 1)
     return total
 
 
-def count_free_slots(state: CoreState, found: EndpointState) -> int:
+def count_free_slots(state: CoreState, replica: EndpointState) -> int:
     """Return how many more requests this node may send to an endpoint.
 
     Reports are late and all nodes read the same ones, so a node may always
@@ -130,26 +135,28 @@
     One that has just joined gets work little by little, as all nodes hear of
     it at once and would fill it before its first report.
     """
-    slots = found.endpoint.slots
+    slots = replica.endpoint.slots
     share = max(1, slots // max(1, state.node_count))
-    allowed = max(share, slots - found.others())
-    if state.now < found.slow_start_until:
-        grown = 1 - (found.slow_start_until - state.now) / SLOW_START_S
-        allowed = min(allowed, max(1, int(slots * grown)))
-    return allowed - found.in_flight
+    allowed = max(share, slots - replica.count_other_load())
+    if state.now < replica.slow_start_until:
+        fraction = 1 - (replica.slow_start_until - state.now) / SLOW_START_S
+        allowed = min(allowed, max(1, int(slots * fraction)))
+    return allowed - replica.in_flight
 
 
-def _is_usable(state: CoreState, found: EndpointState) -> bool:
-    return found.health is Health.LIVE and count_free_slots(state, found) > 0
+def _is_usable(state: CoreState, replica: EndpointState) -> bool:
+    return (
+        replica.health is Health.LIVE and count_free_slots(state, replica) > 0
+    )
 
 
 def _find_usable(
     state: CoreState, model_name: str, avoid: set[str]
 ) -> list[EndpointState]:
     return [
-        found
-        for found in state.by_model.get(model_name, ())
-        if found.endpoint.name not in avoid and _is_usable(state, found)
+        replica
+        for replica in state.by_model.get(model_name, ())
+        if replica.endpoint.name not in avoid and _is_usable(state, replica)
     ]
 
 
@@ -162,115 +169,125 @@
     model = state.configuration.models.get(model_name)
     if model is None:
         return None
-    marks = _list_marks(usable, model.layers)
-    heads = [found for found in usable if found.endpoint.first == 0]
+    boundaries = _list_boundaries(usable, model.layers)
+    heads = [replica for replica in usable if replica.endpoint.first == 0]
     best: _Path | None = None
-    for head in _pick_few(state, heads, _HEADS, preferred):
-        path = _extend_head(state, head, usable, marks)
+    for head in _sample_candidates(state, heads, _MAX_HEADS, preferred):
+        path = _find_path_from(state, head, usable, boundaries)
         if path is None:
             continue
         if head.endpoint.name in preferred:
-            path.cost *= _CACHE_GAIN
+            path.cost *= _CACHE_HIT_FACTOR
         if best is None or path.cost < best.cost:
             best = path
     return best
 
 
-def _list_marks(usable: list[EndpointState], layers: int) -> list[int]:
+def _list_boundaries(usable: list[EndpointState], layers: int) -> list[int]:
     """Return the positions where one stage may hand over to the next."""
-    marks = {layers}
-    for found in usable:
-        marks.add(found.endpoint.first)
-        marks.add(found.endpoint.last + 1)
-    return sorted(mark for mark in marks if 0 < mark <= layers)
+    boundaries = {layers}
+    for replica in usable:
+        boundaries.add(replica.endpoint.first)
+        boundaries.add(replica.endpoint.last + 1)
+    return sorted(boundary for boundary in boundaries if 0 < boundary <= layers)
 
 
-def _extend_head(
+def _find_path_from(
     state: CoreState,
     head: EndpointState,
     usable: list[EndpointState],
-    marks: list[int],
+    boundaries: list[int],
 ) -> _Path | None:
     """Find the cheapest way from a given first stage to the last layer."""
-    reached: dict[int, dict[str, _Path]] = {mark: {} for mark in marks}
-    _relax(state, reached, _Path(0, ()), head, 0)
-    for mark in marks[:-1]:
-        if not reached[mark]:
+    paths_to: dict[int, dict[str, _Path]] = {
+        boundary: {} for boundary in boundaries
+    }
+    _relax(state, paths_to, _Path(0, ()), head, 0)
+    for boundary in boundaries[:-1]:
+        if not paths_to[boundary]:
             continue
         holders = [
-            found
-            for found in usable
-            if found.endpoint.first <= mark <= found.endpoint.last
+            replica
+            for replica in usable
+            if replica.endpoint.first <= boundary <= replica.endpoint.last
         ]
-        following = _pick_few(state, holders, _CANDIDATES, NOBODY)
-        for path in tuple(reached[mark].values()):
-            for found in following:
-                _relax(state, reached, path, found, mark)
-    return _close_paths(state, head, reached[marks[-1]])
+        following = _sample_candidates(
+            state, holders, _MAX_CANDIDATES, NO_ENDPOINTS
+        )
+        for path in tuple(paths_to[boundary].values()):
+            for replica in following:
+                _relax(state, paths_to, path, replica, boundary)
+    return _close_cycle(state, head, paths_to[boundaries[-1]])
 
 
 def _relax(
     state: CoreState,
-    reached: dict[int, dict[str, _Path]],
+    paths_to: dict[int, dict[str, _Path]],
     path: _Path,
-    found: EndpointState,
+    replica: EndpointState,
     start: int,
 ) -> None:
     """Extend a path by one endpoint to every position it can run up to."""
-    name = found.endpoint.name
+    name = replica.endpoint.name
     if any(stage.endpoint == name for stage in path.stages):
         return
     hop_ms = 0.0
     if path.stages:
-        hop_ms = _hop_ms(state, path.stages[-1].endpoint, name)
+        hop_ms = _predict_hop_ms(state, path.stages[-1].endpoint, name)
     jitter = 1 + _JITTER * state.random.random()
-    for mark, known in reached.items():
-        if not start < mark <= found.endpoint.last + 1:
+    for boundary, paths in paths_to.items():
+        if not start < boundary <= replica.endpoint.last + 1:
             continue
-        step = _stage_ms(state, found, mark - start) * jitter
-        cost = path.cost + hop_ms + step
-        if name not in known or cost < known[name].cost:
-            stage = _build_stage(found, start, mark - 1)
-            known[name] = _Path(cost, (*path.stages, stage))
+        stage_ms = _predict_stage_ms(state, replica, boundary - start) * jitter
+        cost = path.cost + hop_ms + stage_ms
+        if name not in paths or cost < paths[name].cost:
+            stage = _build_stage(replica, start, boundary - 1)
+            paths[name] = _Path(cost, (*path.stages, stage))
 
 
-def _close_paths(
+def _close_cycle(
     state: CoreState, head: EndpointState, ends: dict[str, _Path]
 ) -> _Path | None:
     """Add the way back to the head, where the next token starts."""
     best: _Path | None = None
     for name, path in ends.items():
         if name != head.endpoint.name:
-            path.cost += _hop_ms(state, name, head.endpoint.name)
+            path.cost += _predict_hop_ms(state, name, head.endpoint.name)
         if best is None or path.cost < best.cost:
             best = path
     return best
 
 
-def _pick_few(
+def _sample_candidates(
     state: CoreState,
-    found: list[EndpointState],
+    replica: list[EndpointState],
     count: int,
     preferred: frozenset[str],
 ) -> list[EndpointState]:
     """Sample candidates, so that nodes with equal views spread out."""
-    if len(found) <= count:
-        return found
-    wanted = [item for item in found if item.endpoint.name in preferred]
-    sample = state.random.sample(found, min(len(found), 2 * count))
-    sample.sort(key=_use)
-    return (wanted + sample)[:count]
+    if len(replica) <= count:
+        return replica
+    matching = [item for item in replica if item.endpoint.name in preferred]
+    sample = state.random.sample(replica, min(len(replica), 2 * count))
+    sample.sort(key=_compute_utilization)
+    return (matching + sample)[:count]
 
 
-def _use(found: EndpointState) -> float:
-    return (found.in_flight + found.others()) / found.endpoint.slots
+def _compute_utilization(replica: EndpointState) -> float:
+    return (
+        replica.in_flight + replica.count_other_load()
+    ) / replica.endpoint.slots
 
 
-def _stage_ms(state: CoreState, found: EndpointState, layers: int) -> float:
-    return layers * found.endpoint.layer_ms * (1 + _use(found))
+def _predict_stage_ms(
+    state: CoreState, replica: EndpointState, layers: int
+) -> float:
+    return (
+        layers * replica.endpoint.layer_ms * (1 + _compute_utilization(replica))
+    )
 
 
-def _hop_ms(state: CoreState, source: str, target: str) -> float:
+def _predict_hop_ms(state: CoreState, source: str, target: str) -> float:
     measured = state.links.estimate_ms((source, target), state.now)
     if measured is not None:
         return measured
@@ -280,9 +297,9 @@
     configured = state.configuration.link_ms(
         ends[0].endpoint.data_centre, ends[1].endpoint.data_centre
     )
-    return max(_LEAST_HOP_MS, configured)
+    return max(_MIN_HOP_MS, configured)
 
 
-def _build_stage(found: EndpointState, first: int, last: int) -> Stage:
-    endpoint = found.endpoint
+def _build_stage(replica: EndpointState, first: int, last: int) -> Stage:
+    endpoint = replica.endpoint
     return Stage(endpoint.name, endpoint.address, first, last)
--- a/samphirerill/core/prefixes.py
+++ b/samphirerill/core/prefixes.py
@@ -19,7 +19,7 @@
 MOST_BLOCKS = 16
 MOST_PREFIXES = 20_000
 _DIGEST_CHARS = 24
-NOBODY: frozenset[str] = frozenset()
+NO_ENDPOINTS: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True, frozen=True)
@@ -76,7 +76,7 @@
             if holders:
                 self._holders.move_to_end(digest)
                 return frozenset(holders)
-        return NOBODY
+        return NO_ENDPOINTS
 
     def size(self) -> int:
         """Return how many prefixes are known."""
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -110,14 +110,14 @@
     in_flight: int = 0
     running: int = 0
     waiting: int = 0
-    own_at_report: int = 0
+    in_flight_at_report: int = 0
     next_probe_at: float = 0
     reported_at: float = 0
     slow_start_until: float = 0
 
-    def others(self) -> int:
+    def count_other_load(self) -> int:
         """Return how much of the endpoint other nodes use."""
-        return max(0, self.running + self.waiting - self.own_at_report)
+        return max(0, self.running + self.waiting - self.in_flight_at_report)
 
 
 class CoreState:
