--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -134,4 +134,4 @@
     event: CacheReported, state: CoreState, now: float
 ) -> None:
     """Remember which engines hold which prompt prefixes."""
-    state.prefixes.take_news(event.endpoint, event.news)
+    state.prefixes.apply_events(event.endpoint, event.news)
--- a/samphirerill/core/prefixes.py
+++ b/samphirerill/core/prefixes.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 
 BLOCK_CHARS = 64
-MOST_BLOCKS = 16
-MOST_PREFIXES = 20_000
+MAX_BLOCKS = 16
+MAX_PREFIXES = 20_000
 _DIGEST_CHARS = 24
 NO_ENDPOINTS: frozenset[str] = frozenset()
 
@@ -36,59 +36,59 @@
     evicted: tuple[str, ...] = ()
 
 
-class PrefixMap:
+class PrefixIndex:
     """Engines by prefix; the prefixes longest unused are forgotten first."""
 
-    __slots__ = ('_holders', '_seen')
+    __slots__ = ('_endpoints', '_last_events')
 
     def __init__(self) -> None:
-        self._holders: OrderedDict[str, set[str]] = OrderedDict()
-        self._seen: dict[str, int] = {}
+        self._endpoints: OrderedDict[str, set[str]] = OrderedDict()
+        self._last_events: dict[str, int] = {}
 
     def last_seen(self, endpoint: str) -> int:
         """Return the number of the last event known of an engine."""
-        return self._seen.get(endpoint, 0)
+        return self._last_events.get(endpoint, 0)
 
-    def take_news(self, endpoint: str, news: CacheNews) -> None:
+    def apply_events(self, endpoint: str, events: CacheNews) -> None:
         """Take events that came after the last ones known."""
-        if news.first > self.last_seen(endpoint) + 1:
-            self.forget(endpoint)
-        if news.last < self.last_seen(endpoint):
-            self.forget(endpoint)
-        self._seen[endpoint] = news.last
-        for digest in news.stored:
-            self._holders.setdefault(digest, set()).add(endpoint)
-            self._holders.move_to_end(digest)
-        for digest in news.evicted:
-            self._drop(digest, endpoint)
-        while len(self._holders) > MOST_PREFIXES:
-            self._holders.popitem(last=False)
-
-    def forget(self, endpoint: str) -> None:
+        if events.first > self.last_seen(endpoint) + 1:
+            self.remove_endpoint(endpoint)
+        if events.last < self.last_seen(endpoint):
+            self.remove_endpoint(endpoint)
+        self._last_events[endpoint] = events.last
+        for digest in events.stored:
+            self._endpoints.setdefault(digest, set()).add(endpoint)
+            self._endpoints.move_to_end(digest)
+        for digest in events.evicted:
+            self._discard(digest, endpoint)
+        while len(self._endpoints) > MAX_PREFIXES:
+            self._endpoints.popitem(last=False)
+
+    def remove_endpoint(self, endpoint: str) -> None:
         """Believe nothing of an engine any more."""
-        for digest in tuple(self._holders):
-            self._drop(digest, endpoint)
+        for digest in tuple(self._endpoints):
+            self._discard(digest, endpoint)
 
-    def find_holders(self, prefixes: tuple[str, ...]) -> frozenset[str]:
+    def find_endpoints(self, prefixes: tuple[str, ...]) -> frozenset[str]:
         """Return who holds the longest of a prompt's prefixes known."""
         for digest in reversed(prefixes):
-            holders = self._holders.get(digest)
-            if holders:
-                self._holders.move_to_end(digest)
-                return frozenset(holders)
+            endpoints = self._endpoints.get(digest)
+            if endpoints:
+                self._endpoints.move_to_end(digest)
+                return frozenset(endpoints)
         return NO_ENDPOINTS
 
     def size(self) -> int:
         """Return how many prefixes are known."""
-        return len(self._holders)
+        return len(self._endpoints)
 
-    def _drop(self, digest: str, endpoint: str) -> None:
-        holders = self._holders.get(digest)
-        if holders is None:
+    def _discard(self, digest: str, endpoint: str) -> None:
+        endpoints = self._endpoints.get(digest)
+        if endpoints is None:
             return
-        holders.discard(endpoint)
-        if not holders:
-            self._holders.pop(digest)
+        endpoints.discard(endpoint)
+        if not endpoints:
+            self._endpoints.pop(digest)
 
 
 def digest_prefixes(account: str, text: str) -> tuple[str, ...]:
@@ -103,7 +103,7 @@
     """
     chain = hashlib.sha256(f'prefix/{account}/'.encode())
     digests = []
-    blocks = min(MOST_BLOCKS, len(text) // BLOCK_CHARS)
+    blocks = min(MAX_BLOCKS, len(text) // BLOCK_CHARS)
     for block in range(blocks):
         start = block * BLOCK_CHARS
         chain.update(text[start : start + BLOCK_CHARS].encode())
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -46,10 +46,10 @@
     return sorted(state.leaving)
 
 
-def list_evidence(state: CoreState, now: float, most: int) -> list[ToldRecord]:
+def list_evidence(state: CoreState, now: float, limit: int) -> list[ToldRecord]:
     """Return what is known against requests, for other nodes."""
-    known = islice(state.quarantine.list_records(), most)
-    return [build_told(request, record, now) for request, record in known]
+    records = islice(state.quarantine.list_records(), limit)
+    return [build_told(request, record, now) for request, record in records]
 
 
 def _describe_quarantine(state: CoreState, now: float) -> list[dict[str, Any]]:
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -89,8 +89,8 @@
     """Return stages with room for a request, or an empty tuple."""
     if req.route.kind == SERVICE_ROUTE:
         return choose_service(state, req.route.endpoints, req.avoid)
-    held = state.prefixes.find_holders(req.prefixes)
-    return choose_pipeline(state, req.route.model, req.avoid, held)
+    cached = state.prefixes.find_endpoints(req.prefixes)
+    return choose_pipeline(state, req.route.model, req.avoid, cached)
 
 
 def retry_or_refuse(
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -18,7 +18,7 @@
 from samphirerill.core.commands import Command, Stage
 from samphirerill.core.links import LinkLatencies
 from samphirerill.core.model import Configuration, Endpoint
-from samphirerill.core.prefixes import PrefixMap
+from samphirerill.core.prefixes import PrefixIndex
 from samphirerill.quarantine import Quarantine
 
 if TYPE_CHECKING:
@@ -169,7 +169,7 @@
         self.budgets: dict[str, RetryBudget] = {}
         self.leaving: dict[str, float] = {}
         self.links = LinkLatencies()
-        self.prefixes = PrefixMap()
+        self.prefixes = PrefixIndex()
         self.quarantine = Quarantine()
         # Of endpoints that are asked whether they live, what broke off there.
         self.suspected_crashes: dict[str, dict[bytes, Death]] = {}
--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -7,7 +7,7 @@
 from samphirerill.core.prefixes import (
     BLOCK_CHARS,
     CacheNews,
-    PrefixMap,
+    PrefixIndex,
     digest_prefixes,
 )
 from samphirerill.testing.clients import complete
@@ -42,15 +42,15 @@
 
     def setUp(self) -> None:
         """Know of two engines."""
-        self.known = PrefixMap()
-        self.known.take_news('e1', CacheNews(1, 2, ('a', 'b')))
-        self.known.take_news('e2', CacheNews(1, 1, ('a',)))
+        self.known = PrefixIndex()
+        self.known.apply_events('e1', CacheNews(1, 2, ('a', 'b')))
+        self.known.apply_events('e2', CacheNews(1, 1, ('a',)))
 
     def test_longest_known_prefix_decides(self) -> None:
         """Whoever holds more of the prompt is preferred."""
-        self.assertEqual(self.known.find_holders(('a', 'b')), {'e1'})
-        self.assertEqual(self.known.find_holders(('a', 'x')), {'e1', 'e2'})
-        self.assertEqual(self.known.find_holders(('x',)), frozenset())
+        self.assertEqual(self.known.find_endpoints(('a', 'b')), {'e1'})
+        self.assertEqual(self.known.find_endpoints(('a', 'x')), {'e1', 'e2'})
+        self.assertEqual(self.known.find_endpoints(('x',)), frozenset())
 
     def test_after_a_gap_nothing_is_believed(self) -> None:
         """What was evicted meanwhile is not known.
@@ -59,19 +59,19 @@
         Sequence: events 3 to 8 are lost; among them are evictions.
         Cause: what was known before the gap was still believed.
         """
-        self.known.take_news('e1', CacheNews(9, 9, ('c',)))
-        self.assertEqual(self.known.find_holders(('a', 'b')), {'e2'})
-        self.assertEqual(self.known.find_holders(('c',)), {'e1'})
+        self.known.apply_events('e1', CacheNews(9, 9, ('c',)))
+        self.assertEqual(self.known.find_endpoints(('a', 'b')), {'e2'})
+        self.assertEqual(self.known.find_endpoints(('c',)), {'e1'})
 
     def test_engine_that_starts_over(self) -> None:
         """Its numbers are low again; its cache is empty."""
-        self.known.take_news('e1', CacheNews(1, 1, ()))
-        self.assertEqual(self.known.find_holders(('b',)), frozenset())
+        self.known.apply_events('e1', CacheNews(1, 1, ()))
+        self.assertEqual(self.known.find_endpoints(('b',)), frozenset())
 
     def test_evictions_are_taken(self) -> None:
         """An engine that has let go is no holder."""
-        self.known.take_news('e1', CacheNews(3, 3, (), ('b',)))
-        self.assertEqual(self.known.find_holders(('b',)), frozenset())
+        self.known.apply_events('e1', CacheNews(3, 3, (), ('b',)))
+        self.assertEqual(self.known.find_endpoints(('b',)), frozenset())
 
 
 class TestPlacementByCache(ClusterCase):
