--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -73,9 +73,9 @@
     """Forget an attempt and free the places it took at its endpoints."""
     state.attempts.pop(attempt.attempt_id, None)
     for stage in attempt.stages:
-        found = state.endpoints.get(stage.endpoint)
-        if found is not None and found.in_flight:
-            found.in_flight -= 1
+        replica = state.endpoints.get(stage.endpoint)
+        if replica is not None and replica.in_flight:
+            replica.in_flight -= 1
     req = state.requests.get(attempt.request_id)
     if req is not None and req.attempt_id == attempt.attempt_id:
         req.attempt_id = ''
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -194,12 +194,12 @@
 
 def mark_suspect(state: CoreState, name: str, now: float) -> None:
     """Send an endpoint nothing until a probe has found it alive."""
-    found = state.endpoints.get(name)
-    if found is None or found.health is Health.LEAVING:
+    replica = state.endpoints.get(name)
+    if replica is None or replica.health is Health.LEAVING:
         return
-    found.health = Health.SUSPECT
-    found.next_probe_at = now + PROBE_INTERVAL_S
-    state.wake_at(found.next_probe_at, 'endpoint', name)
+    replica.health = Health.SUSPECT
+    replica.next_probe_at = now + PROBE_INTERVAL_S
+    state.schedule_wake(replica.next_probe_at, 'endpoint', name)
 
 
 def probe_stages(state: CoreState, attempt: AttemptState) -> None:
@@ -247,7 +247,9 @@
     previous_deadline = attempt.progress_deadline
     attempt.progress_deadline = now + timeout_s
     if attempt.progress_deadline < previous_deadline:
-        state.wake_at(attempt.progress_deadline, 'attempt', attempt.attempt_id)
+        state.schedule_wake(
+            attempt.progress_deadline, 'attempt', attempt.attempt_id
+        )
 
 
 def _migrate_from_slow_link(
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -144,4 +144,4 @@
 
 
 def _schedule_evaluation(state: CoreState, now: float) -> None:
-    state.wake_at(now + SETTLE_S + _TIMER_SLACK_S, 'quarantine', '')
+    state.schedule_wake(now + SETTLE_S + _TIMER_SLACK_S, 'quarantine', '')
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -54,8 +54,8 @@
     get_queue(state, queue_name).add(
         QueueEntry(req.request_id, req.account, req.priority, cost),
     )
-    state.wake_at(req.queue_deadline, 'queue', req.request_id)
-    state.wake_at(req.deadline, 'request', req.request_id)
+    state.schedule_wake(req.queue_deadline, 'queue', req.request_id)
+    state.schedule_wake(req.deadline, 'request', req.request_id)
     dispatch_queue(state, queue_name, now)
 
 
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -87,7 +87,7 @@
     if attempt is None:
         return
     if attempt.progress_deadline > now:
-        state.wake_at(attempt.progress_deadline, 'attempt', name)
+        state.schedule_wake(attempt.progress_deadline, 'attempt', name)
         return
     state.counters['attempts.silent'] += 1
     state.requests[attempt.request_id].avoid.update(
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -69,11 +69,11 @@
 def _describe_endpoints(state: CoreState, now: float) -> dict[str, Any]:
     return {
         name: {
-            'health': found.health.value,
-            'in_flight': found.in_flight,
-            'reported_running': found.running,
-            'reported_waiting': found.waiting,
-            'free': count_free_slots(state, found),
+            'health': replica.health.value,
+            'in_flight': replica.in_flight,
+            'reported_running': replica.running,
+            'reported_waiting': replica.waiting,
+            'free': count_free_slots(state, replica),
         }
-        for name, found in state.endpoints.items()
+        for name, replica in state.endpoints.items()
     }
--- a/samphirerill/core/router.py
+++ b/samphirerill/core/router.py
@@ -62,9 +62,9 @@
         """
         self.state.now = now
         handle(event, self.state, now)
-        out = self.state.out
-        self.state.out = []
-        return out
+        commands = self.state.commands
+        self.state.commands = []
+        return commands
 
     def next_wake(self) -> float | None:
         """Return when ``TimePassed`` has to be applied next, if ever."""
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -64,7 +64,7 @@
         req.request_id,
         epoch=req.attempts,
         stages=stages,
-        progress_deadline=_first_deadline(state, req, now),
+        progress_deadline=_compute_first_deadline(state, req, now),
     )
     req.attempts += 1
     req.attempt_id = attempt.attempt_id
@@ -72,7 +72,9 @@
     state.attempts[attempt.attempt_id] = attempt
     for stage in stages:
         state.endpoints[stage.endpoint].in_flight += 1
-    state.wake_at(attempt.progress_deadline, 'attempt', attempt.attempt_id)
+    state.schedule_wake(
+        attempt.progress_deadline, 'attempt', attempt.attempt_id
+    )
     state.emit(
         OpenAttempt(
             attempt.attempt_id,
@@ -115,7 +117,7 @@
             'the deadline has passed',
         )
         return
-    if not _may_repeat(req):
+    if not _may_retry(req):
         refuse_request(state, req, status, code, detail)
         return
     limits = state.configuration.limits
@@ -133,7 +135,7 @@
     req.phase = Phase.QUEUED
     release_account_slot(state, req)
     req.queue_deadline = min(req.deadline, now + req.route.queue_timeout_s)
-    state.wake_at(req.queue_deadline, 'queue', req.request_id)
+    state.schedule_wake(req.queue_deadline, 'queue', req.request_id)
     entry = QueueEntry(req.request_id, req.account, req.priority, 0)
     get_queue(state, get_queue_name(req)).add(entry, at_front=True)
 
@@ -147,19 +149,19 @@
     """Start the next request that may start; return whether one did."""
     for entry in queue.candidates():
         req = state.requests[entry.request_id]
-        if _is_over_limit(state, req):
+        if _is_at_limit(state, req):
             continue
         stages = choose_stages(state, req)
         if not stages:
             return False
         queue.dequeue(entry, now)
         state.running_by_account[req.account] += 1
-        _start_taken(state, req, stages, now)
+        _claim_or_open(state, req, stages, now)
         return True
     return False
 
 
-def _start_taken(
+def _claim_or_open(
     state: CoreState, req: RequestState, stages: tuple[Stage, ...], now: float
 ) -> None:
     if req.key and not req.claimed:
@@ -177,7 +179,7 @@
     open_attempt(state, req, stages, now)
 
 
-def _is_over_limit(state: CoreState, req: RequestState) -> bool:
+def _is_at_limit(state: CoreState, req: RequestState) -> bool:
     """Tell whether the account runs its share of this node already.
 
     The limit holds for the fleet; each node keeps to its share of it, so
@@ -190,14 +192,16 @@
     return state.running_by_account[req.account] >= share
 
 
-def _first_deadline(state: CoreState, req: RequestState, now: float) -> float:
+def _compute_first_deadline(
+    state: CoreState, req: RequestState, now: float
+) -> float:
     limits = state.configuration.limits
     if req.route.kind == SERVICE_ROUTE:
         return min(req.deadline, now + limits.service_timeout_s)
     return min(req.deadline, now + limits.answer_timeout_s)
 
 
-def _may_repeat(req: RequestState) -> bool:
+def _may_retry(req: RequestState) -> bool:
     if req.route.idempotent:
         return True
     return not req.ambiguous_attempts and not req.delivered
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -25,7 +25,7 @@
     from samphirerill.core.model import Route
     from samphirerill.quarantine import Death
 
-LONGEST_LAG_S = 30.0
+MAX_VM_LIST_LAG_S = 30.0
 
 
 class Phase(Enum):
@@ -147,14 +147,14 @@
         'node',
         'node_count',
         'now',
-        'out',
+        'commands',
         'pools',
         'prefixes',
         'quarantine',
         'random',
         'requests',
         'running_by_account',
-        'sequence',
+        'last_attempt_number',
     )
 
     def __init__(self, node: str, seed: int) -> None:
@@ -178,27 +178,27 @@
         self.deadlines: list[tuple[float, str, str]] = []
         self.node_count = 1
         self.now = 0.0
-        self.sequence = 0
+        self.last_attempt_number = 0
         self.draining = False
         self.forbidden = ''
-        self.out: list[Command] = []
+        self.commands: list[Command] = []
 
     def emit(self, command: Command) -> None:
         """Add a command to those the current event leads to."""
-        self.out.append(command)
+        self.commands.append(command)
 
-    def wake_at(self, deadline: float, kind: str, name: str) -> None:
+    def schedule_wake(self, deadline: float, kind: str, name: str) -> None:
         """Ask to be woken at a deadline."""
         heapq.heappush(self.deadlines, (deadline, kind, name))
 
     def mark_leaving(self, name: str, now: float) -> None:
         """Send an endpoint nothing new, whatever a lagging list says."""
-        self.leaving[name] = now + LONGEST_LAG_S
-        found = self.endpoints.get(name)
-        if found is not None:
-            found.health = Health.LEAVING
+        self.leaving[name] = now + MAX_VM_LIST_LAG_S
+        replica = self.endpoints.get(name)
+        if replica is not None:
+            replica.health = Health.LEAVING
 
     def next_attempt_id(self) -> str:
         """Return an attempt id that no node has used."""
-        self.sequence += 1
-        return f'{self.node}-{self.sequence}'
+        self.last_attempt_number += 1
+        return f'{self.node}-{self.last_attempt_number}'
--- a/samphirerill/core/subsets.py
+++ b/samphirerill/core/subsets.py
@@ -27,10 +27,10 @@
     fleet covers is covered at every node.
     """
     by_range: dict[Place, list[EndpointState]] = {}
-    for found in endpoints.values():
-        held = found.endpoint
+    for replica in endpoints.values():
+        held = replica.endpoint
         place = (held.model, held.first, held.last)
-        by_range.setdefault(place, []).append(found)
+        by_range.setdefault(place, []).append(replica)
     grouped: dict[str, list[EndpointState]] = {}
     for place, replicas in by_range.items():
         grouped.setdefault(place[0], []).extend(_choose(node, replicas))
@@ -40,9 +40,9 @@
 def _choose(node: str, replicas: list[EndpointState]) -> list[EndpointState]:
     if len(replicas) <= SUBSET:
         return replicas
-    return sorted(replicas, key=lambda found: _rank(node, found.endpoint.name))[
-        :SUBSET
-    ]
+    return sorted(
+        replicas, key=lambda replica: _rank(node, replica.endpoint.name)
+    )[:SUBSET]
 
 
 def _rank(node: str, name: str) -> bytes:
