--- a/samphirerill/core/subsets.py
+++ b/samphirerill/core/subsets.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from samphirerill.core.state import EndpointState
 
-SUBSET = 24
-Place = tuple[str, int, int]
+MAX_SUBSET_REPLICAS = 24
+LayerRange = tuple[str, int, int]
 
 
 def group_by_model(
@@ -26,24 +26,28 @@
     Every range of layers that is held at all stays held, so a model that the
     fleet covers is covered at every node.
     """
-    by_range: dict[Place, list[EndpointState]] = {}
+    by_range: dict[LayerRange, list[EndpointState]] = {}
     for replica in endpoints.values():
-        held = replica.endpoint
-        place = (held.model, held.first, held.last)
-        by_range.setdefault(place, []).append(replica)
+        endpoint = replica.endpoint
+        layer_range = (endpoint.model, endpoint.first, endpoint.last)
+        by_range.setdefault(layer_range, []).append(replica)
     grouped: dict[str, list[EndpointState]] = {}
-    for place, replicas in by_range.items():
-        grouped.setdefault(place[0], []).extend(_choose(node, replicas))
+    for layer_range, replicas in by_range.items():
+        grouped.setdefault(layer_range[0], []).extend(
+            _select_subset(node, replicas)
+        )
     return grouped
 
 
-def _choose(node: str, replicas: list[EndpointState]) -> list[EndpointState]:
-    if len(replicas) <= SUBSET:
+def _select_subset(
+    node: str, replicas: list[EndpointState]
+) -> list[EndpointState]:
+    if len(replicas) <= MAX_SUBSET_REPLICAS:
         return replicas
     return sorted(
-        replicas, key=lambda replica: _rank(node, replica.endpoint.name)
-    )[:SUBSET]
+        replicas, key=lambda replica: _compute_rank(node, replica.endpoint.name)
+    )[:MAX_SUBSET_REPLICAS]
 
 
-def _rank(node: str, name: str) -> bytes:
+def _compute_rank(node: str, name: str) -> bytes:
     return sha256(f'{node}/{name}'.encode()).digest()
--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -12,7 +12,7 @@
 from samphirerill.core.model import build_configuration
 from samphirerill.core.placement import SLOW_START_S, count_free_slots
 from samphirerill.core.router import Router
-from samphirerill.core.subsets import SUBSET
+from samphirerill.core.subsets import MAX_SUBSET_REPLICAS
 
 _MODELS = 2
 _REPLICAS = 800
@@ -34,7 +34,7 @@
         document = build_large_document(_REPLICAS, 10, _MODELS)
         router = _start('n1', document)
         for replicas in router.state.by_model.values():
-            self.assertEqual(len(replicas), SUBSET * _RANGES)
+            self.assertEqual(len(replicas), MAX_SUBSET_REPLICAS * _RANGES)
         arrived = RequestArrived('r1', 'account-1', 'r1', 100)
         commands = router.apply(arrived, 1)
         self.assertIsInstance(commands[0], OpenAttempt)
