--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.core.model import Desired, Endpoint
+    from samphirerill.core.model import DesiredState, Endpoint
 
 LEASE_S = 10
 RENEW_EVERY_S = 3.0
@@ -43,7 +43,7 @@
 
     endpoint: str
     address: str
-    desired: Desired
+    desired: DesiredState
     fence: int
     needs_weights: bool
 
@@ -143,7 +143,7 @@
     )
 
 
-def _is_reached(desired: Desired, status: Status) -> bool:
+def _is_reached(desired: DesiredState, status: Status) -> bool:
     return (
         desired.version == status.version
         and set(desired.adapters) == set(status.adapters)
--- a/samphirerill/core/model.py
+++ b/samphirerill/core/model.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-Built = TypeVar('Built')
+BuiltT = TypeVar('Built')
 
 HIGH = 'high'
 NORMAL = 'normal'
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Desired:
+class DesiredState:
     """What operators want an engine to have loaded and to be."""
 
     version: str = ''
@@ -60,7 +60,7 @@
     layer_ms: float = 0.1
     accelerator: str = ''
     checks_fencing: bool = False
-    desired: Desired | None = None
+    desired: DesiredState | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -150,43 +150,51 @@
     -------
     Configuration
     """
-    known = previous or Configuration(version=0)
-    before = previous_document or {}
+    reusable = previous or Configuration(version=0)
+    old_document = previous_document or {}
     return Configuration(
         version=version,
         models={
             name: Model(name, spec['layers'])
             for name, spec in document.get('models', {}).items()
         },
-        endpoints=_build_all(
-            'endpoints', _build_endpoint, document, before, known.endpoints
+        endpoints=_build_section(
+            'endpoints',
+            _build_endpoint,
+            document,
+            old_document,
+            reusable.endpoints,
         ),
-        routes=_build_all(
-            'routes', _build_route, document, before, known.routes
+        routes=_build_section(
+            'routes', _build_route, document, old_document, reusable.routes
         ),
-        accounts=_build_all(
-            'accounts', _build_account, document, before, known.accounts
+        accounts=_build_section(
+            'accounts',
+            _build_account,
+            document,
+            old_document,
+            reusable.accounts,
         ),
         links=_build_links(document.get('links', {})),
         limits=Limits(**document.get('limits', {})),
     )
 
 
-def _build_all(
-    part: str,
-    build: Callable[[str, dict[str, Any]], Built],
+def _build_section(
+    section: str,
+    build: Callable[[str, dict[str, Any]], BuiltT],
     document: dict[str, Any],
-    before: dict[str, Any],
-    known: dict[str, Built],
-) -> dict[str, Built]:
+    old_document: dict[str, Any],
+    reusable: dict[str, BuiltT],
+) -> dict[str, BuiltT]:
     """Build one part; what is the same object as before stays built."""
-    specs = document.get(part, {})
-    old = before.get(part, {})
+    specs = document.get(section, {})
+    old = old_document.get(section, {})
     if specs is old:
-        return known
+        return reusable
     return {
-        name: known[name]
-        if old.get(name) is spec and name in known
+        name: reusable[name]
+        if old.get(name) is spec and name in reusable
         else build(name, spec)
         for name, spec in specs.items()
     }
@@ -195,11 +203,11 @@
 def _build_endpoint(name: str, spec: dict[str, Any]) -> Endpoint:
     fields = dict(spec)
     first, last = fields.pop('layers', (0, -1))
-    wanted = fields.pop('desired', None)
-    if wanted is not None:
-        adapters = tuple(wanted.get('adapters', ()))
-        fields['desired'] = Desired(
-            wanted.get('version', ''), adapters, wanted.get('role', '')
+    desired = fields.pop('desired', None)
+    if desired is not None:
+        adapters = tuple(desired.get('adapters', ()))
+        fields['desired'] = DesiredState(
+            desired.get('version', ''), adapters, desired.get('role', '')
         )
     return Endpoint(name=name, first=first, last=last, **fields)
 
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -13,12 +13,12 @@
     Tenure,
     plan_orders,
 )
-from samphirerill.core.model import Desired, Endpoint
+from samphirerill.core.model import DesiredState, Endpoint
 from samphirerill.testing.clients import CallError, call_json
 from samphirerill.testing.cluster import NodeProcess, wait_for
 from samphirerill.tests.support import ClusterCase
 
-_WANTED = Desired('v2', ('knee',), 'both')
+_WANTED = DesiredState('v2', ('knee',), 'both')
 _NOW = 100.0
 
 
