--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -23,7 +23,7 @@
     from samphirerill.backends.store import Committed, Stored
     from samphirerill.core.commands import Outcome, WriteClaim
 
-CLAIMS = 'claims/'
+CLAIMS_PREFIX = 'claims/'
 MAX_KEPT_ANSWER = 65_536
 RUNNING = 'running'
 MISMATCH = 'mismatch'
@@ -105,7 +105,7 @@
     parts = json.dumps([command.account, command.route, command.key])
     digest = hashlib.sha256(parts.encode()).hexdigest()
     return Claim(
-        f'{prefix}{CLAIMS}{digest}',
+        f'{prefix}{CLAIMS_PREFIX}{digest}',
         holder,
         command.request_id,
         command.fingerprint,
@@ -137,23 +137,23 @@
 
 
 def read_verdicts(
-    claims: list[Claim], done: Committed
+    claims: list[Claim], committed: Committed
 ) -> tuple[list[Verdict], list[Claim]]:
     """Return what is decided after a transaction, and what to try again."""
-    if done.succeeded:
+    if committed.succeeded:
         return [Verdict(claim, 'won') for claim in claims], []
     verdicts = []
-    again = []
+    unresolved = []
     for claim in claims:
-        stored = done.found.get(claim.key)
+        stored = committed.found.get(claim.key)
         if stored is None:
-            again.append(claim)
+            unresolved.append(claim)
         else:
-            verdicts.append(_judge(claim, stored))
-    return verdicts, again
+            verdicts.append(_compare_claim(claim, stored))
+    return verdicts, unresolved
 
 
-def _judge(claim: Claim, stored: Stored) -> Verdict:
+def _compare_claim(claim: Claim, stored: Stored) -> Verdict:
     """Compare a claim with what stands under its key.
 
     One's own claim is there when the answer to the write was lost and the
