--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -29,20 +29,20 @@
     Unchanged,
 )
 from samphirerill.control.errors import ConfigurationError, InvalidPatchError
-from samphirerill.control.parts import PART_CHARS, Parts
+from samphirerill.control.parts import PART_CHARS, PartStore
 from samphirerill.control.patches import apply_patch
 from samphirerill.settings.checks import check_configuration
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import Committed, KeyValueStore
 
-HEAD = 'shared/config/head'
-LOG = 'shared/config/log/'
-SNAPSHOT = 'shared/config/snapshot'
-SNAPSHOT_EVERY = 50
-KEPT_CHANGES = 500
-_SETTLE_S = 5.0
-_SETTLE_PAUSE_S = 0.1
+HEAD_KEY = 'shared/config/head'
+LOG_PREFIX = 'shared/config/log/'
+SNAPSHOT_KEY = 'shared/config/snapshot'
+SNAPSHOT_INTERVAL = 50
+RETAINED_CHANGES = 500
+_COMMIT_TIMEOUT_S = 5.0
+_RETRY_PAUSE_S = 0.1
 
 
 class StaleBaseError(ConfigurationError):
@@ -108,12 +108,12 @@
         self,
         store: KeyValueStore,
         prefix: str,
-        settle_pause_s: float = _SETTLE_PAUSE_S,
+        retry_pause_s: float = _RETRY_PAUSE_S,
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._settle_pause_s = settle_pause_s
-        self._parts = Parts(store, prefix)
+        self._retry_pause_s = retry_pause_s
+        self._parts = PartStore(store, prefix)
 
     def load(self) -> Loaded:
         """Read the newest snapshot and all changes since."""
@@ -122,11 +122,11 @@
             entry.key.removeprefix(self._prefix): entry
             for entry in found.entries
         }
-        version, document = self._read_snapshot(by_key.get(SNAPSHOT))
+        version, document = self._read_snapshot(by_key.get(SNAPSHOT_KEY))
         changes = [
             self.read_change(entry)
             for key, entry in by_key.items()
-            if key.startswith(LOG)
+            if key.startswith(LOG_PREFIX)
         ]
         for change in changes:
             if change.version == version + 1:
@@ -136,7 +136,9 @@
 
     def read_version(self) -> int:
         """Return the version now accepted; one small read."""
-        return _read_head(self._store.read_prefix(self._key(HEAD)).entries)[0]
+        return _read_head(self._store.read_prefix(self._key(HEAD_KEY)).entries)[
+            0
+        ]
 
     def read_change(self, entry: Stored) -> Change:
         """Return a log entry's change, its parts fetched if it has any."""
@@ -148,7 +150,7 @@
 
     def read_changes(self, after: int) -> list[Change]:
         """Return the changes after a version, in order."""
-        found = self._store.read_prefix(self._key(LOG))
+        found = self._store.read_prefix(self._key(LOG_PREFIX))
         return [
             self.read_change(entry)
             for entry in found.entries
@@ -201,55 +203,62 @@
         return change
 
     def _write(self, change: Change) -> None:
-        head = self._store.read_prefix(self._key(HEAD)).entries
+        head = self._store.read_prefix(self._key(HEAD_KEY)).entries
         version, revision = _read_head(head)
         if version != change.version - 1:
             raise StaleBaseError(change.version - 1, version)
         transaction = Transaction(
-            conditions=[Unchanged(self._key(HEAD), revision)],
+            conditions=[Unchanged(self._key(HEAD_KEY), revision)],
             puts=[
-                Put(self._key(HEAD), json.dumps({'version': change.version})),
-                Put(self._log_key(change.version), self._pack(change)),
+                Put(
+                    self._key(HEAD_KEY), json.dumps({'version': change.version})
+                ),
+                Put(
+                    self._log_key(change.version),
+                    self._serialize_change(change),
+                ),
             ],
-            read=[self._log_key(change.version), self._key(HEAD)],
+            read=[self._log_key(change.version), self._key(HEAD_KEY)],
         )
-        self._settle(change, transaction)
+        self._commit_change(change, transaction)
 
-    def _settle(self, change: Change, transaction: Transaction) -> None:
+    def _commit_change(self, change: Change, transaction: Transaction) -> None:
         """Commit; if the answer is lost, find out what became of the write.
 
         The same transaction is sent again until an answer comes. It can't be
         applied twice, as it needs ``head`` unchanged; if it fails and the log
         entry has this change's id, it was the first sending that took effect.
         """
-        done = self._commit_surely(change, transaction)
-        if not done.succeeded:
-            self._check_own(change, done.found)
+        committed = self._commit_with_retries(change, transaction)
+        if not committed.succeeded:
+            self._check_own_change(change, committed.found)
 
-    def _commit_surely(
+    def _commit_with_retries(
         self, change: Change, transaction: Transaction
     ) -> Committed:
-        give_up_at = time.monotonic() + _SETTLE_S
-        unsure = False
-        while time.monotonic() <= give_up_at:
+        deadline = time.monotonic() + _COMMIT_TIMEOUT_S
+        may_have_applied = False
+        while time.monotonic() <= deadline:
             try:
                 return self._store.commit(transaction)
             except StoreUnreachableError as exc:
-                unsure = unsure or exc.may_have_applied
-                if not unsure:
+                may_have_applied = may_have_applied or exc.may_have_applied
+                if not may_have_applied:
                     raise
-            time.sleep(self._settle_pause_s)
+            time.sleep(self._retry_pause_s)
         raise UnknownResultError(change.version)
 
-    def _check_own(self, change: Change, found: dict[str, Stored]) -> None:
+    def _check_own_change(
+        self, change: Change, found: dict[str, Stored]
+    ) -> None:
         entry = found.get(self._log_key(change.version))
         if entry and json.loads(entry.text)['id'] == change.change_id:
             return
-        head = found.get(self._key(HEAD))
+        head = found.get(self._key(HEAD_KEY))
         current = json.loads(head.text)['version'] if head else 0
         raise StaleBaseError(change.version - 1, current)
 
-    def _pack(self, change: Change) -> str:
+    def _serialize_change(self, change: Change) -> str:
         """Return a log entry; write its patch in parts if it is large."""
         text = json.dumps(change.to_json())
         if len(text) <= PART_CHARS:
@@ -265,23 +274,25 @@
         The change is accepted already: a snapshot that fails is made up for
         by a later one.
         """
-        if version % SNAPSHOT_EVERY:
+        if version % SNAPSHOT_INTERVAL:
             return
         name = f'snapshot-{version}-{uuid.uuid4().hex}'
         try:
             parts = self._parts.write(name, json.dumps(document))
             entry = {'version': version, 'id': name, 'parts': parts}
-            put = Put(self._key(SNAPSHOT), json.dumps(entry))
+            put = Put(self._key(SNAPSHOT_KEY), json.dumps(entry))
             self._store.commit(
-                Transaction(puts=[put], deletes=self._list_old(version))
+                Transaction(
+                    puts=[put], deletes=self._list_expired_keys(version)
+                )
             )
         except StoreUnreachableError:
             return
 
-    def _list_old(self, version: int) -> list[str]:
+    def _list_expired_keys(self, version: int) -> list[str]:
         """Return the log entries that a snapshot lets go."""
-        last = version - KEPT_CHANGES
-        first = max(1, last - SNAPSHOT_EVERY)
+        last = version - RETAINED_CHANGES
+        first = max(1, last - SNAPSHOT_INTERVAL)
         return [self._log_key(number) for number in range(first, last)]
 
     def _read_snapshot(
@@ -296,7 +307,7 @@
         return f'{self._prefix}{name}'
 
     def _log_key(self, version: int) -> str:
-        return self._key(f'{LOG}{version:012}')
+        return self._key(f'{LOG_PREFIX}{version:012}')
 
 
 def parse_change(document: dict[str, Any]) -> Change:
--- a/samphirerill/control/parts.py
+++ b/samphirerill/control/parts.py
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from samphirerill.backends.store import KeyValueStore
 
-PARTS = 'config-parts/'
+PARTS_PREFIX = 'config-parts/'
 PART_CHARS = 200_000
 
 
-class Parts:
+class PartStore:
     """Writes and reads texts of any length; every method blocks.
 
     The service holds values up to a megabyte. A part is well below that even
@@ -22,7 +22,7 @@
 
     def __init__(self, store: KeyValueStore, prefix: str) -> None:
         self._store = store
-        self._prefix = f'{prefix}{PARTS}'
+        self._prefix = f'{prefix}{PARTS_PREFIX}'
 
     def write(self, name: str, text: str) -> int:
         """Write a text under a name nobody else uses; return its parts."""
--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -8,7 +8,7 @@
 
 from samphirerill.backends.store import StoreUnreachableError
 from samphirerill.control.configuration_log import (
-    SNAPSHOT_EVERY,
+    SNAPSHOT_INTERVAL,
     Change,
     ConfigurationLog,
     StaleBaseError,
@@ -208,7 +208,7 @@
 
     def test_snapshots_stand_for_what_they_replace(self) -> None:
         """A new node needs the snapshot and the changes since."""
-        for version in range(1, SNAPSHOT_EVERY + 3):
+        for version in range(1, SNAPSHOT_INTERVAL + 3):
             patch = [
                 {
                     'op': 'add',
@@ -218,9 +218,9 @@
             ]
             self.log.submit(patch, version, 'first')
         loaded = self.other.load()
-        self.assertEqual(loaded.version, SNAPSHOT_EVERY + 3)
+        self.assertEqual(loaded.version, SNAPSHOT_INTERVAL + 3)
         weight = loaded.document['accounts']['viti']['weight']
-        self.assertEqual(weight, SNAPSHOT_EVERY + 2)
+        self.assertEqual(weight, SNAPSHOT_INTERVAL + 2)
 
 
 class TestView(unittest.TestCase):
