--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -10,20 +10,20 @@
 if TYPE_CHECKING:
     from samphirerill.control.configuration_log import Change
 
-_REMEMBERED = 64
+_MAX_RECENT_CHANGES = 64
 
 
 class ConfigurationView:
     """The document in force at this node and the changes that led to it."""
 
-    __slots__ = ('_early', 'document', 'known_version', 'recent', 'version')
+    __slots__ = ('_pending', 'document', 'known_version', 'recent', 'version')
 
     def __init__(self) -> None:
         self.version = 0
         self.known_version = 0
         self.document: dict[str, Any] = {}
-        self.recent: deque[Change] = deque(maxlen=_REMEMBERED)
-        self._early: dict[int, Change] = {}
+        self.recent: deque[Change] = deque(maxlen=_MAX_RECENT_CHANGES)
+        self._pending: dict[int, Change] = {}
 
     def install(self, version: int, document: dict[str, Any]) -> bool:
         """Take a whole document if it is newer; return whether it was."""
@@ -32,8 +32,8 @@
         self.version = version
         self.document = document
         self.recent.clear()
-        self._drop_old()
-        self._apply_early()
+        self._discard_applied()
+        self._apply_pending()
         return True
 
     def offer(self, change: Change) -> bool:
@@ -44,12 +44,12 @@
         not newer is ignored. Applying either would bring back an old
         configuration, or make one that nobody accepted.
         """
-        before = self.version
+        previous_version = self.version
         if change.version > self.version:
-            self._early[change.version] = change
+            self._pending[change.version] = change
             self.note_known(change.version)
-            self._apply_early()
-        return self.version > before
+            self._apply_pending()
+        return self.version > previous_version
 
     def note_known(self, version: int) -> None:
         """Remember that a version has been accepted somewhere."""
@@ -66,16 +66,16 @@
             return found
         return None
 
-    def _apply_early(self) -> None:
-        while self.version + 1 in self._early:
-            change = self._early.pop(self.version + 1)
+    def _apply_pending(self) -> None:
+        while self.version + 1 in self._pending:
+            change = self._pending.pop(self.version + 1)
             self.document = apply_patch(self.document, change.patch)
             self.version = change.version
             self.recent.append(change)
-        self._drop_old()
+        self._discard_applied()
         self.note_known(self.version)
 
-    def _drop_old(self) -> None:
-        for version in tuple(self._early):
+    def _discard_applied(self) -> None:
+        for version in tuple(self._pending):
             if version <= self.version:
-                self._early.pop(version)
+                self._pending.pop(version)
