--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -22,38 +22,38 @@
 
 
 @dataclass(slots=True)
-class PeerWord:
+class PeerReport:
     """The last thing a peer said; times are this node's clock."""
 
     heard_at: float
-    fresh_at: float
+    store_read_at: float
     version: int
 
 
 class Evidence:
     """Collects what is known and answers whether to serve."""
 
-    __slots__ = ('_doubt_since', '_own_fresh_at', '_peers', '_started_at')
+    __slots__ = ('_unconfirmed_since', '_own_read_at', '_peers', '_started_at')
 
     def __init__(self, now: float) -> None:
         self._started_at = now
-        self._own_fresh_at = float('-inf')
-        self._doubt_since = float('inf')
-        self._peers: dict[str, PeerWord] = {}
+        self._own_read_at = float('-inf')
+        self._unconfirmed_since = float('inf')
+        self._peers: dict[str, PeerReport] = {}
 
     def note_store_read(self, now: float) -> None:
         """The service has just told this node the accepted version."""
-        self._own_fresh_at = max(self._own_fresh_at, now)
+        self._own_read_at = max(self._own_read_at, now)
 
     def note_peer(
         self, peer: str, now: float, fresh_age_s: float, version: int
     ) -> None:
         """A peer said how old its last read of the service is."""
-        self._peers[peer] = PeerWord(now, now - fresh_age_s, version)
+        self._peers[peer] = PeerReport(now, now - fresh_age_s, version)
 
     def own_age_s(self, now: float) -> float:
         """Return how old this node's last read of the service is."""
-        return now - self._own_fresh_at
+        return now - self._own_read_at
 
     def find_doubt(self, now: float, version: int, known_nodes: int) -> str:
         """Return why new work may not be taken, or an empty text.
@@ -67,32 +67,36 @@
         known_nodes : int
             How many nodes were last known, this one included.
         """
-        self._forget_silent(now)
+        self._remove_silent_peers(now)
         reason = self._find_reason(now, version, known_nodes)
         if not reason:
-            self._doubt_since = float('inf')
+            self._unconfirmed_since = float('inf')
             return ''
-        self._doubt_since = min(self._doubt_since, now)
-        if now - self._doubt_since < GRACE_S:
+        self._unconfirmed_since = min(self._unconfirmed_since, now)
+        if now - self._unconfirmed_since < GRACE_S:
             return ''
         return reason
 
-    def _forget_silent(self, now: float) -> None:
-        for peer, word in tuple(self._peers.items()):
-            if now - word.heard_at > FORGET_AFTER_S:
+    def _remove_silent_peers(self, now: float) -> None:
+        for peer, report in tuple(self._peers.items()):
+            if now - report.heard_at > FORGET_AFTER_S:
                 self._peers.pop(peer)
 
     def _find_reason(self, now: float, version: int, known_nodes: int) -> str:
-        if now - self._own_fresh_at <= FRESH_FOR_S:
+        if now - self._own_read_at <= FRESH_FOR_S:
             return ''
         heard = [
-            word
-            for word in self._peers.values()
-            if now - word.heard_at <= FRESH_FOR_S
+            report
+            for report in self._peers.values()
+            if now - report.heard_at <= FRESH_FOR_S
+        ]
+        fresh = [
+            report
+            for report in heard
+            if now - report.store_read_at <= FRESH_FOR_S
         ]
-        fresh = [word for word in heard if now - word.fresh_at <= FRESH_FOR_S]
         if fresh:
-            newest = max(word.version for word in fresh)
+            newest = max(report.version for report in fresh)
             return '' if version >= newest else 'this node is behind its peers'
         if 2 * (len(heard) + 1) >= known_nodes:
             return ''
