--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -20,7 +20,7 @@
 
 LEASE_S = 10
 RENEW_EVERY_S = 3.0
-SAFETY_S = 2.0
+SAFETY_MARGIN_S = 2.0
 ORDER_TIMEOUT_S = 1.0
 
 
@@ -64,11 +64,13 @@
     @classmethod
     def begin(cls, fence: int, asked_at: float, won_at: float) -> Tenure:
         """Return the tenure of a commander that has just won its key."""
-        return cls(fence, won_at, asked_at + LEASE_S - SAFETY_S)
+        return cls(fence, won_at, asked_at + LEASE_S - SAFETY_MARGIN_S)
 
     def renew(self, asked_at: float) -> None:
         """Extend the tenure by a renewal that was asked for at a time."""
-        self.act_until = max(self.act_until, asked_at + LEASE_S - SAFETY_S)
+        self.act_until = max(
+            self.act_until, asked_at + LEASE_S - SAFETY_MARGIN_S
+        )
 
     def may_order(self, now: float, *, checks_fencing: bool) -> bool:
         """Tell whether an order to an engine is safe now.
@@ -78,8 +80,8 @@
         """
         if now + ORDER_TIMEOUT_S >= self.act_until:
             return False
-        waits_until = self.won_at + SAFETY_S + ORDER_TIMEOUT_S
-        return checks_fencing or now >= waits_until
+        safe_at = self.won_at + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
+        return checks_fencing or now >= safe_at
 
 
 def plan_orders(
@@ -109,7 +111,7 @@
     )
     orders = []
     for endpoint in endpoints:
-        order = _plan_one(endpoint, statuses, tenure, now)
+        order = _plan_order(endpoint, statuses, tenure, now)
         if order is None or (order.needs_weights and free <= 0):
             continue
         free -= order.needs_weights
@@ -117,7 +119,7 @@
     return orders
 
 
-def _plan_one(
+def _plan_order(
     endpoint: Endpoint,
     statuses: dict[str, Status],
     tenure: Tenure,
@@ -127,11 +129,11 @@
     status = statuses.get(endpoint.name)
     if desired is None or status is None or status.is_loading:
         return None
-    if _is_reached(desired, status):
+    if _matches_desired(desired, status):
         return None
     if not tenure.may_order(now, checks_fencing=endpoint.checks_fencing):
         return None
-    same_weights = desired.version == status.version and (
+    has_weights = desired.version == status.version and (
         set(desired.adapters) <= set(status.adapters)
     )
     return Order(
@@ -139,11 +141,11 @@
         endpoint.address,
         desired,
         tenure.fence,
-        needs_weights=not same_weights,
+        needs_weights=not has_weights,
     )
 
 
-def _is_reached(desired: DesiredState, status: Status) -> bool:
+def _matches_desired(desired: DesiredState, status: Status) -> bool:
     return (
         desired.version == status.version
         and set(desired.adapters) == set(status.adapters)
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -8,7 +8,7 @@
 from samphirerill.control.orders import (
     LEASE_S,
     ORDER_TIMEOUT_S,
-    SAFETY_S,
+    SAFETY_MARGIN_S,
     Status,
     Tenure,
     plan_orders,
@@ -48,7 +48,7 @@
         commands; the first wakes and sends what it had planned.
         Cause: it did not look at the clock again before sending.
         """
-        late = _NOW + LEASE_S - SAFETY_S
+        late = _NOW + LEASE_S - SAFETY_MARGIN_S
         self.assertFalse(self.tenure.may_order(late, checks_fencing=True))
         self.tenure.renew(asked_at=_NOW + 5)
         self.assertTrue(self.tenure.may_order(late, checks_fencing=True))
@@ -57,14 +57,14 @@
         """A slow answer does not lengthen the tenure."""
         self.tenure.renew(asked_at=_NOW - 50)
         end = self.tenure.act_until
-        self.assertEqual(end, _NOW + LEASE_S - SAFETY_S)
+        self.assertEqual(end, _NOW + LEASE_S - SAFETY_MARGIN_S)
 
     def test_engines_that_ignore_numbers_are_waited_out(self) -> None:
         """What the predecessor sent last must have arrived before."""
         soon = _NOW + 1
         self.assertTrue(self.tenure.may_order(soon, checks_fencing=True))
         self.assertFalse(self.tenure.may_order(soon, checks_fencing=False))
-        later = _NOW + 0.2 + SAFETY_S + ORDER_TIMEOUT_S
+        later = _NOW + 0.2 + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
         self.assertTrue(self.tenure.may_order(later, checks_fencing=False))
 
 
