--- a/samphirerill/control/patches.py
+++ b/samphirerill/control/patches.py
@@ -34,7 +34,7 @@
     """
     try:
         for operation in patch:
-            document = _apply_one(document, operation)
+            document = _apply_operation(document, operation)
     except (
         JsonPatchException,
         JsonPointerException,
@@ -47,26 +47,26 @@
     return document
 
 
-def _apply_one(document: Any, operation: Any) -> Any:
+def _apply_operation(document: Any, operation: Any) -> Any:
     """Apply one operation to copies of the containers it changes.
 
     Copies are made anew for each operation: an earlier one may have moved
     something here that is still part of the original.
     """
     changed = document
-    for place in (operation.get('path'), operation.get('from')):
-        if place is not None:
-            changed = _copy_along(changed, JsonPointer(place).parts)
+    for pointer in (operation.get('path'), operation.get('from')):
+        if pointer is not None:
+            changed = _copy_path(changed, JsonPointer(pointer).parts)
     return JsonPatch([operation]).apply(changed, in_place=True)
 
 
-def _copy_along(node: Any, parts: list[str]) -> Any:
+def _copy_path(node: Any, parts: list[str]) -> Any:
     """Return the node with each container on the way to a place copied."""
     copied = copy(node)
     if parts and isinstance(copied, dict) and parts[0] in copied:
-        copied[parts[0]] = _copy_along(copied[parts[0]], parts[1:])
+        copied[parts[0]] = _copy_path(copied[parts[0]], parts[1:])
     elif parts and isinstance(copied, list) and parts[0].isdigit():
-        at = int(parts[0])
-        if at < len(copied):
-            copied[at] = _copy_along(copied[at], parts[1:])
+        index = int(parts[0])
+        if index < len(copied):
+            copied[index] = _copy_path(copied[index], parts[1:])
     return copied
