--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -37,7 +37,7 @@
     from samphirerill.backends.store import Committed, KeyValueStore
 
 HEAD_KEY = 'shared/config/head'
-LOG_PREFIX = 'shared/config/log/'
+LOG = 'shared/config/log/'
 SNAPSHOT_KEY = 'shared/config/snapshot'
 SNAPSHOT_INTERVAL = 50
 RETAINED_CHANGES = 500
@@ -108,11 +108,11 @@
         self,
         store: KeyValueStore,
         prefix: str,
-        retry_pause_s: float = _RETRY_PAUSE_S,
+        settle_pause_s: float = _RETRY_PAUSE_S,
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._retry_pause_s = retry_pause_s
+        self._retry_pause_s = settle_pause_s
         self._parts = PartStore(store, prefix)
 
     def load(self) -> Loaded:
@@ -126,7 +126,7 @@
         changes = [
             self.read_change(entry)
             for key, entry in by_key.items()
-            if key.startswith(LOG_PREFIX)
+            if key.startswith(LOG)
         ]
         for change in changes:
             if change.version == version + 1:
@@ -150,7 +150,7 @@
 
     def read_changes(self, after: int) -> list[Change]:
         """Return the changes after a version, in order."""
-        found = self._store.read_prefix(self._key(LOG_PREFIX))
+        found = self._store.read_prefix(self._key(LOG))
         return [
             self.read_change(entry)
             for entry in found.entries
@@ -307,7 +307,7 @@
         return f'{self._prefix}{name}'
 
     def _log_key(self, version: int) -> str:
-        return self._key(f'{LOG_PREFIX}{version:012}')
+        return self._key(f'{LOG}{version:012}')
 
 
 def parse_change(document: dict[str, Any]) -> Change:
--- a/samphirerill/core/model.py
+++ b/samphirerill/core/model.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-BuiltT = TypeVar('Built')
+BuiltT = TypeVar('BuiltT')
 
 HIGH = 'high'
 NORMAL = 'normal'
