--- a/samphirerill/core/admission.py
+++ b/samphirerill/core/admission.py
@@ -1,12 +1,12 @@
-"""Queues that are fair between client accounts and priorities.
-
-One pool stands before each model or plain-service route. Inside a pool, high
-priority goes first, but every ``NORMAL_EVERY``-th pick goes to normal work if
-any waits, so that normal work never starves. Inside a priority, client
-accounts share by start-time fair queueing: each account has a virtual clock
-that advances by the estimated tokens it asked for over its weight, and the
-account with the lowest clock goes next. A large account thus gets behind only
-itself.
+"""Fair queueing between client accounts and priorities.
+
+Each model or plain-service route has one queue. High priority is served first,
+but every ``NORMAL_INTERVAL``-th dequeue serves a normal-priority request if
+one waits, so that normal priority does not starve. Within a priority, client
+accounts share by start-time fair queueing: the account with the lowest start
+tag is served next, and its tag then advances by the request's estimated tokens
+divided by the account's weight. A long queue of one account therefore delays
+only that account.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class QueueEntry:
-    """One waiting request; `cost` is estimated tokens over weight."""
+    """One queued request; `cost` is estimated tokens over weight."""
 
     request_id: str
     account: str
@@ -32,7 +32,11 @@
 
 @dataclass(slots=True)
 class _PriorityClass:
-    """The waiting requests of one priority."""
+    """The queued requests of one priority, by account.
+
+    `start_tags` holds the start tag of each account's next request;
+    `virtual_time` is the start tag of the last request that was dequeued.
+    """
 
     queues: dict[str, deque[QueueEntry]] = field(default_factory=dict)
     start_tags: dict[str, float] = field(default_factory=dict)
@@ -43,7 +47,7 @@
 
 
 class FairQueue:
-    """The requests that wait for one model or one plain-service route."""
+    """The requests queued for one model or plain-service route."""
 
     __slots__ = (
         '_classes',
@@ -59,16 +63,16 @@
         self.dequeue_interval_s = 0.0
 
     def size(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return sum(
             priority_class.size() for priority_class in self._classes.values()
         )
 
     def estimate_ahead(self, account: str, priority: str) -> int:
-        """Estimate how many picks come before a new request of an account.
+        """Estimate how many dequeues precede a new request of an account.
 
-        Every other account gets a turn for each of this account's own, so a
-        deep queue of one account does not count against the others.
+        Accounts take turns, so each other account counts at most once for
+        every request of this account, however long its queue is.
         """
         queues = self._classes[priority].queues
         own = len(queues.get(account, ()))
@@ -79,7 +83,7 @@
         return same + min(high, (same + 1) * (NORMAL_INTERVAL - 1))
 
     def add(self, entry: QueueEntry, *, at_front: bool = False) -> None:
-        """Let a request wait; `in_front` is for work that has started."""
+        """Queue a request; `at_front` is for one that already ran."""
         priority_class = self._classes[entry.priority]
         queue = priority_class.queues.setdefault(entry.account, deque())
         if not queue:
@@ -93,7 +97,7 @@
             queue.append(entry)
 
     def remove(self, request_id: str, account: str, priority: str) -> bool:
-        """Take out a request that ended while it waited."""
+        """Remove a request that ended while it was queued."""
         queue = self._classes[priority].queues.get(account, deque())
         for entry in queue:
             if entry.request_id == request_id:
@@ -103,7 +107,7 @@
         return False
 
     def candidates(self) -> list[QueueEntry]:
-        """Return the first request of each account, next pick first."""
+        """Return the first request of each account, next to run first."""
         order = [HIGH, NORMAL]
         if self._high_streak >= NORMAL_INTERVAL - 1:
             order.reverse()
@@ -143,11 +147,11 @@
     def _remove_if_idle(
         self, priority_class: _PriorityClass, account: str
     ) -> None:
-        """Drop an idle account's queue; its clock stays while it is ahead.
+        """Remove an account without queued requests.
 
-        Without this, 1,100 accounts would stay in every pool for ever. A
-        clock that is ahead must stay, or an account could jump the queue by
-        emptying its own.
+        Otherwise every account ever seen would stay in every queue. A start
+        tag ahead of the virtual time is kept: without it, an account could
+        reset its tag by emptying its queue.
         """
         if not priority_class.queues[account]:
             priority_class.queues.pop(account)
