--- a/samphirerill/core/budget.py
+++ b/samphirerill/core/budget.py
@@ -1,8 +1,9 @@
-"""The retry budget that keeps retries from multiplying an outage.
+"""Retry budget that keeps retries from amplifying an outage.
 
-Each first attempt earns a fraction of a retry; each retry spends one. When
-many endpoints fail at once, retries stop at that fraction of the load instead
-of doubling it, which one would notice as an outage that outlives its cause.
+A token bucket: each first attempt deposits a fraction of a retry, each retry
+withdraws one. When many endpoints fail at once, retries stay at that fraction
+of the load instead of multiplying it and keeping the endpoints overloaded
+after the original fault is gone.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries left for one route; never above `ceiling`."""
+    """Retries available to one route, at most `max_balance`."""
 
     ratio: float
     max_balance: float
     balance: float
 
     def deposit(self) -> None:
-        """Add what one first attempt earns."""
+        """Add the fraction of a retry that a first attempt earns."""
         self.balance = min(self.max_balance, self.balance + self.ratio)
 
     def try_withdraw(self) -> bool:
-        """Take one retry; return whether one was left."""
+        """Withdraw one retry; return whether one was available."""
         if self.balance < 1:
             return False
         self.balance -= 1
