--- a/samphirerill/core/commands.py
+++ b/samphirerill/core/commands.py
@@ -1,7 +1,7 @@
-"""What the decision core tells the outside to do.
+"""Commands that the decision core returns for the node to carry out.
 
-Commands are carried out in the order they are returned. The core never waits
-for one: what comes of it returns as an event.
+They are carried out in the order in which they are returned. The core never
+waits for a command; its result arrives as an event.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended, as the caller is told."""
+    """How a request ended, as reported to the caller."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not-run'
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stage:
-    """One step of a pipeline: an endpoint and the inclusive layers it runs."""
+    """One stage of a pipeline: an endpoint and its inclusive layer range."""
 
     endpoint: str
     address: str
@@ -30,9 +30,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """Why a request has no whole answer.
+    """Why a request got no complete answer.
 
-    `retry_after_s` is 0 when trying again can't help.
+    `retry_after_s` is 0 if a retry would not help.
     """
 
     status: int
@@ -46,7 +46,7 @@
 class OpenAttempt:
     """Connect to the first stage and send the request with this plan.
 
-    `resume_at` is the index of the first token still wanted.
+    `resume_at` is the index of the first token that is still to be generated.
     """
 
     attempt_id: str
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Close the attempt's connection; the engine stops its work."""
+    """Close the attempt's connection, which stops the engine's work."""
 
     attempt_id: str
 
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class DeliverService:
-    """Send a plain service's whole answer to the caller."""
+    """Send a plain service's complete answer to the caller."""
 
     request_id: str
     attempt_id: str
@@ -84,14 +84,14 @@
 
 @dataclass(slots=True)
 class ReplayAnswer:
-    """Send the answer that an earlier request with the same key got."""
+    """Send the stored answer of an earlier request with the same key."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class FinishAnswer:
-    """The answer is whole; tell the caller so."""
+    """Tell the caller that the answer is complete."""
 
     request_id: str
 
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class WriteClaim:
-    """Write the claim for a key to the platform's service."""
+    """Claim an idempotency key in the platform's key-value service."""
 
     request_id: str
     account: str
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class SettleClaim:
-    """Replace the claim by its outcome, so that a retry learns the truth."""
+    """Replace a claim by its outcome, which later retries will read."""
 
     request_id: str
     outcome: Outcome
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class ProbeEndpoint:
-    """Ask an endpoint over a new connection whether it is there."""
+    """Check over a new connection whether an endpoint is reachable."""
 
     endpoint: str
     address: str
