--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -1,4 +1,4 @@
-"""End requests: each exactly once, with the outcome that is true."""
+"""End requests, each exactly once and with the correct outcome."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def determine_outcome(req: RequestState) -> Outcome:
-    """Return the outcome of a request that ends without a whole answer.
+    """Return the outcome of a request that ends without a complete answer.
 
-    "Not run" is only said when no attempt is left that may have run: one
-    that was never sent, or that its endpoint refused in so many words.
+    It is "not run" only if no attempt may have run: each was either never sent
+    or explicitly refused by its endpoint.
     """
     if req.ambiguous_attempts or req.delivered:
         return Outcome.MAY_HAVE_RUN
@@ -30,7 +30,7 @@
 
 
 def finish_request(state: CoreState, req: RequestState) -> None:
-    """End a request whose answer is whole."""
+    """End a request whose answer is complete."""
     _settle_claim(state, req, Outcome.ANSWERED)
     state.emit(FinishAnswer(req.request_id))
     remove_request(state, req)
@@ -45,7 +45,7 @@
     detail: str,
     retry_after_s: float = 0,
 ) -> None:
-    """End a request without a whole answer and say what is known of it."""
+    """End a request without a complete answer, with its outcome."""
     outcome = determine_outcome(req)
     problem = Problem(status, code, detail, outcome, retry_after_s)
     _settle_claim(state, req, outcome)
@@ -55,7 +55,7 @@
 
 
 def remove_request(state: CoreState, req: RequestState) -> None:
-    """Drop a request, its place in a queue and its running attempt."""
+    """Remove a request, its queue entry and its running attempt."""
     if req.phase is Phase.QUEUED:
         queue = state.pools.get(get_queue_name(req))
         if queue is not None:
@@ -70,7 +70,7 @@
 
 
 def remove_attempt(state: CoreState, attempt: AttemptState) -> None:
-    """Forget an attempt and free the places it took at its endpoints."""
+    """Remove an attempt and free the slots it used at its endpoints."""
     state.attempts.pop(attempt.attempt_id, None)
     for stage in attempt.stages:
         replica = state.endpoints.get(stage.endpoint)
@@ -82,14 +82,14 @@
 
 
 def release_account_slot(state: CoreState, req: RequestState) -> None:
-    """Give back the request's place among its account's running ones."""
+    """Release the request's slot of its account's concurrency limit."""
     state.running_by_account[req.account] -= 1
     if state.running_by_account[req.account] <= 0:
         state.running_by_account.pop(req.account)
 
 
 def get_queue_name(req: RequestState) -> str:
-    """Return the pool a request waits in: its model's or its route's."""
+    """Return the name of a request's queue, by model or by route."""
     return req.route.model or f'route {req.route.name}'
 
 
