--- a/samphirerill/core/errors.py
+++ b/samphirerill/core/errors.py
@@ -4,11 +4,11 @@
 
 
 class CoreError(Exception):
-    """Base of all errors that the decision core raises."""
+    """Base of all errors raised by the decision core."""
 
 
 class UnknownEventError(CoreError):
-    """An event of a type that no handler is registered for."""
+    """No handler is registered for the type of an event."""
 
     def __init__(self, event: object) -> None:
         super().__init__(
