--- a/samphirerill/core/events.py
+++ b/samphirerill/core/events.py
@@ -1,8 +1,8 @@
-"""What the outside tells the decision core.
+"""Events that the node passes to the decision core.
 
 Every event is a plain slotted class. Times are seconds of one monotonic clock,
-handed to the core beside the event; deadlines inside events are points on that
-clock, never durations.
+passed to the core beside the event; deadlines in events are points on that
+clock, not durations.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 
 @dataclass(slots=True)
 class ConfigurationAccepted:
-    """The platform's service holds this version; it is now in force."""
+    """The key-value service holds this version; put it in force."""
 
     configuration: Configuration
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A caller's request passed the edge's checks.
+    """A caller's request passed the checks of the HTTP server.
 
-    `key` is the caller's idempotency key or ''. `fingerprint` tells two
-    bodies under one key apart. `tokens` estimates the tokens to generate.
-    `prefixes` are digests of the prompt's prefixes, the longest last.
-    `identity` is what makes it the same request as another attempt.
+    `key` is the caller's idempotency key or ''. `fingerprint` differs between
+    different bodies sent under one key. `tokens` estimates the tokens to
+    generate. `prefixes` are digests of the prompt's prefixes, the longest
+    last. `identity` is equal for repeats of a request under other ids, so that
+    quarantine recognises them.
     """
 
     request_id: str
@@ -46,21 +47,21 @@
 
 @dataclass(slots=True)
 class CallerLeft:
-    """The caller closed its connection before the answer was whole."""
+    """The caller disconnected before its answer was complete."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class AttemptSent:
-    """The first byte of an attempt is about to go to its endpoint."""
+    """The first byte of an attempt is about to be sent."""
 
     attempt_id: str
 
 
 @dataclass(slots=True)
 class TokenArrived:
-    """An endpoint produced token `index` of the attempt's answer."""
+    """An endpoint produced token `index` of an attempt's answer."""
 
     attempt_id: str
     epoch: int
@@ -72,14 +73,14 @@
 
 @dataclass(slots=True)
 class AttemptProgressed:
-    """The endpoint showed that it is alive without producing a token."""
+    """The endpoint reported that it is alive, without a token."""
 
     attempt_id: str
 
 
 @dataclass(slots=True)
 class AttemptRefused:
-    """The endpoint said that it ran nothing of the attempt."""
+    """The endpoint refused an attempt and ran nothing of it."""
 
     attempt_id: str
     detail: str = ''
@@ -87,10 +88,10 @@
 
 @dataclass(slots=True)
 class AttemptBroke:
-    """The attempt's connection failed or the engine reported a failure.
+    """The attempt's connection failed or the engine reported an error.
 
-    `failed_stage` is the pipeline position the engine blames, or -1.
-    `connected` is false when no connection could be made at all.
+    `failed_stage` is the position of the pipeline stage that failed according
+    to the engine, or -1. `connected` is false if no connection could be made.
     """
 
     attempt_id: str
@@ -101,7 +102,10 @@
 
 @dataclass(slots=True)
 class ServiceAnswered:
-    """A plain service answered whole; the edge holds the answer's bytes."""
+    """A plain service answered completely.
+
+    The HTTP server holds the answer's bytes.
+    """
 
     attempt_id: str
     status: int
@@ -109,17 +113,17 @@
 
 @dataclass(slots=True)
 class ClaimWon:
-    """The claim is in the platform's service under this request's name."""
+    """The idempotency key is claimed for this request."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class ClaimTaken:
-    """Another request holds the key.
+    """Another request has claimed the idempotency key.
 
     `state` is ``running``, ``answered``, ``may-have-run`` or ``mismatch``;
-    `holder_alive` says whether the node that claimed it is still known.
+    `holder_alive` is whether the node that claimed it is still known.
     """
 
     request_id: str
@@ -129,17 +133,17 @@
 
 @dataclass(slots=True)
 class ClaimFailed:
-    """The claim could not be written and nothing was sent."""
+    """The claim could not be written, so nothing was sent."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class ProbeAnswered:
-    """An endpoint answered, or not, over a new connection.
+    """A probe of an endpoint over a new connection has finished.
 
-    `has_ended` is whether nobody listens there; one that is only silent may
-    live.
+    `has_ended` is whether the connection was refused, so that the process has
+    ended; one that only does not answer may still be running.
     """
 
     endpoint: str
@@ -149,14 +153,14 @@
 
 @dataclass(slots=True)
 class EvidenceTold:
-    """Another node told what it knows against requests."""
+    """Another node sent its crash records of requests."""
 
     records: list[ToldRecord]
 
 
 @dataclass(slots=True)
 class LoadReported:
-    """An endpoint's own figures, late by an unknown lag."""
+    """An endpoint's own load figures, delayed by an unknown time."""
 
     endpoint: str
     running: int
@@ -165,7 +169,7 @@
 
 @dataclass(slots=True)
 class VmListRead:
-    """The platform's lagging list; names are endpoints' names."""
+    """The platform's list of VMs, by endpoint name; it lags behind."""
 
     live: frozenset[str]
     leaving: frozenset[str]
@@ -173,14 +177,14 @@
 
 @dataclass(slots=True)
 class NodesSeen:
-    """How many nodes share the endpoints with this one, itself included."""
+    """The number of nodes that share the endpoints, this one included."""
 
     count: int
 
 
 @dataclass(slots=True)
 class CacheReported:
-    """What an engine stored and evicted since it was last asked."""
+    """What an engine stored and evicted since the last report."""
 
     endpoint: str
     news: CacheNews
@@ -188,26 +192,26 @@
 
 @dataclass(slots=True)
 class DrainRequested:
-    """Take no new work; finish what runs."""
+    """Accept no new requests; finish those that run."""
 
 
 @dataclass(slots=True)
 class ServingForbidden:
-    """The node can't tell whether its configuration is in force."""
+    """The node cannot confirm that its configuration is in force."""
 
     reason: str
 
 
 @dataclass(slots=True)
 class ServingAllowed:
-    """The node's configuration is known to be in force again."""
+    """The configuration is confirmed to be in force again."""
 
 
 @dataclass(slots=True)
 class TimePassed:
-    """A deadline that the core asked to be woken for may have come.
+    """The node's timer fired for the core's next deadline.
 
-    `lag_s` is how long after that deadline the node's timer fired.
+    `lag_s` is the delay between that deadline and the timer.
     """
 
     lag_s: float = 0.0
