--- a/samphirerill/core/handling.py
+++ b/samphirerill/core/handling.py
@@ -1,4 +1,4 @@
-"""The one entry through which events change the decision core."""
+"""The generic function through which events change the decision core."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @singledispatch
 def handle(event: object, state: CoreState, now: float) -> None:
-    """Change the state by one event and emit the commands it leads to.
+    """Apply one event to the state and emit the resulting commands.
 
     Parameters
     ----------
     event : object
         One of the classes of :mod:`samphirerill.core.events`.
     state : CoreState
-        The state to change; commands are added to ``state.out``.
+        The state to change; commands are added with ``state.emit``.
     now : float
         Seconds on the node's monotonic clock.
 
