--- a/samphirerill/core/links.py
+++ b/samphirerill/core/links.py
@@ -1,8 +1,8 @@
-"""How long the links between endpoints take, from the hops that engines report.
+"""Latencies of links between endpoints, from the hops that engines report.
 
-A hop also looks slow while one of its ends is busy for a moment. A link counts
-as slow only if several reports in a row say so, and not for ever: an avoided link
-reports nothing, and would never be used again.
+A hop also takes long while one of its endpoints is briefly busy. A link counts
+as slow only if several reports in a row say so, and only for a limited time:
+an avoided link gets no new reports and would never be used again.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 class LinkSamples:
     """The latest reports of one link, in milliseconds.
 
-    `lapses_at` is when they are too old to be believed, on the node's clock.
+    `expires_at` is when they become too old to use, on the node's clock.
     """
 
     __slots__ = ('expires_at', 'hops_ms')
@@ -33,7 +33,7 @@
 
 
 class LinkLatencies:
-    """Measured links by source and target endpoint."""
+    """Measured latencies by source and target endpoint."""
 
     __slots__ = ('_samples',)
 
@@ -41,7 +41,7 @@
         self._samples: dict[Link, LinkSamples] = {}
 
     def observe(self, link: Link, hop_ms: float, now: float) -> None:
-        """Take a report."""
+        """Record the reported time of one hop."""
         samples = self._samples.get(link)
         if samples is None or samples.expires_at <= now:
             samples = LinkSamples()
@@ -50,7 +50,7 @@
         samples.expires_at = now + _SAMPLE_TTL_S
 
     def estimate_ms(self, link: Link, now: float) -> float | None:
-        """Return what a link takes; none if that is not known well enough."""
+        """Return a link's latency, or None without enough recent reports."""
         samples = self._samples.get(link)
         if samples is None or samples.expires_at <= now:
             return None
@@ -59,7 +59,7 @@
         return min(samples.hops_ms)
 
     def retain(self, endpoints: Collection[str]) -> None:
-        """Forget the links of all other endpoints."""
+        """Remove the links of all other endpoints."""
         self._samples = {
             link: samples
             for link, samples in self._samples.items()
