--- a/samphirerill/core/model.py
+++ b/samphirerill/core/model.py
@@ -1,8 +1,8 @@
 """The operators' configuration as typed, immutable objects.
 
-The document that operators patch is plain JSON (see
-:mod:`samphirerill.settings.schema`). ``build_configuration`` turns a checked
-document into the classes below; the rest of the code reads only these.
+Operators patch a plain JSON document (see
+:mod:`samphirerill.settings.schema`). ``build_configuration`` converts a
+checked document into the classes below; the rest of the code reads only these.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Model:
-    """One language model; `layers` counts its layers, numbered from 0."""
+    """One language model; its layers are numbered from 0."""
 
     name: str
     layers: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DesiredState:
-    """What operators want an engine to have loaded and to be."""
+    """What operators want an engine to have loaded, and its role."""
 
     version: str = ''
     adapters: tuple[str, ...] = ()
@@ -45,7 +45,7 @@
 class Endpoint:
     """One engine or plain service that requests are sent to.
 
-    `first` and `last` are the inclusive range of layers an engine holds.
+    `first` and `last` are the inclusive range of layers that an engine holds.
     `layer_ms` is the time one layer takes for one step of a batch.
     """
 
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """A named way to a model's pipelines or to plain services."""
+    """A named route to a model's pipelines or to plain services."""
 
     name: str
     kind: str
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Deadlines and bounds that hold for every request."""
+    """Timeouts and limits that apply to every request."""
 
     progress_timeout_s: float = 0.5
     answer_timeout_s: float = 0.8
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """One accepted version of everything the operators decide."""
+    """One accepted version of the operators' configuration."""
 
     version: int
     models: dict[str, Model] = field(default_factory=dict)
@@ -117,14 +117,14 @@
     limits: Limits = field(default_factory=Limits)
 
     def link_ms(self, source: str, target: str) -> float:
-        """Return the configured one-way time between two data centres."""
+        """Return the configured one-way latency between data centres."""
         if source == target:
             return self.links.get((source, target), 0)
         return self.links.get((source, target), DEFAULT_LINK_MS)
 
 
 def choose_priority(route: Route, account: Account) -> str:
-    """Return a request's priority: the account's own goes first."""
+    """Return a request's priority: the account's takes precedence."""
     return HIGH if (account.priority or route.priority) == HIGH else NORMAL
 
 
@@ -139,12 +139,12 @@
     Parameters
     ----------
     document : dict
-        A document without problems by ``check_document``.
+        A document in which ``check_document`` found no problems.
     version : int
-        The number the document was accepted under.
+        The number under which the document was accepted.
     previous, previous_document : Configuration, dict, optional
-        What was in force before. What both documents share is not built
-        again; a change then costs what it changes, not what there is.
+        What was in force before. Objects built from parts that both documents
+        share are reused, so the cost depends on the size of the change.
 
     Returns
     -------
@@ -187,7 +187,7 @@
     old_document: dict[str, Any],
     reusable: dict[str, BuiltT],
 ) -> dict[str, BuiltT]:
-    """Build one part; what is the same object as before stays built."""
+    """Build one section; reuse objects whose spec is the same object."""
     specs = document.get(section, {})
     old = old_document.get(section, {})
     if specs is old:
