--- a/samphirerill/core/model.py
+++ b/samphirerill/core/model.py
@@ -139,7 +139,7 @@
     Parameters
     ----------
     document : dict
-        A document in which ``check_document`` found no problems.
+        A document in which ``check_configuration`` found no problems.
     version : int
         The number under which the document was accepted.
     previous, previous_document : Configuration, dict, optional
