--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -1,4 +1,4 @@
-"""Handlers for what becomes of attempts at endpoints."""
+"""Handlers for the events of attempts at endpoints."""
 
 from __future__ import annotations
 
@@ -57,13 +57,13 @@
 _MAX_MIGRATION_RATIO = 0.6
 _MIN_SLOW_HOP_MS = 5.0
 _MIN_REMAINING_TOKENS = 4
-# Reading a usual prompt on another pipeline takes about so long.
+# Approximate time to prefill a typical prompt on another pipeline.
 _MIGRATION_COST_MS = 300.0
 
 
 @handle.register(AttemptSent)
 def on_attempt_sent(event: AttemptSent, state: CoreState, now: float) -> None:
-    """From here on the attempt may have run."""
+    """Record that the attempt may have run from now on."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None or attempt.sent:
         return
@@ -73,11 +73,12 @@
 
 @handle.register(TokenArrived)
 def on_token_arrived(event: TokenArrived, state: CoreState, now: float) -> None:
-    """Pass a token on if it is the next one of the current attempt.
+    """Deliver a token if it is the next one of the current attempt.
 
-    Late, crossed or doubled tokens belong to an attempt that is gone or to
-    another epoch or index. Passing one on would show the caller a token
-    twice or someone else's; so they are dropped and their connection goes.
+    Late, repeated or misdirected tokens belong to an attempt that has ended,
+    or to another epoch or index. Delivering one would show the caller a token
+    twice or another caller's token, so they are dropped; except for repeated
+    ones, their attempt is ended too.
     """
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
@@ -117,7 +118,7 @@
 def on_attempt_progressed(
     event: AttemptProgressed, state: CoreState, now: float
 ) -> None:
-    """An engine that says it is waiting is not silent."""
+    """Extend the progress deadline of an engine that reports progress."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is not None:
         _extend_progress(state, attempt, now)
@@ -127,7 +128,10 @@
 def on_attempt_refused(
     event: AttemptRefused, state: CoreState, now: float
 ) -> None:
-    """The endpoint ran nothing: another may be tried, whatever the route."""
+    """Try another endpoint, also on routes that are not idempotent.
+
+    The endpoint ran nothing of the attempt.
+    """
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         return
@@ -155,7 +159,7 @@
 
 @handle.register(AttemptBroke)
 def on_attempt_broke(event: AttemptBroke, state: CoreState, now: float) -> None:
-    """Blame the failed stage, then carry on elsewhere or tell the truth."""
+    """Exclude the failed stage, then retry elsewhere or end the request."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         return
@@ -182,7 +186,7 @@
 def on_service_answered(
     event: ServiceAnswered, state: CoreState, now: float
 ) -> None:
-    """A plain service's answer is whole: deliver it."""
+    """Deliver a plain service's complete answer."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         state.counters['dropped.late'] += 1
@@ -193,7 +197,7 @@
 
 
 def mark_suspect(state: CoreState, name: str, now: float) -> None:
-    """Send an endpoint nothing until a probe has found it alive."""
+    """Send an endpoint nothing until a probe finds it alive."""
     replica = state.endpoints.get(name)
     if replica is None or replica.health is Health.LEAVING:
         return
@@ -203,7 +207,7 @@
 
 
 def probe_stages(state: CoreState, attempt: AttemptState) -> None:
-    """Tell a dead endpoint from a dead path, over new connections."""
+    """Probe all stages, to tell a failed endpoint from a failed link."""
     for stage in attempt.stages:
         state.emit(ProbeEndpoint(stage.endpoint, stage.address))
 
@@ -215,7 +219,7 @@
     req: RequestState,
     now: float,
 ) -> bool:
-    """Leave out who failed; return whether the engine named the stage."""
+    """Avoid the failed stage; return whether the engine named it."""
     if 0 <= event.failed_stage < len(attempt.stages):
         name = attempt.stages[event.failed_stage].endpoint
         req.avoid.add(name)
@@ -259,11 +263,11 @@
     event: TokenArrived,
     now: float,
 ) -> None:
-    """Carry a stream on elsewhere when its worst link has become slow.
+    """Migrate a stream to another pipeline when one of its links is slow.
 
-    Streams are long: if only new requests avoided a degraded link, those
-    already on it would crawl to their end. A hop that is slow for a moment,
-    because its target is busy, costs less than the move.
+    If only new requests avoided a degraded link, long streams that already use
+    it would stay slow to their end. A hop that is only briefly slow, because
+    its target is busy, costs less than a migration.
     """
     hops_ms = event.hops_ms
     if not req.route.idempotent or max(hops_ms) < _MIN_SLOW_HOP_MS:
@@ -271,9 +275,8 @@
         attempt.excess_ms = 0
         return
     if 0 < req.tokens - req.delivered < _MIN_REMAINING_TOKENS:
-        # Its prompt would be read once more for hardly anything; where one hop
-        # looks slow for a moment, short answers ran twice. An estimate that is
-        # used up tells nothing of what is left.
+        # Too few tokens are left to repay a second prefill. An estimate that
+        # is used up says nothing about how many are left.
         return
     worst = hops_ms.index(max(hops_ms))
     target = attempt.stages[(worst + 1) % len(attempt.stages)].endpoint
@@ -299,7 +302,7 @@
 
 
 def _add_excess_ms(attempt: AttemptState, index: int, excess_ms: float) -> None:
-    """Add what slow hops have cost since they were last found slow."""
+    """Add the time that slow hops have cost since the last fast report."""
     tokens = (
         1 if attempt.last_slow_index < 0 else index - attempt.last_slow_index
     )
