--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -1,4 +1,4 @@
-"""Handlers for what becomes of claims on idempotency keys."""
+"""Handlers for the results of claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -34,10 +34,11 @@
 
 @handle.register(ClaimWon)
 def on_claim_won(event: ClaimWon, state: CoreState, now: float) -> None:
-    """The key is this request's alone: start it.
+    """Start the request that now holds its key.
 
-    If the request ended while its claim was under way, nothing ran and the
-    claim has to go: a retry would be told for a day that it may have run.
+    If the request ended while its claim was being written, nothing ran and the
+    claim is removed: otherwise retries would be told until it expires that the
+    request may have run.
     """
     req = state.requests.get(event.request_id)
     if req is None:
@@ -50,7 +51,7 @@
 
 @handle.register(ClaimTaken)
 def on_claim_taken(event: ClaimTaken, state: CoreState, now: float) -> None:
-    """Tell a retry what became of the first request with its key."""
+    """Tell a retry the outcome of the first request with its key."""
     req = state.requests.get(event.request_id)
     if req is None:
         return
@@ -67,7 +68,7 @@
 
 @handle.register(ClaimFailed)
 def on_claim_failed(event: ClaimFailed, state: CoreState, now: float) -> None:
-    """Without a claim nothing is sent: refuse, truthfully, as not run."""
+    """Refuse a request as not run, as nothing is sent without a claim."""
     req = state.requests.get(event.request_id)
     if req is None:
         return
