--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -1,8 +1,9 @@
-"""Requests that end the endpoints that run them.
+"""Quarantine of requests that crash the endpoints that run them.
 
-A broken attempt counts against its request if it had hardly begun and its endpoint's
-process has ended, as a probe finds that nobody listens there. What follows is
-decided by :mod:`samphirerill.quarantine`, from what all nodes know.
+A failed attempt counts against its request if it failed soon after its first
+token and its endpoint's process has ended, which a refused connection shows.
+:mod:`samphirerill.quarantine` decides, from the records of all nodes, which
+requests are quarantined.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
     from samphirerill.core.state import AttemptState, CoreState, RequestState
 
 QUARANTINE_DETAIL = 'endpoints end when they run this request'
-# Wakes may come a moment early.
+# Timers may fire slightly early.
 _TIMER_SLACK_S = 0.005
 
 
 @handle.register(EvidenceTold)
 def on_evidence_told(event: EvidenceTold, state: CoreState, now: float) -> None:
-    """Take what another node knows against requests."""
+    """Merge another node's crash records."""
     if take_told(state.quarantine, event.records, now):
         _schedule_evaluation(state, now)
 
@@ -42,7 +43,7 @@
 def find_quarantine_problem(
     state: CoreState, identity: bytes, now: float
 ) -> Problem | None:
-    """Return the refusal of a request that is held back, if it is."""
+    """Return the refusal of a quarantined request, or None."""
     until = state.quarantine.find_held_until(identity, now)
     if not until:
         return None
@@ -58,7 +59,10 @@
 def record_failure(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> bool:
-    """An attempt broke; return whether its endpoints may have ended by it."""
+    """Record a failed attempt.
+
+    Returns whether its endpoints may have crashed because of it.
+    """
     if not req.identity or not attempt.sent:
         return False
     if _has_survived_start(attempt):
@@ -72,7 +76,7 @@
 
 
 def record_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
-    """An endpoint was asked: what broke off there counts, or not."""
+    """Count the suspected crashes of an endpoint if it has ended."""
     crashes = state.suspected_crashes.pop(event.endpoint, {})
     if not event.has_ended:
         return
@@ -84,7 +88,7 @@
 def record_token(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> None:
-    """A token has come; who sends them for long enough is no suspect."""
+    """Record a token; a stream that lasts long enough clears its request."""
     attempt.first_token_at = attempt.first_token_at or now
     attempt.last_token_at = now
     if _has_survived_start(attempt):
@@ -92,14 +96,14 @@
 
 
 def record_survival(state: CoreState, req: RequestState, now: float) -> None:
-    """A run went on, or came to its end, and its endpoint lives."""
+    """Record that a request ran without crashing its endpoint."""
     if state.quarantine.note_survival(req.identity, now):
         state.counters['quarantine.refuted'] += 1
         _schedule_evaluation(state, now)
 
 
 def evaluate_quarantine(state: CoreState, now: float) -> None:
-    """Decide who is held back; what they have begun or wait for is ended."""
+    """Update the quarantine and refuse requests that entered it."""
     for decision in state.quarantine.judge(now):
         kind = 'held' if decision.until else 'released'
         state.counters[f'quarantine.{kind}'] += 1
@@ -108,13 +112,13 @@
 
 
 def refuse_quarantined(state: CoreState, req: RequestState, now: float) -> bool:
-    """End a request that is held back; return whether it was."""
+    """Refuse a request if it is quarantined; return whether it was."""
     problem = find_quarantine_problem(state, req.identity, now)
     if problem is None:
         return False
     status = problem.status
     if determine_outcome(req) is Outcome.MAY_HAVE_RUN:
-        # 503 would promise that nothing ran.
+        # A 503 would state that nothing ran.
         status = HTTPStatus.BAD_GATEWAY
     refuse_request(
         state,
