--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -1,4 +1,4 @@
-"""Handlers for what is learned of configuration, endpoints and nodes."""
+"""Handlers for changes of the configuration, endpoints and nodes."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
 def on_configuration_accepted(
     event: ConfigurationAccepted, state: CoreState, now: float
 ) -> None:
-    """Put a newer version in force; an older or equal one changes nothing.
+    """Put a newer version in force; ignore an older or equal one.
 
-    Versions can come late and out of order, from the service or a peer.
-    Only a rising number keeps an accepted configuration from reverting.
+    Versions from the key-value service and from peers may arrive late and out
+    of order. Accepting only higher numbers keeps the configuration from
+    reverting.
     """
     configuration = event.configuration
     is_first = not state.configuration.version
@@ -56,12 +57,12 @@
 
 @handle.register(VmListRead)
 def on_vm_list_read(event: VmListRead, state: CoreState, now: float) -> None:
-    """Send nothing new to endpoints that are leaving.
+    """Send no new work to endpoints that are leaving.
 
-    The list lags, and two reads of it may lag differently. Whoever has been
-    called leaving is therefore only believed to be back once the list still
-    calls it live after longer than any lag; else work would go to a VM that
-    is about to vanish.
+    The list lags behind, and consecutive reads may lag differently. An
+    endpoint listed as leaving is therefore used again only if it is listed as
+    live after the longest possible lag; otherwise work could go to a VM that
+    is about to stop.
     """
     for name in event.leaving:
         state.mark_leaving(name, now)
@@ -81,10 +82,10 @@
 def _build_endpoint_state(
     state: CoreState, endpoint: Endpoint, slow_start_until: float
 ) -> EndpointState:
-    """Return the state of an endpoint that the configuration brings.
+    """Return the state of a newly configured endpoint.
 
-    One that is known to be leaving stays so, even if operators took it out
-    and put it back meanwhile.
+    An endpoint known to be leaving stays so, even if operators removed it and
+    added it again in the meantime.
     """
     replica = EndpointState(endpoint, slow_start_until=slow_start_until)
     if endpoint.name in state.leaving:
@@ -94,7 +95,7 @@
 
 @handle.register(LoadReported)
 def on_load_reported(event: LoadReported, state: CoreState, now: float) -> None:
-    """Remember an endpoint's late figures beside this node's own share."""
+    """Record an endpoint's load and this node's part of it."""
     replica = state.endpoints.get(event.endpoint)
     if replica is None:
         return
@@ -110,7 +111,7 @@
 def on_probe_answered(
     event: ProbeAnswered, state: CoreState, now: float
 ) -> None:
-    """Trust an endpoint again, or keep it suspect and ask again later."""
+    """Use an endpoint again, or keep it suspect and probe again later."""
     record_probe(state, event, now)
     replica = state.endpoints.get(event.endpoint)
     if replica is None or replica.health is Health.LEAVING:
@@ -125,7 +126,7 @@
 
 @handle.register(NodesSeen)
 def on_nodes_seen(event: NodesSeen, state: CoreState, now: float) -> None:
-    """Share limits and endpoints with this many nodes."""
+    """Record the number of nodes that share limits and endpoints."""
     state.node_count = max(1, event.count)
 
 
@@ -133,5 +134,5 @@
 def on_cache_reported(
     event: CacheReported, state: CoreState, now: float
 ) -> None:
-    """Remember which engines hold which prompt prefixes."""
+    """Record which prompt prefixes an engine stored and evicted."""
     state.prefixes.apply_events(event.endpoint, event.news)
