--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -1,4 +1,4 @@
-"""Handlers for what callers do."""
+"""Handlers for arriving requests, disconnects and drains."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 def on_request_arrived(
     event: RequestArrived, state: CoreState, now: float
 ) -> None:
-    """Queue a request, or refuse it at once if it can't be served."""
+    """Queue a request, or refuse it at once if it cannot be served."""
     problem = _find_refusal(event, state, now)
     if problem is not None:
         state.emit(RefuseRequest(event.request_id, problem))
@@ -61,10 +61,11 @@
 
 @handle.register(CallerLeft)
 def on_caller_left(event: CallerLeft, state: CoreState, now: float) -> None:
-    """Stop work that nobody waits for, unless a retry may ask for it.
+    """Stop the request, unless a retry may ask for its answer.
 
-    A claimed request runs on: its caller may come back with the same key
-    and is owed the first answer, and stopping it would leave that unknown.
+    A request with a claimed key runs on: its caller may return with the same
+    key and must get the first answer, and stopping would leave its outcome
+    unknown.
     """
     req = state.requests.get(event.request_id)
     if req is None:
@@ -82,7 +83,7 @@
 def on_drain_requested(
     event: DrainRequested, state: CoreState, now: float
 ) -> None:
-    """Take no new work from now on."""
+    """Accept no new requests from now on."""
     state.draining = True
 
 
@@ -90,7 +91,7 @@
 def on_serving_forbidden(
     event: ServingForbidden, state: CoreState, now: float
 ) -> None:
-    """Take no new work while the configuration's force is in doubt."""
+    """Accept no new requests while the configuration is unconfirmed."""
     state.forbidden = event.reason
 
 
@@ -98,14 +99,14 @@
 def on_serving_allowed(
     event: ServingAllowed, state: CoreState, now: float
 ) -> None:
-    """Take new work again."""
+    """Accept new requests again."""
     state.forbidden = ''
 
 
 def _find_refusal(
     event: RequestArrived, state: CoreState, now: float
 ) -> Problem | None:
-    """Return why a new request can't be taken, or nothing."""
+    """Return why a new request cannot be accepted, or None."""
     if state.draining:
         return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
@@ -149,10 +150,9 @@
     route: Route,
     account: Account,
 ) -> Problem | None:
-    """Refuse early what could not start before its queue deadline.
+    """Refuse a request that could not start before its queue deadline.
 
-    Waiting for a certain refusal helps nobody: the caller would learn late
-    what is known now.
+    The caller then learns of the overload now instead of at the deadline.
     """
     queue = get_queue(state, route.model or f'route {route.name}')
     length = queue.size()
