--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -1,4 +1,4 @@
-"""Handlers for deadlines that have come."""
+"""Handlers for deadlines that have passed."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from samphirerill.core.state import CoreState
 
 _QUEUE_TIMEOUT_RETRY_S = 1.0
-# A timer that fires later than this shows that the node's loop was blocked.
+# A timer that fires later than this means a blocked event loop.
 _MIN_LAG_S = 0.1
-# However long it was blocked, endpoints get so much time more.
+# Upper limit of the extension, however long the loop was blocked.
 _MAX_EXTENSION_S = 0.3
 
 
 @handle.register(TimePassed)
 def on_time_passed(event: TimePassed, state: CoreState, now: float) -> None:
-    """Act on every deadline that is due."""
+    """Act on every deadline that has passed."""
     if event.lag_s > _MIN_LAG_S:
         _extend_attempts(state, now + min(event.lag_s, _MAX_EXTENSION_S))
     while state.deadlines and state.deadlines[0][0] <= now:
@@ -36,17 +36,17 @@
 
 
 def _extend_attempts(state: CoreState, until: float) -> None:
-    """Give endpoints time to be heard by a node whose loop was blocked.
+    """Extend progress deadlines after the node's event loop was blocked.
 
-    What they sent meanwhile is not read yet, and calls that this node had begun
-    to send have not reached them.
+    Tokens that arrived meanwhile have not been read yet, and requests that
+    were being sent have not reached their endpoints.
     """
     for attempt in state.attempts.values():
         attempt.progress_deadline = max(attempt.progress_deadline, until)
 
 
 def _check_queue(state: CoreState, name: str, now: float) -> None:
-    """Refuse a request that has waited as long as it may."""
+    """Refuse a request whose queue deadline has passed."""
     req = state.requests.get(name)
     if req is None or req.phase is not Phase.QUEUED:
         return
@@ -63,7 +63,7 @@
 
 
 def _check_request(state: CoreState, name: str, now: float) -> None:
-    """End a request whose own deadline has come."""
+    """End a request whose own deadline has passed."""
     req = state.requests.get(name)
     if req is None:
         return
@@ -78,10 +78,10 @@
 
 
 def _check_attempt(state: CoreState, name: str, now: float) -> None:
-    """Give up an attempt that has shown no progress.
+    """Fail an attempt that has shown no progress.
 
-    A connection can go silent for good without an error. The caller would
-    wait until its own timeout; the progress deadline notices instead.
+    A connection may go silent without an error; without the progress deadline,
+    the caller would wait until its own timeout.
     """
     attempt = state.attempts.get(name)
     if attempt is None:
@@ -97,7 +97,7 @@
 
 
 def _check_endpoint(state: CoreState, name: str, now: float) -> None:
-    """Ask a suspect endpoint whether it is back."""
+    """Probe a suspect endpoint again."""
     replica = state.endpoints.get(name)
     if replica is None or replica.health is not Health.SUSPECT:
         return
@@ -106,7 +106,7 @@
 
 
 def _check_quarantine(state: CoreState, name: str, now: float) -> None:
-    """Judge what has become known against requests."""
+    """Re-evaluate the quarantine."""
     evaluate_quarantine(state, now)
 
 
