--- a/samphirerill/core/placement.py
+++ b/samphirerill/core/placement.py
@@ -1,11 +1,11 @@
 """Choose pipelines that run each layer exactly once, in order.
 
-A pipeline is a path over layer positions: from position ``p`` an endpoint
-that holds layer ``p`` runs up to some position ``q`` inside what it holds. The
-cheapest path by predicted time per token wins. The prediction adds, for each
-stage, the time its layers take under its present use, and for each hop the
-time of that link, measured or, until there are enough reports, configured: a link
-that degrades without warning loses its work.
+A pipeline is a path over layer positions: from position ``p``, a replica that
+holds layer ``p`` runs up to some position ``q`` within the layers it holds.
+The path with the lowest predicted time per token is chosen. The prediction
+adds the time of each stage's layers at its present utilization and the latency
+of each hop, measured or, until there are enough reports, configured. Links
+that degrade therefore lose their traffic.
 """
 
 from __future__ import annotations
@@ -44,18 +44,18 @@
     avoid: set[str],
     preferred: frozenset[str] = NO_ENDPOINTS,
 ) -> tuple[Stage, ...]:
-    """Return the cheapest pipeline with room, or an empty tuple.
+    """Return the cheapest pipeline with free slots, or an empty tuple.
 
     Parameters
     ----------
     state : CoreState
-        Read only, but for its source of chance.
+        Read only, except for its random number generator.
     model_name : str
         The model whose layers have to be covered.
     avoid : set of str
-        Endpoints that failed this request; used only if nothing else covers.
+        Endpoints that failed this request; used only if no other pipeline exists.
     preferred : frozenset of str
-        Endpoints that hold the prompt's prefix for this client account.
+        Endpoints that have the prompt's prefix cached for this client account.
 
     Returns
     -------
@@ -73,7 +73,10 @@
 def choose_service(
     state: CoreState, names: tuple[str, ...], avoid: set[str]
 ) -> tuple[Stage, ...]:
-    """Return the plain service with the least in flight, as one stage."""
+    """Return a plain service as one stage, or an empty tuple.
+
+    The less loaded of two random candidates is chosen.
+    """
     usable = [
         replica
         for name in names
@@ -96,7 +99,7 @@
 def observe_hops(
     state: CoreState, stages: tuple[Stage, ...], hops_ms: tuple[float, ...]
 ) -> None:
-    """Take the reported time of each hop."""
+    """Record the reported time of each hop."""
     targets = stages[1:] + stages[:1]
     for source, target, hop_ms in zip(stages, targets, hops_ms, strict=False):
         link = (source.endpoint, target.endpoint)
@@ -104,7 +107,7 @@
 
 
 def predict_token_ms(state: CoreState, stages: tuple[Stage, ...]) -> float:
-    """Return the predicted milliseconds per token of a whole pipeline."""
+    """Return the predicted milliseconds per token of a pipeline."""
     following = stages[1:] + stages[:1]
     hops_ms = [
         _predict_hop_ms(state, stage.endpoint, target.endpoint)
@@ -117,7 +120,7 @@
 def compute_token_ms(
     state: CoreState, stages: tuple[Stage, ...], hops_ms: Iterable[float]
 ) -> float:
-    """Return the milliseconds per token if hops take as long as given."""
+    """Return the milliseconds per token for given hop times."""
     total = sum(hops_ms)
     for stage in stages:
         replica = state.endpoints.get(stage.endpoint)
@@ -128,12 +131,12 @@
 
 
 def count_free_slots(state: CoreState, replica: EndpointState) -> int:
-    """Return how many more requests this node may send to an endpoint.
+    """Return how many more requests this node may send to a replica.
 
-    Reports are late and all nodes read the same ones, so a node may always
-    use its fair share; above that it uses only what others seem to leave.
-    One that has just joined gets work little by little, as all nodes hear of
-    it at once and would fill it before its first report.
+    Load reports are late and all nodes read the same ones, so a node may
+    always use its fair share of the slots, and more only if other nodes seem
+    to leave them free. A replica that has just joined is subject to slow
+    start: all nodes see it at once and would fill it before its first report.
     """
     slots = replica.endpoint.slots
     share = max(1, slots // max(1, state.node_count))
@@ -184,7 +187,7 @@
 
 
 def _list_boundaries(usable: list[EndpointState], layers: int) -> list[int]:
-    """Return the positions where one stage may hand over to the next."""
+    """Return the positions at which one stage may end and the next begin."""
     boundaries = {layers}
     for replica in usable:
         boundaries.add(replica.endpoint.first)
@@ -198,7 +201,7 @@
     usable: list[EndpointState],
     boundaries: list[int],
 ) -> _Path | None:
-    """Find the cheapest way from a given first stage to the last layer."""
+    """Find the cheapest path from a given first stage to the last layer."""
     paths_to: dict[int, dict[str, _Path]] = {
         boundary: {} for boundary in boundaries
     }
@@ -227,7 +230,7 @@
     replica: EndpointState,
     start: int,
 ) -> None:
-    """Extend a path by one endpoint to every position it can run up to."""
+    """Extend a path by one replica to every position it can run up to."""
     name = replica.endpoint.name
     if any(stage.endpoint == name for stage in path.stages):
         return
@@ -246,11 +249,11 @@
 
 
 def _close_cycle(
-    state: CoreState, head: EndpointState, ends: dict[str, _Path]
+    state: CoreState, head: EndpointState, paths: dict[str, _Path]
 ) -> _Path | None:
-    """Add the way back to the head, where the next token starts."""
+    """Add the hop back to the first stage, where the next token starts."""
     best: _Path | None = None
-    for name, path in ends.items():
+    for name, path in paths.items():
         if name != head.endpoint.name:
             path.cost += _predict_hop_ms(state, name, head.endpoint.name)
         if best is None or path.cost < best.cost:
@@ -264,7 +267,7 @@
     count: int,
     preferred: frozenset[str],
 ) -> list[EndpointState]:
-    """Sample candidates, so that nodes with equal views spread out."""
+    """Sample candidates, so that nodes with equal state choose differently."""
     if len(replica) <= count:
         return replica
     matching = [item for item in replica if item.endpoint.name in preferred]
@@ -291,11 +294,11 @@
     measured = state.links.estimate_ms((source, target), state.now)
     if measured is not None:
         return measured
-    ends = state.endpoints.get(source), state.endpoints.get(target)
-    if ends[0] is None or ends[1] is None:
+    pair = state.endpoints.get(source), state.endpoints.get(target)
+    if pair[0] is None or pair[1] is None:
         return 0
     configured = state.configuration.link_ms(
-        ends[0].endpoint.data_centre, ends[1].endpoint.data_centre
+        pair[0].endpoint.data_centre, pair[1].endpoint.data_centre
     )
     return max(_MIN_HOP_MS, configured)
 
