--- a/samphirerill/core/prefixes.py
+++ b/samphirerill/core/prefixes.py
@@ -1,12 +1,12 @@
-"""Which engines hold which prompt prefixes, for placement.
+"""Index of which engines have which prompt prefixes cached, for placement.
 
-A prefix is named by a digest over the client account and the text up to a
-block's end, so two accounts with the same prompt have no digest in common:
-neither can be placed by, or learn by timing of, the other's cache.
+A prefix is identified by a digest over the client account and the text up to
+the end of a block. Equal prompts of two accounts therefore have different
+digests, and neither account can learn from timing what the other has cached.
 
-Engines publish what they store and evict late and with gaps. After a gap
-nothing that was known of the engine is believed any more: a wrong guess costs
-a prefill, but believing for ever would send an account's work to one engine.
+Engines report what they stored and evicted late and with gaps. After a gap,
+all that was recorded for the engine is discarded: a missing entry costs one
+prefill, a stale one would keep sending an account's requests to one engine.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheNews:
-    """A stretch of an engine's cache events, numbered without a gap.
+    """Consecutive cache events of an engine.
 
-    `first` is the number of the first event the engine still has at hand,
-    `last` that of the newest.
+    `first` is the number of the first event the engine still has available,
+    `last` that of the newest one.
     """
 
     first: int
@@ -37,7 +37,7 @@
 
 
 class PrefixIndex:
-    """Engines by prefix; the prefixes longest unused are forgotten first."""
+    """Endpoints by prefix; the least recently used prefixes are evicted."""
 
     __slots__ = ('_endpoints', '_last_events')
 
@@ -46,11 +46,11 @@
         self._last_events: dict[str, int] = {}
 
     def last_seen(self, endpoint: str) -> int:
-        """Return the number of the last event known of an engine."""
+        """Return the number of the last event received from an engine."""
         return self._last_events.get(endpoint, 0)
 
     def apply_events(self, endpoint: str, events: CacheNews) -> None:
-        """Take events that came after the last ones known."""
+        """Apply events, after discarding all entries if some were missed."""
         if events.first > self.last_seen(endpoint) + 1:
             self.remove_endpoint(endpoint)
         if events.last < self.last_seen(endpoint):
@@ -65,12 +65,12 @@
             self._endpoints.popitem(last=False)
 
     def remove_endpoint(self, endpoint: str) -> None:
-        """Believe nothing of an engine any more."""
+        """Discard all entries of an engine."""
         for digest in tuple(self._endpoints):
             self._discard(digest, endpoint)
 
     def find_endpoints(self, prefixes: tuple[str, ...]) -> frozenset[str]:
-        """Return who holds the longest of a prompt's prefixes known."""
+        """Return the engines that hold the longest indexed prefix."""
         for digest in reversed(prefixes):
             endpoints = self._endpoints.get(digest)
             if endpoints:
@@ -79,7 +79,7 @@
         return NO_ENDPOINTS
 
     def size(self) -> int:
-        """Return how many prefixes are known."""
+        """Return the number of indexed prefixes."""
         return len(self._endpoints)
 
     def _discard(self, digest: str, endpoint: str) -> None:
@@ -99,7 +99,7 @@
     account : str
         The client account; part of every digest.
     text : str
-        The prompt. Blocks after the sixteenth are not told apart.
+        The prompt; only its first ``MAX_BLOCKS`` blocks are digested.
     """
     chain = hashlib.sha256(f'prefix/{account}/'.encode())
     digests = []
