--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -37,7 +37,7 @@
 
 
 def count_open(state: CoreState) -> int:
-    """Return how many requests have no final answer yet."""
+    """Return the number of requests without a final answer."""
     return len(state.requests)
 
 
@@ -47,7 +47,7 @@
 
 
 def list_evidence(state: CoreState, now: float, limit: int) -> list[ToldRecord]:
-    """Return what is known against requests, for other nodes."""
+    """Return up to `limit` crash records of requests, for other nodes."""
     records = islice(state.quarantine.list_records(), limit)
     return [build_told(request, record, now) for request, record in records]
 
