--- a/samphirerill/core/router.py
+++ b/samphirerill/core/router.py
@@ -36,7 +36,7 @@
     node : str
         This node's name.
     seed : int
-        Seed of the core's only source of chance.
+        Seed of the core's random number generator.
 
     Examples
     --------
@@ -58,7 +58,7 @@
         event : object
             One of the classes of :mod:`samphirerill.core.events`.
         now : float
-            Seconds on the node's monotonic clock; never goes back.
+            Seconds on the node's monotonic clock; never decreases.
         """
         self.state.now = now
         handle(event, self.state, now)
@@ -67,6 +67,6 @@
         return commands
 
     def next_wake(self) -> float | None:
-        """Return when ``TimePassed`` has to be applied next, if ever."""
+        """Return when ``TimePassed`` is due next, or None."""
         deadlines = self.state.deadlines
         return deadlines[0][0] if deadlines else None
