--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -1,4 +1,4 @@
-"""Start attempts: from the queue, after a claim, or again after a failure."""
+"""Start attempts: from the queue, after a claim, or as a retry."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 def get_queue(state: CoreState, name: str) -> FairQueue:
-    """Return the pool of a name, made on first use."""
+    """Return the queue with a name, created on first use."""
     if name not in state.pools:
         state.pools[name] = FairQueue()
     return state.pools[name]
 
 
 def dispatch_all_queues(state: CoreState, now: float) -> None:
-    """Start what can start in every pool."""
+    """Start queued requests of every queue."""
     for name in tuple(state.pools):
         dispatch_queue(state, name, now)
 
 
 def dispatch_queue(state: CoreState, name: str, now: float) -> None:
-    """Start waiting requests of one pool while there is room for them."""
+    """Start queued requests of one queue while endpoints have free slots."""
     queue = get_queue(state, name)
     started = True
     while started:
@@ -46,7 +46,7 @@
 
 
 def start_attempt(state: CoreState, req: RequestState, now: float) -> bool:
-    """Open an attempt if there is room; return whether it was opened."""
+    """Open an attempt if slots are free; return whether it was opened."""
     stages = choose_stages(state, req)
     if not stages:
         return False
@@ -57,7 +57,7 @@
 def open_attempt(
     state: CoreState, req: RequestState, stages: tuple[Stage, ...], now: float
 ) -> None:
-    """Open an attempt over stages that have room."""
+    """Open an attempt over stages that have free slots."""
     is_service = req.route.kind == SERVICE_ROUTE
     attempt = AttemptState(
         state.next_attempt_id(),
@@ -88,7 +88,7 @@
 
 
 def choose_stages(state: CoreState, req: RequestState) -> tuple[Stage, ...]:
-    """Return stages with room for a request, or an empty tuple."""
+    """Return stages with free slots for a request, or an empty tuple."""
     if req.route.kind == SERVICE_ROUTE:
         return choose_service(state, req.route.endpoints, req.avoid)
     cached = state.prefixes.find_endpoints(req.prefixes)
@@ -103,10 +103,10 @@
     code: str,
     detail: str,
 ) -> None:
-    """Try again if that is safe and affordable; else end the request now.
+    """Retry a failed request if that is safe and affordable, else end it.
 
-    A request that may have run and is not idempotent must not run again:
-    the caller would see the doubled session or the second reminder.
+    A request that may have run on a route that is not idempotent must not run
+    again: its effects would happen twice.
     """
     if now >= req.deadline:
         refuse_request(
@@ -131,7 +131,7 @@
 
 
 def requeue_at_front(state: CoreState, req: RequestState, now: float) -> None:
-    """Put work that has started before all that has not."""
+    """Queue a request that already ran ahead of those that have not."""
     req.phase = Phase.QUEUED
     release_account_slot(state, req)
     req.queue_deadline = min(req.deadline, now + req.route.queue_timeout_s)
@@ -141,7 +141,7 @@
 
 
 def deposit_retry(state: CoreState, req: RequestState) -> None:
-    """Let a first attempt pay into its route's retry budget."""
+    """Deposit a first attempt in its route's retry budget."""
     _get_budget(state, req).deposit()
 
 
@@ -180,10 +180,10 @@
 
 
 def _is_at_limit(state: CoreState, req: RequestState) -> bool:
-    """Tell whether the account runs its share of this node already.
+    """Return whether the account is at its concurrency limit on this node.
 
-    The limit holds for the fleet; each node keeps to its share of it, so
-    that no call is needed for each request.
+    The limit applies to the whole fleet. Each node enforces an equal share of
+    it, which needs no coordination for each request.
     """
     account = state.configuration.accounts.get(req.account)
     if account is None or not account.max_concurrent:
