--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -1,7 +1,7 @@
-"""The decision core's memory: requests, attempts and endpoints.
+"""The state of the decision core: requests, attempts and endpoints.
 
-Nothing here does I/O or reads a clock. Deadlines are points on the clock that
-the node hands in with each event.
+Nothing here does I/O or reads a clock. Deadlines are points on the clock whose
+time the node passes with each event.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Phase(Enum):
-    """Where a request stands between arrival and its end."""
+    """The phase of a request between its arrival and its end."""
 
     QUEUED = 'queued'
     CLAIMING = 'claiming'
@@ -37,7 +37,7 @@
 
 
 class Health(Enum):
-    """What this node believes of an endpoint."""
+    """The health of an endpoint as this node knows it."""
 
     LIVE = 'live'
     SUSPECT = 'suspect'
@@ -46,11 +46,11 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """One request that has no final answer yet.
+    """One request without a final answer.
 
-    `delivered` is the index of the next token the caller is owed.
-    `unsure_attempts` counts attempts that may have run something;
-    `failures` those that failed since the last token.
+    `delivered` is the index of the next token to deliver. `ambiguous_attempts`
+    counts attempts that may have run; `failures` counts those that failed
+    since the last token.
     """
 
     request_id: str
@@ -77,10 +77,11 @@
 
 @dataclass(slots=True)
 class AttemptState:
-    """One try at a request over one pipeline or service.
+    """One attempt of a request over one pipeline or plain service.
 
-    `excess_ms` is what slow hops have cost since they were last reported to be
-    fast; `slow_index` is the latest token that is counted in it, -1 for none.
+    `excess_ms` is the time that slow hops have cost since they were last
+    reported to be fast; `last_slow_index` is the last token counted in it, or
+    -1.
     """
 
     attempt_id: str
@@ -100,9 +101,9 @@
 class EndpointState:
     """What this node knows of one endpoint.
 
-    `running` and `waiting` are the endpoint's own, late figures;
-    `own_at_report` is this node's share of them when they came. Until
-    `gentle_until` the endpoint is new and gets work little by little.
+    `running` and `waiting` are the endpoint's own, delayed figures;
+    `in_flight_at_report` is what this node had in flight when they arrived.
+    Until `slow_start_until` the endpoint is new and gets a growing share.
     """
 
     endpoint: Endpoint
@@ -116,19 +117,19 @@
     slow_start_until: float = 0
 
     def count_other_load(self) -> int:
-        """Return how much of the endpoint other nodes use."""
+        """Return how many requests of other nodes the endpoint has."""
         return max(0, self.running + self.waiting - self.in_flight_at_report)
 
 
 class CoreState:
-    """Everything the handlers read and change.
+    """Everything that the handlers read and change.
 
     Parameters
     ----------
     node : str
         This node's name; it makes attempt ids unique across nodes.
     seed : int
-        Seed of the only source of chance in the core.
+        Seed of the core's only random number generator.
     """
 
     __slots__ = (
@@ -171,7 +172,7 @@
         self.links = LinkLatencies()
         self.prefixes = PrefixIndex()
         self.quarantine = Quarantine()
-        # Of endpoints that are asked whether they live, what broke off there.
+        # By endpoint being probed, the requests whose attempts failed there.
         self.suspected_crashes: dict[str, dict[bytes, Death]] = {}
         self.running_by_account: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
@@ -184,15 +185,15 @@
         self.commands: list[Command] = []
 
     def emit(self, command: Command) -> None:
-        """Add a command to those the current event leads to."""
+        """Add a command to those of the current event."""
         self.commands.append(command)
 
     def schedule_wake(self, deadline: float, kind: str, name: str) -> None:
-        """Ask to be woken at a deadline."""
+        """Request a ``TimePassed`` event at a deadline."""
         heapq.heappush(self.deadlines, (deadline, kind, name))
 
     def mark_leaving(self, name: str, now: float) -> None:
-        """Send an endpoint nothing new, whatever a lagging list says."""
+        """Send an endpoint no new work until the VM list has caught up."""
         self.leaving[name] = now + MAX_VM_LIST_LAG_S
         replica = self.endpoints.get(name)
         if replica is not None:
