--- a/samphirerill/core/subsets.py
+++ b/samphirerill/core/subsets.py
@@ -1,9 +1,9 @@
-"""Which replicas a node uses, so that its work does not grow with the fleet.
+"""Subsetting: which replicas a node uses, whatever the fleet's size.
 
-Of each range of layers a node uses at most ``SUBSET`` replicas, chosen by
-rendezvous hashing of its own name with theirs. Names of nodes are random at each
-start, so the fleet's choices spread evenly; when a replica comes or goes, only
-the nodes that chose it, or now do, change theirs.
+For each range of layers a node uses at most ``MAX_SUBSET_REPLICAS`` replicas,
+chosen by rendezvous hashing of its own name with theirs. Node names are random
+at each start, so the load of the fleet spreads evenly. When a replica is added
+or removed, only the nodes that use it change their subset.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 def group_by_model(
     node: str, endpoints: dict[str, EndpointState]
 ) -> dict[str, list[EndpointState]]:
-    """Return the engines this node uses, by model.
+    """Return the replicas that this node uses, by model.
 
-    Every range of layers that is held at all stays held, so a model that the
-    fleet covers is covered at every node.
+    At least one replica is kept for each range of layers, so every node can
+    build a pipeline for each model that the fleet covers.
     """
     by_range: dict[LayerRange, list[EndpointState]] = {}
     for replica in endpoints.values():
