--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -1,7 +1,8 @@
 """Quarantine of requests that crash the endpoints that run them.
 
-A failed attempt counts against its request if it failed soon after its first
-token and its endpoint's process has ended, which a refused connection shows.
+A failed attempt counts against its request if it failed before or soon after
+its first token and its endpoint's process has ended, which a refused
+connection shows.
 :mod:`samphirerill.quarantine` decides, from the records of all nodes, which
 requests are quarantined.
 """
--- a/samphirerill/core/placement.py
+++ b/samphirerill/core/placement.py
@@ -53,7 +53,7 @@
     model_name : str
         The model whose layers have to be covered.
     avoid : set of str
-        Endpoints that failed this request; used only if no other pipeline exists.
+        Endpoints that failed this request; used only as a last resort.
     preferred : frozenset of str
         Endpoints that have the prompt's prefix cached for this client account.
 
