--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -1,8 +1,8 @@
-"""Claims on idempotency keys, so that work runs at most once fleet-wide.
+"""Claims on idempotency keys, so that a request runs at most once fleet-wide.
 
-A claim is written to the platform's service before the first byte of the
-request goes out. All claims and outcomes of a flush share one transaction.
-Only the service decides who holds a key; no node's memory is believed.
+A claim is written to the platform's key-value service before the first byte of
+the request is sent. All claims and outcomes of a batch share one transaction.
+Only the service decides which request holds a key; nodes do not cache claims.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 @dataclass(slots=True)
 class Claim:
-    """One key's claim as this node wrote it.
+    """The claim on one key as this node wrote it.
 
-    `answer` is the kept answer of a settled claim, or nothing.
+    `answer` is the stored answer of a settled claim, or empty.
     """
 
     key: str
@@ -44,7 +44,7 @@
     answer: dict[str, Any] = field(default_factory=dict)
 
     def to_text(self) -> str:
-        """Return the claim as it is stored; equal claims, equal text."""
+        """Return the stored form; equal claims give equal text."""
         return json.dumps(
             {
                 'holder': self.holder,
@@ -59,11 +59,11 @@
 
 @dataclass(slots=True)
 class Settlement:
-    """A claim's outcome; `claim` is as it was written, to find it again.
+    """The outcome of a claim; `claim` is the claim as it was written.
 
-    Never "not run": such a claim is removed by ``build_release`` instead. A
-    removal that is sent twice must not remove the claim that a retry has
-    won in between, or the work would run twice.
+    The outcome is never "not run": such a claim is removed by
+    ``build_release``, which leaves the key alone if a retry has claimed it in
+    the meantime.
     """
 
     claim: Claim
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What the service says of one claim.
+    """The result of one claim, as decided by the service.
 
     `state` is ``won``, ``running``, ``answered``, ``may-have-run`` or
     ``mismatch``.
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class Batch:
-    """Claims and outcomes that go out in one transaction."""
+    """Claims and outcomes that are written in one transaction."""
 
     claims: list[Claim] = field(default_factory=list)
     settlements: list[Settlement] = field(default_factory=list)
@@ -97,10 +97,10 @@
 
 
 def build_claim(command: WriteClaim, holder: str, prefix: str) -> Claim:
-    """Return the claim of a command.
+    """Return the claim for a command.
 
-    The key is a digest over the account first, so that two accounts that
-    choose the same key never meet, nor learn of each other.
+    The stored key is a digest that includes the account, so that equal keys of
+    two accounts neither collide nor reveal each other.
     """
     parts = json.dumps([command.account, command.route, command.key])
     digest = hashlib.sha256(parts.encode()).hexdigest()
@@ -115,9 +115,9 @@
 def build_transaction(batch: Batch, lease: str) -> Transaction:
     """Return one transaction for a batch.
 
-    Claims are written only if none of their keys is taken; outcomes are
-    written either way. If a key is taken, all claims of the batch are read
-    and whoever lost is taken out before the next try.
+    Claims are written only if none of their keys exists; outcomes are written
+    either way. If a key exists, all claims of the batch are read back and
+    those that lost are removed before the next attempt.
     """
     transaction = Transaction()
     for settlement in batch.settlements:
@@ -130,7 +130,7 @@
 
 
 def build_release(claim: Claim) -> Transaction:
-    """Return a transaction that removes a claim if it is still this one."""
+    """Return a transaction that removes a claim if it is unchanged."""
     return Transaction(
         conditions=[Holds(claim.key, claim.to_text())], deletes=[claim.key]
     )
@@ -139,7 +139,7 @@
 def read_verdicts(
     claims: list[Claim], committed: Committed
 ) -> tuple[list[Verdict], list[Claim]]:
-    """Return what is decided after a transaction, and what to try again."""
+    """Return the decided claims and those to write again."""
     if committed.succeeded:
         return [Verdict(claim, 'won') for claim in claims], []
     verdicts = []
@@ -154,10 +154,10 @@
 
 
 def _compare_claim(claim: Claim, stored: Stored) -> Verdict:
-    """Compare a claim with what stands under its key.
+    """Compare a claim with what is stored under its key.
 
-    One's own claim is there when the answer to the write was lost and the
-    write was sent again.
+    The stored claim is this one if the reply to an earlier write was lost and
+    the write was repeated.
     """
     document = json.loads(stored.text)
     holder = document['holder']
