--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -8,9 +8,9 @@
     config-parts/ID/000         a part of a change or snapshot
 
 A change is accepted by one transaction that replaces ``head`` if it is
-unchanged and adds the log entry. Changes travel as patches, so 4,200 a day
-cost each node a few bytes a second, whatever the whole's size. What is too
-large for one value is written in parts first, under an id nobody else uses.
+unchanged and adds the log entry. Changes are stored as patches, so the traffic
+of a change does not depend on the size of the configuration. Texts too large
+for one value are written in parts first, under a unique id.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class StaleBaseError(ConfigurationError):
-    """The patch was written against a version that is no longer current."""
+    """The patch was written against a version that is not current."""
 
     def __init__(self, base: int, current: int) -> None:
         self.base = base
@@ -58,7 +58,7 @@
 
 
 class UnknownResultError(ConfigurationError):
-    """The service fell silent after the write; it may have taken effect."""
+    """The service did not answer; the write may have taken effect."""
 
     def __init__(self, version: int) -> None:
         super().__init__(
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class Loaded:
-    """A whole configuration read from the service."""
+    """A complete configuration read from the service."""
 
     version: int
     document: dict[str, Any]
@@ -101,7 +101,7 @@
 class ConfigurationLog:
     """Reads and extends the configuration in the service.
 
-    Every method blocks; call from a thread that may wait.
+    All methods block; call them from a worker thread.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         self._parts = PartStore(store, prefix)
 
     def load(self) -> Loaded:
-        """Read the newest snapshot and all changes since."""
+        """Read the newest snapshot and all later changes."""
         found = self._store.read_prefix(f'{self._prefix}shared/config/')
         by_key = {
             entry.key.removeprefix(self._prefix): entry
@@ -135,13 +135,13 @@
         return Loaded(version, document, found.revision, changes)
 
     def read_version(self) -> int:
-        """Return the version now accepted; one small read."""
+        """Return the accepted version with one small read."""
         return _read_head(self._store.read_prefix(self._key(HEAD_KEY)).entries)[
             0
         ]
 
     def read_change(self, entry: Stored) -> Change:
-        """Return a log entry's change, its parts fetched if it has any."""
+        """Return a log entry's change, fetching its parts if any."""
         document = json.loads(entry.text)
         if 'parts' in document:
             text = self._parts.read(document['id'])
@@ -165,7 +165,7 @@
         *,
         dry_run: bool = False,
     ) -> Change:
-        """Accept a patch against a version, or say why not.
+        """Accept a patch against a version, or raise why not.
 
         Parameters
         ----------
@@ -176,7 +176,7 @@
         author : str
             Who submits it, for the history.
         dry_run : bool
-            Check all, write nothing.
+            Check everything but write nothing.
 
         Raises
         ------
@@ -185,9 +185,9 @@
         InvalidPatchError
             The result would be invalid; nothing was written.
         UnknownResultError
-            The service fell silent after the write.
+            The service did not answer the write; it may have taken effect.
         StoreError
-            The service could not be asked; nothing was written.
+            The service could not be reached; nothing was written.
         """
         loaded = self.load()
         if loaded.version != base:
@@ -223,11 +223,11 @@
         self._commit_change(change, transaction)
 
     def _commit_change(self, change: Change, transaction: Transaction) -> None:
-        """Commit; if the answer is lost, find out what became of the write.
+        """Commit a change and, if the reply is lost, find out its result.
 
-        The same transaction is sent again until an answer comes. It can't be
-        applied twice, as it needs ``head`` unchanged; if it fails and the log
-        entry has this change's id, it was the first sending that took effect.
+        The same transaction is repeated until a reply arrives. It cannot be
+        applied twice, as it requires ``head`` to be unchanged. If it fails and
+        the log entry has this change's id, an earlier attempt took effect.
         """
         committed = self._commit_with_retries(change, transaction)
         if not committed.succeeded:
@@ -259,7 +259,7 @@
         raise StaleBaseError(change.version - 1, current)
 
     def _serialize_change(self, change: Change) -> str:
-        """Return a log entry; write its patch in parts if it is large."""
+        """Return a log entry; write a large patch in parts."""
         text = json.dumps(change.to_json())
         if len(text) <= PART_CHARS:
             return text
@@ -269,10 +269,10 @@
         return json.dumps(document)
 
     def _write_snapshot(self, version: int, document: Any) -> None:
-        """Now and then keep the whole, so that new nodes need few changes.
+        """Write a snapshot at intervals, so that new nodes load few changes.
 
-        The change is accepted already: a snapshot that fails is made up for
-        by a later one.
+        The change itself is already accepted; if a snapshot fails, a later one
+        replaces it.
         """
         if version % SNAPSHOT_INTERVAL:
             return
@@ -290,7 +290,7 @@
             return
 
     def _list_expired_keys(self, version: int) -> list[str]:
-        """Return the log entries that a snapshot lets go."""
+        """Return the log entries that a snapshot makes obsolete."""
         last = version - RETAINED_CHANGES
         first = max(1, last - SNAPSHOT_INTERVAL)
         return [self._log_key(number) for number in range(first, last)]
