--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -1,4 +1,4 @@
-"""One node's copy of the accepted configuration; its number only rises."""
+"""A node's copy of the accepted configuration; its version only increases."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ConfigurationView:
-    """The document in force at this node and the changes that led to it."""
+    """The document in force at this node and its recent changes."""
 
     __slots__ = ('_pending', 'document', 'known_version', 'recent', 'version')
 
@@ -26,7 +26,7 @@
         self._pending: dict[int, Change] = {}
 
     def install(self, version: int, document: dict[str, Any]) -> bool:
-        """Take a whole document if it is newer; return whether it was."""
+        """Replace the document by a newer one; return whether it was."""
         if version <= self.version:
             return False
         self.version = version
@@ -37,12 +37,12 @@
         return True
 
     def offer(self, change: Change) -> bool:
-        """Take a change; return whether the version rose.
+        """Apply a change when its turn comes; return whether the version rose.
 
-        Changes may come late, twice or out of order, from the service or
+        Changes may arrive late, twice or out of order, from the service or
         from peers. One that is ahead waits for those before it; one that is
-        not newer is ignored. Applying either would bring back an old
-        configuration, or make one that nobody accepted.
+        not newer is ignored. Applying either at once would restore an old
+        configuration or produce one that was never accepted.
         """
         previous_version = self.version
         if change.version > self.version:
@@ -52,15 +52,15 @@
         return self.version > previous_version
 
     def note_known(self, version: int) -> None:
-        """Remember that a version has been accepted somewhere."""
+        """Record that a version has been accepted."""
         self.known_version = max(self.known_version, version)
 
     def is_behind(self) -> bool:
-        """Tell whether a newer version is known to be accepted."""
+        """Return whether a newer version is known to be accepted."""
         return self.known_version > self.version
 
     def list_after(self, version: int) -> list[Change] | None:
-        """Return the changes after a version, or nothing if forgotten."""
+        """Return the changes after a version, or None if not kept."""
         found = [item for item in self.recent if item.version > version]
         if len(found) == self.version - version:
             return found
