--- a/samphirerill/control/errors.py
+++ b/samphirerill/control/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration kept in the service."""
+"""Errors of the configuration in the key-value service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class InvalidPatchError(ConfigurationError):
-    """The patch can't be applied or leads to an invalid configuration."""
+    """The patch cannot be applied or its result is invalid."""
 
     def __init__(self, findings: list[Finding], detail: str = '') -> None:
         self.findings = findings
