--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -1,15 +1,15 @@
-"""Whether this node may believe that its configuration is in force.
-
-A node that reaches neither the service nor anyone who does can't tell an
-outage, when nothing can be accepted, from being cut off while others accept.
-It decides by what it hears:
-
-1. Its own read of the service succeeded lately: in force.
-2. A peer's read succeeded lately and this node has the peer's version: in
-   force.
-3. Nobody it hears reaches the service, and it hears at least half of the
-   nodes it knows, itself included: an outage. It serves on.
-4. Else it takes itself for cut off. After a grace it takes no new work.
+"""Decide whether this node's configuration may still be taken as in force.
+
+A node that reaches neither the key-value service nor any peer that does cannot
+tell an outage of the service, in which no change can be accepted, from a
+network partition, in which others may accept changes. It decides by what it
+receives:
+
+1. Its own read of the service succeeded recently: in force. 2. A peer's read
+succeeded recently and this node has at least that peer's version: in force. 3.
+No peer it hears from reaches the service, and it hears from at least half of
+the known nodes, itself included: an outage. It keeps serving. 4. Otherwise it
+is considered partitioned. After a grace period it accepts no new requests.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class PeerReport:
-    """The last thing a peer said; times are this node's clock."""
+    """A peer's latest report; times are on this node's clock."""
 
     heard_at: float
     store_read_at: float
@@ -31,7 +31,7 @@
 
 
 class Evidence:
-    """Collects what is known and answers whether to serve."""
+    """Tracks recent reads of the service, own and reported by peers."""
 
     __slots__ = ('_unconfirmed_since', '_own_read_at', '_peers', '_started_at')
 
@@ -42,30 +42,30 @@
         self._peers: dict[str, PeerReport] = {}
 
     def note_store_read(self, now: float) -> None:
-        """The service has just told this node the accepted version."""
+        """Record that this node has read the accepted version."""
         self._own_read_at = max(self._own_read_at, now)
 
     def note_peer(
         self, peer: str, now: float, fresh_age_s: float, version: int
     ) -> None:
-        """A peer said how old its last read of the service is."""
+        """Record a peer's version and the age of its last read."""
         self._peers[peer] = PeerReport(now, now - fresh_age_s, version)
 
     def own_age_s(self, now: float) -> float:
-        """Return how old this node's last read of the service is."""
+        """Return the age of this node's last read of the service."""
         return now - self._own_read_at
 
     def find_doubt(self, now: float, version: int, known_nodes: int) -> str:
-        """Return why new work may not be taken, or an empty text.
+        """Return why no new work may be accepted, or an empty string.
 
         Parameters
         ----------
         now : float
             Seconds on the node's clock.
         version : int
-            The version in force here.
+            The version in force at this node.
         known_nodes : int
-            How many nodes were last known, this one included.
+            The last known number of nodes, this one included.
         """
         self._remove_silent_peers(now)
         reason = self._find_reason(now, version, known_nodes)
