--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -1,11 +1,11 @@
-"""Orders to engines: what to send, by whom, and when it is safe.
-
-One node at a time commands: whoever holds the commander's key in the
-platform's service, under a lease. The revision that wrote the key is the
-fencing number; it rises with each commander. Engines that check it refuse an
-old commander. For those that don't, only time protects: a commander stops
-well before its lease can lapse, and its successor waits until every order
-that was still on its way must have arrived.
+"""Orders to engines: what to load, and when sending one is safe.
+
+One node at a time is the leader that sends orders: the one that holds the
+leader key in the platform's key-value service, under a lease. The revision
+that wrote the key is the fencing token, which increases with each leader.
+Engines that check it refuse orders of an earlier leader. For engines that do
+not, safety depends on time: a leader stops well before its lease can expire,
+and its successor waits until every order in flight must have arrived.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Status:
-    """What an engine says of itself.
+    """The state that an engine reports.
 
     `is_loading` is true while it reads from the weight store.
     """
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """One order: the whole state an engine is to have; safe to repeat."""
+    """An engine's complete desired state; idempotent."""
 
     endpoint: str
     address: str
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class Tenure:
-    """One commander's time in office; times are its own monotonic clock.
+    """One leader's term; times are on its own monotonic clock.
 
-    `act_until` counts from before the renewal was sent, less a safety, so
-    it ends before the service can have let the lease lapse, whatever the
-    answer's delay. A commander that was paused finds it passed.
+    `act_until` counts from before the renewal was sent, less a safety margin,
+    so it precedes the expiry of the lease however late the reply arrives. A
+    leader that was paused finds that it has passed.
     """
 
     fence: int
@@ -63,20 +63,20 @@
 
     @classmethod
     def begin(cls, fence: int, asked_at: float, won_at: float) -> Tenure:
-        """Return the tenure of a commander that has just won its key."""
+        """Return the term of a leader that has just acquired its key."""
         return cls(fence, won_at, asked_at + LEASE_S - SAFETY_MARGIN_S)
 
     def renew(self, asked_at: float) -> None:
-        """Extend the tenure by a renewal that was asked for at a time."""
+        """Extend the term by a renewal that was sent at a given time."""
         self.act_until = max(
             self.act_until, asked_at + LEASE_S - SAFETY_MARGIN_S
         )
 
     def may_order(self, now: float, *, checks_fencing: bool) -> bool:
-        """Tell whether an order to an engine is safe now.
+        """Return whether sending an order to an engine is safe now.
 
-        Symptom if it is not: an engine loads what the configuration has
-        left behind, after it had loaded what is wanted.
+        Otherwise an engine could load an outdated version after it had loaded
+        the desired one.
         """
         if now + ORDER_TIMEOUT_S >= self.act_until:
             return False
@@ -91,20 +91,20 @@
     now: float,
     loads_at_once: int,
 ) -> list[Order]:
-    """Return the orders that bring engines nearer to the desired state.
+    """Return the orders that bring engines closer to their desired state.
 
     Parameters
     ----------
     endpoints : iterable of Endpoint
         The configured endpoints.
     statuses : dict of str to Status
-        What each engine that answered says of itself.
+        The reported state of each engine that answered.
     tenure : Tenure
-        The commander's time in office.
+        The leader's term.
     now : float
-        Seconds on the commander's monotonic clock.
+        Seconds on the leader's monotonic clock.
     loads_at_once : int
-        How many engines of the fleet may read from the weight store.
+        How many engines of the fleet may read from the weight store at a time.
     """
     free = loads_at_once - sum(
         1 for status in statuses.values() if status.is_loading
