--- a/samphirerill/control/parts.py
+++ b/samphirerill/control/parts.py
@@ -1,4 +1,4 @@
-"""Texts too large for one value, kept in parts under an id of their own."""
+"""Texts too large for one value, stored in parts under a unique id."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class PartStore:
-    """Writes and reads texts of any length; every method blocks.
+    """Writes and reads texts of any length; all methods block.
 
-    The service holds values up to a megabyte. A part is well below that even
-    if each of its characters takes four bytes.
+    The service accepts values of up to a megabyte. A part stays below that
+    even with four bytes for each character.
     """
 
     def __init__(self, store: KeyValueStore, prefix: str) -> None:
@@ -25,7 +25,7 @@
         self._prefix = f'{prefix}{PARTS_PREFIX}'
 
     def write(self, name: str, text: str) -> int:
-        """Write a text under a name nobody else uses; return its parts."""
+        """Write a text under a unique name; return its number of parts."""
         starts = range(0, len(text), PART_CHARS)
         for number, start in enumerate(starts):
             key = f'{self._prefix}{name}/{number:03}'
@@ -34,6 +34,6 @@
         return len(starts)
 
     def read(self, name: str) -> str:
-        """Return the text under a name."""
+        """Return the text stored under a name."""
         found = self._store.read_prefix(f'{self._prefix}{name}/')
         return ''.join(entry.text for entry in found.entries)
