--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -117,10 +117,10 @@
 
     def load(self) -> Loaded:
         """Read the newest snapshot and all later changes."""
-        found = self._store.read_prefix(f'{self._prefix}shared/config/')
+        stored = self._store.read_prefix(f'{self._prefix}shared/config/')
         by_key = {
             entry.key.removeprefix(self._prefix): entry
-            for entry in found.entries
+            for entry in stored.entries
         }
         version, document = self._read_snapshot(by_key.get(SNAPSHOT_KEY))
         changes = [
@@ -132,7 +132,7 @@
             if change.version == version + 1:
                 document = apply_patch(document, change.patch)
                 version = change.version
-        return Loaded(version, document, found.revision, changes)
+        return Loaded(version, document, stored.revision, changes)
 
     def read_version(self) -> int:
         """Return the accepted version with one small read."""
@@ -150,10 +150,10 @@
 
     def read_changes(self, after: int) -> list[Change]:
         """Return the changes after a version, in order."""
-        found = self._store.read_prefix(self._key(LOG))
+        stored = self._store.read_prefix(self._key(LOG))
         return [
             self.read_change(entry)
-            for entry in found.entries
+            for entry in stored.entries
             if int(entry.key.rpartition('/')[2]) > after
         ]
 
@@ -249,12 +249,12 @@
         raise UnknownResultError(change.version)
 
     def _check_own_change(
-        self, change: Change, found: dict[str, Stored]
+        self, change: Change, stored: dict[str, Stored]
     ) -> None:
-        entry = found.get(self._log_key(change.version))
+        entry = stored.get(self._log_key(change.version))
         if entry and json.loads(entry.text)['id'] == change.change_id:
             return
-        head = found.get(self._key(HEAD_KEY))
+        head = stored.get(self._key(HEAD_KEY))
         current = json.loads(head.text)['version'] if head else 0
         raise StaleBaseError(change.version - 1, current)
 
--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -61,9 +61,9 @@
 
     def list_after(self, version: int) -> list[Change] | None:
         """Return the changes after a version, or None if not kept."""
-        found = [item for item in self.recent if item.version > version]
-        if len(found) == self.version - version:
-            return found
+        changes = [item for item in self.recent if item.version > version]
+        if len(changes) == self.version - version:
+            return changes
         return None
 
     def _apply_pending(self) -> None:
--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -5,11 +5,13 @@
 network partition, in which others may accept changes. It decides by what it
 receives:
 
-1. Its own read of the service succeeded recently: in force. 2. A peer's read
-succeeded recently and this node has at least that peer's version: in force. 3.
-No peer it hears from reaches the service, and it hears from at least half of
-the known nodes, itself included: an outage. It keeps serving. 4. Otherwise it
-is considered partitioned. After a grace period it accepts no new requests.
+1. Its own read of the service succeeded recently: in force.
+2. A peer's read succeeded recently and this node has at least that peer's
+   version: in force.
+3. No peer it hears from reaches the service, and it hears from at least half
+   of the known nodes, itself included: an outage. It keeps serving.
+4. Otherwise it is considered partitioned. After a grace period it accepts no
+   new requests.
 """
 
 from __future__ import annotations
--- a/samphirerill/control/parts.py
+++ b/samphirerill/control/parts.py
@@ -35,5 +35,5 @@
 
     def read(self, name: str) -> str:
         """Return the text stored under a name."""
-        found = self._store.read_prefix(f'{self._prefix}{name}/')
-        return ''.join(entry.text for entry in found.entries)
+        stored = self._store.read_prefix(f'{self._prefix}{name}/')
+        return ''.join(entry.text for entry in stored.entries)
