--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Queues: fair between accounts and priorities, refused early."""
+"""Admission: fair queueing, early refusals, retries and deadlines."""
 
 from __future__ import annotations
 
@@ -46,14 +46,13 @@
 
 
 class TestFairness(unittest.TestCase):
-    """Whose turn it is."""
+    """The order in which queued requests are served."""
 
-    def test_large_account_gets_behind_only_itself(self) -> None:
-        """A small account's request goes next, however deep the queue.
+    def test_large_account_delays_only_itself(self) -> None:
+        """A small account's request is served next, however long the queue.
 
-        Symptom: a seamstress waits behind a club's nightly batch.
-        Sequence: one account queues a hundred; another asks once.
-        Cause: the queue was one line for all.
+        Guards against one FIFO queue for all accounts, in which it would wait
+        behind a large account's batch.
         """
         queue = FairQueue()
         _fill(queue, 'large', NORMAL, 100)
@@ -62,7 +61,7 @@
         self.assertIn('small', {item.account for item in _drain(queue, 2)})
 
     def test_idle_time_earns_no_credit(self) -> None:
-        """An account that comes back shares from now on, not for the past."""
+        """An account that returns gets no share for the time it was idle."""
         queue = FairQueue()
         _fill(queue, 'one', NORMAL, 60)
         _drain(queue, 40)
@@ -70,8 +69,8 @@
         counts = Counter(item.account for item in _drain(queue, 20))
         self.assertEqual(counts, {'one': 10, 'two': 10})
 
-    def test_high_goes_first_and_normal_never_starves(self) -> None:
-        """Every sixth pick is normal work."""
+    def test_high_is_first_and_normal_does_not_starve(self) -> None:
+        """Every sixth dequeue serves normal priority."""
         queue = FairQueue()
         _fill(queue, 'a', HIGH, 50)
         _fill(queue, 'b', NORMAL, 50)
@@ -79,8 +78,8 @@
         self.assertEqual(priorities[: NORMAL_INTERVAL - 1], [HIGH] * 5)
         self.assertEqual(priorities.count(NORMAL), 4)
 
-    def test_weights_share_in_proportion(self) -> None:
-        """Twice the weight, twice the work."""
+    def test_shares_are_proportional_to_weights(self) -> None:
+        """An account with twice the weight gets twice the work."""
         queue = FairQueue()
         for number in range(60):
             queue.add(QueueEntry(f'l{number}', 'light', NORMAL, cost=10))
@@ -88,8 +87,8 @@
         counts = Counter(item.account for item in _drain(queue, 30))
         self.assertEqual(counts, {'heavy': 20, 'light': 10})
 
-    def test_forgotten_accounts_leave_nothing(self) -> None:
-        """An empty pool holds no queue."""
+    def test_removed_requests_leave_no_queue(self) -> None:
+        """An empty queue has no candidates."""
         queue = FairQueue()
         _fill(queue, 'a', NORMAL, 3)
         _drain(queue, 2)
@@ -99,33 +98,31 @@
 
 
 class RouterCase(unittest.TestCase):
-    """One core with a small fleet: five engines of two slots."""
+    """One router with five engines of two slots."""
 
     def setUp(self) -> None:
-        """Put a configuration in force."""
         document: dict[str, Any] = build_document()
         document['accounts']['viti']['max_concurrent'] = 4
         self.router = Router('n1', seed=1)
         configuration = build_configuration(document, 1)
         self.router.apply(ConfigurationAccepted(configuration), 0)
 
-    def ask(self, name: str, now: float, **facts: object) -> list[Command]:
-        """Let a request arrive."""
+    def ask(self, name: str, now: float, **fields: object) -> list[Command]:
         spec: dict[str, object] = {
             'account': 'tromsvik',
             'route': 'plans',
             'deadline': now + 50,
         }
-        spec.update(facts)
+        spec.update(fields)
         event = RequestArrived(name, **spec)  # type: ignore[arg-type]
         return list(self.router.apply(event, now))
 
 
 class TestRefusals(RouterCase):
-    """What can't be served is refused at once, with a time to come back."""
+    """Requests that cannot be served are refused at once."""
 
-    def test_hopeless_requests_are_refused_on_arrival(self) -> None:
-        """Once the pace is known, a wait beyond the deadline is refused."""
+    def test_requests_that_would_time_out_are_refused_on_arrival(self) -> None:
+        """An estimated wait beyond the deadline is refused."""
         opened = []
         for number in range(30):
             opened += self.ask(f'r{number}', now=number * 0.01)
@@ -141,8 +138,8 @@
         self.assertIs(refusal.problem.outcome, Outcome.NOT_RUN)
         self.assertGreater(refusal.problem.retry_after_s, 0)
 
-    def test_limit_of_an_account_is_shared_by_the_nodes(self) -> None:
-        """Of four for the fleet, one node of four runs one."""
+    def test_account_limit_is_shared_by_nodes(self) -> None:
+        """With four nodes, each runs a quarter of the limit."""
         self.router.apply(NodesSeen(4), 0)
         commands = [
             command
@@ -151,12 +148,11 @@
         ]
         self.assertEqual(len(commands), 1)
 
-    def test_retries_end_with_the_budget(self) -> None:
-        """An outage of all endpoints is not multiplied.
+    def test_retries_stop_with_the_budget(self) -> None:
+        """An outage of all endpoints is not amplified by retries.
 
-        Symptom: endpoints that come back are at once overloaded again.
-        Sequence: all endpoints fail; every request is tried four times.
-        Cause: retries had no common limit.
+        Guards against retries without a common limit, which overload endpoints
+        again as soon as they recover.
         """
         attempts = 0
         for number in range(200):
@@ -169,13 +165,13 @@
                 commands = [
                     command
                     for attempt in opened
-                    for command in self._break(attempt.attempt_id)
+                    for command in self._fail(attempt.attempt_id)
                 ]
         self.assertLessEqual(attempts, 200 + 50 + 0.2 * 200 + 1)
 
-    def _break(self, attempt_id: str) -> list[Command]:
-        broke = AttemptBroke(attempt_id, 'reset')
-        return list(self.router.apply(broke, 1.0))
+    def _fail(self, attempt_id: str) -> list[Command]:
+        failure = AttemptBroke(attempt_id, 'reset')
+        return list(self.router.apply(failure, 1.0))
 
     def _finish(self, attempt: OpenAttempt, now: float) -> None:
         self.router.apply(AttemptSent(attempt.attempt_id), now)
@@ -186,26 +182,24 @@
         )
 
 
-class TestEnginesThatNeverAnswer(RouterCase):
-    """An engine that accepts and says nothing is not waited for long."""
+class TestSilentEngines(RouterCase):
+    """Attempts at engines that accept a request and stay silent."""
 
-    def test_answer_has_to_start_soon_the_first_token_may_take_longer(
+    def test_silence_is_noticed_before_a_slow_prefill(
         self,
     ) -> None:
-        """Silence from the start is noticed before a slow prefill is.
+        """An engine must respond soon; its first token may take longer.
 
-        Symptom: answers that move to another engine stop for three seconds.
-        Sequence: an engine freezes; before its other streams have shown it,
-        a stream is moved to it.
-        Cause: an engine that had not said a word was given the time of a
-        long prefill.
+        Guards against giving an engine that has sent nothing the timeout of a
+        long prefill: a stream migrated to a frozen engine would stall for that
+        time.
         """
         opened = self.ask('r1', 0)[0]
         assert isinstance(opened, OpenAttempt)
         self.router.apply(AttemptSent(opened.attempt_id), 0)
-        moved = self._pass_time(0.9)
-        self.assertEqual(len(moved), 1)
-        again = moved[0].attempt_id
+        migrated = self._pass_time(0.9)
+        self.assertEqual(len(migrated), 1)
+        again = migrated[0].attempt_id
         self.router.apply(AttemptSent(again), 0.9)
         self.router.apply(AttemptProgressed(again), 1.0)
         self.assertEqual(self._pass_time(3.9), [])
@@ -219,15 +213,13 @@
         ]
 
 
-class TestMovingOffSlowLinks(RouterCase):
-    """A stream whose link degrades goes on elsewhere."""
+class TestSlowLinkMigration(RouterCase):
+    """A stream on a degraded link continues on another pipeline."""
 
-    def test_slow_hop_moves_the_stream_without_a_seam(self) -> None:
-        """The next attempt starts at the next token.
+    def test_migrated_stream_resumes_at_the_next_token(self) -> None:
+        """A slow hop migrates the stream; no token is repeated or lost.
 
-        Symptom: answers crawl for as long as they last.
-        Sequence: a link between two stages becomes a hundred times slower.
-        Cause: only new requests looked at the links.
+        Guards against moving only new requests off a link that became slow.
         """
         opened = next(
             item
@@ -239,18 +231,16 @@
         hops = tuple(400.0 for _ in opened.stages)
         slow = TokenArrived(opened.attempt_id, 0, 0, 'x', '', hops)
         commands = self.router.apply(slow, 0.2)
-        moved = [item for item in commands if isinstance(item, OpenAttempt)]
-        self.assertEqual(len(moved), 1)
-        self.assertEqual(moved[0].resume_at, 1)
-        self.assertEqual(moved[0].epoch, 1)
-
-    def test_an_answer_that_is_nearly_over_stays_where_it_is(self) -> None:
-        """Symptom: short answers run twice, and take two engines' time.
-
-        Sequence: one hop looks slow for a moment, as on a busy machine; the
-        answer has one token left, and is begun anew elsewhere for it. Cause:
-        a move was weighed by the time of a token alone. Evidence: five runs
-        for four requests, `moved.slow_link` 1.
+        migrated = [item for item in commands if isinstance(item, OpenAttempt)]
+        self.assertEqual(len(migrated), 1)
+        self.assertEqual(migrated[0].resume_at, 1)
+        self.assertEqual(migrated[0].epoch, 1)
+
+    def test_nearly_complete_answer_is_not_migrated(self) -> None:
+        """A migration for the last tokens would cost more than it saves.
+
+        Guards against short answers that run on two engines because one hop
+        was briefly slow.
         """
         opened = next(
             item
@@ -268,14 +258,13 @@
 
 
 class TestLongAnswers(RouterCase):
-    """A long answer may outlive more failures than one attempt may see."""
+    """A long answer survives more failures than one attempt may have."""
 
     def test_failures_are_counted_since_the_last_token(self) -> None:
-        """Ten stages die in turn, each after a token.
+        """Ten stages fail in turn, each after a token.
 
-        Symptom: a long answer is cut although engines are free.
-        Sequence: stages fail now and then over minutes.
-        Cause: failures were counted over the whole life of an answer.
+        Guards against counting failures over the whole answer, which would cut
+        a long one although engines are free.
         """
         opened = self.ask('r1', 0)[0]
         for index in range(10):
@@ -283,8 +272,8 @@
             self.router.apply(AttemptSent(opened.attempt_id), 0.1)
             token = TokenArrived(opened.attempt_id, opened.epoch, index, 'x')
             self.router.apply(token, 0.1)
-            broke = AttemptBroke(opened.attempt_id, 'died', failed_stage=0)
-            commands = self.router.apply(broke, 0.1)
+            failure = AttemptBroke(opened.attempt_id, 'died', failed_stage=0)
+            commands = self.router.apply(failure, 0.1)
             for name in self.router.state.endpoints:
                 self.router.apply(ProbeAnswered(name, alive=True), 0.1)
             found = [item for item in commands if isinstance(item, OpenAttempt)]
@@ -293,29 +282,29 @@
 
 
 class TestDeadlines(RouterCase):
-    """Every request ends, whatever happens."""
+    """Every request ends at its deadline."""
 
     def test_silence_until_the_deadline_ends_as_may_have_run(self) -> None:
-        """What was sent and never answered may have run."""
+        """A request that was sent and never answered may have run."""
         commands = self.ask('r1', 0, deadline=2.0)
         attempt = commands[0]
         assert isinstance(attempt, OpenAttempt)
         self.router.apply(AttemptSent(attempt.attempt_id), 0.1)
-        ended = [
+        refusals = [
             command
             for command in self.router.apply(TimePassed(), 2.0)
             if isinstance(command, RefuseRequest)
         ]
-        self.assertEqual(len(ended), 1)
-        self.assertEqual(ended[0].problem.code, 'deadline-passed')
-        self.assertIs(ended[0].problem.outcome, Outcome.MAY_HAVE_RUN)
+        self.assertEqual(len(refusals), 1)
+        self.assertEqual(refusals[0].problem.code, 'deadline-passed')
+        self.assertIs(refusals[0].problem.outcome, Outcome.MAY_HAVE_RUN)
 
 
 class TestLoopLag(RouterCase):
-    """The lag of a node's loop is no silence of its endpoints."""
+    """A blocked event loop is not mistaken for endpoints' silence."""
 
-    def test_a_late_timer_breaks_no_attempt(self) -> None:
-        """Answers aren't begun again elsewhere because the loop was blocked."""
+    def test_late_timer_fails_no_attempt(self) -> None:
+        """Streams are not restarted elsewhere because of loop lag."""
         attempt = self.ask('r1', 0)[0]
         assert isinstance(attempt, OpenAttempt)
         self.router.apply(AttemptSent(attempt.attempt_id), 0.1)
