--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -155,7 +155,7 @@
         await self.one.claim('warm', 'up')
         commit = self.one.store.commit
 
-        def lose_reply_then_fail(transaction: Any) -> Any:
+        def lose_then_fail(transaction: Any) -> Any:
             self.one.store.commit = commit  # type: ignore[method-assign]
             self.one.store.lose_replies = 1
             try:
@@ -163,7 +163,7 @@
             finally:
                 self.one.store.down = True
 
-        self.one.store.commit = lose_reply_then_fail  # type: ignore[method-assign]
+        self.one.store.commit = lose_then_fail  # type: ignore[method-assign]
         verdict = await self.one.claim('r1', 'k')
         self.assertEqual(verdict, ClaimFailed('r1'))
         self.assertEqual(
