--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: patches race, answers get lost, nothing reverts."""
+"""The configuration log: concurrent patches, lost replies, ordering."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class LogCase(unittest.TestCase):
-    """Two operators at two nodes, over one service."""
+    """Two configuration logs at two nodes, over one store."""
 
     def setUp(self) -> None:
         """Accept a first configuration."""
@@ -52,14 +52,13 @@
 
 
 class TestPatches(LogCase):
-    """A patch is applied to the version it was written against, or not."""
+    """A patch applies only to the version it was written against."""
 
     def test_stale_patch_is_refused_with_the_current_version(self) -> None:
-        """The loser learns which version to look at.
+        """The error names the version to rebase on.
 
-        Symptom: one operator's change is gone.
-        Sequence: two operators read version 1; both submit a patch.
-        Cause: the second patch is applied to a version it never saw.
+        Guards against lost updates: a patch applied to a version its author
+        has not read.
         """
         self.other.submit(_SET_WEIGHT, 1, 'other')
         with self.assertRaises(StaleBaseError) as caught:
@@ -67,8 +66,8 @@
         self.assertEqual(caught.exception.current, 2)
         self.assertEqual(self.log.load().version, 2)
 
-    def test_race_between_read_and_write_has_one_winner(self) -> None:
-        """The service's compare-and-swap decides, not the read before it."""
+    def test_concurrent_submissions_have_one_winner(self) -> None:
+        """Only the compare-and-swap decides, not the preceding read."""
         log = self.log
 
         class RacingStore(MemoryStore):
@@ -88,12 +87,11 @@
         history = self.log.read_changes(after=0)
         self.assertEqual([item.author for item in history], ['first', 'winner'])
 
-    def test_lost_reply_is_recognised_as_ones_own(self) -> None:
-        """A write whose answer was lost is not taken for another's.
+    def test_lost_reply_is_recognised_as_own_write(self) -> None:
+        """A repeated write is not mistaken for a conflicting one.
 
-        Symptom: an operator is told 'stale' although the patch is in force.
-        Sequence: the write takes effect; its answer is lost; it is sent again.
-        Cause: the second sending finds the head changed, by the first.
+        Guards against reporting a stale base for a patch that is in force: the
+        repeated write finds the head changed by its first attempt.
         """
         self.store.lose_replies = 0
         self._lose_next_commit()
@@ -101,21 +99,20 @@
         self.assertEqual(change.version, 2)
         self.assertEqual(len(self.log.read_changes(after=0)), 2)
 
-    def test_service_that_falls_silent_is_said_so(self) -> None:
-        """Neither 'accepted' nor 'refused' would be true."""
+    def test_service_without_reply_gives_unknown_result(self) -> None:
+        """The write may or may not have taken effect."""
         self._lose_next_commit(then_down=True)
         with self.assertRaises(UnknownResultError):
             self.log.submit(_SET_WEIGHT, 1, 'first')
 
-    def test_service_that_is_down_refuses_plainly(self) -> None:
-        """Nothing was written."""
+    def test_unreachable_service_applies_nothing(self) -> None:
         self.store.down = True
         with self.assertRaises(StoreUnreachableError) as caught:
             self.log.submit(_SET_WEIGHT, 1, 'first')
         self.assertFalse(caught.exception.may_have_applied)
 
-    def test_invalid_results_are_refused_with_every_error(self) -> None:
-        """A patch may not leave a route without endpoints."""
+    def test_invalid_results_are_refused(self) -> None:
+        """Each kind of invalid patch raises, and none is written."""
         patches = {
             'uncovered layer': [
                 {'op': 'remove', 'path': f'/endpoints/{name}'}
@@ -133,7 +130,6 @@
         self.assertEqual(self.log.load().version, 1)
 
     def test_dry_run_writes_nothing(self) -> None:
-        """All is checked, nothing changes."""
         self.log.submit(_SET_WEIGHT, 1, 'first', dry_run=True)
         self.assertEqual(self.log.load().version, 1)
 
@@ -151,16 +147,14 @@
         self.store.commit = lose  # type: ignore[method-assign]
 
 
-class TestApplying(unittest.TestCase):
-    """Old and new share what did not change, and nothing else."""
+class TestStructuralSharing(unittest.TestCase):
+    """A patched document shares exactly its unchanged parts."""
 
-    def test_original_and_patch_stay_as_they_are(self) -> None:
-        """Even where operations build on each other.
+    def test_original_and_patch_stay_unchanged(self) -> None:
+        """Also if operations build on each other.
 
-        Symptom: a node shows a change that nobody has accepted.
-        Sequence: a patch moves a part and then changes it; it is applied
-        to a document that is still in force.
-        Cause: what was moved is still part of the old document.
+        Guards against changing the document in force through a container that
+        an earlier operation of the same patch has moved.
         """
         document = {'a': {'x': [1, {'y': 2}]}, 'b': {}}
         patch = [
@@ -176,8 +170,7 @@
             changed, {'a': {}, 'b': {'x': [1, {'y': 3}]}, 'c': {'z': 2}}
         )
 
-    def test_what_did_not_change_is_not_built_again(self) -> None:
-        """A change costs what it changes."""
+    def test_unchanged_parts_are_not_rebuilt(self) -> None:
         document = _build_valid()
         first = build_configuration(document, 1)
         changed = apply_patch(document, _SET_WEIGHT)
@@ -189,9 +182,9 @@
 
 
 class TestLargeConfigurations(LogCase):
-    """A whole that is larger than one value is kept in parts."""
+    """A configuration larger than one value is stored in parts."""
 
-    def test_document_above_a_megabyte_is_kept(self) -> None:
+    def test_document_above_a_megabyte_is_stored(self) -> None:
         """It is written, read and patched like any other."""
         document = _build_valid()
         for number in range(9000):
@@ -206,8 +199,8 @@
         self.assertEqual(loaded.document, document)
         self.assertEqual(loaded.version, 2)
 
-    def test_snapshots_stand_for_what_they_replace(self) -> None:
-        """A new node needs the snapshot and the changes since."""
+    def test_snapshot_replaces_earlier_changes(self) -> None:
+        """A new node loads the snapshot and later changes."""
         for version in range(1, SNAPSHOT_INTERVAL + 3):
             patch = [
                 {
@@ -224,19 +217,18 @@
 
 
 class TestView(unittest.TestCase):
-    """A node's copy never goes back and never skips."""
+    """A node's copy neither reverts nor skips a version."""
 
     def setUp(self) -> None:
         """Start at version 1 with an empty list."""
         self.view = ConfigurationView()
         self.view.install(1, {'seen': []})
 
-    def test_late_doubled_and_early_changes(self) -> None:
-        """Whatever the order, each is applied once, in order.
+    def test_late_repeated_and_early_changes(self) -> None:
+        """Each change is applied once and in order, however it arrives.
 
-        Symptom: an old configuration is back in force.
-        Sequence: a change arrives from a peer, then again from a slow watch.
-        Cause: changes were applied as they came.
+        Guards against reverting to an old configuration when a change from a
+        peer arrives again from a slow watch.
         """
         for version in (3, 2, 2, 5, 3, 4, 2):
             self.view.offer(self._build_change(version))
@@ -244,24 +236,24 @@
         self.assertEqual(self.view.version, 5)
         self.assertFalse(self.view.is_behind())
 
-    def test_gap_is_known_and_not_skipped(self) -> None:
-        """A change that is ahead waits, and the gap can be asked for."""
+    def test_gap_is_reported_and_not_skipped(self) -> None:
+        """A change that is ahead waits for those before it."""
         self.view.offer(self._build_change(4))
         self.assertEqual(self.view.version, 1)
         self.assertTrue(self.view.is_behind())
 
-    def test_whole_that_is_older_changes_nothing(self) -> None:
-        """A slow read brings back nothing."""
+    def test_older_document_is_ignored(self) -> None:
+        """A slow read does not revert the configuration."""
         self.view.offer(self._build_change(2))
         self.assertFalse(self.view.install(1, {'seen': ['old']}))
         self.assertEqual(self.view.document, {'seen': [2]})
 
-    def test_peers_get_exactly_what_they_lack(self) -> None:
-        """Or nothing, if it has been forgotten."""
+    def test_peers_get_the_changes_they_lack(self) -> None:
+        """Or None, if those changes are no longer kept."""
         for version in range(2, 6):
             self.view.offer(self._build_change(version))
-        lacking = self.view.list_after(3) or []
-        self.assertEqual([change.version for change in lacking], [4, 5])
+        missing = self.view.list_after(3) or []
+        self.assertEqual([change.version for change in missing], [4, 5])
         self.assertIsNone(self.view.list_after(0))
 
     def _build_change(self, version: int) -> Change:
