--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -1,4 +1,4 @@
-"""The decision core holds back requests that end the endpoints that run them."""
+"""The core quarantines requests that crash the endpoints running them."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 if TYPE_CHECKING:
     from samphirerill.control.claims import Batch, Verdict
 
-_GUILTY = digest_request('coach', b'plans', b'ends them')
-_OTHER = digest_request('coach', b'plans', b'harmless')
-_SETTLED_S = 0.2
-_MOST_RUNS = 6
+_CRASHING = digest_request('coach', b'plans', b'ends them')
+_HARMLESS = digest_request('coach', b'plans', b'harmless')
+_EVALUATION_DELAY_S = 0.2
+_MAX_RUNS = 6
 
 
 def _start_router(name: str) -> Router:
@@ -46,13 +46,12 @@
     return router
 
 
-class TestEndingRequest(TestCase):
-    """An engine that runs it ends; the caller comes back and back.
+class TestCrashingRequest(TestCase):
+    """A request that crashes each engine it runs on is sent repeatedly.
 
-    Symptom: one request ends engine after engine, at each node it comes to.
-    Sequence: its attempt breaks off, its engine's port is closed; it is tried
-    again elsewhere, and comes again under another id. Cause: failures were
-    counted for each request id, and forgotten with it.
+    Guards against counting failures by request id, which forgets them when the
+    caller retries under a new id: one request would crash engine after engine
+    at each node.
     """
 
     def setUp(self) -> None:
@@ -60,69 +59,69 @@
         self.now = 0.0
         self.runs = 0
 
-    def test_it_is_run_a_few_times_and_then_refused_at_once(self) -> None:
+    def test_request_runs_a_few_times_and_is_then_refused(self) -> None:
         for number in range(12):
-            self.come(f'r{number}')
-        self.assertLessEqual(self.runs, _MOST_RUNS)
-        commands = self.ask('last', _GUILTY)
+            self.send_request(f'r{number}')
+        self.assertLessEqual(self.runs, _MAX_RUNS)
+        commands = self.ask('last', _CRASHING)
         self.assert_refused(commands)
 
-    def test_another_node_knows_it_too(self) -> None:
+    def test_other_nodes_refuse_it_too(self) -> None:
         for number in range(12):
-            self.come(f'r{number}')
-        told = list_evidence(self.router.state, self.now, 16)
+            self.send_request(f'r{number}')
+        records = list_evidence(self.router.state, self.now, 16)
         other = _start_router('n2')
-        other.apply(EvidenceTold(told), self.now)
-        other.apply(TimePassed(), self.now + _SETTLED_S)
+        other.apply(EvidenceTold(records), self.now)
+        other.apply(TimePassed(), self.now + _EVALUATION_DELAY_S)
         self.router = other
-        self.now += _SETTLED_S
-        self.assert_refused(self.ask('last', _GUILTY))
+        self.now += _EVALUATION_DELAY_S
+        self.assert_refused(self.ask('last', _CRASHING))
 
-    def test_one_whose_endpoints_live_is_not_held(self) -> None:
-        """Engines break off and live, or are silent for a while."""
+    def test_request_whose_endpoints_survive_is_not_quarantined(self) -> None:
+        """Attempts fail, but probes find the endpoints alive."""
         for number in range(12):
-            self.come(f'r{number}', has_ended=False)
+            self.send_request(f'r{number}', has_ended=False)
         self.assertFalse(describe_state(self.router.state, 0)['quarantine'])
 
-    def test_one_that_goes_on_for_a_while_is_not_held(self) -> None:
+    def test_request_that_streams_for_a_while_is_not_quarantined(self) -> None:
         for number in range(12):
-            self.come(f'r{number}', tokens=8)
-        last = list_evidence(self.router.state, self.now, 16)
-        self.assertFalse([item for item in last if item.deaths])
+            self.send_request(f'r{number}', tokens=8)
+        listed = list_evidence(self.router.state, self.now, 16)
+        self.assertFalse([item for item in listed if item.deaths])
 
-    def test_others_are_served(self) -> None:
+    def test_other_requests_are_served(self) -> None:
         for number in range(12):
-            self.come(f'r{number}')
-        commands = self.ask('other', _OTHER)
+            self.send_request(f'r{number}')
+        commands = self.ask('other', _HARMLESS)
         opened = [item for item in commands if isinstance(item, OpenAttempt)]
         self.assertEqual(len(opened), 1)
 
-    def test_one_that_waits_is_refused_when_it_is_known(self) -> None:
-        """No engine has room; another node has seen what it does."""
+    def test_queued_request_is_refused_on_evidence(self) -> None:
+        """No engine has a free slot; another node reports the crashes."""
         for number in range(12):
-            self.come(f'r{number}')
-        told = list_evidence(self.router.state, self.now, 16)
+            self.send_request(f'r{number}')
+        records = list_evidence(self.router.state, self.now, 16)
         self.router = _start_router('n2')
-        for found in self.router.state.endpoints.values():
-            found.in_flight = 1000
-        self.assertEqual(self.ask('waits', _GUILTY), [])
-        self.apply(EvidenceTold(told))
-        self.now += _SETTLED_S
+        for replica in self.router.state.endpoints.values():
+            replica.in_flight = 1000
+        self.assertEqual(self.ask('waits', _CRASHING), [])
+        self.apply(EvidenceTold(records))
+        self.now += _EVALUATION_DELAY_S
         self.assert_refused(self.apply(TimePassed()))
 
-    def test_one_that_has_run_is_not_refused_as_if_it_had_not(self) -> None:
-        """A 503, which promises that nothing ran, is true of each attempt."""
+    def test_request_that_may_have_run_is_not_refused_as_not_run(self) -> None:
+        """A 503 states that nothing ran, which must hold for every attempt."""
         commands = [
             command
             for number in range(12)
-            for command in self.come(f'r{number}')
+            for command in self.send_request(f'r{number}')
         ]
         problems = [
             command.problem
             for command in commands
             if isinstance(command, RefuseRequest)
         ]
-        told = {
+        records = {
             (problem.status, problem.outcome)
             for problem in problems
             if problem.code == 'quarantined'
@@ -131,34 +130,34 @@
             (HTTPStatus.BAD_GATEWAY, Outcome.MAY_HAVE_RUN),
             (HTTPStatus.SERVICE_UNAVAILABLE, Outcome.NOT_RUN),
         }
-        self.assertEqual(told, expected)
+        self.assertEqual(records, expected)
 
-    def test_a_break_asks_each_endpoint_once(self) -> None:
-        """A loss of many engines does not double the probes."""
-        opened = self.ask('r', _GUILTY)[0]
+    def test_failure_probes_each_endpoint_once(self) -> None:
+        """The loss of many engines does not multiply the probes."""
+        opened = self.ask('r', _CRASHING)[0]
         assert isinstance(opened, OpenAttempt)
         self.apply(AttemptSent(opened.attempt_id))
         commands = self.apply(AttemptBroke(opened.attempt_id, 'it closed'))
-        asked = [
+        probed = [
             command.endpoint
             for command in commands
             if isinstance(command, ProbeEndpoint)
         ]
         stages = [stage.endpoint for stage in opened.stages]
-        self.assertEqual(asked, stages)
+        self.assertEqual(probed, stages)
 
-    def come(
+    def send_request(
         self, name: str, *, has_ended: bool = True, tokens: int = 1
     ) -> list[Command]:
-        """Let the request come; each attempt ends its first engine."""
-        commands = self.ask(name, _GUILTY)
+        """Send the request; each attempt crashes its first engine."""
+        commands = self.ask(name, _CRASHING)
         pending = list(commands)
         while pending:
             command = pending.pop(0)
             if isinstance(command, OpenAttempt):
-                answered = self.run_attempt(command, tokens, has_ended)
-                commands += answered
-                pending += answered
+                replies = self.run_attempt(command, tokens, has_ended)
+                commands += replies
+                pending += replies
         self.now += 1.0
         commands += self.apply(TimePassed())
         return commands
@@ -166,7 +165,7 @@
     def run_attempt(
         self, opened: OpenAttempt, tokens: int, has_ended: bool
     ) -> list[Command]:
-        """Run an attempt until it breaks; answer what is asked then."""
+        """Run an attempt until it fails; return the resulting commands."""
         self.runs += 1
         commands = self.apply(AttemptSent(opened.attempt_id))
         for number in range(tokens):
@@ -181,12 +180,11 @@
         commands += self.apply(probe)
         for name in self.router.state.endpoints:
             commands += self.apply(ProbeAnswered(name, alive=True))
-        self.now += _SETTLED_S
+        self.now += _EVALUATION_DELAY_S
         commands += self.apply(TimePassed())
         return commands
 
     def ask(self, name: str, identity: bytes) -> list[Command]:
-        """Ask for an answer."""
         route = next(iter(self.router.state.configuration.routes))
         account = next(iter(self.router.state.configuration.accounts))
         arrived = RequestArrived(
@@ -198,7 +196,7 @@
         return self.router.apply(event, self.now)
 
     def assert_refused(self, commands: list[Command]) -> None:
-        """It was refused at once, with when to come back."""
+        """Assert an immediate refusal that says when to retry."""
         self.assertEqual(len(commands), 1)
         refused = commands[0]
         assert isinstance(refused, RefuseRequest)
@@ -207,14 +205,14 @@
         self.assertGreater(refused.problem.retry_after_s, 100)
 
 
-class TestWords(IsolatedAsyncioTestCase):
-    """Evidence goes with the words that nodes exchange."""
+class TestPeerMessages(IsolatedAsyncioTestCase):
+    """Evidence is part of the messages that nodes exchange."""
 
     async def test_evidence_goes_both_ways(self) -> None:
-        heard: list[bytes] = []
+        received: list[bytes] = []
 
         def answer(word: Word) -> Word:
-            heard.append(word.evidence)
+            received.append(word.evidence)
             return Word('n2', 1, 0.0, evidence=b'answer')
 
         async def collect(batch: Batch) -> list[Verdict]:
@@ -224,8 +222,8 @@
         port = await server.start('127.0.0.1', 0)
         clients = PeerClients(2)
         word = Word('n1', 1, 0.0, evidence=b'question')
-        got = await clients.exchange(f'127.0.0.1:{port}', word)
+        reply = await clients.exchange(f'127.0.0.1:{port}', word)
         await clients.close()
         await server.stop()
-        self.assertEqual(heard, [b'question'])
-        self.assertEqual(got.unwrap().evidence, b'answer')
+        self.assertEqual(received, [b'question'])
+        self.assertEqual(reply.unwrap().evidence, b'answer')
