--- a/samphirerill/tests/test_evidence.py
+++ b/samphirerill/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""When a node may believe that its configuration is in force."""
+"""When a node may take its configuration as in force."""
 
 from __future__ import annotations
 
@@ -6,67 +6,67 @@
 
 from samphirerill.control.evidence import FRESH_FOR_S, GRACE_S, Evidence
 
-_LATER = FRESH_FOR_S + GRACE_S + 2
+_LATER_S = FRESH_FOR_S + GRACE_S + 2
 
 
 class TestEvidence(unittest.TestCase):
-    """A node alone tells an outage from being cut off."""
+    """A node distinguishes an outage from a network partition."""
 
     def setUp(self) -> None:
-        """Start with a fresh read at time 0."""
+        """Start with a successful read at time 0."""
         self.evidence = Evidence(0)
         self.evidence.note_store_read(0)
 
     def find_doubt(self, version: int = 5, known_nodes: int = 8) -> str:
-        """Ask twice, a grace apart, as the node does."""
-        self.evidence.find_doubt(_LATER - GRACE_S, version, known_nodes)
-        return self.evidence.find_doubt(_LATER, version, known_nodes)
-
-    def hear(self, count: int, fresh_age_s: float, version: int = 5) -> None:
-        """Hear from some peers, lately."""
-        for at in (_LATER - GRACE_S, _LATER):
+        """Check twice, a grace period apart, as the node does."""
+        self.evidence.find_doubt(_LATER_S - GRACE_S, version, known_nodes)
+        return self.evidence.find_doubt(_LATER_S, version, known_nodes)
+
+    def receive_reports(
+        self, count: int, fresh_age_s: float, version: int = 5
+    ) -> None:
+        """Receive recent reports of some peers."""
+        for at in (_LATER_S - GRACE_S, _LATER_S):
             for peer in range(count):
                 self.evidence.note_peer(f'n{peer}', at, fresh_age_s, version)
 
-    def test_own_fresh_read_is_enough(self) -> None:
-        """Whatever the peers say."""
-        self.evidence.note_store_read(_LATER - GRACE_S)
-        self.evidence.note_store_read(_LATER)
+    def test_own_recent_read_is_enough(self) -> None:
+        """Whatever the peers report."""
+        self.evidence.note_store_read(_LATER_S - GRACE_S)
+        self.evidence.note_store_read(_LATER_S)
         self.assertEqual(self.find_doubt(), '')
 
-    def test_cut_off_from_the_service_but_not_from_peers(self) -> None:
-        """A fresh peer at the same version is evidence enough."""
-        self.hear(1, fresh_age_s=0.5)
+    def test_recent_read_of_a_peer_is_enough(self) -> None:
+        """The peer has the same version."""
+        self.receive_reports(1, fresh_age_s=0.5)
         self.assertEqual(self.find_doubt(), '')
 
-    def test_behind_a_fresh_peer(self) -> None:
-        """A peer that knows a newer version forbids serving the older.
+    def test_older_version_than_a_peer(self) -> None:
+        """A peer with a newer version stops the node from serving.
 
-        Symptom: a route is served after operators have taken it away.
-        Sequence: a node is cut off from the service and misses a change.
-        Cause: it took 'no news' for 'no change'.
+        Guards against serving a route that operators have removed, at a node
+        that cannot reach the service and missed the change.
         """
-        self.hear(1, fresh_age_s=0.5, version=6)
+        self.receive_reports(1, fresh_age_s=0.5, version=6)
         self.assertIn('behind', self.find_doubt())
 
-    def test_outage_for_everyone(self) -> None:
-        """If most nodes hear each other and none is fresh, all serve on."""
-        self.hear(4, fresh_age_s=100)
+    def test_outage_for_all_nodes(self) -> None:
+        """Nodes that reach most others, none with a recent read, keep serving."""
+        self.receive_reports(4, fresh_age_s=100)
         self.assertEqual(self.find_doubt(), '')
 
-    def test_alone_among_many(self) -> None:
-        """A node that hears nobody takes itself for cut off."""
+    def test_node_without_peers_is_partitioned(self) -> None:
         self.assertIn('cut off', self.find_doubt())
 
-    def test_only_node_there_is(self) -> None:
-        """One that knows no others serves through an outage."""
+    def test_only_known_node(self) -> None:
+        """A node that knows no others serves through an outage."""
         self.assertEqual(self.find_doubt(known_nodes=1), '')
 
-    def test_doubt_needs_a_grace(self) -> None:
-        """A short hiccup refuses nobody."""
+    def test_grace_period(self) -> None:
+        """A short interruption refuses no requests."""
         self.evidence.find_doubt(FRESH_FOR_S + 1, 5, 8)
-        soon = FRESH_FOR_S + GRACE_S / 2
-        self.assertEqual(self.evidence.find_doubt(soon, 5, 8), '')
+        within_grace_s = FRESH_FOR_S + GRACE_S / 2
+        self.assertEqual(self.evidence.find_doubt(within_grace_s, 5, 8), '')
 
 
 if __name__ == '__main__':
