--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet that grows and changes: subsets, and new endpoints."""
+"""Subsetting in a large fleet, and slow start of new endpoints."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class TestSubsets(unittest.TestCase):
-    """A node uses a part of a large fleet, and the nodes spread evenly."""
+    """A node uses a subset of a large fleet; nodes spread evenly."""
 
-    def test_every_range_stays_held_by_a_bounded_number(self) -> None:
-        """Whatever the size, a request finds a whole pipeline."""
+    def test_every_layer_range_has_a_bounded_subset(self) -> None:
+        """A request finds a complete pipeline at any fleet size."""
         document = build_large_document(_REPLICAS, 10, _MODELS)
         router = _start('n1', document)
         for replicas in router.state.by_model.values():
@@ -39,23 +39,23 @@
         commands = router.apply(arrived, 1)
         self.assertIsInstance(commands[0], OpenAttempt)
 
-    def test_nodes_choose_apart(self) -> None:
-        """No replica is left out, and none is chosen by all."""
+    def test_nodes_choose_different_subsets(self) -> None:
+        """Every replica is used, and none by all nodes."""
         document = build_large_document(_REPLICAS, 10, _MODELS)
         chosen: Counter[str] = Counter()
         for number in range(60):
             router = _start(f'node-{number}', document)
             for replicas in router.state.by_model.values():
-                chosen.update(found.endpoint.name for found in replicas)
+                chosen.update(replica.endpoint.name for replica in replicas)
         self.assertEqual(len(chosen), _REPLICAS)
         self.assertLess(max(chosen.values()), 35)
 
 
-class TestNewEndpoints(unittest.TestCase):
-    """A new VM takes work at once, gently."""
+class TestSlowStart(unittest.TestCase):
+    """An endpoint that has just joined gets a growing share."""
 
     def setUp(self) -> None:
-        """Know a small fleet; later one engine joins it."""
+        """Configure a small fleet that one engine joins later."""
         document = build_large_document(8, 2, 1)
         self.router = _start('n1', document)
         endpoints = dict(document['endpoints'])
@@ -65,25 +65,23 @@
         self.router.apply(event, 10)
 
     def find_free(self, name: str, now: float) -> int:
-        """Return how much an endpoint may be sent at a time."""
+        """Return how many more requests may be sent to an endpoint."""
         state = self.router.state
         state.now = now
         return count_free_slots(state, state.endpoints[name])
 
-    def test_share_grows_from_one_to_all(self) -> None:
-        """All nodes hear of it at once; together they must not fill it.
+    def test_share_grows_from_one_slot_to_all(self) -> None:
+        """All nodes see a new endpoint at once and must not fill it together.
 
-        Symptom: a new engine's first answers are slow, and some time out.
-        Sequence: it joins; every node finds it empty and sends it a full
-        load before its first report.
-        Cause: an empty endpoint was taken for one that is free for oneself.
+        Guards against each node sending it a full load before its first
+        report.
         """
         self.assertEqual(self.find_free('new', 10), 1)
         halfway = self.find_free('new', 10 + SLOW_START_S / 2)
         self.assertEqual(halfway, 16)
         self.assertEqual(self.find_free('new', 10 + SLOW_START_S), 32)
 
-    def test_node_that_starts_takes_the_fleet_as_it_is(self) -> None:
+    def test_starting_node_has_no_slow_start(self) -> None:
         """For a new node all endpoints are new, but none has just joined."""
         self.assertEqual(self.find_free('e0', 10), 32)
 
