--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Hops that look slow: for a moment, or for good."""
+"""Hops that are slow, briefly or permanently."""
 
 from __future__ import annotations
 
@@ -17,67 +17,67 @@
 _LINK = ('one', 'two')
 _SLOW_MS = 60.0
 _FAST_MS = 0.3
-_EVERY = 8
-_LONG_AFTER_S = 3600.0
+_MIGRATION_TOKENS = 8
+_AFTER_EXPIRY_S = 3600.0
 _PROMPT = 'a hem that has to be taken up by two fingers and a half. ' * 8
 
 
-class TestLinkMap(TestCase):
-    """Reports of one link."""
+class TestLinkLatencies(TestCase):
+    """Latency estimates from reports of one link."""
 
     def setUp(self) -> None:
         self.links = LinkLatencies()
 
-    def test_a_slow_moment_makes_no_slow_link(self) -> None:
-        """Work isn't taken off a link because its target was busy once."""
+    def test_briefly_slow_hop_makes_no_slow_link(self) -> None:
+        """Traffic does not leave a link because its target was busy once."""
         for hop_ms in (_FAST_MS, _SLOW_MS, _SLOW_MS, _FAST_MS):
             self.links.observe(_LINK, hop_ms, 1)
         self.assertEqual(self.links.estimate_ms(_LINK, 2), _FAST_MS)
 
-    def test_a_link_that_stays_slow_is_slow(self) -> None:
+    def test_consistently_slow_link_is_slow(self) -> None:
         for _ in range(3):
             self.links.observe(_LINK, _SLOW_MS, 1)
         self.assertEqual(self.links.estimate_ms(_LINK, 2), _SLOW_MS)
 
-    def test_an_avoided_link_is_tried_again(self) -> None:
-        """A link that was slow isn't left unused for good."""
+    def test_avoided_link_is_used_again(self) -> None:
+        """An estimate expires, so a slow link is not avoided forever."""
         for _ in range(3):
             self.links.observe(_LINK, _SLOW_MS, 1)
-        self.assertIsNone(self.links.estimate_ms(_LINK, _LONG_AFTER_S))
+        self.assertIsNone(self.links.estimate_ms(_LINK, _AFTER_EXPIRY_S))
 
-    def test_links_of_endpoints_that_are_gone_are_forgotten(self) -> None:
+    def test_links_of_removed_endpoints_are_removed(self) -> None:
         for _ in range(3):
             self.links.observe(_LINK, _SLOW_MS, 1)
         self.links.retain({'one'})
         self.assertIsNone(self.links.estimate_ms(_LINK, 2))
 
 
-class TestMoves(RouterCase):
-    """A stream leaves a slow hop if staying costs more than the move."""
+class TestMigration(RouterCase):
+    """A stream migrates if staying costs more than the migration."""
 
-    def test_a_hop_that_was_slow_once_is_not_left(self) -> None:
-        """A long answer isn't read again elsewhere for one busy moment."""
+    def test_single_slow_hop_does_not_migrate(self) -> None:
+        """A long prompt is not prefilled elsewhere for one busy moment."""
         opened = self.open()
-        moves = self.report(opened, 0, _SLOW_MS)
-        for index in range(1, 3 * _EVERY):
-            hop_ms = _SLOW_MS if index == 2 * _EVERY else _FAST_MS
-            moves += self.report(opened, index, hop_ms)
-        self.assertEqual(moves, [])
+        migrations = self.report(opened, 0, _SLOW_MS)
+        for index in range(1, 3 * _MIGRATION_TOKENS):
+            hop_ms = _SLOW_MS if index == 2 * _MIGRATION_TOKENS else _FAST_MS
+            migrations += self.report(opened, index, hop_ms)
+        self.assertEqual(migrations, [])
 
-    def test_a_hop_that_stays_slow_is_left(self) -> None:
+    def test_consistently_slow_hop_migrates(self) -> None:
         opened = self.open()
-        moves = self.report(opened, 0, _SLOW_MS)
-        for index in range(1, _EVERY + 1):
-            moves += self.report(opened, index, _SLOW_MS)
-        self.assertEqual(len(moves), 1)
+        migrations = self.report(opened, 0, _SLOW_MS)
+        for index in range(1, _MIGRATION_TOKENS + 1):
+            migrations += self.report(opened, index, _SLOW_MS)
+        self.assertEqual(len(migrations), 1)
 
-    def test_a_repeated_prompt_goes_to_its_prefix_over_slow_hops(self) -> None:
-        """Two slow answers don't send an account's prompts to a cold cache."""
+    def test_repeated_prompt_stays_at_its_cached_prefix(self) -> None:
+        """Two slow answers do not send an account's prompts to a cold cache."""
         first = self.open()
         head = first.stages[0].endpoint
         self.finish(first, _FAST_MS)
-        news = CacheNews(1, 1, ('digest',))
-        self.router.apply(CacheReported(head, news), 0.1)
+        events = CacheNews(1, 1, ('digest',))
+        self.router.apply(CacheReported(head, events), 0.1)
         for number in range(2):
             again = self.begin(f'slow{number}', prefixes=('digest',))
             self.assertEqual(again.stages[0].endpoint, head)
@@ -86,7 +86,7 @@
         self.assertEqual(again.stages[0].endpoint, head)
 
     def open(self) -> OpenAttempt:
-        """Begin requests until one runs over several stages; end the others."""
+        """Start requests until one runs over several stages; end the others."""
         opened = [self.begin(f'r{number}') for number in range(4)]
         wanted = next(item for item in opened if len(item.stages) > 1)
         for other in opened:
@@ -94,15 +94,14 @@
                 self.finish(other, _FAST_MS)
         return wanted
 
-    def begin(self, name: str, **facts: object) -> OpenAttempt:
-        """Let a request arrive and be sent."""
-        opened = self.ask(name, 0, **facts)[0]
+    def begin(self, name: str, **fields: object) -> OpenAttempt:
+        opened = self.ask(name, 0, **fields)[0]
         assert isinstance(opened, OpenAttempt)
         self.router.apply(AttemptSent(opened.attempt_id), 0.1)
         return opened
 
     def finish(self, opened: OpenAttempt, hop_ms: float) -> None:
-        """Let a first token come, then the last one."""
+        """Report a first token, then the last one."""
         self.report(opened, 0, hop_ms)
         last = TokenArrived(opened.attempt_id, 0, 1, 'x', 'stop')
         self.router.apply(last, 0.2)
@@ -110,23 +109,25 @@
     def report(
         self, opened: OpenAttempt, index: int, hop_ms: float
     ) -> list[OpenAttempt]:
-        """Let a token come; return where its stream goes on, if it moves."""
+        """Report a token; return the attempt a migration opens, if any."""
         hops_ms = tuple(hop_ms for _ in opened.stages)
         token = TokenArrived(opened.attempt_id, 0, index, 'x', '', hops_ms)
         commands = self.router.apply(token, 0.2)
         return [item for item in commands if isinstance(item, OpenAttempt)]
 
 
-class TestBusyMoments(ClusterCase):
-    """Engines whose hops all take long for a while, then not."""
+class TestBrieflyBusyEngines(ClusterCase):
+    """Engines whose hops are all slow for a while."""
 
-    def test_prompts_hit_their_cache_once_each(self) -> None:
+    def test_repeated_prompts_hit_the_cache_once_each(self) -> None:
         """A repeated prompt neither runs twice nor misses its cache."""
-        complete(self.callers, COACH_KEY, 'plans', _PROMPT, _EVERY)
+        complete(self.callers, COACH_KEY, 'plans', _PROMPT, _MIGRATION_TOKENS)
         wait_for(self._is_known, 'the cache at the node')
         for number in range(6):
             self._delay(_SLOW_MS if number % 3 < 2 else 0)
-            complete(self.callers, COACH_KEY, 'plans', _PROMPT, _EVERY)
+            complete(
+                self.callers, COACH_KEY, 'plans', _PROMPT, _MIGRATION_TOKENS
+            )
             self.assertEqual(self._count('cache_hits'), number + 1)
 
     def _delay(self, link_ms: float) -> None:
