--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: one commander, safe by number or by time."""
+"""Orders to engines: one leader, fenced by token or by time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from samphirerill.testing.cluster import NodeProcess, wait_for
 from samphirerill.tests.support import ClusterCase
 
-_WANTED = DesiredState('v2', ('knee',), 'both')
+_DESIRED = DesiredState('v2', ('knee',), 'both')
 _NOW = 100.0
 
 
@@ -29,38 +29,36 @@
         '127.0.0.1:1',
         'a',
         checks_fencing=checks_fencing,
-        desired=_WANTED,
+        desired=_DESIRED,
     )
 
 
 class TestTenure(unittest.TestCase):
-    """A commander stops before its lease can lapse."""
+    """A leader stops before its lease can expire."""
 
     def setUp(self) -> None:
-        """Win the key at a known time."""
+        """Acquire the key at a known time."""
         self.tenure = Tenure.begin(7, asked_at=_NOW, won_at=_NOW + 0.1)
 
-    def test_paused_commander_orders_nothing(self) -> None:
-        """A pause past the lease is found by the clock.
+    def test_paused_leader_sends_no_orders(self) -> None:
+        """A pause past the lease is noticed by the clock.
 
-        Symptom: an engine loads what the configuration has left behind.
-        Sequence: the commander is paused; its lease lapses; another node
-        commands; the first wakes and sends what it had planned.
-        Cause: it did not look at the clock again before sending.
+        Guards against a leader that resumes after another has taken over and
+        sends what it had planned: an engine would load an outdated version.
         """
         late = _NOW + LEASE_S - SAFETY_MARGIN_S
         self.assertFalse(self.tenure.may_order(late, checks_fencing=True))
         self.tenure.renew(asked_at=_NOW + 5)
         self.assertTrue(self.tenure.may_order(late, checks_fencing=True))
 
-    def test_answer_of_a_renewal_counts_from_its_question(self) -> None:
-        """A slow answer does not lengthen the tenure."""
+    def test_renewal_counts_from_its_request(self) -> None:
+        """A slow reply does not extend the term."""
         self.tenure.renew(asked_at=_NOW - 50)
         end = self.tenure.act_until
         self.assertEqual(end, _NOW + LEASE_S - SAFETY_MARGIN_S)
 
-    def test_engines_that_ignore_numbers_are_waited_out(self) -> None:
-        """What the predecessor sent last must have arrived before."""
+    def test_engines_without_fencing_need_a_wait(self) -> None:
+        """Orders of the previous leader must have arrived before."""
         soon = _NOW + 1
         self.assertTrue(self.tenure.may_order(soon, checks_fencing=True))
         self.assertFalse(self.tenure.may_order(soon, checks_fencing=False))
@@ -68,61 +66,60 @@
         self.assertTrue(self.tenure.may_order(later, checks_fencing=False))
 
 
-class TestPlans(unittest.TestCase):
-    """Orders bring engines nearer to what is wanted, and no further."""
+class TestPlanOrders(unittest.TestCase):
+    """Orders bring engines to their desired state and no further."""
 
     def plan(self, statuses: dict[str, Status], loads: int = 2) -> list[str]:
-        """Return which engines are ordered."""
-        endpoints = [_build_endpoint(f'e{at}') for at in range(4)]
+        """Return which engines get an order."""
+        endpoints = [_build_endpoint(f'e{index}') for index in range(4)]
         tenure = Tenure.begin(7, _NOW, _NOW)
         orders = plan_orders(endpoints, statuses, tenure, _NOW + 1, loads)
         return [order.endpoint for order in orders]
 
-    def test_weight_store_is_spared(self) -> None:
-        """Engines that load count against the fleet's limit."""
+    def test_weight_store_load_is_limited(self) -> None:
+        """Engines that are loading count against the fleet's limit."""
         idle = Status()
         loading = Status(is_loading=True)
         statuses = {'e0': loading, 'e1': idle, 'e2': idle, 'e3': idle}
         self.assertEqual(self.plan(statuses), ['e1'])
         self.assertEqual(self.plan(statuses, loads=1), [])
 
-    def test_reached_state_needs_no_order(self) -> None:
-        """Whatever the order of the adapters."""
+    def test_desired_state_needs_no_order(self) -> None:
+        """The order of the adapters does not matter."""
         reached = Status('v2', ('knee',), 'both')
         self.assertEqual(self.plan({'e0': reached}), [])
 
-    def test_change_of_role_needs_no_weights(self) -> None:
+    def test_role_change_needs_no_weights(self) -> None:
         """It is ordered although the weight store is busy."""
         other_role = Status('v2', ('knee',), 'decode')
         loading = Status(is_loading=True)
         statuses = {'e0': loading, 'e1': loading, 'e2': other_role}
         self.assertEqual(self.plan(statuses), ['e2'])
 
-    def test_engine_that_gave_no_answer_gets_no_order(self) -> None:
-        """Nobody knows what it is doing."""
+    def test_engine_without_status_gets_no_order(self) -> None:
         self.assertEqual(self.plan({}), [])
 
 
-class TestCommanding(ClusterCase):
-    """One of several nodes commands, from the configuration."""
+class TestLeadership(ClusterCase):
+    """One of several nodes sends the orders of the configuration."""
 
     nodes = 3
 
-    def test_engines_reach_the_desired_state_one_commander_at_a_time(
+    def test_engines_reach_the_desired_state_under_one_leader(
         self,
     ) -> None:
-        """And the next commander's number is higher."""
-        self._want('v2')
-        wait_for(lambda: self._reached('v2'), 'all engines at v2')
+        """The next leader's fencing token is higher."""
+        self._request_version('v2')
+        wait_for(lambda: self._all_at_version('v2'), 'all engines at v2')
         stats = self._read_stats()
         self.assertEqual(stats['most_loads'], 2)
         fences = {order['fence'] for order in stats['orders']}
         self.assertEqual(len(fences), 1)
-        first = self._find_commander()
+        first = self._find_leader()
         self.cluster.nodes.remove(first)
         first.stop()
-        self._want('v3')
-        wait_for(lambda: self._reached('v3'), 'all engines at v3')
+        self._request_version('v3')
+        wait_for(lambda: self._all_at_version('v3'), 'all engines at v3')
         later = {order['fence'] for order in self._read_stats()['orders']}
         self.assertEqual(len(later), 2)
         self.assertGreater(max(later), max(fences))
@@ -136,7 +133,7 @@
             }
             call_json(address, '/orders', '', stale)
 
-    def _want(self, version: str) -> None:
+    def _request_version(self, version: str) -> None:
         self.cluster.submit(
             [
                 {
@@ -148,7 +145,7 @@
             ]
         )
 
-    def _reached(self, version: str) -> bool:
+    def _all_at_version(self, version: str) -> bool:
         engines = self.cluster.addresses['engines'].values()
         return all(
             call_json(address, '/status', '')['version'] == version
@@ -159,7 +156,7 @@
         address = self.cluster.addresses['engines']['stage0-0']
         return self.cluster.read_stats(address)
 
-    def _find_commander(self) -> NodeProcess:
+    def _find_leader(self) -> NodeProcess:
         return next(
             node
             for node in self.cluster.nodes
