--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Prefix caches: used for placement, apart for each account."""
+"""Prefix caches: used for placement, separate for each account."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TestDigests(unittest.TestCase):
-    """A prefix is named by its text and its account."""
+    """A prefix is identified by its text and its account."""
 
     def test_accounts_share_no_digest(self) -> None:
         """Not even for the same prompt."""
@@ -29,7 +29,7 @@
         self.assertFalse(ours & theirs)
 
     def test_prompts_share_the_digests_of_their_common_blocks(self) -> None:
-        """And none after the first block that differs."""
+        """No digest after the first different block is shared."""
         other = _PROMPT[: 2 * BLOCK_CHARS] + 'x' + _PROMPT
         one = digest_prefixes('viti', _PROMPT)
         two = digest_prefixes('viti', other)
@@ -37,41 +37,39 @@
         self.assertNotEqual(one[2], two[2])
 
 
-class TestPrefixMap(unittest.TestCase):
-    """Events come late and with gaps."""
+class TestPrefixIndex(unittest.TestCase):
+    """Cache events arrive late and with gaps."""
 
     def setUp(self) -> None:
-        """Know of two engines."""
-        self.known = PrefixIndex()
-        self.known.apply_events('e1', CacheNews(1, 2, ('a', 'b')))
-        self.known.apply_events('e2', CacheNews(1, 1, ('a',)))
-
-    def test_longest_known_prefix_decides(self) -> None:
-        """Whoever holds more of the prompt is preferred."""
-        self.assertEqual(self.known.find_endpoints(('a', 'b')), {'e1'})
-        self.assertEqual(self.known.find_endpoints(('a', 'x')), {'e1', 'e2'})
-        self.assertEqual(self.known.find_endpoints(('x',)), frozenset())
-
-    def test_after_a_gap_nothing_is_believed(self) -> None:
-        """What was evicted meanwhile is not known.
-
-        Symptom: an account's work all goes to one engine, which misses.
-        Sequence: events 3 to 8 are lost; among them are evictions.
-        Cause: what was known before the gap was still believed.
+        """Index the caches of two engines."""
+        self.index = PrefixIndex()
+        self.index.apply_events('e1', CacheNews(1, 2, ('a', 'b')))
+        self.index.apply_events('e2', CacheNews(1, 1, ('a',)))
+
+    def test_longest_indexed_prefix_decides(self) -> None:
+        """The engine that has more of the prompt cached is preferred."""
+        self.assertEqual(self.index.find_endpoints(('a', 'b')), {'e1'})
+        self.assertEqual(self.index.find_endpoints(('a', 'x')), {'e1', 'e2'})
+        self.assertEqual(self.index.find_endpoints(('x',)), frozenset())
+
+    def test_gap_discards_earlier_entries(self) -> None:
+        """Evictions among the missed events are unknown.
+
+        Guards against sending an account's requests to an engine that has
+        evicted their prefix.
         """
-        self.known.apply_events('e1', CacheNews(9, 9, ('c',)))
-        self.assertEqual(self.known.find_endpoints(('a', 'b')), {'e2'})
-        self.assertEqual(self.known.find_endpoints(('c',)), {'e1'})
-
-    def test_engine_that_starts_over(self) -> None:
-        """Its numbers are low again; its cache is empty."""
-        self.known.apply_events('e1', CacheNews(1, 1, ()))
-        self.assertEqual(self.known.find_endpoints(('b',)), frozenset())
-
-    def test_evictions_are_taken(self) -> None:
-        """An engine that has let go is no holder."""
-        self.known.apply_events('e1', CacheNews(3, 3, (), ('b',)))
-        self.assertEqual(self.known.find_endpoints(('b',)), frozenset())
+        self.index.apply_events('e1', CacheNews(9, 9, ('c',)))
+        self.assertEqual(self.index.find_endpoints(('a', 'b')), {'e2'})
+        self.assertEqual(self.index.find_endpoints(('c',)), {'e1'})
+
+    def test_engine_restart(self) -> None:
+        """Its event numbers start again and its cache is empty."""
+        self.index.apply_events('e1', CacheNews(1, 1, ()))
+        self.assertEqual(self.index.find_endpoints(('b',)), frozenset())
+
+    def test_evictions_are_applied(self) -> None:
+        self.index.apply_events('e1', CacheNews(3, 3, (), ('b',)))
+        self.assertEqual(self.index.find_endpoints(('b',)), frozenset())
 
 
 class TestPlacementByCache(ClusterCase):
