--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -71,7 +71,7 @@
         log = self.log
 
         class RacingStore(MemoryStore):
-            """Lets another operator win just before each commit."""
+            """Submits another change just before the first commit."""
 
             raced = False
 
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -121,7 +121,7 @@
             for command in commands
             if isinstance(command, RefuseRequest)
         ]
-        records = {
+        outcomes = {
             (problem.status, problem.outcome)
             for problem in problems
             if problem.code == 'quarantined'
@@ -130,7 +130,7 @@
             (HTTPStatus.BAD_GATEWAY, Outcome.MAY_HAVE_RUN),
             (HTTPStatus.SERVICE_UNAVAILABLE, Outcome.NOT_RUN),
         }
-        self.assertEqual(records, expected)
+        self.assertEqual(outcomes, expected)
 
     def test_failure_probes_each_endpoint_once(self) -> None:
         """The loss of many engines does not multiply the probes."""
@@ -155,9 +155,9 @@
         while pending:
             command = pending.pop(0)
             if isinstance(command, OpenAttempt):
-                replies = self.run_attempt(command, tokens, has_ended)
-                commands += replies
-                pending += replies
+                emitted = self.run_attempt(command, tokens, has_ended)
+                commands += emitted
+                pending += emitted
         self.now += 1.0
         commands += self.apply(TimePassed())
         return commands
--- a/samphirerill/tests/test_evidence.py
+++ b/samphirerill/tests/test_evidence.py
@@ -51,7 +51,7 @@
         self.assertIn('behind', self.find_doubt())
 
     def test_outage_for_all_nodes(self) -> None:
-        """Nodes that reach most others, none with a recent read, keep serving."""
+        """Peers in contact without recent reads mean an outage."""
         self.receive_reports(4, fresh_age_s=100)
         self.assertEqual(self.find_doubt(), '')
 
--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -17,7 +17,7 @@
 _LINK = ('one', 'two')
 _SLOW_MS = 60.0
 _FAST_MS = 0.3
-_MIGRATION_TOKENS = 8
+_TOKENS = 8
 _AFTER_EXPIRY_S = 3600.0
 _PROMPT = 'a hem that has to be taken up by two fingers and a half. ' * 8
 
@@ -59,15 +59,15 @@
         """A long prompt is not prefilled elsewhere for one busy moment."""
         opened = self.open()
         migrations = self.report(opened, 0, _SLOW_MS)
-        for index in range(1, 3 * _MIGRATION_TOKENS):
-            hop_ms = _SLOW_MS if index == 2 * _MIGRATION_TOKENS else _FAST_MS
+        for index in range(1, 3 * _TOKENS):
+            hop_ms = _SLOW_MS if index == 2 * _TOKENS else _FAST_MS
             migrations += self.report(opened, index, hop_ms)
         self.assertEqual(migrations, [])
 
     def test_consistently_slow_hop_migrates(self) -> None:
         opened = self.open()
         migrations = self.report(opened, 0, _SLOW_MS)
-        for index in range(1, _MIGRATION_TOKENS + 1):
+        for index in range(1, _TOKENS + 1):
             migrations += self.report(opened, index, _SLOW_MS)
         self.assertEqual(len(migrations), 1)
 
@@ -121,20 +121,18 @@
 
     def test_repeated_prompts_hit_the_cache_once_each(self) -> None:
         """A repeated prompt neither runs twice nor misses its cache."""
-        complete(self.callers, COACH_KEY, 'plans', _PROMPT, _MIGRATION_TOKENS)
-        wait_for(self._is_known, 'the cache at the node')
+        complete(self.callers, COACH_KEY, 'plans', _PROMPT, _TOKENS)
+        wait_for(self._is_indexed, 'the cached prefix in the node index')
         for number in range(6):
             self._delay(_SLOW_MS if number % 3 < 2 else 0)
-            complete(
-                self.callers, COACH_KEY, 'plans', _PROMPT, _MIGRATION_TOKENS
-            )
+            complete(self.callers, COACH_KEY, 'plans', _PROMPT, _TOKENS)
             self.assertEqual(self._count('cache_hits'), number + 1)
 
     def _delay(self, link_ms: float) -> None:
         for address in self.cluster.addresses['engines'].values():
             self.cluster.control(address, link_ms=link_ms)
 
-    def _is_known(self) -> bool:
+    def _is_indexed(self) -> bool:
         core = self.cluster.nodes[0].read_state()['core']
         return bool(core['known_prefixes'])
 
--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -73,19 +73,19 @@
 
 
 class TestPlacementByCache(ClusterCase):
-    """The same prompt goes where its prefix is."""
+    """A repeated prompt goes to the engine that has its prefix cached."""
 
-    def test_repeated_prompt_hits_and_a_stranger_misses(self) -> None:
-        """An account profits from its own cache and from no other's."""
+    def test_repeated_prompt_hits_only_for_its_account(self) -> None:
+        """An account uses its own cache entries and no other account's."""
         complete(self.callers, COACH_KEY, 'plans', _PROMPT, 2)
-        wait_for(self._is_known, 'cache news at the node')
+        wait_for(self._is_indexed, 'cache events at the node')
         for _ in range(3):
             complete(self.callers, COACH_KEY, 'plans', _PROMPT, 2)
         self.assertEqual(self._count('cache_hits'), 3)
         complete(self.callers, BRIDAL_KEY, 'plans', _PROMPT, 2)
         self.assertEqual(self._count('cache_hits'), 3)
 
-    def _is_known(self) -> bool:
+    def _is_indexed(self) -> bool:
         core = self.cluster.nodes[0].read_state()['core']
         return bool(core['known_prefixes'])
 
