--- a/samphirerill/core/admission.py
+++ b/samphirerill/core/admission.py
@@ -76,11 +76,15 @@
         """
         queues = self._classes[priority].queues
         own = len(queues.get(account, ()))
-        same = sum(min(len(queue), own + 1) for queue in queues.values())
+        same_priority = sum(
+            min(len(queue), own + 1) for queue in queues.values()
+        )
         if priority == HIGH:
-            return same
-        high = self._classes[HIGH].size()
-        return same + min(high, (same + 1) * (NORMAL_INTERVAL - 1))
+            return same_priority
+        high_priority = self._classes[HIGH].size()
+        return same_priority + min(
+            high_priority, (same_priority + 1) * (NORMAL_INTERVAL - 1)
+        )
 
     def add(self, entry: QueueEntry, *, at_front: bool = False) -> None:
         """Queue a request; `at_front` is for one that already ran."""
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -100,7 +100,7 @@
         on_attempt_broke(failure, state, now)
         return
     req.delivered += 1
-    attempt.got_token = True
+    attempt.has_token = True
     record_token(state, attempt, req, now)
     req.failures = 0
     _extend_progress(state, attempt, now)
@@ -246,7 +246,7 @@
 ) -> None:
     limits = state.configuration.limits
     timeout_s = limits.first_token_timeout_s
-    if attempt.got_token:
+    if attempt.has_token:
         timeout_s = limits.progress_timeout_s
     previous_deadline = attempt.progress_deadline
     attempt.progress_deadline = now + timeout_s
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -30,8 +30,8 @@
     from samphirerill.core.state import CoreState
 
 _DRAIN_RETRY_S = 1.0
-_FORBIDDEN_RETRY_S = 2.0
-_FULL_RETRY_S = 1.0
+_UNCONFIRMED_RETRY_S = 2.0
+_QUEUE_FULL_RETRY_S = 1.0
 
 
 @handle.register(RequestArrived)
@@ -92,7 +92,7 @@
     event: ServingForbidden, state: CoreState, now: float
 ) -> None:
     """Accept no new requests while the configuration is unconfirmed."""
-    state.forbidden = event.reason
+    state.suspension_reason = event.reason
 
 
 @handle.register(ServingAllowed)
@@ -100,7 +100,7 @@
     event: ServingAllowed, state: CoreState, now: float
 ) -> None:
     """Accept new requests again."""
-    state.forbidden = ''
+    state.suspension_reason = ''
 
 
 def _find_refusal(
@@ -114,12 +114,12 @@
             'this node is leaving',
             _DRAIN_RETRY_S,
         )
-    if state.forbidden:
+    if state.suspension_reason:
         return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'not-in-force',
-            state.forbidden,
-            _FORBIDDEN_RETRY_S,
+            state.suspension_reason,
+            _UNCONFIRMED_RETRY_S,
         )
     route = state.configuration.routes.get(event.route)
     account = state.configuration.accounts.get(event.account)
@@ -161,7 +161,7 @@
             HTTPStatus.SERVICE_UNAVAILABLE,
             'overloaded',
             'the queue is full',
-            _FULL_RETRY_S,
+            _QUEUE_FULL_RETRY_S,
         )
     ahead = queue.estimate_ahead(account.name, choose_priority(route, account))
     wait_s = ahead * queue.dequeue_interval_s
--- a/samphirerill/core/prefixes.py
+++ b/samphirerill/core/prefixes.py
@@ -101,11 +101,11 @@
     text : str
         The prompt; only its first ``MAX_BLOCKS`` blocks are digested.
     """
-    chain = hashlib.sha256(f'prefix/{account}/'.encode())
+    hasher = hashlib.sha256(f'prefix/{account}/'.encode())
     digests = []
     blocks = min(MAX_BLOCKS, len(text) // BLOCK_CHARS)
     for block in range(blocks):
         start = block * BLOCK_CHARS
-        chain.update(text[start : start + BLOCK_CHARS].encode())
-        digests.append(chain.hexdigest()[:_DIGEST_CHARS])
+        hasher.update(text[start : start + BLOCK_CHARS].encode())
+        digests.append(hasher.hexdigest()[:_DIGEST_CHARS])
     return tuple(digests)
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -20,7 +20,7 @@
     return {
         'configuration_version': state.configuration.version,
         'draining': state.draining,
-        'forbidden': state.forbidden,
+        'forbidden': state.suspension_reason,
         'nodes': state.node_count,
         'requests': _count_phases(state),
         'attempts': len(state.attempts),
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -90,7 +90,7 @@
     stages: tuple[Stage, ...]
     progress_deadline: float
     sent: bool = False
-    got_token: bool = False
+    has_token: bool = False
     first_token_at: float = 0
     last_token_at: float = 0
     last_slow_index: int = -1
@@ -142,7 +142,7 @@
         'deadlines',
         'draining',
         'endpoints',
-        'forbidden',
+        'suspension_reason',
         'leaving',
         'links',
         'node',
@@ -181,7 +181,7 @@
         self.now = 0.0
         self.last_attempt_number = 0
         self.draining = False
-        self.forbidden = ''
+        self.suspension_reason = ''
         self.commands: list[Command] = []
 
     def emit(self, command: Command) -> None:
--- a/samphirerill/core/subsets.py
+++ b/samphirerill/core/subsets.py
@@ -15,7 +15,7 @@
     from samphirerill.core.state import EndpointState
 
 MAX_SUBSET_REPLICAS = 24
-LayerRange = tuple[str, int, int]
+GroupKey = tuple[str, int, int]
 
 
 def group_by_model(
@@ -26,14 +26,14 @@
     At least one replica is kept for each range of layers, so every node can
     build a pipeline for each model that the fleet covers.
     """
-    by_range: dict[LayerRange, list[EndpointState]] = {}
+    groups: dict[GroupKey, list[EndpointState]] = {}
     for replica in endpoints.values():
         endpoint = replica.endpoint
-        layer_range = (endpoint.model, endpoint.first, endpoint.last)
-        by_range.setdefault(layer_range, []).append(replica)
+        group_key = (endpoint.model, endpoint.first, endpoint.last)
+        groups.setdefault(group_key, []).append(replica)
     grouped: dict[str, list[EndpointState]] = {}
-    for layer_range, replicas in by_range.items():
-        grouped.setdefault(layer_range[0], []).extend(
+    for group_key, replicas in groups.items():
+        grouped.setdefault(group_key[0], []).extend(
             _select_subset(node, replicas)
         )
     return grouped
