--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -27,7 +27,7 @@
 class PeerReport:
     """A peer's latest report; times are on this node's clock."""
 
-    heard_at: float
+    received_at: float
     store_read_at: float
     version: int
 
@@ -48,10 +48,10 @@
         self._own_read_at = max(self._own_read_at, now)
 
     def note_peer(
-        self, peer: str, now: float, fresh_age_s: float, version: int
+        self, peer: str, now: float, read_age_s: float, version: int
     ) -> None:
         """Record a peer's version and the age of its last read."""
-        self._peers[peer] = PeerReport(now, now - fresh_age_s, version)
+        self._peers[peer] = PeerReport(now, now - read_age_s, version)
 
     def own_age_s(self, now: float) -> float:
         """Return the age of this node's last read of the service."""
@@ -81,25 +81,25 @@
 
     def _remove_silent_peers(self, now: float) -> None:
         for peer, report in tuple(self._peers.items()):
-            if now - report.heard_at > FORGET_AFTER_S:
+            if now - report.received_at > FORGET_AFTER_S:
                 self._peers.pop(peer)
 
     def _find_reason(self, now: float, version: int, known_nodes: int) -> str:
         if now - self._own_read_at <= FRESH_FOR_S:
             return ''
-        heard = [
+        recent = [
             report
             for report in self._peers.values()
-            if now - report.heard_at <= FRESH_FOR_S
+            if now - report.received_at <= FRESH_FOR_S
         ]
-        fresh = [
+        fresh_reports = [
             report
-            for report in heard
+            for report in recent
             if now - report.store_read_at <= FRESH_FOR_S
         ]
-        if fresh:
-            newest = max(report.version for report in fresh)
+        if fresh_reports:
+            newest = max(report.version for report in fresh_reports)
             return '' if version >= newest else 'this node is behind its peers'
-        if 2 * (len(heard) + 1) >= known_nodes:
+        if 2 * (len(recent) + 1) >= known_nodes:
             return ''
         return 'this node is cut off from the service and most other nodes'
--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -58,18 +58,20 @@
     """
 
     fence: int
-    won_at: float
+    acquired_at: float
     act_until: float
 
     @classmethod
-    def begin(cls, fence: int, asked_at: float, won_at: float) -> Tenure:
+    def begin(
+        cls, fence: int, requested_at: float, acquired_at: float
+    ) -> Tenure:
         """Return the term of a leader that has just acquired its key."""
-        return cls(fence, won_at, asked_at + LEASE_S - SAFETY_MARGIN_S)
+        return cls(fence, acquired_at, requested_at + LEASE_S - SAFETY_MARGIN_S)
 
-    def renew(self, asked_at: float) -> None:
+    def renew(self, requested_at: float) -> None:
         """Extend the term by a renewal that was sent at a given time."""
         self.act_until = max(
-            self.act_until, asked_at + LEASE_S - SAFETY_MARGIN_S
+            self.act_until, requested_at + LEASE_S - SAFETY_MARGIN_S
         )
 
     def may_order(self, now: float, *, checks_fencing: bool) -> bool:
@@ -80,7 +82,7 @@
         """
         if now + ORDER_TIMEOUT_S >= self.act_until:
             return False
-        safe_at = self.won_at + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
+        safe_at = self.acquired_at + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
         return checks_fencing or now >= safe_at
 
 
@@ -106,15 +108,15 @@
     loads_at_once : int
         How many engines of the fleet may read from the weight store at a time.
     """
-    free = loads_at_once - sum(
+    free_loads = loads_at_once - sum(
         1 for status in statuses.values() if status.is_loading
     )
     orders = []
     for endpoint in endpoints:
         order = _plan_order(endpoint, statuses, tenure, now)
-        if order is None or (order.needs_weights and free <= 0):
+        if order is None or (order.needs_weights and free_loads <= 0):
             continue
-        free -= order.needs_weights
+        free_loads -= order.needs_weights
         orders.append(order)
     return orders
 
--- a/samphirerill/tests/test_evidence.py
+++ b/samphirerill/tests/test_evidence.py
@@ -23,12 +23,12 @@
         return self.evidence.find_doubt(_LATER_S, version, known_nodes)
 
     def receive_reports(
-        self, count: int, fresh_age_s: float, version: int = 5
+        self, count: int, read_age_s: float, version: int = 5
     ) -> None:
         """Receive recent reports of some peers."""
         for at in (_LATER_S - GRACE_S, _LATER_S):
             for peer in range(count):
-                self.evidence.note_peer(f'n{peer}', at, fresh_age_s, version)
+                self.evidence.note_peer(f'n{peer}', at, read_age_s, version)
 
     def test_own_recent_read_is_enough(self) -> None:
         """Whatever the peers report."""
@@ -38,7 +38,7 @@
 
     def test_recent_read_of_a_peer_is_enough(self) -> None:
         """The peer has the same version."""
-        self.receive_reports(1, fresh_age_s=0.5)
+        self.receive_reports(1, read_age_s=0.5)
         self.assertEqual(self.find_doubt(), '')
 
     def test_older_version_than_a_peer(self) -> None:
@@ -47,12 +47,12 @@
         Guards against serving a route that operators have removed, at a node
         that cannot reach the service and missed the change.
         """
-        self.receive_reports(1, fresh_age_s=0.5, version=6)
+        self.receive_reports(1, read_age_s=0.5, version=6)
         self.assertIn('behind', self.find_doubt())
 
     def test_outage_for_all_nodes(self) -> None:
         """Peers in contact without recent reads mean an outage."""
-        self.receive_reports(4, fresh_age_s=100)
+        self.receive_reports(4, read_age_s=100)
         self.assertEqual(self.find_doubt(), '')
 
     def test_node_without_peers_is_partitioned(self) -> None:
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -38,7 +38,7 @@
 
     def setUp(self) -> None:
         """Acquire the key at a known time."""
-        self.tenure = Tenure.begin(7, asked_at=_NOW, won_at=_NOW + 0.1)
+        self.tenure = Tenure.begin(7, requested_at=_NOW, acquired_at=_NOW + 0.1)
 
     def test_paused_leader_sends_no_orders(self) -> None:
         """A pause past the lease is noticed by the clock.
@@ -48,12 +48,12 @@
         """
         late = _NOW + LEASE_S - SAFETY_MARGIN_S
         self.assertFalse(self.tenure.may_order(late, checks_fencing=True))
-        self.tenure.renew(asked_at=_NOW + 5)
+        self.tenure.renew(requested_at=_NOW + 5)
         self.assertTrue(self.tenure.may_order(late, checks_fencing=True))
 
     def test_renewal_counts_from_its_request(self) -> None:
         """A slow reply does not extend the term."""
-        self.tenure.renew(asked_at=_NOW - 50)
+        self.tenure.renew(requested_at=_NOW - 50)
         end = self.tenure.act_until
         self.assertEqual(end, _NOW + LEASE_S - SAFETY_MARGIN_S)
 
