--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -35,7 +35,7 @@
 class Evidence:
     """Tracks recent reads of the service, own and reported by peers."""
 
-    __slots__ = ('_unconfirmed_since', '_own_read_at', '_peers', '_started_at')
+    __slots__ = ('_own_read_at', '_peers', '_started_at', '_unconfirmed_since')
 
     def __init__(self, now: float) -> None:
         self._started_at = now
--- a/samphirerill/core/admission.py
+++ b/samphirerill/core/admission.py
@@ -52,8 +52,8 @@
     __slots__ = (
         '_classes',
         '_high_streak',
-        'last_dequeue_at',
         'dequeue_interval_s',
+        'last_dequeue_at',
     )
 
     def __init__(self) -> None:
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -12,9 +12,9 @@
     ProbeEndpoint,
 )
 from samphirerill.core.ending import (
-    remove_attempt,
     finish_request,
     get_queue_name,
+    remove_attempt,
 )
 from samphirerill.core.events import (
     AttemptBroke,
@@ -39,9 +39,9 @@
 )
 from samphirerill.core.starting import (
     dispatch_queue,
+    requeue_at_front,
     retry_or_refuse,
     start_attempt,
-    requeue_at_front,
 )
 from samphirerill.core.state import Health
 
@@ -54,6 +54,7 @@
 
 LEAVING_DETAIL = 'leaving'
 PROBE_INTERVAL_S = 2.0
+# An alternative must be predicted to take at most this share of the time.
 _MAX_MIGRATION_RATIO = 0.6
 _MIN_SLOW_HOP_MS = 5.0
 _MIN_REMAINING_TOKENS = 4
@@ -279,6 +280,8 @@
         # is used up says nothing about how many are left.
         return
     worst = hops_ms.index(max(hops_ms))
+    # Avoid the target of the slowest hop; if that hop leads back to the first
+    # stage, its source.
     target = attempt.stages[(worst + 1) % len(attempt.stages)].endpoint
     if worst + 1 == len(attempt.stages):
         target = attempt.stages[worst].endpoint
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -13,16 +13,16 @@
     SettleClaim,
 )
 from samphirerill.core.ending import (
-    remove_request,
     get_queue_name,
     refuse_request,
+    remove_request,
 )
 from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import (
     dispatch_queue,
-    start_attempt,
     requeue_at_front,
+    start_attempt,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -14,9 +14,9 @@
 
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.core.ending import (
+    determine_outcome,
     get_queue_name,
     refuse_request,
-    determine_outcome,
 )
 from samphirerill.core.events import EvidenceTold
 from samphirerill.core.handling import handle
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -8,9 +8,9 @@
 from samphirerill.core.admission import QueueEntry
 from samphirerill.core.commands import Outcome, Problem, RefuseRequest
 from samphirerill.core.ending import (
-    remove_request,
-    get_queue_name,
     determine_outcome,
+    get_queue_name,
+    remove_request,
 )
 from samphirerill.core.events import (
     CallerLeft,
@@ -22,7 +22,7 @@
 from samphirerill.core.handling import handle
 from samphirerill.core.model import choose_priority
 from samphirerill.core.on_endings import find_quarantine_problem
-from samphirerill.core.starting import dispatch_queue, deposit_retry, get_queue
+from samphirerill.core.starting import deposit_retry, dispatch_queue, get_queue
 from samphirerill.core.state import Phase, RequestState
 
 if TYPE_CHECKING:
--- a/samphirerill/core/placement.py
+++ b/samphirerill/core/placement.py
@@ -24,7 +24,9 @@
 
 _MAX_CANDIDATES = 6
 _MAX_HEADS = 3
+# Random increase of predicted stage times, so that nodes spread out.
 _JITTER = 0.1
+# Factor on the predicted time of pipelines that start at a cached prefix.
 _CACHE_HIT_FACTOR = 0.5
 _MIN_HOP_MS = 0.3
 SLOW_START_S = 5.0
@@ -263,15 +265,15 @@
 
 def _sample_candidates(
     state: CoreState,
-    replica: list[EndpointState],
+    replicas: list[EndpointState],
     count: int,
     preferred: frozenset[str],
 ) -> list[EndpointState]:
     """Sample candidates, so that nodes with equal state choose differently."""
-    if len(replica) <= count:
-        return replica
-    matching = [item for item in replica if item.endpoint.name in preferred]
-    sample = state.random.sample(replica, min(len(replica), 2 * count))
+    if len(replicas) <= count:
+        return replicas
+    matching = [item for item in replicas if item.endpoint.name in preferred]
+    sample = state.random.sample(replicas, min(len(replicas), 2 * count))
     sample.sort(key=_compute_utilization)
     return (matching + sample)[:count]
 
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -134,28 +134,28 @@
 
     __slots__ = (
         'attempts',
-        'suspected_crashes',
         'budgets',
         'by_model',
+        'commands',
         'configuration',
         'counters',
         'deadlines',
         'draining',
         'endpoints',
-        'suspension_reason',
+        'last_attempt_number',
         'leaving',
         'links',
         'node',
         'node_count',
         'now',
-        'commands',
         'pools',
         'prefixes',
         'quarantine',
         'random',
         'requests',
         'running_by_account',
-        'last_attempt_number',
+        'suspected_crashes',
+        'suspension_reason',
     )
 
     def __init__(self, node: str, seed: int) -> None:
