--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -199,9 +199,9 @@
         self.router.apply(AttemptSent(opened.attempt_id), 0)
         migrated = self._pass_time(0.9)
         self.assertEqual(len(migrated), 1)
-        again = migrated[0].attempt_id
-        self.router.apply(AttemptSent(again), 0.9)
-        self.router.apply(AttemptProgressed(again), 1.0)
+        second_attempt_id = migrated[0].attempt_id
+        self.router.apply(AttemptSent(second_attempt_id), 0.9)
+        self.router.apply(AttemptProgressed(second_attempt_id), 1.0)
         self.assertEqual(self._pass_time(3.9), [])
         self.assertEqual(len(self._pass_time(4.1)), 1)
 
@@ -276,9 +276,11 @@
             commands = self.router.apply(failure, 0.1)
             for name in self.router.state.endpoints:
                 self.router.apply(ProbeAnswered(name, alive=True), 0.1)
-            found = [item for item in commands if isinstance(item, OpenAttempt)]
-            self.assertEqual(len(found), 1, index)
-            opened = found[0]
+            retried = [
+                item for item in commands if isinstance(item, OpenAttempt)
+            ]
+            self.assertEqual(len(retried), 1, index)
+            opened = retried[0]
 
 
 class TestDeadlines(RouterCase):
--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -88,11 +88,11 @@
     def open(self) -> OpenAttempt:
         """Start requests until one runs over several stages; end the others."""
         opened = [self.begin(f'r{number}') for number in range(4)]
-        wanted = next(item for item in opened if len(item.stages) > 1)
+        multi_stage = next(item for item in opened if len(item.stages) > 1)
         for other in opened:
-            if other is not wanted:
+            if other is not multi_stage:
                 self.finish(other, _FAST_MS)
-        return wanted
+        return multi_stage
 
     def begin(self, name: str, **fields: object) -> OpenAttempt:
         opened = self.ask(name, 0, **fields)[0]
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -33,7 +33,7 @@
     )
 
 
-class TestTenure(unittest.TestCase):
+class TestLeaderTerm(unittest.TestCase):
     """A leader stops before its lease can expire."""
 
     def setUp(self) -> None:
