--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -24,7 +24,7 @@
     It is "not run" only if no attempt may have run: each was either never sent
     or explicitly refused by its endpoint.
     """
-    if req.ambiguous_attempts or req.delivered:
+    if req.unsure_attempts or req.delivered:
         return Outcome.MAY_HAVE_RUN
     return Outcome.NOT_RUN
 
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -69,7 +69,7 @@
     if attempt is None or attempt.sent:
         return
     attempt.sent = True
-    state.requests[attempt.request_id].ambiguous_attempts += 1
+    state.requests[attempt.request_id].unsure_attempts += 1
 
 
 @handle.register(TokenArrived)
@@ -139,7 +139,7 @@
     req = state.requests[attempt.request_id]
     head = attempt.stages[0].endpoint
     if attempt.sent:
-        req.ambiguous_attempts -= 1
+        req.unsure_attempts -= 1
     remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     req.avoid.add(head)
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -204,7 +204,7 @@
 def _may_retry(req: RequestState) -> bool:
     if req.route.idempotent:
         return True
-    return not req.ambiguous_attempts and not req.delivered
+    return not req.unsure_attempts and not req.delivered
 
 
 def _withdraw_retry(state: CoreState, req: RequestState) -> bool:
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -48,7 +48,7 @@
 class RequestState:
     """One request without a final answer.
 
-    `delivered` is the index of the next token to deliver. `ambiguous_attempts`
+    `delivered` is the index of the next token to deliver. `unsure_attempts`
     counts attempts that may have run; `failures` counts those that failed
     since the last token.
     """
@@ -70,7 +70,7 @@
     delivered: int = 0
     attempts: int = 0
     failures: int = 0
-    ambiguous_attempts: int = 0
+    unsure_attempts: int = 0
     attempt_id: str = ''
     avoid: set[str] = field(default_factory=set)
 
