--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -8,9 +8,9 @@
     config-parts/ID/000         a part of a change or snapshot
 
 A change is accepted by one transaction that replaces ``head`` if it is
-unchanged and adds the log entry. Changes travel as patches, so 4,200 a day
-cost each node a few bytes a second, whatever the whole's size. What is too
-large for one value is written in parts first, under an id nobody else uses.
+unchanged and adds the log entry. Changes are stored as patches, so the traffic
+of a change does not depend on the size of the configuration. Texts too large
+for one value are written in parts first, under a unique id.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
     Unchanged,
 )
 from samphirerill.control.errors import ConfigurationError, InvalidPatchError
-from samphirerill.control.parts import PART_CHARS, Parts
+from samphirerill.control.parts import PART_CHARS, PartStore
 from samphirerill.control.patches import apply_patch
 from samphirerill.settings.checks import check_configuration
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import Committed, KeyValueStore
 
-HEAD = 'shared/config/head'
+HEAD_KEY = 'shared/config/head'
 LOG = 'shared/config/log/'
-SNAPSHOT = 'shared/config/snapshot'
-SNAPSHOT_EVERY = 50
-KEPT_CHANGES = 500
-_SETTLE_S = 5.0
-_SETTLE_PAUSE_S = 0.1
+SNAPSHOT_KEY = 'shared/config/snapshot'
+SNAPSHOT_INTERVAL = 50
+RETAINED_CHANGES = 500
+_COMMIT_TIMEOUT_S = 5.0
+_RETRY_PAUSE_S = 0.1
 
 
 class StaleBaseError(ConfigurationError):
-    """The patch was written against a version that is no longer current."""
+    """The patch was written against a version that is not current."""
 
     def __init__(self, base: int, current: int) -> None:
         self.base = base
@@ -58,7 +58,7 @@
 
 
 class UnknownResultError(ConfigurationError):
-    """The service fell silent after the write; it may have taken effect."""
+    """The service did not answer; the write may have taken effect."""
 
     def __init__(self, version: int) -> None:
         super().__init__(
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class Loaded:
-    """A whole configuration read from the service."""
+    """A complete configuration read from the service."""
 
     version: int
     document: dict[str, Any]
@@ -101,28 +101,28 @@
 class ConfigurationLog:
     """Reads and extends the configuration in the service.
 
-    Every method blocks; call from a thread that may wait.
+    All methods block; call them from a worker thread.
     """
 
     def __init__(
         self,
         store: KeyValueStore,
         prefix: str,
-        settle_pause_s: float = _SETTLE_PAUSE_S,
+        settle_pause_s: float = _RETRY_PAUSE_S,
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._settle_pause_s = settle_pause_s
-        self._parts = Parts(store, prefix)
+        self._retry_pause_s = settle_pause_s
+        self._parts = PartStore(store, prefix)
 
     def load(self) -> Loaded:
-        """Read the newest snapshot and all changes since."""
-        found = self._store.read_prefix(f'{self._prefix}shared/config/')
+        """Read the newest snapshot and all later changes."""
+        stored = self._store.read_prefix(f'{self._prefix}shared/config/')
         by_key = {
             entry.key.removeprefix(self._prefix): entry
-            for entry in found.entries
+            for entry in stored.entries
         }
-        version, document = self._read_snapshot(by_key.get(SNAPSHOT))
+        version, document = self._read_snapshot(by_key.get(SNAPSHOT_KEY))
         changes = [
             self.read_change(entry)
             for key, entry in by_key.items()
@@ -132,14 +132,16 @@
             if change.version == version + 1:
                 document = apply_patch(document, change.patch)
                 version = change.version
-        return Loaded(version, document, found.revision, changes)
+        return Loaded(version, document, stored.revision, changes)
 
     def read_version(self) -> int:
-        """Return the version now accepted; one small read."""
-        return _read_head(self._store.read_prefix(self._key(HEAD)).entries)[0]
+        """Return the accepted version with one small read."""
+        return _read_head(self._store.read_prefix(self._key(HEAD_KEY)).entries)[
+            0
+        ]
 
     def read_change(self, entry: Stored) -> Change:
-        """Return a log entry's change, its parts fetched if it has any."""
+        """Return a log entry's change, fetching its parts if any."""
         document = json.loads(entry.text)
         if 'parts' in document:
             text = self._parts.read(document['id'])
@@ -148,10 +150,10 @@
 
     def read_changes(self, after: int) -> list[Change]:
         """Return the changes after a version, in order."""
-        found = self._store.read_prefix(self._key(LOG))
+        stored = self._store.read_prefix(self._key(LOG))
         return [
             self.read_change(entry)
-            for entry in found.entries
+            for entry in stored.entries
             if int(entry.key.rpartition('/')[2]) > after
         ]
 
@@ -163,7 +165,7 @@
         *,
         dry_run: bool = False,
     ) -> Change:
-        """Accept a patch against a version, or say why not.
+        """Accept a patch against a version, or raise why not.
 
         Parameters
         ----------
@@ -174,7 +176,7 @@
         author : str
             Who submits it, for the history.
         dry_run : bool
-            Check all, write nothing.
+            Check everything but write nothing.
 
         Raises
         ------
@@ -183,9 +185,9 @@
         InvalidPatchError
             The result would be invalid; nothing was written.
         UnknownResultError
-            The service fell silent after the write.
+            The service did not answer the write; it may have taken effect.
         StoreError
-            The service could not be asked; nothing was written.
+            The service could not be reached; nothing was written.
         """
         loaded = self.load()
         if loaded.version != base:
@@ -201,56 +203,63 @@
         return change
 
     def _write(self, change: Change) -> None:
-        head = self._store.read_prefix(self._key(HEAD)).entries
+        head = self._store.read_prefix(self._key(HEAD_KEY)).entries
         version, revision = _read_head(head)
         if version != change.version - 1:
             raise StaleBaseError(change.version - 1, version)
         transaction = Transaction(
-            conditions=[Unchanged(self._key(HEAD), revision)],
+            conditions=[Unchanged(self._key(HEAD_KEY), revision)],
             puts=[
-                Put(self._key(HEAD), json.dumps({'version': change.version})),
-                Put(self._log_key(change.version), self._pack(change)),
+                Put(
+                    self._key(HEAD_KEY), json.dumps({'version': change.version})
+                ),
+                Put(
+                    self._log_key(change.version),
+                    self._serialize_change(change),
+                ),
             ],
-            read=[self._log_key(change.version), self._key(HEAD)],
+            read=[self._log_key(change.version), self._key(HEAD_KEY)],
         )
-        self._settle(change, transaction)
+        self._commit_change(change, transaction)
 
-    def _settle(self, change: Change, transaction: Transaction) -> None:
-        """Commit; if the answer is lost, find out what became of the write.
+    def _commit_change(self, change: Change, transaction: Transaction) -> None:
+        """Commit a change and, if the reply is lost, find out its result.
 
-        The same transaction is sent again until an answer comes. It can't be
-        applied twice, as it needs ``head`` unchanged; if it fails and the log
-        entry has this change's id, it was the first sending that took effect.
+        The same transaction is repeated until a reply arrives. It cannot be
+        applied twice, as it requires ``head`` to be unchanged. If it fails and
+        the log entry has this change's id, an earlier attempt took effect.
         """
-        done = self._commit_surely(change, transaction)
-        if not done.succeeded:
-            self._check_own(change, done.found)
+        committed = self._commit_with_retries(change, transaction)
+        if not committed.succeeded:
+            self._check_own_change(change, committed.found)
 
-    def _commit_surely(
+    def _commit_with_retries(
         self, change: Change, transaction: Transaction
     ) -> Committed:
-        give_up_at = time.monotonic() + _SETTLE_S
-        unsure = False
-        while time.monotonic() <= give_up_at:
+        deadline = time.monotonic() + _COMMIT_TIMEOUT_S
+        may_have_applied = False
+        while time.monotonic() <= deadline:
             try:
                 return self._store.commit(transaction)
             except StoreUnreachableError as exc:
-                unsure = unsure or exc.may_have_applied
-                if not unsure:
+                may_have_applied = may_have_applied or exc.may_have_applied
+                if not may_have_applied:
                     raise
-            time.sleep(self._settle_pause_s)
+            time.sleep(self._retry_pause_s)
         raise UnknownResultError(change.version)
 
-    def _check_own(self, change: Change, found: dict[str, Stored]) -> None:
-        entry = found.get(self._log_key(change.version))
+    def _check_own_change(
+        self, change: Change, stored: dict[str, Stored]
+    ) -> None:
+        entry = stored.get(self._log_key(change.version))
         if entry and json.loads(entry.text)['id'] == change.change_id:
             return
-        head = found.get(self._key(HEAD))
+        head = stored.get(self._key(HEAD_KEY))
         current = json.loads(head.text)['version'] if head else 0
         raise StaleBaseError(change.version - 1, current)
 
-    def _pack(self, change: Change) -> str:
-        """Return a log entry; write its patch in parts if it is large."""
+    def _serialize_change(self, change: Change) -> str:
+        """Return a log entry; write a large patch in parts."""
         text = json.dumps(change.to_json())
         if len(text) <= PART_CHARS:
             return text
@@ -260,28 +269,30 @@
         return json.dumps(document)
 
     def _write_snapshot(self, version: int, document: Any) -> None:
-        """Now and then keep the whole, so that new nodes need few changes.
+        """Write a snapshot at intervals, so that new nodes load few changes.
 
-        The change is accepted already: a snapshot that fails is made up for
-        by a later one.
+        The change itself is already accepted; if a snapshot fails, a later one
+        replaces it.
         """
-        if version % SNAPSHOT_EVERY:
+        if version % SNAPSHOT_INTERVAL:
             return
         name = f'snapshot-{version}-{uuid.uuid4().hex}'
         try:
             parts = self._parts.write(name, json.dumps(document))
             entry = {'version': version, 'id': name, 'parts': parts}
-            put = Put(self._key(SNAPSHOT), json.dumps(entry))
+            put = Put(self._key(SNAPSHOT_KEY), json.dumps(entry))
             self._store.commit(
-                Transaction(puts=[put], deletes=self._list_old(version))
+                Transaction(
+                    puts=[put], deletes=self._list_expired_keys(version)
+                )
             )
         except StoreUnreachableError:
             return
 
-    def _list_old(self, version: int) -> list[str]:
-        """Return the log entries that a snapshot lets go."""
-        last = version - KEPT_CHANGES
-        first = max(1, last - SNAPSHOT_EVERY)
+    def _list_expired_keys(self, version: int) -> list[str]:
+        """Return the log entries that a snapshot makes obsolete."""
+        last = version - RETAINED_CHANGES
+        first = max(1, last - SNAPSHOT_INTERVAL)
         return [self._log_key(number) for number in range(first, last)]
 
     def _read_snapshot(
--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -1,4 +1,4 @@
-"""One node's copy of the accepted configuration; its number only rises."""
+"""A node's copy of the accepted configuration; its version only increases."""
 
 from __future__ import annotations
 
@@ -10,72 +10,72 @@
 if TYPE_CHECKING:
     from samphirerill.control.configuration_log import Change
 
-_REMEMBERED = 64
+_MAX_RECENT_CHANGES = 64
 
 
 class ConfigurationView:
-    """The document in force at this node and the changes that led to it."""
+    """The document in force at this node and its recent changes."""
 
-    __slots__ = ('_early', 'document', 'known_version', 'recent', 'version')
+    __slots__ = ('_pending', 'document', 'known_version', 'recent', 'version')
 
     def __init__(self) -> None:
         self.version = 0
         self.known_version = 0
         self.document: dict[str, Any] = {}
-        self.recent: deque[Change] = deque(maxlen=_REMEMBERED)
-        self._early: dict[int, Change] = {}
+        self.recent: deque[Change] = deque(maxlen=_MAX_RECENT_CHANGES)
+        self._pending: dict[int, Change] = {}
 
     def install(self, version: int, document: dict[str, Any]) -> bool:
-        """Take a whole document if it is newer; return whether it was."""
+        """Replace the document by a newer one; return whether it was."""
         if version <= self.version:
             return False
         self.version = version
         self.document = document
         self.recent.clear()
-        self._drop_old()
-        self._apply_early()
+        self._discard_applied()
+        self._apply_pending()
         return True
 
     def offer(self, change: Change) -> bool:
-        """Take a change; return whether the version rose.
+        """Apply a change when its turn comes; return whether the version rose.
 
-        Changes may come late, twice or out of order, from the service or
+        Changes may arrive late, twice or out of order, from the service or
         from peers. One that is ahead waits for those before it; one that is
-        not newer is ignored. Applying either would bring back an old
-        configuration, or make one that nobody accepted.
+        not newer is ignored. Applying either at once would restore an old
+        configuration or produce one that was never accepted.
         """
-        before = self.version
+        previous_version = self.version
         if change.version > self.version:
-            self._early[change.version] = change
+            self._pending[change.version] = change
             self.note_known(change.version)
-            self._apply_early()
-        return self.version > before
+            self._apply_pending()
+        return self.version > previous_version
 
     def note_known(self, version: int) -> None:
-        """Remember that a version has been accepted somewhere."""
+        """Record that a version has been accepted."""
         self.known_version = max(self.known_version, version)
 
     def is_behind(self) -> bool:
-        """Tell whether a newer version is known to be accepted."""
+        """Return whether a newer version is known to be accepted."""
         return self.known_version > self.version
 
     def list_after(self, version: int) -> list[Change] | None:
-        """Return the changes after a version, or nothing if forgotten."""
-        found = [item for item in self.recent if item.version > version]
-        if len(found) == self.version - version:
-            return found
+        """Return the changes after a version, or None if not kept."""
+        changes = [item for item in self.recent if item.version > version]
+        if len(changes) == self.version - version:
+            return changes
         return None
 
-    def _apply_early(self) -> None:
-        while self.version + 1 in self._early:
-            change = self._early.pop(self.version + 1)
+    def _apply_pending(self) -> None:
+        while self.version + 1 in self._pending:
+            change = self._pending.pop(self.version + 1)
             self.document = apply_patch(self.document, change.patch)
             self.version = change.version
             self.recent.append(change)
-        self._drop_old()
+        self._discard_applied()
         self.note_known(self.version)
 
-    def _drop_old(self) -> None:
-        for version in tuple(self._early):
+    def _discard_applied(self) -> None:
+        for version in tuple(self._pending):
             if version <= self.version:
-                self._early.pop(version)
+                self._pending.pop(version)
--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -1,4 +1,4 @@
-"""End requests: each exactly once, with the outcome that is true."""
+"""End requests, each exactly once and with the correct outcome."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from samphirerill.core.state import AttemptState, CoreState, RequestState
 
 
-def tell_outcome(req: RequestState) -> Outcome:
-    """Return the outcome of a request that ends without a whole answer.
+def determine_outcome(req: RequestState) -> Outcome:
+    """Return the outcome of a request that ends without a complete answer.
 
-    "Not run" is only said when no attempt is left that may have run: one
-    that was never sent, or that its endpoint refused in so many words.
+    It is "not run" only if no attempt may have run: each was either never sent
+    or explicitly refused by its endpoint.
     """
     if req.unsure_attempts or req.delivered:
         return Outcome.MAY_HAVE_RUN
@@ -30,10 +30,10 @@
 
 
 def finish_request(state: CoreState, req: RequestState) -> None:
-    """End a request whose answer is whole."""
-    _settle(state, req, Outcome.ANSWERED)
+    """End a request whose answer is complete."""
+    _settle_claim(state, req, Outcome.ANSWERED)
     state.emit(FinishAnswer(req.request_id))
-    forget_request(state, req)
+    remove_request(state, req)
     state.counters['answered'] += 1
 
 
@@ -45,54 +45,56 @@
     detail: str,
     retry_after_s: float = 0,
 ) -> None:
-    """End a request without a whole answer and say what is known of it."""
-    outcome = tell_outcome(req)
+    """End a request without a complete answer, with its outcome."""
+    outcome = determine_outcome(req)
     problem = Problem(status, code, detail, outcome, retry_after_s)
-    _settle(state, req, outcome)
-    forget_request(state, req)
+    _settle_claim(state, req, outcome)
+    remove_request(state, req)
     state.emit(RefuseRequest(req.request_id, problem))
     state.counters[f'refused.{code}'] += 1
 
 
-def forget_request(state: CoreState, req: RequestState) -> None:
-    """Drop a request, its place in a queue and its running attempt."""
+def remove_request(state: CoreState, req: RequestState) -> None:
+    """Remove a request, its queue entry and its running attempt."""
     if req.phase is Phase.QUEUED:
-        pool = state.pools.get(name_pool(req))
-        if pool is not None:
-            pool.remove(req.request_id, req.account, req.priority)
+        queue = state.pools.get(get_queue_name(req))
+        if queue is not None:
+            queue.remove(req.request_id, req.account, req.priority)
     else:
-        release_account(state, req)
+        release_account_slot(state, req)
     attempt = state.attempts.get(req.attempt_id)
     if attempt is not None:
-        drop_attempt(state, attempt)
+        remove_attempt(state, attempt)
         state.emit(CancelAttempt(attempt.attempt_id))
     state.requests.pop(req.request_id, None)
 
 
-def drop_attempt(state: CoreState, attempt: AttemptState) -> None:
-    """Forget an attempt and free the places it took at its endpoints."""
+def remove_attempt(state: CoreState, attempt: AttemptState) -> None:
+    """Remove an attempt and free the slots it used at its endpoints."""
     state.attempts.pop(attempt.attempt_id, None)
     for stage in attempt.stages:
-        found = state.endpoints.get(stage.endpoint)
-        if found is not None and found.in_flight:
-            found.in_flight -= 1
+        replica = state.endpoints.get(stage.endpoint)
+        if replica is not None and replica.in_flight:
+            replica.in_flight -= 1
     req = state.requests.get(attempt.request_id)
     if req is not None and req.attempt_id == attempt.attempt_id:
         req.attempt_id = ''
 
 
-def release_account(state: CoreState, req: RequestState) -> None:
-    """Give back the request's place among its account's running ones."""
+def release_account_slot(state: CoreState, req: RequestState) -> None:
+    """Release the request's slot of its account's concurrency limit."""
     state.running_by_account[req.account] -= 1
     if state.running_by_account[req.account] <= 0:
         state.running_by_account.pop(req.account)
 
 
-def name_pool(req: RequestState) -> str:
-    """Return the pool a request waits in: its model's or its route's."""
+def get_queue_name(req: RequestState) -> str:
+    """Return the name of a request's queue, by model or by route."""
     return req.route.model or f'route {req.route.name}'
 
 
-def _settle(state: CoreState, req: RequestState, outcome: Outcome) -> None:
+def _settle_claim(
+    state: CoreState, req: RequestState, outcome: Outcome
+) -> None:
     if req.claimed:
         state.emit(SettleClaim(req.request_id, outcome))
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -1,4 +1,4 @@
-"""Handlers for what becomes of attempts at endpoints."""
+"""Handlers for the events of attempts at endpoints."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     ProbeEndpoint,
 )
 from samphirerill.core.ending import (
-    drop_attempt,
     finish_request,
-    name_pool,
+    get_queue_name,
+    remove_attempt,
 )
 from samphirerill.core.events import (
     AttemptBroke,
@@ -26,22 +26,22 @@
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.on_endings import (
-    note_break,
-    note_survival,
-    note_token,
-    refuse_held,
+    record_failure,
+    record_survival,
+    record_token,
+    refuse_quarantined,
 )
 from samphirerill.core.placement import (
     choose_pipeline,
-    measure_ms,
+    compute_token_ms,
     observe_hops,
-    predict_ms,
+    predict_token_ms,
 )
 from samphirerill.core.starting import (
-    dispatch_pool,
+    dispatch_queue,
+    requeue_at_front,
     retry_or_refuse,
     start_attempt,
-    wait_in_front,
 )
 from samphirerill.core.state import Health
 
@@ -53,17 +53,18 @@
     )
 
 LEAVING_DETAIL = 'leaving'
-SUSPECT_FOR_S = 2.0
-_MOVE_GAIN = 0.6
-_MOVE_LEAST_MS = 5.0
-_MOVE_LEAST_TOKENS = 4
-# Reading a usual prompt on another pipeline takes about so long.
-_MOVE_COST_MS = 300.0
+PROBE_INTERVAL_S = 2.0
+# An alternative must be predicted to take at most this share of the time.
+_MAX_MIGRATION_RATIO = 0.6
+_MIN_SLOW_HOP_MS = 5.0
+_MIN_REMAINING_TOKENS = 4
+# Approximate time to prefill a typical prompt on another pipeline.
+_MIGRATION_COST_MS = 300.0
 
 
 @handle.register(AttemptSent)
 def on_attempt_sent(event: AttemptSent, state: CoreState, now: float) -> None:
-    """From here on the attempt may have run."""
+    """Record that the attempt may have run from now on."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None or attempt.sent:
         return
@@ -73,11 +74,12 @@
 
 @handle.register(TokenArrived)
 def on_token_arrived(event: TokenArrived, state: CoreState, now: float) -> None:
-    """Pass a token on if it is the next one of the current attempt.
+    """Deliver a token if it is the next one of the current attempt.
 
-    Late, crossed or doubled tokens belong to an attempt that is gone or to
-    another epoch or index. Passing one on would show the caller a token
-    twice or someone else's; so they are dropped and their connection goes.
+    Late, repeated or misdirected tokens belong to an attempt that has ended,
+    or to another epoch or index. Delivering one would show the caller a token
+    twice or another caller's token, so they are dropped; except for repeated
+    ones, their attempt is ended too.
     """
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
@@ -86,8 +88,8 @@
         return
     if attempt.epoch != event.epoch:
         state.counters['dropped.epoch'] += 1
-        broke = AttemptBroke(event.attempt_id, 'a token of another epoch')
-        on_attempt_broke(broke, state, now)
+        failure = AttemptBroke(event.attempt_id, 'a token of another epoch')
+        on_attempt_broke(failure, state, now)
         return
     req = state.requests[attempt.request_id]
     if event.index < req.delivered:
@@ -95,12 +97,12 @@
         return
     if event.index > req.delivered:
         state.counters['dropped.gap'] += 1
-        broke = AttemptBroke(event.attempt_id, 'a token is missing')
-        on_attempt_broke(broke, state, now)
+        failure = AttemptBroke(event.attempt_id, 'a token is missing')
+        on_attempt_broke(failure, state, now)
         return
     req.delivered += 1
-    attempt.got_token = True
-    note_token(state, attempt, req, now)
+    attempt.has_token = True
+    record_token(state, attempt, req, now)
     req.failures = 0
     _extend_progress(state, attempt, now)
     state.emit(
@@ -110,14 +112,14 @@
         _finish_attempt(state, attempt, req, now)
     elif event.hops_ms:
         observe_hops(state, attempt.stages, event.hops_ms)
-        _move_off_slow_link(state, attempt, req, event, now)
+        _migrate_from_slow_link(state, attempt, req, event, now)
 
 
 @handle.register(AttemptProgressed)
 def on_attempt_progressed(
     event: AttemptProgressed, state: CoreState, now: float
 ) -> None:
-    """An engine that says it is waiting is not silent."""
+    """Extend the progress deadline of an engine that reports progress."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is not None:
         _extend_progress(state, attempt, now)
@@ -127,7 +129,10 @@
 def on_attempt_refused(
     event: AttemptRefused, state: CoreState, now: float
 ) -> None:
-    """The endpoint ran nothing: another may be tried, whatever the route."""
+    """Try another endpoint, also on routes that are not idempotent.
+
+    The endpoint ran nothing of the attempt.
+    """
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         return
@@ -135,7 +140,7 @@
     head = attempt.stages[0].endpoint
     if attempt.sent:
         req.unsure_attempts -= 1
-    drop_attempt(state, attempt)
+    remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     req.avoid.add(head)
     if event.detail == LEAVING_DETAIL:
@@ -150,37 +155,39 @@
         'endpoint-refused',
         detail,
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(AttemptBroke)
 def on_attempt_broke(event: AttemptBroke, state: CoreState, now: float) -> None:
-    """Blame the failed stage, then carry on elsewhere or tell the truth."""
+    """Exclude the failed stage, then retry elsewhere or end the request."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         return
     req = state.requests[attempt.request_id]
-    drop_attempt(state, attempt)
+    remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
-    is_unclear = not _blame_stages(state, attempt, event, req, now)
-    may_have_ended = note_break(state, attempt, req, now)
-    if is_unclear or may_have_ended:
+    is_stage_unknown = not _exclude_failed_stage(
+        state, attempt, event, req, now
+    )
+    may_have_crashed = record_failure(state, attempt, req, now)
+    if is_stage_unknown or may_have_crashed:
         probe_stages(state, attempt)
     state.counters['attempts.broke'] += 1
-    if refuse_held(state, req, now):
-        dispatch_pool(state, name_pool(req), now)
+    if refuse_quarantined(state, req, now):
+        dispatch_queue(state, get_queue_name(req), now)
         return
     retry_or_refuse(
         state, req, now, HTTPStatus.BAD_GATEWAY, 'attempt-broke', event.detail
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(ServiceAnswered)
 def on_service_answered(
     event: ServiceAnswered, state: CoreState, now: float
 ) -> None:
-    """A plain service's answer is whole: deliver it."""
+    """Deliver a plain service's complete answer."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         state.counters['dropped.late'] += 1
@@ -190,37 +197,37 @@
     _finish_attempt(state, attempt, req, now)
 
 
-def suspect_endpoint(state: CoreState, name: str, now: float) -> None:
-    """Send an endpoint nothing until a probe has found it alive."""
-    found = state.endpoints.get(name)
-    if found is None or found.health is Health.LEAVING:
+def mark_suspect(state: CoreState, name: str, now: float) -> None:
+    """Send an endpoint nothing until a probe finds it alive."""
+    replica = state.endpoints.get(name)
+    if replica is None or replica.health is Health.LEAVING:
         return
-    found.health = Health.SUSPECT
-    found.suspect_until = now + SUSPECT_FOR_S
-    state.wake_at(found.suspect_until, 'endpoint', name)
+    replica.health = Health.SUSPECT
+    replica.next_probe_at = now + PROBE_INTERVAL_S
+    state.schedule_wake(replica.next_probe_at, 'endpoint', name)
 
 
 def probe_stages(state: CoreState, attempt: AttemptState) -> None:
-    """Tell a dead endpoint from a dead path, over new connections."""
+    """Probe all stages, to tell a failed endpoint from a failed link."""
     for stage in attempt.stages:
         state.emit(ProbeEndpoint(stage.endpoint, stage.address))
 
 
-def _blame_stages(
+def _exclude_failed_stage(
     state: CoreState,
     attempt: AttemptState,
     event: AttemptBroke,
     req: RequestState,
     now: float,
 ) -> bool:
-    """Leave out who failed; return whether the engine named the stage."""
+    """Avoid the failed stage; return whether the engine named it."""
     if 0 <= event.failed_stage < len(attempt.stages):
         name = attempt.stages[event.failed_stage].endpoint
         req.avoid.add(name)
-        suspect_endpoint(state, name, now)
+        mark_suspect(state, name, now)
         return True
     if not event.connected:
-        suspect_endpoint(state, attempt.stages[0].endpoint, now)
+        mark_suspect(state, attempt.stages[0].endpoint, now)
     req.avoid.add(attempt.stages[0].endpoint)
     return False
 
@@ -228,11 +235,11 @@
 def _finish_attempt(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> None:
-    note_survival(state, req, now)
-    drop_attempt(state, attempt)
+    record_survival(state, req, now)
+    remove_attempt(state, attempt)
     finish_request(state, req)
     state.emit(CancelAttempt(attempt.attempt_id))
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 def _extend_progress(
@@ -240,60 +247,67 @@
 ) -> None:
     limits = state.configuration.limits
     timeout_s = limits.first_token_timeout_s
-    if attempt.got_token:
+    if attempt.has_token:
         timeout_s = limits.progress_timeout_s
-    was = attempt.progress_deadline
+    previous_deadline = attempt.progress_deadline
     attempt.progress_deadline = now + timeout_s
-    if attempt.progress_deadline < was:
-        state.wake_at(attempt.progress_deadline, 'attempt', attempt.attempt_id)
+    if attempt.progress_deadline < previous_deadline:
+        state.schedule_wake(
+            attempt.progress_deadline, 'attempt', attempt.attempt_id
+        )
 
 
-def _move_off_slow_link(
+def _migrate_from_slow_link(
     state: CoreState,
     attempt: AttemptState,
     req: RequestState,
     event: TokenArrived,
     now: float,
 ) -> None:
-    """Carry a stream on elsewhere when its worst link has become slow.
+    """Migrate a stream to another pipeline when one of its links is slow.
 
-    Streams are long: if only new requests avoided a degraded link, those
-    already on it would crawl to their end. A hop that is slow for a moment,
-    because its target is busy, costs less than the move.
+    If only new requests avoided a degraded link, long streams that already use
+    it would stay slow to their end. A hop that is only briefly slow, because
+    its target is busy, costs less than a migration.
     """
     hops_ms = event.hops_ms
-    if not req.route.idempotent or max(hops_ms) < _MOVE_LEAST_MS:
-        attempt.slow_index = -1
+    if not req.route.idempotent or max(hops_ms) < _MIN_SLOW_HOP_MS:
+        attempt.last_slow_index = -1
         attempt.excess_ms = 0
         return
-    if 0 < req.tokens - req.delivered < _MOVE_LEAST_TOKENS:
-        # Its prompt would be read once more for hardly anything; where one hop
-        # looks slow for a moment, short answers ran twice. An estimate that is
-        # used up tells nothing of what is left.
+    if 0 < req.tokens - req.delivered < _MIN_REMAINING_TOKENS:
+        # Too few tokens are left to repay a second prefill. An estimate that
+        # is used up says nothing about how many are left.
         return
     worst = hops_ms.index(max(hops_ms))
+    # Avoid the target of the slowest hop; if that hop leads back to the first
+    # stage, its source.
     target = attempt.stages[(worst + 1) % len(attempt.stages)].endpoint
     if worst + 1 == len(attempt.stages):
         target = attempt.stages[worst].endpoint
-    current_ms = measure_ms(state, attempt.stages, hops_ms)
+    current_ms = compute_token_ms(state, attempt.stages, hops_ms)
     avoid = req.avoid | {target}
-    other = choose_pipeline(state, req.route.model, avoid)
-    other_ms = predict_ms(state, other) if other else float('inf')
-    if other_ms > _MOVE_GAIN * current_ms:
+    alternative = choose_pipeline(state, req.route.model, avoid)
+    alternative_ms = (
+        predict_token_ms(state, alternative) if alternative else float('inf')
+    )
+    if alternative_ms > _MAX_MIGRATION_RATIO * current_ms:
         return
-    _add_excess(attempt, event.index, current_ms - other_ms)
-    if attempt.excess_ms < _MOVE_COST_MS:
+    _add_excess_ms(attempt, event.index, current_ms - alternative_ms)
+    if attempt.excess_ms < _MIGRATION_COST_MS:
         return
-    drop_attempt(state, attempt)
+    remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     req.avoid.add(target)
     state.counters['moved.slow_link'] += 1
     if not start_attempt(state, req, now):
-        wait_in_front(state, req, now)
+        requeue_at_front(state, req, now)
 
 
-def _add_excess(attempt: AttemptState, index: int, excess_ms: float) -> None:
-    """Add what slow hops have cost since they were last found slow."""
-    tokens = 1 if attempt.slow_index < 0 else index - attempt.slow_index
-    attempt.slow_index = index
+def _add_excess_ms(attempt: AttemptState, index: int, excess_ms: float) -> None:
+    """Add the time that slow hops have cost since the last fast report."""
+    tokens = (
+        1 if attempt.last_slow_index < 0 else index - attempt.last_slow_index
+    )
+    attempt.last_slow_index = index
     attempt.excess_ms += tokens * excess_ms
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -1,4 +1,4 @@
-"""Handlers for what becomes of claims on idempotency keys."""
+"""Handlers for the results of claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     SettleClaim,
 )
 from samphirerill.core.ending import (
-    forget_request,
-    name_pool,
+    get_queue_name,
     refuse_request,
+    remove_request,
 )
 from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import (
-    dispatch_pool,
+    dispatch_queue,
+    requeue_at_front,
     start_attempt,
-    wait_in_front,
 )
 
 if TYPE_CHECKING:
@@ -34,10 +34,11 @@
 
 @handle.register(ClaimWon)
 def on_claim_won(event: ClaimWon, state: CoreState, now: float) -> None:
-    """The key is this request's alone: start it.
+    """Start the request that now holds its key.
 
-    If the request ended while its claim was under way, nothing ran and the
-    claim has to go: a retry would be told for a day that it may have run.
+    If the request ended while its claim was being written, nothing ran and the
+    claim is removed: otherwise retries would be told until it expires that the
+    request may have run.
     """
     req = state.requests.get(event.request_id)
     if req is None:
@@ -45,16 +46,16 @@
         return
     req.claimed = True
     if not start_attempt(state, req, now):
-        wait_in_front(state, req, now)
+        requeue_at_front(state, req, now)
 
 
 @handle.register(ClaimTaken)
 def on_claim_taken(event: ClaimTaken, state: CoreState, now: float) -> None:
-    """Tell a retry what became of the first request with its key."""
+    """Tell a retry the outcome of the first request with its key."""
     req = state.requests.get(event.request_id)
     if req is None:
         return
-    forget_request(state, req)
+    remove_request(state, req)
     if event.state == 'answered':
         state.emit(ReplayAnswer(req.request_id))
         state.counters['replayed'] += 1
@@ -62,12 +63,12 @@
         problem = _explain_taken(event)
         state.emit(RefuseRequest(req.request_id, problem))
         state.counters[f'refused.{problem.code}'] += 1
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(ClaimFailed)
 def on_claim_failed(event: ClaimFailed, state: CoreState, now: float) -> None:
-    """Without a claim nothing is sent: refuse, truthfully, as not run."""
+    """Refuse a request as not run, as nothing is sent without a claim."""
     req = state.requests.get(event.request_id)
     if req is None:
         return
@@ -79,7 +80,7 @@
         'the platform service cannot record the idempotency key now',
         _OUTAGE_RETRY_S,
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 def _explain_taken(event: ClaimTaken) -> Problem:
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -1,8 +1,10 @@
-"""Requests that end the endpoints that run them.
+"""Quarantine of requests that crash the endpoints that run them.
 
-A broken attempt counts against its request if it had hardly begun and its endpoint's
-process has ended, as a probe finds that nobody listens there. What follows is
-decided by :mod:`samphirerill.quarantine`, from what all nodes know.
+A failed attempt counts against its request if it failed before or soon after
+its first token and its endpoint's process has ended, which a refused
+connection shows.
+:mod:`samphirerill.quarantine` decides, from the records of all nodes, which
+requests are quarantined.
 """
 
 from __future__ import annotations
@@ -11,10 +13,14 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.core.ending import name_pool, refuse_request, tell_outcome
+from samphirerill.core.ending import (
+    determine_outcome,
+    get_queue_name,
+    refuse_request,
+)
 from samphirerill.core.events import EvidenceTold
 from samphirerill.core.handling import handle
-from samphirerill.core.starting import dispatch_pool
+from samphirerill.core.starting import dispatch_queue
 from samphirerill.quarantine import Death
 from samphirerill.quarantine.book import BEGINNING_S, SETTLE_S
 from samphirerill.quarantine.messages import take_told
@@ -24,21 +30,21 @@
     from samphirerill.core.state import AttemptState, CoreState, RequestState
 
 QUARANTINE_DETAIL = 'endpoints end when they run this request'
-# Wakes may come a moment early.
-_TICK_S = 0.005
+# Timers may fire slightly early.
+_TIMER_SLACK_S = 0.005
 
 
 @handle.register(EvidenceTold)
 def on_evidence_told(event: EvidenceTold, state: CoreState, now: float) -> None:
-    """Take what another node knows against requests."""
+    """Merge another node's crash records."""
     if take_told(state.quarantine, event.records, now):
-        _judge_soon(state, now)
+        _schedule_evaluation(state, now)
 
 
-def find_quarantine(
+def find_quarantine_problem(
     state: CoreState, identity: bytes, now: float
 ) -> Problem | None:
-    """Return the refusal of a request that is held back, if it is."""
+    """Return the refusal of a quarantined request, or None."""
     until = state.quarantine.find_held_until(identity, now)
     if not until:
         return None
@@ -51,66 +57,69 @@
     )
 
 
-def note_break(
+def record_failure(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> bool:
-    """An attempt broke; return whether its endpoints may have ended by it."""
+    """Record a failed attempt.
+
+    Returns whether its endpoints may have crashed because of it.
+    """
     if not req.identity or not attempt.sent:
         return False
-    if _has_survived(attempt):
-        note_survival(state, req, now)
+    if _has_survived_start(attempt):
+        record_survival(state, req, now)
         return False
     for stage in attempt.stages:
         death = Death(stage.endpoint, req.request_id, now)
-        broken = state.broken.setdefault(stage.endpoint, {})
-        broken[req.identity] = death
+        crashes = state.suspected_crashes.setdefault(stage.endpoint, {})
+        crashes[req.identity] = death
     return True
 
 
-def note_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
-    """An endpoint was asked: what broke off there counts, or not."""
-    broken = state.broken.pop(event.endpoint, {})
+def record_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
+    """Count the suspected crashes of an endpoint if it has ended."""
+    crashes = state.suspected_crashes.pop(event.endpoint, {})
     if not event.has_ended:
         return
-    for identity, death in broken.items():
+    for identity, death in crashes.items():
         state.quarantine.note_death(identity, death, now)
-        _judge_soon(state, now)
+        _schedule_evaluation(state, now)
 
 
-def note_token(
+def record_token(
     state: CoreState, attempt: AttemptState, req: RequestState, now: float
 ) -> None:
-    """A token has come; who sends them for long enough is no suspect."""
+    """Record a token; a stream that lasts long enough clears its request."""
     attempt.first_token_at = attempt.first_token_at or now
     attempt.last_token_at = now
-    if _has_survived(attempt):
-        note_survival(state, req, now)
+    if _has_survived_start(attempt):
+        record_survival(state, req, now)
 
 
-def note_survival(state: CoreState, req: RequestState, now: float) -> None:
-    """A run went on, or came to its end, and its endpoint lives."""
+def record_survival(state: CoreState, req: RequestState, now: float) -> None:
+    """Record that a request ran without crashing its endpoint."""
     if state.quarantine.note_survival(req.identity, now):
         state.counters['quarantine.refuted'] += 1
-        _judge_soon(state, now)
+        _schedule_evaluation(state, now)
 
 
-def judge(state: CoreState, now: float) -> None:
-    """Decide who is held back; what they have begun or wait for is ended."""
-    for news in state.quarantine.judge(now):
-        kind = 'held' if news.until else 'released'
+def evaluate_quarantine(state: CoreState, now: float) -> None:
+    """Update the quarantine and refuse requests that entered it."""
+    for decision in state.quarantine.judge(now):
+        kind = 'held' if decision.until else 'released'
         state.counters[f'quarantine.{kind}'] += 1
-        if news.until:
-            _end_requests(state, news.request, now)
+        if decision.until:
+            _refuse_affected(state, decision.request, now)
 
 
-def refuse_held(state: CoreState, req: RequestState, now: float) -> bool:
-    """End a request that is held back; return whether it was."""
-    problem = find_quarantine(state, req.identity, now)
+def refuse_quarantined(state: CoreState, req: RequestState, now: float) -> bool:
+    """Refuse a request if it is quarantined; return whether it was."""
+    problem = find_quarantine_problem(state, req.identity, now)
     if problem is None:
         return False
     status = problem.status
-    if tell_outcome(req) is Outcome.MAY_HAVE_RUN:
-        # 503 would promise that nothing ran.
+    if determine_outcome(req) is Outcome.MAY_HAVE_RUN:
+        # A 503 would state that nothing ran.
         status = HTTPStatus.BAD_GATEWAY
     refuse_request(
         state,
@@ -123,21 +132,21 @@
     return True
 
 
-def _end_requests(state: CoreState, identity: bytes, now: float) -> None:
-    concerned = [
+def _refuse_affected(state: CoreState, identity: bytes, now: float) -> None:
+    affected = [
         req for req in state.requests.values() if req.identity == identity
     ]
-    for req in concerned:
+    for req in affected:
         attempt = state.attempts.get(req.attempt_id)
-        if attempt is not None and _has_survived(attempt):
+        if attempt is not None and _has_survived_start(attempt):
             continue
-        refuse_held(state, req, now)
-        dispatch_pool(state, name_pool(req), now)
+        refuse_quarantined(state, req, now)
+        dispatch_queue(state, get_queue_name(req), now)
 
 
-def _has_survived(attempt: AttemptState) -> bool:
+def _has_survived_start(attempt: AttemptState) -> bool:
     return attempt.last_token_at - attempt.first_token_at >= BEGINNING_S
 
 
-def _judge_soon(state: CoreState, now: float) -> None:
-    state.wake_at(now + SETTLE_S + _TICK_S, 'quarantine', '')
+def _schedule_evaluation(state: CoreState, now: float) -> None:
+    state.schedule_wake(now + SETTLE_S + _TIMER_SLACK_S, 'quarantine', '')
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -1,4 +1,4 @@
-"""Handlers for what is learned of configuration, endpoints and nodes."""
+"""Handlers for changes of the configuration, endpoints and nodes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     VmListRead,
 )
 from samphirerill.core.handling import handle
-from samphirerill.core.on_attempts import suspect_endpoint
-from samphirerill.core.on_endings import note_probe
-from samphirerill.core.placement import GENTLE_S
-from samphirerill.core.starting import dispatch_all, dispatch_pool
+from samphirerill.core.on_attempts import mark_suspect
+from samphirerill.core.on_endings import record_probe
+from samphirerill.core.placement import SLOW_START_S
+from samphirerill.core.starting import dispatch_all_queues, dispatch_queue
 from samphirerill.core.state import EndpointState, Health
 from samphirerill.core.subsets import group_by_model
 
@@ -29,10 +29,11 @@
 def on_configuration_accepted(
     event: ConfigurationAccepted, state: CoreState, now: float
 ) -> None:
-    """Put a newer version in force; an older or equal one changes nothing.
+    """Put a newer version in force; ignore an older or equal one.
 
-    Versions can come late and out of order, from the service or a peer.
-    Only a rising number keeps an accepted configuration from reverting.
+    Versions from the key-value service and from peers may arrive late and out
+    of order. Accepting only higher numbers keeps the configuration from
+    reverting.
     """
     configuration = event.configuration
     is_first = not state.configuration.version
@@ -40,92 +41,92 @@
         state.counters['configuration.stale'] += 1
         return
     state.configuration = configuration
-    kept = {}
+    replicas = {}
     for name, endpoint in configuration.endpoints.items():
-        found = state.endpoints.get(name)
-        if found is None or found.endpoint.address != endpoint.address:
-            gentle_until = now if is_first else now + GENTLE_S
-            found = _build_endpoint_state(state, endpoint, gentle_until)
-        found.endpoint = endpoint
-        kept[name] = found
-    state.endpoints = kept
-    state.by_model = group_by_model(state.node, kept)
-    state.links.retain(kept)
-    dispatch_all(state, now)
+        replica = state.endpoints.get(name)
+        if replica is None or replica.endpoint.address != endpoint.address:
+            slow_start_until = now if is_first else now + SLOW_START_S
+            replica = _build_endpoint_state(state, endpoint, slow_start_until)
+        replica.endpoint = endpoint
+        replicas[name] = replica
+    state.endpoints = replicas
+    state.by_model = group_by_model(state.node, replicas)
+    state.links.retain(replicas)
+    dispatch_all_queues(state, now)
 
 
 @handle.register(VmListRead)
 def on_vm_list_read(event: VmListRead, state: CoreState, now: float) -> None:
-    """Send nothing new to endpoints that are leaving.
+    """Send no new work to endpoints that are leaving.
 
-    The list lags, and two reads of it may lag differently. Whoever has been
-    called leaving is therefore only believed to be back once the list still
-    calls it live after longer than any lag; else work would go to a VM that
-    is about to vanish.
+    The list lags behind, and consecutive reads may lag differently. An
+    endpoint listed as leaving is therefore used again only if it is listed as
+    live after the longest possible lag; otherwise work could go to a VM that
+    is about to stop.
     """
     for name in event.leaving:
         state.mark_leaving(name, now)
     for name in event.live:
         if state.leaving.get(name, now) < now:
             state.leaving.pop(name)
-            _revive(state, name)
-    dispatch_all(state, now)
+            _mark_live(state, name)
+    dispatch_all_queues(state, now)
 
 
-def _revive(state: CoreState, name: str) -> None:
-    found = state.endpoints.get(name)
-    if found is not None:
-        found.health = Health.LIVE
+def _mark_live(state: CoreState, name: str) -> None:
+    replica = state.endpoints.get(name)
+    if replica is not None:
+        replica.health = Health.LIVE
 
 
 def _build_endpoint_state(
-    state: CoreState, endpoint: Endpoint, gentle_until: float
+    state: CoreState, endpoint: Endpoint, slow_start_until: float
 ) -> EndpointState:
-    """Return the state of an endpoint that the configuration brings.
+    """Return the state of a newly configured endpoint.
 
-    One that is known to be leaving stays so, even if operators took it out
-    and put it back meanwhile.
+    An endpoint known to be leaving stays so, even if operators removed it and
+    added it again in the meantime.
     """
-    found = EndpointState(endpoint, gentle_until=gentle_until)
+    replica = EndpointState(endpoint, slow_start_until=slow_start_until)
     if endpoint.name in state.leaving:
-        found.health = Health.LEAVING
-    return found
+        replica.health = Health.LEAVING
+    return replica
 
 
 @handle.register(LoadReported)
 def on_load_reported(event: LoadReported, state: CoreState, now: float) -> None:
-    """Remember an endpoint's late figures beside this node's own share."""
-    found = state.endpoints.get(event.endpoint)
-    if found is None:
+    """Record an endpoint's load and this node's part of it."""
+    replica = state.endpoints.get(event.endpoint)
+    if replica is None:
         return
-    found.running = event.running
-    found.waiting = event.waiting
-    found.own_at_report = found.in_flight
-    found.reported_at = now
-    if found.endpoint.model:
-        dispatch_pool(state, found.endpoint.model, now)
+    replica.running = event.running
+    replica.waiting = event.waiting
+    replica.in_flight_at_report = replica.in_flight
+    replica.reported_at = now
+    if replica.endpoint.model:
+        dispatch_queue(state, replica.endpoint.model, now)
 
 
 @handle.register(ProbeAnswered)
 def on_probe_answered(
     event: ProbeAnswered, state: CoreState, now: float
 ) -> None:
-    """Trust an endpoint again, or keep it suspect and ask again later."""
-    note_probe(state, event, now)
-    found = state.endpoints.get(event.endpoint)
-    if found is None or found.health is Health.LEAVING:
+    """Use an endpoint again, or keep it suspect and probe again later."""
+    record_probe(state, event, now)
+    replica = state.endpoints.get(event.endpoint)
+    if replica is None or replica.health is Health.LEAVING:
         return
     if not event.alive:
-        suspect_endpoint(state, event.endpoint, now)
+        mark_suspect(state, event.endpoint, now)
         return
-    if found.health is Health.SUSPECT:
-        found.health = Health.LIVE
-        dispatch_all(state, now)
+    if replica.health is Health.SUSPECT:
+        replica.health = Health.LIVE
+        dispatch_all_queues(state, now)
 
 
 @handle.register(NodesSeen)
 def on_nodes_seen(event: NodesSeen, state: CoreState, now: float) -> None:
-    """Share limits and endpoints with this many nodes."""
+    """Record the number of nodes that share limits and endpoints."""
     state.node_count = max(1, event.count)
 
 
@@ -133,5 +134,5 @@
 def on_cache_reported(
     event: CacheReported, state: CoreState, now: float
 ) -> None:
-    """Remember which engines hold which prompt prefixes."""
-    state.prefixes.take_news(event.endpoint, event.news)
+    """Record which prompt prefixes an engine stored and evicted."""
+    state.prefixes.apply_events(event.endpoint, event.news)
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -1,13 +1,17 @@
-"""Handlers for what callers do."""
+"""Handlers for arriving requests, disconnects and drains."""
 
 from __future__ import annotations
 
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from samphirerill.core.admission import Ticket
+from samphirerill.core.admission import QueueEntry
 from samphirerill.core.commands import Outcome, Problem, RefuseRequest
-from samphirerill.core.ending import forget_request, name_pool, tell_outcome
+from samphirerill.core.ending import (
+    determine_outcome,
+    get_queue_name,
+    remove_request,
+)
 from samphirerill.core.events import (
     CallerLeft,
     DrainRequested,
@@ -17,8 +21,8 @@
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.model import choose_priority
-from samphirerill.core.on_endings import find_quarantine
-from samphirerill.core.starting import dispatch_pool, earn_retry, find_pool
+from samphirerill.core.on_endings import find_quarantine_problem
+from samphirerill.core.starting import deposit_retry, dispatch_queue, get_queue
 from samphirerill.core.state import Phase, RequestState
 
 if TYPE_CHECKING:
@@ -26,16 +30,16 @@
     from samphirerill.core.state import CoreState
 
 _DRAIN_RETRY_S = 1.0
-_FORBIDDEN_RETRY_S = 2.0
-_FULL_RETRY_S = 1.0
+_UNCONFIRMED_RETRY_S = 2.0
+_QUEUE_FULL_RETRY_S = 1.0
 
 
 @handle.register(RequestArrived)
 def on_request_arrived(
     event: RequestArrived, state: CoreState, now: float
 ) -> None:
-    """Queue a request, or refuse it at once if it can't be served."""
-    problem = _find_obstacle(event, state, now)
+    """Queue a request, or refuse it at once if it cannot be served."""
+    problem = _find_refusal(event, state, now)
     if problem is not None:
         state.emit(RefuseRequest(event.request_id, problem))
         state.counters[f'refused.{problem.code}'] += 1
@@ -43,24 +47,25 @@
     req = _build_request(event, state, now)
     state.requests[req.request_id] = req
     state.counters['arrived'] += 1
-    earn_retry(state, req)
+    deposit_retry(state, req)
     account = state.configuration.accounts[req.account]
     cost = req.tokens / account.weight
-    pool_name = name_pool(req)
-    find_pool(state, pool_name).add(
-        Ticket(req.request_id, req.account, req.priority, cost),
+    queue_name = get_queue_name(req)
+    get_queue(state, queue_name).add(
+        QueueEntry(req.request_id, req.account, req.priority, cost),
     )
-    state.wake_at(req.queue_deadline, 'queue', req.request_id)
-    state.wake_at(req.deadline, 'request', req.request_id)
-    dispatch_pool(state, pool_name, now)
+    state.schedule_wake(req.queue_deadline, 'queue', req.request_id)
+    state.schedule_wake(req.deadline, 'request', req.request_id)
+    dispatch_queue(state, queue_name, now)
 
 
 @handle.register(CallerLeft)
 def on_caller_left(event: CallerLeft, state: CoreState, now: float) -> None:
-    """Stop work that nobody waits for, unless a retry may ask for it.
+    """Stop the request, unless a retry may ask for its answer.
 
-    A claimed request runs on: its caller may come back with the same key
-    and is owed the first answer, and stopping it would leave that unknown.
+    A request with a claimed key runs on: its caller may return with the same
+    key and must get the first answer, and stopping would leave its outcome
+    unknown.
     """
     req = state.requests.get(event.request_id)
     if req is None:
@@ -68,17 +73,17 @@
     state.counters['callers_left'] += 1
     if req.claimed or req.phase is Phase.CLAIMING:
         return
-    outcome = tell_outcome(req)
-    forget_request(state, req)
+    outcome = determine_outcome(req)
+    remove_request(state, req)
     state.counters[f'left.{outcome.value}'] += 1
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 @handle.register(DrainRequested)
 def on_drain_requested(
     event: DrainRequested, state: CoreState, now: float
 ) -> None:
-    """Take no new work from now on."""
+    """Accept no new requests from now on."""
     state.draining = True
 
 
@@ -86,54 +91,56 @@
 def on_serving_forbidden(
     event: ServingForbidden, state: CoreState, now: float
 ) -> None:
-    """Take no new work while the configuration's force is in doubt."""
-    state.forbidden = event.reason
+    """Accept no new requests while the configuration is unconfirmed."""
+    state.suspension_reason = event.reason
 
 
 @handle.register(ServingAllowed)
 def on_serving_allowed(
     event: ServingAllowed, state: CoreState, now: float
 ) -> None:
-    """Take new work again."""
-    state.forbidden = ''
+    """Accept new requests again."""
+    state.suspension_reason = ''
 
 
-def _find_obstacle(
+def _find_refusal(
     event: RequestArrived, state: CoreState, now: float
 ) -> Problem | None:
-    """Return why a new request can't be taken, or nothing."""
+    """Return why a new request cannot be accepted, or None."""
     if state.draining:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'draining',
             'this node is leaving',
             _DRAIN_RETRY_S,
         )
-    if state.forbidden:
-        return _refusal(
+    if state.suspension_reason:
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'not-in-force',
-            state.forbidden,
-            _FORBIDDEN_RETRY_S,
+            state.suspension_reason,
+            _UNCONFIRMED_RETRY_S,
         )
     route = state.configuration.routes.get(event.route)
     account = state.configuration.accounts.get(event.account)
     if route is None or account is None or event.route not in account.routes:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.NOT_FOUND,
             'unknown-route',
             f'no route {event.route!r}',
             0,
         )
     if event.deadline <= now:
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.GATEWAY_TIMEOUT,
             'deadline-passed',
             'the deadline has passed',
             0,
         )
-    held = find_quarantine(state, event.identity, now)
-    return held or _find_overload(event, state, now, route, account)
+    quarantine_problem = find_quarantine_problem(state, event.identity, now)
+    return quarantine_problem or _find_overload(
+        event, state, now, route, account
+    )
 
 
 def _find_overload(
@@ -143,25 +150,24 @@
     route: Route,
     account: Account,
 ) -> Problem | None:
-    """Refuse early what could not start before its queue deadline.
+    """Refuse a request that could not start before its queue deadline.
 
-    Waiting for a certain refusal helps nobody: the caller would learn late
-    what is known now.
+    The caller then learns of the overload now instead of at the deadline.
     """
-    pool = find_pool(state, route.model or f'route {route.name}')
-    waiting = pool.size()
-    if waiting >= state.configuration.limits.max_queue:
-        return _refusal(
+    queue = get_queue(state, route.model or f'route {route.name}')
+    length = queue.size()
+    if length >= state.configuration.limits.max_queue:
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'overloaded',
             'the queue is full',
-            _FULL_RETRY_S,
+            _QUEUE_FULL_RETRY_S,
         )
-    ahead = pool.ahead_of(account.name, choose_priority(route, account))
-    wait_s = ahead * pool.pick_gap_s
-    if waiting and now + wait_s > _queue_deadline(event, route, now):
+    ahead = queue.estimate_ahead(account.name, choose_priority(route, account))
+    wait_s = ahead * queue.dequeue_interval_s
+    if length and now + wait_s > _compute_queue_deadline(event, route, now):
         detail = f'about {wait_s:.1f} s of work wait ahead of this request'
-        return _refusal(
+        return _build_refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'overloaded',
             detail,
@@ -181,7 +187,7 @@
         route=route,
         priority=choose_priority(route, account),
         deadline=event.deadline,
-        queue_deadline=_queue_deadline(event, route, now),
+        queue_deadline=_compute_queue_deadline(event, route, now),
         tokens=max(1, event.tokens),
         key=event.key,
         fingerprint=event.fingerprint,
@@ -191,11 +197,13 @@
     )
 
 
-def _queue_deadline(event: RequestArrived, route: Route, now: float) -> float:
+def _compute_queue_deadline(
+    event: RequestArrived, route: Route, now: float
+) -> float:
     return min(event.deadline, now + route.queue_timeout_s)
 
 
-def _refusal(
+def _build_refusal(
     status: int, code: str, detail: str, retry_after_s: float
 ) -> Problem:
     return Problem(status, code, detail, Outcome.NOT_RUN, retry_after_s)
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -1,4 +1,4 @@
-"""Handlers for deadlines that have come."""
+"""Handlers for deadlines that have passed."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import ProbeEndpoint
-from samphirerill.core.ending import name_pool, refuse_request
+from samphirerill.core.ending import get_queue_name, refuse_request
 from samphirerill.core.events import AttemptBroke, TimePassed
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import on_attempt_broke
-from samphirerill.core.on_endings import judge
-from samphirerill.core.starting import dispatch_pool
+from samphirerill.core.on_endings import evaluate_quarantine
+from samphirerill.core.starting import dispatch_queue
 from samphirerill.core.state import Health, Phase
 
 if TYPE_CHECKING:
     from samphirerill.core.state import CoreState
 
-_LATE_RETRY_S = 1.0
-# A timer that fires later than this shows that the node's loop was blocked.
-_LEAST_LAG_S = 0.1
-# However long it was blocked, endpoints get so much time more.
-_MOST_EXTENSION_S = 0.3
+_QUEUE_TIMEOUT_RETRY_S = 1.0
+# A timer that fires later than this means a blocked event loop.
+_MIN_LAG_S = 0.1
+# Upper limit of the extension, however long the loop was blocked.
+_MAX_EXTENSION_S = 0.3
 
 
 @handle.register(TimePassed)
 def on_time_passed(event: TimePassed, state: CoreState, now: float) -> None:
-    """Act on every deadline that is due."""
-    if event.lag_s > _LEAST_LAG_S:
-        _extend_attempts(state, now + min(event.lag_s, _MOST_EXTENSION_S))
+    """Act on every deadline that has passed."""
+    if event.lag_s > _MIN_LAG_S:
+        _extend_attempts(state, now + min(event.lag_s, _MAX_EXTENSION_S))
     while state.deadlines and state.deadlines[0][0] <= now:
         _, kind, name = heapq.heappop(state.deadlines)
         _CHECKS[kind](state, name, now)
 
 
 def _extend_attempts(state: CoreState, until: float) -> None:
-    """Give endpoints time to be heard by a node whose loop was blocked.
+    """Extend progress deadlines after the node's event loop was blocked.
 
-    What they sent meanwhile is not read yet, and calls that this node had begun
-    to send have not reached them.
+    Tokens that arrived meanwhile have not been read yet, and requests that
+    were being sent have not reached their endpoints.
     """
     for attempt in state.attempts.values():
         attempt.progress_deadline = max(attempt.progress_deadline, until)
 
 
 def _check_queue(state: CoreState, name: str, now: float) -> None:
-    """Refuse a request that has waited as long as it may."""
+    """Refuse a request whose queue deadline has passed."""
     req = state.requests.get(name)
     if req is None or req.phase is not Phase.QUEUED:
         return
@@ -58,12 +58,12 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
         'overloaded',
         'no room came in time',
-        _LATE_RETRY_S,
+        _QUEUE_TIMEOUT_RETRY_S,
     )
 
 
 def _check_request(state: CoreState, name: str, now: float) -> None:
-    """End a request whose own deadline has come."""
+    """End a request whose own deadline has passed."""
     req = state.requests.get(name)
     if req is None:
         return
@@ -74,20 +74,20 @@
         'deadline-passed',
         'the deadline has passed',
     )
-    dispatch_pool(state, name_pool(req), now)
+    dispatch_queue(state, get_queue_name(req), now)
 
 
 def _check_attempt(state: CoreState, name: str, now: float) -> None:
-    """Give up an attempt that has shown no progress.
+    """Fail an attempt that has shown no progress.
 
-    A connection can go silent for good without an error. The caller would
-    wait until its own timeout; the progress deadline notices instead.
+    A connection may go silent without an error; without the progress deadline,
+    the caller would wait until its own timeout.
     """
     attempt = state.attempts.get(name)
     if attempt is None:
         return
     if attempt.progress_deadline > now:
-        state.wake_at(attempt.progress_deadline, 'attempt', name)
+        state.schedule_wake(attempt.progress_deadline, 'attempt', name)
         return
     state.counters['attempts.silent'] += 1
     state.requests[attempt.request_id].avoid.update(
@@ -97,17 +97,17 @@
 
 
 def _check_endpoint(state: CoreState, name: str, now: float) -> None:
-    """Ask a suspect endpoint whether it is back."""
-    found = state.endpoints.get(name)
-    if found is None or found.health is not Health.SUSPECT:
+    """Probe a suspect endpoint again."""
+    replica = state.endpoints.get(name)
+    if replica is None or replica.health is not Health.SUSPECT:
         return
-    if found.suspect_until <= now:
-        state.emit(ProbeEndpoint(name, found.endpoint.address))
+    if replica.next_probe_at <= now:
+        state.emit(ProbeEndpoint(name, replica.endpoint.address))
 
 
 def _check_quarantine(state: CoreState, name: str, now: float) -> None:
-    """Judge what has become known against requests."""
-    judge(state, now)
+    """Re-evaluate the quarantine."""
+    evaluate_quarantine(state, now)
 
 
 _CHECKS = {
--- a/samphirerill/core/prefixes.py
+++ b/samphirerill/core/prefixes.py
@@ -1,12 +1,12 @@
-"""Which engines hold which prompt prefixes, for placement.
+"""Index of which engines have which prompt prefixes cached, for placement.
 
-A prefix is named by a digest over the client account and the text up to a
-block's end, so two accounts with the same prompt have no digest in common:
-neither can be placed by, or learn by timing of, the other's cache.
+A prefix is identified by a digest over the client account and the text up to
+the end of a block. Equal prompts of two accounts therefore have different
+digests, and neither account can learn from timing what the other has cached.
 
-Engines publish what they store and evict late and with gaps. After a gap
-nothing that was known of the engine is believed any more: a wrong guess costs
-a prefill, but believing for ever would send an account's work to one engine.
+Engines report what they stored and evicted late and with gaps. After a gap,
+all that was recorded for the engine is discarded: a missing entry costs one
+prefill, a stale one would keep sending an account's requests to one engine.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from dataclasses import dataclass
 
 BLOCK_CHARS = 64
-MOST_BLOCKS = 16
-MOST_PREFIXES = 20_000
+MAX_BLOCKS = 16
+MAX_PREFIXES = 20_000
 _DIGEST_CHARS = 24
-NOBODY: frozenset[str] = frozenset()
+NO_ENDPOINTS: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True, frozen=True)
 class CacheNews:
-    """A stretch of an engine's cache events, numbered without a gap.
+    """Consecutive cache events of an engine.
 
-    `first` is the number of the first event the engine still has at hand,
-    `last` that of the newest.
+    `first` is the number of the first event the engine still has available,
+    `last` that of the newest one.
     """
 
     first: int
@@ -36,59 +36,59 @@
     evicted: tuple[str, ...] = ()
 
 
-class PrefixMap:
-    """Engines by prefix; the prefixes longest unused are forgotten first."""
+class PrefixIndex:
+    """Endpoints by prefix; the least recently used prefixes are evicted."""
 
-    __slots__ = ('_holders', '_seen')
+    __slots__ = ('_endpoints', '_last_events')
 
     def __init__(self) -> None:
-        self._holders: OrderedDict[str, set[str]] = OrderedDict()
-        self._seen: dict[str, int] = {}
+        self._endpoints: OrderedDict[str, set[str]] = OrderedDict()
+        self._last_events: dict[str, int] = {}
 
     def last_seen(self, endpoint: str) -> int:
-        """Return the number of the last event known of an engine."""
-        return self._seen.get(endpoint, 0)
-
-    def take_news(self, endpoint: str, news: CacheNews) -> None:
-        """Take events that came after the last ones known."""
-        if news.first > self.last_seen(endpoint) + 1:
-            self.forget(endpoint)
-        if news.last < self.last_seen(endpoint):
-            self.forget(endpoint)
-        self._seen[endpoint] = news.last
-        for digest in news.stored:
-            self._holders.setdefault(digest, set()).add(endpoint)
-            self._holders.move_to_end(digest)
-        for digest in news.evicted:
-            self._drop(digest, endpoint)
-        while len(self._holders) > MOST_PREFIXES:
-            self._holders.popitem(last=False)
-
-    def forget(self, endpoint: str) -> None:
-        """Believe nothing of an engine any more."""
-        for digest in tuple(self._holders):
-            self._drop(digest, endpoint)
-
-    def find_holders(self, prefixes: tuple[str, ...]) -> frozenset[str]:
-        """Return who holds the longest of a prompt's prefixes known."""
+        """Return the number of the last event received from an engine."""
+        return self._last_events.get(endpoint, 0)
+
+    def apply_events(self, endpoint: str, events: CacheNews) -> None:
+        """Apply events, after discarding all entries if some were missed."""
+        if events.first > self.last_seen(endpoint) + 1:
+            self.remove_endpoint(endpoint)
+        if events.last < self.last_seen(endpoint):
+            self.remove_endpoint(endpoint)
+        self._last_events[endpoint] = events.last
+        for digest in events.stored:
+            self._endpoints.setdefault(digest, set()).add(endpoint)
+            self._endpoints.move_to_end(digest)
+        for digest in events.evicted:
+            self._discard(digest, endpoint)
+        while len(self._endpoints) > MAX_PREFIXES:
+            self._endpoints.popitem(last=False)
+
+    def remove_endpoint(self, endpoint: str) -> None:
+        """Discard all entries of an engine."""
+        for digest in tuple(self._endpoints):
+            self._discard(digest, endpoint)
+
+    def find_endpoints(self, prefixes: tuple[str, ...]) -> frozenset[str]:
+        """Return the engines that hold the longest indexed prefix."""
         for digest in reversed(prefixes):
-            holders = self._holders.get(digest)
-            if holders:
-                self._holders.move_to_end(digest)
-                return frozenset(holders)
-        return NOBODY
+            endpoints = self._endpoints.get(digest)
+            if endpoints:
+                self._endpoints.move_to_end(digest)
+                return frozenset(endpoints)
+        return NO_ENDPOINTS
 
     def size(self) -> int:
-        """Return how many prefixes are known."""
-        return len(self._holders)
+        """Return the number of indexed prefixes."""
+        return len(self._endpoints)
 
-    def _drop(self, digest: str, endpoint: str) -> None:
-        holders = self._holders.get(digest)
-        if holders is None:
+    def _discard(self, digest: str, endpoint: str) -> None:
+        endpoints = self._endpoints.get(digest)
+        if endpoints is None:
             return
-        holders.discard(endpoint)
-        if not holders:
-            self._holders.pop(digest)
+        endpoints.discard(endpoint)
+        if not endpoints:
+            self._endpoints.pop(digest)
 
 
 def digest_prefixes(account: str, text: str) -> tuple[str, ...]:
@@ -99,13 +99,13 @@
     account : str
         The client account; part of every digest.
     text : str
-        The prompt. Blocks after the sixteenth are not told apart.
+        The prompt; only its first ``MAX_BLOCKS`` blocks are digested.
     """
-    chain = hashlib.sha256(f'prefix/{account}/'.encode())
+    hasher = hashlib.sha256(f'prefix/{account}/'.encode())
     digests = []
-    blocks = min(MOST_BLOCKS, len(text) // BLOCK_CHARS)
+    blocks = min(MAX_BLOCKS, len(text) // BLOCK_CHARS)
     for block in range(blocks):
         start = block * BLOCK_CHARS
-        chain.update(text[start : start + BLOCK_CHARS].encode())
-        digests.append(chain.hexdigest()[:_DIGEST_CHARS])
+        hasher.update(text[start : start + BLOCK_CHARS].encode())
+        digests.append(hasher.hexdigest()[:_DIGEST_CHARS])
     return tuple(digests)
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.core.placement import count_free
+from samphirerill.core.placement import count_free_slots
 from samphirerill.quarantine.messages import build_told
 from samphirerill.quarantine.records import describe_record
 
@@ -20,14 +20,14 @@
     return {
         'configuration_version': state.configuration.version,
         'draining': state.draining,
-        'forbidden': state.forbidden,
+        'forbidden': state.suspension_reason,
         'nodes': state.node_count,
         'requests': _count_phases(state),
         'attempts': len(state.attempts),
         'waiting': {name: pool.size() for name, pool in state.pools.items()},
         'endpoints': _describe_endpoints(state, now),
         'retry_budgets': {
-            name: round(budget.left, 1)
+            name: round(budget.balance, 1)
             for name, budget in state.budgets.items()
         },
         'known_prefixes': state.prefixes.size(),
@@ -37,7 +37,7 @@
 
 
 def count_open(state: CoreState) -> int:
-    """Return how many requests have no final answer yet."""
+    """Return the number of requests without a final answer."""
     return len(state.requests)
 
 
@@ -46,10 +46,10 @@
     return sorted(state.leaving)
 
 
-def list_evidence(state: CoreState, now: float, most: int) -> list[ToldRecord]:
-    """Return what is known against requests, for other nodes."""
-    known = islice(state.quarantine.list_records(), most)
-    return [build_told(request, record, now) for request, record in known]
+def list_evidence(state: CoreState, now: float, limit: int) -> list[ToldRecord]:
+    """Return up to `limit` crash records of requests, for other nodes."""
+    records = islice(state.quarantine.list_records(), limit)
+    return [build_told(request, record, now) for request, record in records]
 
 
 def _describe_quarantine(state: CoreState, now: float) -> list[dict[str, Any]]:
@@ -69,11 +69,11 @@
 def _describe_endpoints(state: CoreState, now: float) -> dict[str, Any]:
     return {
         name: {
-            'health': found.health.value,
-            'in_flight': found.in_flight,
-            'reported_running': found.running,
-            'reported_waiting': found.waiting,
-            'free': count_free(state, found),
+            'health': replica.health.value,
+            'in_flight': replica.in_flight,
+            'reported_running': replica.running,
+            'reported_waiting': replica.waiting,
+            'free': count_free_slots(state, replica),
         }
-        for name, found in state.endpoints.items()
+        for name, replica in state.endpoints.items()
     }
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -1,4 +1,4 @@
-"""Start attempts: from the queue, after a claim, or again after a failure."""
+"""Start attempts: from the queue, after a claim, or as a retry."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from math import ceil
 from typing import TYPE_CHECKING
 
-from samphirerill.core.admission import Pool, Ticket
+from samphirerill.core.admission import FairQueue, QueueEntry
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import OpenAttempt, Stage, WriteClaim
 from samphirerill.core.ending import (
-    name_pool,
+    get_queue_name,
     refuse_request,
-    release_account,
+    release_account_slot,
 )
 from samphirerill.core.model import SERVICE_ROUTE
 from samphirerill.core.placement import choose_pipeline, choose_service
@@ -24,29 +24,29 @@
 _RETRY_AFTER_S = 1.0
 
 
-def find_pool(state: CoreState, name: str) -> Pool:
-    """Return the pool of a name, made on first use."""
+def get_queue(state: CoreState, name: str) -> FairQueue:
+    """Return the queue with a name, created on first use."""
     if name not in state.pools:
-        state.pools[name] = Pool()
+        state.pools[name] = FairQueue()
     return state.pools[name]
 
 
-def dispatch_all(state: CoreState, now: float) -> None:
-    """Start what can start in every pool."""
+def dispatch_all_queues(state: CoreState, now: float) -> None:
+    """Start queued requests of every queue."""
     for name in tuple(state.pools):
-        dispatch_pool(state, name, now)
+        dispatch_queue(state, name, now)
 
 
-def dispatch_pool(state: CoreState, name: str, now: float) -> None:
-    """Start waiting requests of one pool while there is room for them."""
-    pool = find_pool(state, name)
+def dispatch_queue(state: CoreState, name: str, now: float) -> None:
+    """Start queued requests of one queue while endpoints have free slots."""
+    queue = get_queue(state, name)
     started = True
     while started:
-        started = _start_next(state, pool, now)
+        started = _start_next(state, queue, now)
 
 
 def start_attempt(state: CoreState, req: RequestState, now: float) -> bool:
-    """Open an attempt if there is room; return whether it was opened."""
+    """Open an attempt if slots are free; return whether it was opened."""
     stages = choose_stages(state, req)
     if not stages:
         return False
@@ -57,14 +57,14 @@
 def open_attempt(
     state: CoreState, req: RequestState, stages: tuple[Stage, ...], now: float
 ) -> None:
-    """Open an attempt over stages that have room."""
+    """Open an attempt over stages that have free slots."""
     is_service = req.route.kind == SERVICE_ROUTE
     attempt = AttemptState(
         state.next_attempt_id(),
         req.request_id,
         epoch=req.attempts,
         stages=stages,
-        progress_deadline=_first_deadline(state, req, now),
+        progress_deadline=_compute_first_deadline(state, req, now),
     )
     req.attempts += 1
     req.attempt_id = attempt.attempt_id
@@ -72,7 +72,9 @@
     state.attempts[attempt.attempt_id] = attempt
     for stage in stages:
         state.endpoints[stage.endpoint].in_flight += 1
-    state.wake_at(attempt.progress_deadline, 'attempt', attempt.attempt_id)
+    state.schedule_wake(
+        attempt.progress_deadline, 'attempt', attempt.attempt_id
+    )
     state.emit(
         OpenAttempt(
             attempt.attempt_id,
@@ -86,11 +88,11 @@
 
 
 def choose_stages(state: CoreState, req: RequestState) -> tuple[Stage, ...]:
-    """Return stages with room for a request, or an empty tuple."""
+    """Return stages with free slots for a request, or an empty tuple."""
     if req.route.kind == SERVICE_ROUTE:
         return choose_service(state, req.route.endpoints, req.avoid)
-    held = state.prefixes.find_holders(req.prefixes)
-    return choose_pipeline(state, req.route.model, req.avoid, held)
+    cached = state.prefixes.find_endpoints(req.prefixes)
+    return choose_pipeline(state, req.route.model, req.avoid, cached)
 
 
 def retry_or_refuse(
@@ -101,10 +103,10 @@
     code: str,
     detail: str,
 ) -> None:
-    """Try again if that is safe and affordable; else end the request now.
+    """Retry a failed request if that is safe and affordable, else end it.
 
-    A request that may have run and is not idempotent must not run again:
-    the caller would see the doubled session or the second reminder.
+    A request that may have run on a route that is not idempotent must not run
+    again: its effects would happen twice.
     """
     if now >= req.deadline:
         refuse_request(
@@ -115,51 +117,51 @@
             'the deadline has passed',
         )
         return
-    if not _may_repeat(req):
+    if not _may_retry(req):
         refuse_request(state, req, status, code, detail)
         return
     limits = state.configuration.limits
     req.failures += 1
-    if req.failures >= limits.max_attempts or not _spend_retry(state, req):
+    if req.failures >= limits.max_attempts or not _withdraw_retry(state, req):
         refuse_request(state, req, status, code, detail, _RETRY_AFTER_S)
         return
     state.counters['retries'] += 1
     if not start_attempt(state, req, now):
-        wait_in_front(state, req, now)
+        requeue_at_front(state, req, now)
 
 
-def wait_in_front(state: CoreState, req: RequestState, now: float) -> None:
-    """Put work that has started before all that has not."""
+def requeue_at_front(state: CoreState, req: RequestState, now: float) -> None:
+    """Queue a request that already ran ahead of those that have not."""
     req.phase = Phase.QUEUED
-    release_account(state, req)
+    release_account_slot(state, req)
     req.queue_deadline = min(req.deadline, now + req.route.queue_timeout_s)
-    state.wake_at(req.queue_deadline, 'queue', req.request_id)
-    ticket = Ticket(req.request_id, req.account, req.priority, 0)
-    find_pool(state, name_pool(req)).add(ticket, in_front=True)
+    state.schedule_wake(req.queue_deadline, 'queue', req.request_id)
+    entry = QueueEntry(req.request_id, req.account, req.priority, 0)
+    get_queue(state, get_queue_name(req)).add(entry, at_front=True)
 
 
-def earn_retry(state: CoreState, req: RequestState) -> None:
-    """Let a first attempt pay into its route's retry budget."""
-    _find_budget(state, req).earn()
+def deposit_retry(state: CoreState, req: RequestState) -> None:
+    """Deposit a first attempt in its route's retry budget."""
+    _get_budget(state, req).deposit()
 
 
-def _start_next(state: CoreState, pool: Pool, now: float) -> bool:
+def _start_next(state: CoreState, queue: FairQueue, now: float) -> bool:
     """Start the next request that may start; return whether one did."""
-    for ticket in pool.candidates():
-        req = state.requests[ticket.request_id]
-        if _is_over_limit(state, req):
+    for entry in queue.candidates():
+        req = state.requests[entry.request_id]
+        if _is_at_limit(state, req):
             continue
         stages = choose_stages(state, req)
         if not stages:
             return False
-        pool.take(ticket, now)
+        queue.dequeue(entry, now)
         state.running_by_account[req.account] += 1
-        _start_taken(state, req, stages, now)
+        _claim_or_open(state, req, stages, now)
         return True
     return False
 
 
-def _start_taken(
+def _claim_or_open(
     state: CoreState, req: RequestState, stages: tuple[Stage, ...], now: float
 ) -> None:
     if req.key and not req.claimed:
@@ -177,11 +179,11 @@
     open_attempt(state, req, stages, now)
 
 
-def _is_over_limit(state: CoreState, req: RequestState) -> bool:
-    """Tell whether the account runs its share of this node already.
+def _is_at_limit(state: CoreState, req: RequestState) -> bool:
+    """Return whether the account is at its concurrency limit on this node.
 
-    The limit holds for the fleet; each node keeps to its share of it, so
-    that no call is needed for each request.
+    The limit applies to the whole fleet. Each node enforces an equal share of
+    it, which needs no coordination for each request.
     """
     account = state.configuration.accounts.get(req.account)
     if account is None or not account.max_concurrent:
@@ -190,24 +192,26 @@
     return state.running_by_account[req.account] >= share
 
 
-def _first_deadline(state: CoreState, req: RequestState, now: float) -> float:
+def _compute_first_deadline(
+    state: CoreState, req: RequestState, now: float
+) -> float:
     limits = state.configuration.limits
     if req.route.kind == SERVICE_ROUTE:
         return min(req.deadline, now + limits.service_timeout_s)
     return min(req.deadline, now + limits.answer_timeout_s)
 
 
-def _may_repeat(req: RequestState) -> bool:
+def _may_retry(req: RequestState) -> bool:
     if req.route.idempotent:
         return True
     return not req.unsure_attempts and not req.delivered
 
 
-def _spend_retry(state: CoreState, req: RequestState) -> bool:
-    return _find_budget(state, req).spend()
+def _withdraw_retry(state: CoreState, req: RequestState) -> bool:
+    return _get_budget(state, req).try_withdraw()
 
 
-def _find_budget(state: CoreState, req: RequestState) -> RetryBudget:
+def _get_budget(state: CoreState, req: RequestState) -> RetryBudget:
     limits = state.configuration.limits
     name = req.route.name
     if name not in state.budgets:
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -1,7 +1,7 @@
-"""The decision core's memory: requests, attempts and endpoints.
+"""The state of the decision core: requests, attempts and endpoints.
 
-Nothing here does I/O or reads a clock. Deadlines are points on the clock that
-the node hands in with each event.
+Nothing here does I/O or reads a clock. Deadlines are points on the clock whose
+time the node passes with each event.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from samphirerill.core.admission import Pool
+from samphirerill.core.admission import FairQueue
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import Command, Stage
-from samphirerill.core.links import LinkMap
+from samphirerill.core.links import LinkLatencies
 from samphirerill.core.model import Configuration, Endpoint
-from samphirerill.core.prefixes import PrefixMap
+from samphirerill.core.prefixes import PrefixIndex
 from samphirerill.quarantine import Quarantine
 
 if TYPE_CHECKING:
     from samphirerill.core.model import Route
     from samphirerill.quarantine import Death
 
-LONGEST_LAG_S = 30.0
+MAX_VM_LIST_LAG_S = 30.0
 
 
 class Phase(Enum):
-    """Where a request stands between arrival and its end."""
+    """The phase of a request between its arrival and its end."""
 
     QUEUED = 'queued'
     CLAIMING = 'claiming'
@@ -37,7 +37,7 @@
 
 
 class Health(Enum):
-    """What this node believes of an endpoint."""
+    """The health of an endpoint as this node knows it."""
 
     LIVE = 'live'
     SUSPECT = 'suspect'
@@ -46,11 +46,11 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """One request that has no final answer yet.
+    """One request without a final answer.
 
-    `delivered` is the index of the next token the caller is owed.
-    `unsure_attempts` counts attempts that may have run something;
-    `failures` those that failed since the last token.
+    `delivered` is the index of the next token to deliver. `unsure_attempts`
+    counts attempts that may have run; `failures` counts those that failed
+    since the last token.
     """
 
     request_id: str
@@ -77,10 +77,11 @@
 
 @dataclass(slots=True)
 class AttemptState:
-    """One try at a request over one pipeline or service.
+    """One attempt of a request over one pipeline or plain service.
 
-    `excess_ms` is what slow hops have cost since they were last reported to be
-    fast; `slow_index` is the latest token that is counted in it, -1 for none.
+    `excess_ms` is the time that slow hops have cost since they were last
+    reported to be fast; `last_slow_index` is the last token counted in it, or
+    -1.
     """
 
     attempt_id: str
@@ -89,10 +90,10 @@
     stages: tuple[Stage, ...]
     progress_deadline: float
     sent: bool = False
-    got_token: bool = False
+    has_token: bool = False
     first_token_at: float = 0
     last_token_at: float = 0
-    slow_index: int = -1
+    last_slow_index: int = -1
     excess_ms: float = 0
 
 
@@ -100,9 +101,9 @@
 class EndpointState:
     """What this node knows of one endpoint.
 
-    `running` and `waiting` are the endpoint's own, late figures;
-    `own_at_report` is this node's share of them when they came. Until
-    `gentle_until` the endpoint is new and gets work little by little.
+    `running` and `waiting` are the endpoint's own, delayed figures;
+    `in_flight_at_report` is what this node had in flight when they arrived.
+    Until `slow_start_until` the endpoint is new and gets a growing share.
     """
 
     endpoint: Endpoint
@@ -110,51 +111,51 @@
     in_flight: int = 0
     running: int = 0
     waiting: int = 0
-    own_at_report: int = 0
-    suspect_until: float = 0
+    in_flight_at_report: int = 0
+    next_probe_at: float = 0
     reported_at: float = 0
-    gentle_until: float = 0
+    slow_start_until: float = 0
 
-    def others(self) -> int:
-        """Return how much of the endpoint other nodes use."""
-        return max(0, self.running + self.waiting - self.own_at_report)
+    def count_other_load(self) -> int:
+        """Return how many requests of other nodes the endpoint has."""
+        return max(0, self.running + self.waiting - self.in_flight_at_report)
 
 
 class CoreState:
-    """Everything the handlers read and change.
+    """Everything that the handlers read and change.
 
     Parameters
     ----------
     node : str
         This node's name; it makes attempt ids unique across nodes.
     seed : int
-        Seed of the only source of chance in the core.
+        Seed of the core's only random number generator.
     """
 
     __slots__ = (
         'attempts',
-        'broken',
         'budgets',
         'by_model',
+        'commands',
         'configuration',
         'counters',
         'deadlines',
         'draining',
         'endpoints',
-        'forbidden',
+        'last_attempt_number',
         'leaving',
         'links',
         'node',
         'node_count',
         'now',
-        'out',
         'pools',
         'prefixes',
         'quarantine',
         'random',
         'requests',
         'running_by_account',
-        'sequence',
+        'suspected_crashes',
+        'suspension_reason',
     )
 
     def __init__(self, node: str, seed: int) -> None:
@@ -165,40 +166,40 @@
         self.attempts: dict[str, AttemptState] = {}
         self.endpoints: dict[str, EndpointState] = {}
         self.by_model: dict[str, list[EndpointState]] = {}
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, FairQueue] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.leaving: dict[str, float] = {}
-        self.links = LinkMap()
-        self.prefixes = PrefixMap()
+        self.links = LinkLatencies()
+        self.prefixes = PrefixIndex()
         self.quarantine = Quarantine()
-        # Of endpoints that are asked whether they live, what broke off there.
-        self.broken: dict[str, dict[bytes, Death]] = {}
+        # By endpoint being probed, the requests whose attempts failed there.
+        self.suspected_crashes: dict[str, dict[bytes, Death]] = {}
         self.running_by_account: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
         self.deadlines: list[tuple[float, str, str]] = []
         self.node_count = 1
         self.now = 0.0
-        self.sequence = 0
+        self.last_attempt_number = 0
         self.draining = False
-        self.forbidden = ''
-        self.out: list[Command] = []
+        self.suspension_reason = ''
+        self.commands: list[Command] = []
 
     def emit(self, command: Command) -> None:
-        """Add a command to those the current event leads to."""
-        self.out.append(command)
+        """Add a command to those of the current event."""
+        self.commands.append(command)
 
-    def wake_at(self, deadline: float, kind: str, name: str) -> None:
-        """Ask to be woken at a deadline."""
+    def schedule_wake(self, deadline: float, kind: str, name: str) -> None:
+        """Request a ``TimePassed`` event at a deadline."""
         heapq.heappush(self.deadlines, (deadline, kind, name))
 
     def mark_leaving(self, name: str, now: float) -> None:
-        """Send an endpoint nothing new, whatever a lagging list says."""
-        self.leaving[name] = now + LONGEST_LAG_S
-        found = self.endpoints.get(name)
-        if found is not None:
-            found.health = Health.LEAVING
+        """Send an endpoint no new work until the VM list has caught up."""
+        self.leaving[name] = now + MAX_VM_LIST_LAG_S
+        replica = self.endpoints.get(name)
+        if replica is not None:
+            replica.health = Health.LEAVING
 
     def next_attempt_id(self) -> str:
         """Return an attempt id that no node has used."""
-        self.sequence += 1
-        return f'{self.node}-{self.sequence}'
+        self.last_attempt_number += 1
+        return f'{self.node}-{self.last_attempt_number}'
--- a/samphirerill/core/subsets.py
+++ b/samphirerill/core/subsets.py
@@ -1,9 +1,9 @@
-"""Which replicas a node uses, so that its work does not grow with the fleet.
+"""Subsetting: which replicas a node uses, whatever the fleet's size.
 
-Of each range of layers a node uses at most ``SUBSET`` replicas, chosen by
-rendezvous hashing of its own name with theirs. Names of nodes are random at each
-start, so the fleet's choices spread evenly; when a replica comes or goes, only
-the nodes that chose it, or now do, change theirs.
+For each range of layers a node uses at most ``MAX_SUBSET_REPLICAS`` replicas,
+chosen by rendezvous hashing of its own name with theirs. Node names are random
+at each start, so the load of the fleet spreads evenly. When a replica is added
+or removed, only the nodes that use it change their subset.
 """
 
 from __future__ import annotations
@@ -14,36 +14,40 @@
 if TYPE_CHECKING:
     from samphirerill.core.state import EndpointState
 
-SUBSET = 24
-Place = tuple[str, int, int]
+MAX_SUBSET_REPLICAS = 24
+GroupKey = tuple[str, int, int]
 
 
 def group_by_model(
     node: str, endpoints: dict[str, EndpointState]
 ) -> dict[str, list[EndpointState]]:
-    """Return the engines this node uses, by model.
+    """Return the replicas that this node uses, by model.
 
-    Every range of layers that is held at all stays held, so a model that the
-    fleet covers is covered at every node.
+    At least one replica is kept for each range of layers, so every node can
+    build a pipeline for each model that the fleet covers.
     """
-    by_range: dict[Place, list[EndpointState]] = {}
-    for found in endpoints.values():
-        held = found.endpoint
-        place = (held.model, held.first, held.last)
-        by_range.setdefault(place, []).append(found)
+    groups: dict[GroupKey, list[EndpointState]] = {}
+    for replica in endpoints.values():
+        endpoint = replica.endpoint
+        group_key = (endpoint.model, endpoint.first, endpoint.last)
+        groups.setdefault(group_key, []).append(replica)
     grouped: dict[str, list[EndpointState]] = {}
-    for place, replicas in by_range.items():
-        grouped.setdefault(place[0], []).extend(_choose(node, replicas))
+    for group_key, replicas in groups.items():
+        grouped.setdefault(group_key[0], []).extend(
+            _select_subset(node, replicas)
+        )
     return grouped
 
 
-def _choose(node: str, replicas: list[EndpointState]) -> list[EndpointState]:
-    if len(replicas) <= SUBSET:
+def _select_subset(
+    node: str, replicas: list[EndpointState]
+) -> list[EndpointState]:
+    if len(replicas) <= MAX_SUBSET_REPLICAS:
         return replicas
-    return sorted(replicas, key=lambda found: _rank(node, found.endpoint.name))[
-        :SUBSET
-    ]
+    return sorted(
+        replicas, key=lambda replica: _compute_rank(node, replica.endpoint.name)
+    )[:MAX_SUBSET_REPLICAS]
 
 
-def _rank(node: str, name: str) -> bytes:
+def _compute_rank(node: str, name: str) -> bytes:
     return sha256(f'{node}/{name}'.encode()).digest()
