--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -1,8 +1,9 @@
-"""Order engines to hold layers, while this node commands.
+"""Control loop that assigns model layers to engines, run by the leader.
 
-Before each order the replica is asked how many orders it has taken, and the
-order names that count: one that is carried out late, after others, is refused.
-What replicas hold is read from them, never from what was ordered.
+Before each order the leader reads the replica's order count and includes it in
+the order as a precondition, so that the engine rejects an order that arrives
+late, after others. Which layers a replica holds is always read from the
+replica, never inferred from orders that were sent.
 """
 
 from __future__ import annotations
@@ -37,47 +38,58 @@
     from samphirerill.relay.store_health import StoreHealth
 
 _LOG = get_logger('commander')
-_STEP_S = 0.2
-# A goal not reached by then is given up and planned anew. Layers that are
-# given up first wait for the streams that pass through them.
-_GOAL_S = 12.0
-# One that is busy is asked again after so long; a load takes seconds, and each
-# question costs a connection.
-_ASK_AGAIN_S = 0.5
+_RECONCILE_INTERVAL_S = 0.2
+# An assignment not reached within this time is dropped and planned again. It
+# allows for streams to drain from the layers that a replica unloads.
+_ASSIGNMENT_TIMEOUT_S = 12.0
+# Loading layers takes seconds, and each status request uses a connection.
+_ORDER_RETRY_S = 0.5
 
 
 @dataclass(slots=True)
-class _Goal:
-    """Layers that a replica should hold; given up at `until`.
+class _Assignment:
+    """Layers assigned to a replica.
 
-    `replica` is the start of it that the goal is for; it is not asked again
-    before `ask_at`.
+    Attributes
+    ----------
+    layers : LayerRange
+        The layers that it should hold.
+    expires_at : float
+        When the assignment expires, on the loop's clock.
+    replica : Replica
+        The replica as announced when it was assigned; a restarted process
+        with the same id does not inherit the assignment.
+    is_accepted : bool
+        Whether the engine has accepted the order.
+    next_attempt_at : float
+        When the order may be sent at the earliest, on the loop's clock.
     """
 
     layers: LayerRange
-    until: float
+    expires_at: float
     replica: Replica
     is_accepted: bool = False
-    ask_at: float = 0.0
+    next_attempt_at: float = 0.0
 
-    def is_for(self, replica: Replica) -> bool:
-        """Return whether this start of a replica was meant."""
+    def is_same_process(self, replica: Replica) -> bool:
+        """Return whether `replica` is still the same engine process."""
         return not replica.is_other_start(self.replica.started_ms)
 
 
 class Commander:
-    """Moves layers while this node holds the lease.
+    """Reassigns layers among replicas while this node is the leader.
 
     Parameters
     ----------
     state : EdgeState
         Replicas and configuration.
     leadership : Leadership
-        Whether this node commands.
+        Leader election by a lease in the store.
     health : StoreHealth
-        Whether announcements may be missing that are only lapsed.
+        Tells whether announcements may be missing because their leases
+        expired during a store outage.
     survey : Survey
-        Asks whom nobody has heard from since a loss began.
+        Probes replicas that have not been heard from since a failure began.
     """
 
     def __init__(
@@ -92,105 +104,106 @@
         self._leadership = leadership
         self._health = health
         self._loop = asyncio.get_running_loop()
-        self._goals: dict[str, _Goal] = {}
+        self._assignments: dict[str, _Assignment] = {}
         self._timings: defaultdict[str, PlanTiming] = defaultdict(PlanTiming)
-        self._is_leaving = False
-        self._woken = asyncio.Event()
+        self._is_stopping = False
+        self._wake_event = asyncio.Event()
 
     async def run(self) -> None:
-        """Seek the lease, and order while it is held."""
-        while not self._is_leaving:
+        """Acquire or renew leadership, and reconcile layers while leading."""
+        while not self._is_stopping:
             try:
                 await self._leadership.seek()
             except StoreError as exc:
                 self._health.note_failure(exc, self._loop.time())
-            await self._command()
-            await self._pause()
+            await self._reconcile()
+            await self._wait_for_next_step()
 
     def wake(self) -> None:
-        """A replica was lost: don't wait for the next step."""
-        self._woken.set()
+        """Start the next iteration at once, because a replica was lost."""
+        self._wake_event.set()
 
     async def leave(self) -> None:
-        """Order nothing more, and let another node command."""
-        self._is_leaving = True
+        """Stop sending orders and release leadership to another node."""
+        self._is_stopping = True
         await self._leadership.leave()
 
-    async def _pause(self) -> None:
-        self._woken.clear()
+    async def _wait_for_next_step(self) -> None:
+        self._wake_event.clear()
         try:
-            async with asyncio.timeout(_STEP_S):
-                await self._woken.wait()
+            async with asyncio.timeout(_RECONCILE_INTERVAL_S):
+                await self._wake_event.wait()
         except TimeoutError:
             return
 
-    async def _command(self) -> None:
+    async def _reconcile(self) -> None:
         cfg = self._state.cfg
         if cfg is None or not self._leadership.is_held():
             return
         now = self._loop.time()
         counted_s = self._state.find_leaves_at(now) - now
         if not self._health.knows_fleet(now, counted_s):
-            # Layers must not be loaded anew because entries have lapsed.
+            # Announcements may be missing only because their leases expired.
             return
         if self._state.view.loss_round.is_under_way(now):
-            # One loss gets one plan. Planned for while it came to light, nine
-            # replicas cost eight plans in a second, each for what had just
-            # been learned, and one replica was ordered four times.
+            # Failures are still being detected: plan once for all of them
+            # rather than once for each.
             return
         await asyncio.gather(
             *(
-                self._command_service(cfg, service.name, service.engine)
+                self._reconcile_service(cfg, service.name, service.engine)
                 for service in cfg.services.values()
                 if service.engine is not None and service.engine.layers
             )
         )
 
-    async def _command_service(
+    async def _reconcile_service(
         self, cfg: FleetConfiguration, service: str, engine: EngineSpec
     ) -> None:
-        present = await self._list_heard_present(service)
+        present = await self._list_responsive(service)
         now = self._loop.time()
         if self._state.view.loss_round.is_under_way(now):
-            # More was lost while replicas were asked.
+            # Further failures were detected while replicas were probed.
             return
         timing = self._timings[service]
         timing.observe(present, now)
         if not timing.has_settled(present, now):
             return
         settled = timing.list_settled(now)
-        is_calm = timing.is_calm(now) and not self._is_busy(present)
+        is_calm = timing.is_calm(now) and not self._has_assignments(present)
         fleet = (engine, service, _list_ids(present), settled, is_calm)
         if timing.may_plan(fleet, present):
-            whole = count_whole(engine, present)
-            timing.note_whole(whole)
+            complete_pipelines = count_whole(engine, present)
+            timing.note_whole(complete_pipelines)
             moves = plan_moves(
                 engine,
                 present,
                 Aims(
-                    _find_pause_ms(cfg, service),
+                    _find_gap_target_ms(cfg, service),
                     policy=self._state.settings.policy,
                 ),
                 settled,
                 is_calm=is_calm,
                 had=timing.had,
             )
-            self._note_plan(service, present, whole, moves)
-        await self._pursue(engine, present)
+            self._record_plan(service, present, complete_pipelines, moves)
+        await self._send_due_orders(engine, present)
 
-    def _is_busy(self, present: list[Replica]) -> bool:
-        """Return whether a change is under way.
+    def _has_assignments(self, present: list[Replica]) -> bool:
+        """Return whether any assignment is in progress.
 
-        A second one would take apart what the first is still loading, and
-        with it every pipeline at once.
+        Rebalancing meanwhile would unload layers that are still being loaded
+        and could break every pipeline at once.
         """
-        return any(replica.replica_id in self._goals for replica in present)
+        return any(
+            replica.replica_id in self._assignments for replica in present
+        )
 
-    async def _list_heard_present(self, service: str) -> list[Replica]:
-        """Return replicas that are there; right after a loss, that answer.
+    async def _list_responsive(self, service: str) -> list[Replica]:
+        """Return the present replicas, leaving out those that do not answer.
 
-        A plan that counted seven dead replicas as there reported three
-        pipelines whole that were not, and had four others loaded for nothing.
+        They are probed only shortly after a failure; a plan that counts dead
+        replicas as present takes broken pipelines for complete ones.
         """
         now = self._loop.time()
         present = self._list_present(service, now)
@@ -204,104 +217,120 @@
         ]
 
     def _list_present(self, service: str, now: float) -> list[Replica]:
-        """Return replicas that are there, as if all goals had been reached.
+        """Return the present replicas as if all assignments were complete.
 
-        What only one node takes for dead is there: layers are not loaded
-        anew because of a node that was held up.
+        A replica that only one node suspects counts as present: one stalled
+        node must not cause layers to be reloaded.
         """
         return [
-            self._assume_goal(found, now)
-            for found in self._state.view.list_present(service, now)
+            self._apply_assignment(known, now)
+            for known in self._state.view.list_present(service, now)
         ]
 
-    def _assume_goal(self, found: Known, now: float) -> Replica:
-        replica = found.replica
-        goal = self._goals.get(replica.replica_id)
-        if goal is None:
+    def _apply_assignment(self, known: Known, now: float) -> Replica:
+        replica = known.replica
+        assignment = self._assignments.get(replica.replica_id)
+        if assignment is None:
             return replica
-        if not goal.is_for(replica):
-            self._goals.pop(replica.replica_id)
+        if not assignment.is_same_process(replica):
+            self._assignments.pop(replica.replica_id)
             return replica
-        if replica.layers != goal.layers and now < goal.until:
-            return replace(replica, layers=goal.layers)
-        if replica.layers != goal.layers:
+        if replica.layers != assignment.layers and now < assignment.expires_at:
+            return replace(replica, layers=assignment.layers)
+        if replica.layers != assignment.layers:
             _LOG.warning(
-                'layers not reached',
+                'replica did not load its assigned layers in time',
                 extra={
                     'replica': replica.replica_id,
-                    'wanted': format_layers(goal.layers),
+                    'wanted': format_layers(assignment.layers),
                     'held': format_layers(replica.layers),
                 },
             )
-        self._goals.pop(replica.replica_id)
+        self._assignments.pop(replica.replica_id)
         return replica
 
-    def _note_plan(
+    def _record_plan(
         self,
         service: str,
         present: list[Replica],
-        whole: dict[str, int],
+        complete_pipelines: dict[str, int],
         moves: Moves,
     ) -> None:
-        until = self._loop.time() + _GOAL_S
+        expires_at = self._loop.time() + _ASSIGNMENT_TIMEOUT_S
         for replica in present:
             layers = moves.get(replica.replica_id)
             if layers is not None:
-                goal = _Goal(layers, until, replica)
-                self._goals[replica.replica_id] = goal
+                assignment = _Assignment(layers, expires_at, replica)
+                self._assignments[replica.replica_id] = assignment
         _LOG.info(
-            'fleet',
+            'layers planned',
             extra={
                 'service': service,
                 'replicas': len(present),
                 'empty': sum(item.layers is None for item in present),
-                'whole': whole,
+                'whole': complete_pipelines,
                 'moves': len(moves),
             },
         )
 
-    async def _pursue(self, engine: EngineSpec, present: list[Replica]) -> None:
-        """Order what is wanted and not yet accepted."""
+    async def _send_due_orders(
+        self, engine: EngineSpec, present: list[Replica]
+    ) -> None:
+        """Send the orders that are due and not yet accepted."""
         now = self._loop.time()
         orders = []
         for replica in present:
-            goal = self._goals.get(replica.replica_id)
-            is_due = goal is not None and goal.ask_at <= now
-            if goal is not None and is_due and not goal.is_accepted:
-                orders.append(self._order(engine, replica, goal))
+            assignment = self._assignments.get(replica.replica_id)
+            is_due = (
+                assignment is not None and assignment.next_attempt_at <= now
+            )
+            if assignment is not None and is_due and not assignment.is_accepted:
+                orders.append(
+                    self._send_layer_order(engine, replica, assignment)
+                )
         await asyncio.gather(*orders)
 
-    async def _order(
-        self, engine: EngineSpec, replica: Replica, goal: _Goal
+    async def _send_layer_order(
+        self, engine: EngineSpec, replica: Replica, assignment: _Assignment
     ) -> None:
-        """Order one replica; a replica never gets more than it can hold."""
-        goal.ask_at = self._loop.time() + _ASK_AGAIN_S
-        kind = engine.accelerators.get(replica.accelerator)
-        if kind is None or goal.layers.count * engine.layer_mb > kind.size_mb:
-            _LOG.error('order refused', extra={'replica': replica.replica_id})
-            self._goals.pop(replica.replica_id, None)
+        """Send one order, unless the layers exceed the replica's memory."""
+        assignment.next_attempt_at = self._loop.time() + _ORDER_RETRY_S
+        accelerator = engine.accelerators.get(replica.accelerator)
+        if (
+            accelerator is None
+            or assignment.layers.count * engine.layer_mb > accelerator.size_mb
+        ):
+            _LOG.error(
+                'assigned layers exceed the memory of the replica',
+                extra={'replica': replica.replica_id},
+            )
+            self._assignments.pop(replica.replica_id, None)
             return
         report = await ask_report(self._state, replica)
-        if report is None or report.is_busy or report.layers == goal.layers:
+        if (
+            report is None
+            or report.is_busy
+            or report.layers == assignment.layers
+        ):
             return
         if replica.is_other_start(report.started_ms):
-            # It started again; its new announcement is on its way.
+            # The replica restarted; its new announcement will follow.
             return
         if not self._leadership.is_held():
             return
         order = self._state.dialect.encode_place(
-            goal.layers, report.orders_taken, self._leadership.token
+            assignment.layers, report.orders_taken, self._leadership.token
         )
         status = await send_order(self._state, replica, order)
-        goal.is_accepted = status in ACCEPTED
-        if goal.is_accepted:
-            goal.until = self._loop.time() + _GOAL_S
+        assignment.is_accepted = status in ACCEPTED
+        if assignment.is_accepted:
+            assignment.expires_at = self._loop.time() + _ASSIGNMENT_TIMEOUT_S
         _LOG.info(
-            'ordered',
+            'layer order sent',
             extra={
                 'replica': replica.replica_id,
                 'kind': replica.accelerator,
-                'layers': format_layers(goal.layers),
+                'layers': format_layers(assignment.layers),
                 'held': format_layers(report.layers),
                 'status': status,
             },
@@ -312,11 +341,14 @@
     return frozenset(replica.replica_id for replica in replicas)
 
 
-def _find_pause_ms(cfg: FleetConfiguration, service: str) -> float:
-    """Return the shortest pause that a route of the service asks for."""
-    pauses = [
+def _find_gap_target_ms(cfg: FleetConfiguration, service: str) -> float:
+    """Return the shortest gap target of the service's routes.
+
+    A route's gap target is the longest pause allowed between two events.
+    """
+    gap_targets = [
         route.gap_s * MS_PER_S
         for route in cfg.routes
         if route.gap_s and any(part.service == service for part in route.shares)
     ]
-    return min(pauses, default=DEFAULT_PAUSE_MS)
+    return min(gap_targets, default=DEFAULT_PAUSE_MS)
