--- a/samphirerill/relay/orders.py
+++ b/samphirerill/relay/orders.py
@@ -1,4 +1,7 @@
-"""Send orders to engines: hold other layers, move a stream."""
+"""Send orders to engines: load other layers, or reroute a stream.
+
+"Order" is the platform's name for a control call to an engine.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +17,18 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('orders')
-# An engine answers an order at once; what it begins takes longer.
+# An engine acknowledges an order immediately and carries it out afterwards.
 _ORDER_TIMEOUT_S = 0.5
 ACCEPTED = frozenset((200, 202))
-# Orders to move a stream are no orders of the commander's.
-_NO_TOKEN = 0
-_MOST_SHOWN = 80
+# Rerouting a stream does not require leadership, so it has no fencing token.
+_NO_FENCING_TOKEN = 0
+_MAX_LOGGED_BYTES = 80
 
 
 async def send_order(state: EdgeState, replica: Replica, order: bytes) -> int:
-    """Send one order; return the status, 0 if no answer came.
+    """Send one order; return the HTTP status, 0 if no answer came.
 
-    An order without an answer may still be carried out, even seconds later.
+    An unanswered order may still be carried out, even seconds later.
     """
     deadline = asyncio.get_running_loop().time() + _ORDER_TIMEOUT_S
     path = state.dialect.order_path
@@ -36,17 +39,17 @@
         )
     except EndpointError as exc:
         _LOG.warning(
-            'order not answered',
+            'engine did not answer an order',
             extra={'replica': replica.replica_id, 'reason': str(exc)},
         )
         return 0
     if status not in ACCEPTED:
         _LOG.warning(
-            'order refused',
+            'engine rejected an order',
             extra={
                 'replica': replica.replica_id,
                 'status': status,
-                'answer': body[:_MOST_SHOWN].decode('latin-1'),
+                'answer': body[:_MAX_LOGGED_BYTES].decode('latin-1'),
             },
         )
     return status
@@ -55,6 +58,21 @@
 async def order_repath(
     state: EdgeState, request_id: bytes, stages: tuple[Stage, ...]
 ) -> bool:
-    """Order the first replica to move a stream; return whether it does."""
-    order = state.dialect.encode_repath(request_id, stages, _NO_TOKEN)
+    """Order the first replica of a path to reroute a stream.
+
+    Parameters
+    ----------
+    state : EdgeState
+        Connections and the platform's protocol.
+    request_id : bytes
+        The request that the stream answers.
+    stages : tuple of Stage
+        The new path; its first stage stays on the same replica.
+
+    Returns
+    -------
+    bool
+        Whether the engine accepted the order.
+    """
+    order = state.dialect.encode_repath(request_id, stages, _NO_FENCING_TOKEN)
     return await send_order(state, stages[0].replica, order) in ACCEPTED
