--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -1,8 +1,8 @@
-"""Follow the store: the configuration in force and the replicas.
+"""Keep the configuration and the replicas in sync with the store.
 
-All keys are read once and then watched. A watch that ends, for whatever
-reason, goes on from the last revision; if that history is gone, everything is
-read again. While the store does not answer, what is known stays in force.
+All keys are listed once and then watched. A watch that ends for any reason is
+resumed from the last revision; if the store has compacted that revision, all
+keys are listed again. During a store outage the last known state stays in use.
 """
 
 from __future__ import annotations
@@ -31,59 +31,65 @@
     from samphirerill.relay.store_health import StoreHealth
 
 _LOG = get_logger('follower')
-_FIRST_PAUSE_S = 0.1
-_MOST_PAUSE_S = 0.5
-# A watch ends with each change; where changes come one after another, as at the
-# start of a fleet, each would cost every node a call. The first one is heard at
-# once, those that follow within this time in batches, so much apart at most.
-_CLOSE_S = 0.5
-_FIRST_BATCH_S = 0.05
-_MOST_BATCH_S = 0.25
-# While a fleet starts, nodes and replicas announce themselves for two seconds, and a
-# node that does not know the others yet counts itself a watcher: 15 of 22 nodes
-# made 15 calls each. Shorter than the 0.6 s without a newcomer after which a fleet is
-# first planned for: with 1 s, 16 of 37 replicas were taken for all.
-_MOST_STARTING_S = 0.5
+_FIRST_RETRY_S = 0.1
+_MAX_RETRY_S = 0.5
+# A watch ends with each change, so a burst of changes, such as the start of a
+# fleet, would cost every node one call per change. The first change is received
+# at once; changes that follow it within this time are received in batches.
+_BURST_GAP_S = 0.5
+_MIN_BATCH_S = 0.05
+_MAX_BATCH_S = 0.25
+# A node that starts does not know the other nodes yet and so watches the store
+# itself. Must stay below the settling time before the first layer plan, or that
+# plan would be made without replicas that have already announced themselves.
+_MAX_STARTUP_BATCH_S = 0.5
 
 
 class PutOffError(StoreError):
-    """This node does not ask the store now; others do."""
+    """This node backs off from the store and relies on the watcher nodes."""
 
 
 class Folder(Protocol):
-    """Takes the news of the keys under one prefix."""
+    """Handles the changes of the keys under one prefix."""
 
     prefix: str
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
-        """Take a whole reading."""
+        """Replace the state by a full listing at `revision`."""
 
     def take_item(self, item: StoredItem) -> None:
-        """Take one item as it was written."""
+        """Apply the write of one key."""
 
     def take_gone(self, gone: DeletedKey) -> None:
-        """Take a deletion."""
+        """Apply the deletion of one key."""
 
 
 class Follower:
-    """Keeps all folders in step with one watch.
+    """Feeds the changes of the store to all handlers, from a single watch.
 
-    A watch for each folder would cost three times the calls.
+    A watch for each handler would multiply the calls to the store.
 
     Parameters
     ----------
     state : EdgeState
-        Told when anything has changed.
+        Notified when anything has changed.
     store : PlatformStore
-        Where the news comes from.
+        Client of the key-value store.
     health : StoreHealth
-        Shared by all who call the store.
+        Whether the store is reachable; shared by all its users.
     folders : sequence of Folder
-        Who takes the news.
+        Handlers of the changes, each for one key prefix.
     news : NewsSource
-        Says where to hear of changes: at the store, or at another node.
+        Chooses where to get changes from: the store, or another node that
+        watches it.
     log : ChangeLog
-        Keeps what is heard, for other nodes.
+        Records the changes, so that they can be relayed to other nodes.
+
+    Attributes
+    ----------
+    revision : int
+        The store revision up to which all changes are applied; 0 if all keys
+        must be listed.
     """
 
     def __init__(
@@ -96,148 +102,168 @@
         log: ChangeLog,
     ) -> None:
         self.revision = 0
-        self._news = news
+        self._change_source = news
         self._log = log
         self._state = state
         self._store = store
         self._health = health
-        self._folders = folders
+        self._handlers = folders
         self._loop = asyncio.get_running_loop()
-        self._must_read = False
+        self._must_relist = False
         self._batch_s = 0.0
-        self._heard_at = 0.0
+        self._last_change_at = 0.0
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        pause_s = _FIRST_PAUSE_S
+        """Apply changes until cancelled."""
+        retry_s = _FIRST_RETRY_S
         while True:
             try:
-                await self._step()
+                await self._sync_once()
             except HistoryGoneError:
-                _LOG.info('history gone', extra={'revision': self.revision})
+                _LOG.info(
+                    'watch revision was compacted; listing all keys again',
+                    extra={'revision': self.revision},
+                )
                 self.revision = 0
                 continue
             except StoreError as exc:
                 self._health.note_failure(exc, self._loop.time())
-                self._note_store_failed(exc)
-                # A watch without an answer may have missed changes; what it
-                # would say next is only of what happens from then on. Another
-                # node's log is asked by revision, and misses nothing.
-                self._must_read = True
-                await asyncio.sleep(pause_s)
-                pause_s = min(_MOST_PAUSE_S, pause_s * 2)
+                self._report_store_failure(exc)
+                # A failed watch may have missed changes, so all keys must be
+                # listed before watching the store again. Another node's
+                # change log is read by revision and has no such gap.
+                self._must_relist = True
+                await asyncio.sleep(retry_s)
+                retry_s = min(_MAX_RETRY_S, retry_s * 2)
                 continue
             self._health.note_success(self._loop.time())
-            pause_s = _FIRST_PAUSE_S
+            retry_s = _FIRST_RETRY_S
 
-    def _note_store_failed(self, exc: StoreError) -> None:
+    def _report_store_failure(self, exc: StoreError) -> None:
         if not isinstance(exc, PutOffError):
-            self._news.note_store(answers=False)
+            self._change_source.note_store(answers=False)
 
-    async def _step(self) -> None:
-        changes = await self._hear() if self.revision else None
+    async def _sync_once(self) -> None:
+        changes = await self._wait_for_changes() if self.revision else None
         if changes is None:
-            self._check_turn()
+            self._check_backoff()
             found, revision = await self._store.read_prefix('')
-            self._news.note_store(answers=True)
-            for folder in self._folders:
-                mine = [
-                    item for item in found if item.key.startswith(folder.prefix)
+            self._change_source.note_store(answers=True)
+            for handler in self._handlers:
+                matching = [
+                    item
+                    for item in found
+                    if item.key.startswith(handler.prefix)
                 ]
-                folder.take_all(mine, revision)
+                handler.take_all(matching, revision)
             self.revision = revision
-            self._must_read = False
+            self._must_relist = False
             self._log.restart(revision, found)
             self._state.notify()
             return
         self._log.note(changes)
         for event in changes.events:
-            self._take(event)
+            self._dispatch(event)
         self.revision = max(self.revision, changes.revision)
         self._state.view.reach(self.revision)
         if changes.events:
             self._state.notify()
-            await asyncio.sleep(self._choose_pause())
+            await asyncio.sleep(self._next_batch_delay())
 
-    async def _hear(self) -> Changes | None:
-        """Wait for changes at a watcher, or at the store if there is none.
+    async def _wait_for_changes(self) -> Changes | None:
+        """Wait for changes from a watcher node, or else from the store.
 
-        Returns none if all must be read anew. A node that the store turned
-        away once, and asked only the store from then on, was deaf though
-        watchers would have told it.
+        The watcher nodes are asked first even after the store has failed, as
+        they may still receive changes when this node can't reach the store.
+
+        Returns
+        -------
+        Changes or None
+            ``None`` if all keys must be listed again.
         """
-        watcher = self._news.choose()
+        watcher = self._change_source.choose()
         if watcher:
             try:
-                changes = await self._news.watch(watcher, self.revision)
+                changes = await self._change_source.watch(
+                    watcher, self.revision
+                )
             except EndpointError as exc:
                 _LOG.info(
                     'watcher failed',
                     extra={'watcher': watcher, 'error': str(exc)},
                 )
             else:
-                self._must_read = False
+                self._must_relist = False
                 return changes
-        if self._must_read:
+        if self._must_relist:
             return None
-        self._check_turn()
+        self._check_backoff()
         changes = await self._store.watch('', self.revision)
-        self._news.note_store(answers=True)
+        self._change_source.note_store(answers=True)
         return changes
 
-    def _check_turn(self) -> None:
-        """Leave the store to the watchers for a while after it has failed."""
-        if self.revision and not self._news.may_ask_store():
-            raise PutOffError('the watchers ask it')
+    def _check_backoff(self) -> None:
+        """Raise ``PutOffError`` while backing off after a store failure."""
+        if self.revision and not self._change_source.may_ask_store():
+            raise PutOffError('backing off; the watcher nodes poll the store')
 
-    def _choose_pause(self) -> float:
-        """Return how long to gather changes before the next watch."""
+    def _next_batch_delay(self) -> float:
+        """Return how long to batch changes before the next watch.
+
+        Doubles with each change that closely follows the one before.
+        """
         now = self._loop.time()
-        is_close = now - self._heard_at < _CLOSE_S + self._batch_s
-        self._heard_at = now
-        if is_close:
-            longer_s = max(_FIRST_BATCH_S, 2 * self._batch_s)
-            is_starting = self._news.is_starting()
-            most_s = _MOST_STARTING_S if is_starting else _MOST_BATCH_S
-            self._batch_s = min(most_s, longer_s)
+        is_burst = now - self._last_change_at < _BURST_GAP_S + self._batch_s
+        self._last_change_at = now
+        if is_burst:
+            longer_s = max(_MIN_BATCH_S, 2 * self._batch_s)
+            is_starting = self._change_source.is_starting()
+            max_s = _MAX_STARTUP_BATCH_S if is_starting else _MAX_BATCH_S
+            self._batch_s = min(max_s, longer_s)
         else:
             self._batch_s = 0.0
         return self._batch_s
 
-    def _take(self, event: StoredItem | DeletedKey) -> None:
-        for folder in self._folders:
-            if not event.key.startswith(folder.prefix):
+    def _dispatch(self, event: StoredItem | DeletedKey) -> None:
+        for handler in self._handlers:
+            if not event.key.startswith(handler.prefix):
                 continue
             if isinstance(event, DeletedKey):
-                folder.take_gone(event)
+                handler.take_gone(event)
             else:
-                folder.take_item(event)
+                handler.take_item(event)
 
 
 class ConfigurationFolder:
-    """Puts each newer configuration in force."""
+    """Applies each newer configuration."""
 
     def __init__(self, state: EdgeState) -> None:
         self.prefix = state.dialect.configuration_key
         self.state = state
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
-        """Take a whole reading."""
+        """Apply the configuration found in a full listing."""
         for item in found:
             self.take_item(item)
 
     def take_item(self, item: StoredItem) -> None:
-        """Take one item as it was written."""
+        """Apply a configuration that was written."""
         try:
             cfg = self.state.dialect.decode_configuration(item.text)
         except DocumentError as exc:
-            _LOG.error('configuration is unreadable', extra={'error': str(exc)})
+            _LOG.error(
+                'stored configuration is invalid; keeping the current one',
+                extra={'error': str(exc)},
+            )
             return
         self.state.put_in_force(cfg, item.text)
 
     def take_gone(self, gone: DeletedKey) -> None:
-        """A configuration that was deleted stays in force."""
-        _LOG.warning('configuration deleted', extra={'key': gone.key})
+        """Log the deletion and keep the current configuration."""
+        _LOG.warning(
+            'configuration key was deleted; keeping the current one',
+            extra={'key': gone.key},
+        )
 
 
 def build_follower(
@@ -248,13 +274,26 @@
     news: NewsSource,
     log: ChangeLog,
 ) -> Follower:
-    """Return a follower of the configuration, the replicas and more.
+    """Return a `Follower` for the configuration, the replicas and more.
 
-    Parameters are those of `Follower`; `folders` take the news of other keys.
+    Parameters
+    ----------
+    state : EdgeState
+        Notified when anything has changed.
+    store : PlatformStore
+        Client of the key-value store.
+    health : StoreHealth
+        Whether the store is reachable.
+    folders : sequence of Folder
+        Handlers of further keys.
+    news : NewsSource
+        Chooses where to get changes from.
+    log : ChangeLog
+        Records the changes for other nodes.
     """
-    all_folders: list[Folder] = [
+    all_handlers: list[Folder] = [
         ConfigurationFolder(state),
         ReplicaFolder(state, health),
         *folders,
     ]
-    return Follower(state, store, health, all_folders, news, log)
+    return Follower(state, store, health, all_handlers, news, log)
