--- a/samphirerill/relay/cfg_texts.py
+++ b/samphirerill/relay/cfg_texts.py
@@ -1,4 +1,4 @@
-"""The texts of the latest configurations, as nodes give them to each other."""
+"""Recent configuration texts, and deltas between them for other nodes."""
 
 from __future__ import annotations
 
@@ -11,43 +11,46 @@
     build_delta,
 )
 
-# Versions kept besides the newest: who is further behind gets the whole.
-_KEPT = 4
+# Versions kept besides the newest; older nodes are sent the full text.
+_MAX_PREVIOUS_VERSIONS = 4
 
 
-class _Given(Struct, array_like=True):
-    """A configuration: `text`, or its difference to one that is known."""
+class _EncodedConfiguration(Struct, array_like=True):
+    """A configuration as sent: the full `text`, or a `delta` to a known one."""
 
     text: bytes
     delta: Delta | None = None
 
 
 class CfgTexts:
-    """The text in force at a node, and some before it, by version.
+    """The current configuration text and its recent predecessors, by version.
 
-    What is given is made once for each version that others have: the difference
-    of 290 KB takes 8 ms, and half a fleet asks for the same one.
+    Encoded deltas are cached, as many nodes ask for the same one at once and
+    computing it takes milliseconds.
     """
 
-    __slots__ = ('_given', '_texts')
+    __slots__ = ('_encoded_deltas', '_texts')
 
     def __init__(self) -> None:
         self._texts: dict[int, bytes] = {}
-        self._given: dict[int, bytes] = {}
+        self._encoded_deltas: dict[int, bytes] = {}
 
     def note(self, version: int, text: bytes) -> None:
-        """Keep the text of a version that is newer than the others."""
+        """Add the text of a version newer than all others."""
         self._texts[version] = text
-        self._given.clear()
-        while len(self._texts) > _KEPT + 1:
+        self._encoded_deltas.clear()
+        while len(self._texts) > _MAX_PREVIOUS_VERSIONS + 1:
             self._texts.pop(min(self._texts))
 
     def has(self, version: int) -> bool:
-        """Return whether what follows a version can be told as a difference."""
+        """Return whether a delta from this version can be computed."""
         return version in self._texts
 
     def encode(self, after: int) -> bytes:
-        """Return the newest text for a node that has version `after`.
+        """Return the newest configuration for a node that has version `after`.
+
+        It is encoded as a delta if that version is still kept, and in full
+        otherwise.
 
         Raises
         ------
@@ -55,36 +58,38 @@
             There is no configuration yet.
         """
         newest = self._texts[max(self._texts, default=0)]
-        before = self._texts.get(after)
-        if before is None:
-            return msgpack.encode(_Given(newest))
-        given = self._given.get(after)
-        if given is None:
-            given = msgpack.encode(_Given(b'', build_delta(before, newest)))
-            self._given[after] = given
-        return given
+        previous = self._texts.get(after)
+        if previous is None:
+            return msgpack.encode(_EncodedConfiguration(newest))
+        message = self._encoded_deltas.get(after)
+        if message is None:
+            message = msgpack.encode(
+                _EncodedConfiguration(b'', build_delta(previous, newest))
+            )
+            self._encoded_deltas[after] = message
+        return message
 
     def decode(self, encoded: bytes, own: int) -> bytes:
-        """Return the text that another node gave to this one.
+        """Return the configuration text in a message from another node.
 
         Parameters
         ----------
         encoded : bytes
-            What the other node sent.
+            The message.
         own : int
-            The version that was named to it.
+            This node's version, as named in the request.
 
         Raises
         ------
         DeltaError
-            It is the difference to another text than that of `own`.
+            The delta does not apply to the text of version `own`.
         DecodeError
-            It is no such message.
+            The message is malformed.
         """
-        given = msgpack.decode(encoded, type=_Given)
-        if given.delta is None:
-            return given.text
-        before = self._texts.get(own)
-        if before is None:
-            raise DeltaError('got a difference, expected the whole text')
-        return apply_delta(before, given.delta)
+        message = msgpack.decode(encoded, type=_EncodedConfiguration)
+        if message.delta is None:
+            return message.text
+        previous = self._texts.get(own)
+        if previous is None:
+            raise DeltaError(f'received a delta, but version {own} is not kept')
+        return apply_delta(previous, message.delta)
