--- a/samphirerill/relay/events.py
+++ b/samphirerill/relay/events.py
@@ -1,22 +1,30 @@
-"""Cut a stream of server-sent events into whole events.
+"""Split a byte stream of server-sent events into complete events.
 
-Only whole events are passed on: after half of one, a stream could not be
-resumed at another replica without the client seeing the half twice.
+Only complete events are forwarded: after a partial one, a stream could not be
+resumed at another replica without repeating that part to the client.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-_END = b'\n\n'
-_ID = b'id:'
-# An event beyond this is no event of ours; it is passed on as it comes.
-_MOST_BYTES = 1_048_576
+_EVENT_END = b'\n\n'
+_ID_FIELD = b'id:'
+# Longer data is not buffered but forwarded as it arrives.
+_MAX_EVENT_BYTES = 1_048_576
 
 
 @dataclass(slots=True)
 class Event:
-    """One whole event with its id, -1 if it has none."""
+    """One complete event.
+
+    Attributes
+    ----------
+    raw : bytes
+        The event as received, with its terminating blank line.
+    number : int
+        The event's id; -1 if it has none or it is not a number.
+    """
 
     raw: bytes
     number: int
@@ -24,23 +32,23 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Keeps the beginning of an event until its end has come."""
+    """Buffers an incomplete event until the rest of it arrives."""
 
     rest: bytes = field(default=b'')
 
     def feed(self, body: bytes) -> list[Event]:
-        """Return the events that are now whole."""
-        whole = (self.rest + body).split(_END)
-        self.rest = whole.pop()
-        if len(self.rest) > _MOST_BYTES:
-            whole.append(self.rest)
+        """Add received data; return the events completed by it."""
+        complete = (self.rest + body).split(_EVENT_END)
+        self.rest = complete.pop()
+        if len(self.rest) > _MAX_EVENT_BYTES:
+            complete.append(self.rest)
             self.rest = b''
-        return [Event(raw + _END, _read_id(raw)) for raw in whole]
+        return [Event(raw + _EVENT_END, _read_id(raw)) for raw in complete]
 
 
 def _read_id(raw: bytes) -> int:
     for line in raw.split(b'\n'):
-        if line.startswith(_ID):
-            text = line[len(_ID) :].strip()
+        if line.startswith(_ID_FIELD):
+            text = line[len(_ID_FIELD) :].strip()
             return int(text) if text.isdigit() else -1
     return -1
