--- a/samphirerill/relay/leases.py
+++ b/samphirerill/relay/leases.py
@@ -1,4 +1,4 @@
-"""Give up a lease of the store."""
+"""Revoke leases of the store."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 
 
 async def give_up_lease(store: PlatformStore, lease: int, log: Logger) -> None:
-    """End a lease, so that its keys go at once; else they lapse later.
+    """Revoke a lease, so that its keys are deleted at once.
+
+    If the store does not answer, they are deleted when the lease expires.
 
     Parameters
     ----------
     store : PlatformStore
-        Where it lies.
+        The store that granted the lease.
     lease : int
-        Which one; 0 for none.
+        The lease; nothing is done for 0.
     log : Logger
-        Told if the store did not take the call.
+        Where a failure is logged.
     """
     if not lease:
         return
     try:
         await store.end_lease(lease)
     except StoreError as exc:
-        log.info('lease not ended', extra={'error': str(exc)})
+        log.info('lease not revoked; it will expire', extra={'error': str(exc)})
