--- a/samphirerill/relay/leaving.py
+++ b/samphirerill/relay/leaving.py
@@ -1,4 +1,4 @@
-"""Whether a stream that has begun may leave its path, and how."""
+"""Decide whether a stream in progress should be rerouted, and how."""
 
 from __future__ import annotations
 
@@ -9,28 +9,32 @@
 
 
 def may_leave(path: StreamPath) -> bool:
-    """Return whether it is worth while to look for a path beside this one.
+    """Return whether to look for an alternative path.
 
-    For a part that is lost a stream waits in the queue; a part that works is
-    left only if another path has room at once.
+    A stream with a lost stage waits in the queue for one; a stream whose path
+    works is rerouted only if another path has capacity right now.
     """
     if not path.stages:
         return False
-    return bool(path.list_lost()) or _has_beside(path)
+    return bool(path.list_lost()) or _has_alternative(path)
 
 
 def must_begin_here(path: StreamPath) -> bool:
-    """Return whether a lost later part can only be left from the same head.
+    """Return whether the stream must be resent to the same first replica.
 
-    The head did not move the stream; over other parts the stream could be sent
-    there again, and it begins nowhere else.
+    This is the case if a later stage was lost and every path with capacity
+    starts at the same first replica, which did not reroute the stream itself.
     """
-    lost = path.list_lost()
-    if not lost or path.head_id in lost or _has_beside(path):
+    lost_replicas = path.list_lost()
+    if (
+        not lost_replicas
+        or path.head_id in lost_replicas
+        or _has_alternative(path)
+    ):
         return False
-    return bool(path.finder.find_other(lost))
+    return bool(path.finder.find_other(lost_replicas))
 
 
-def _has_beside(path: StreamPath) -> bool:
-    wanted = path.finder.build_beside(path.head_id, path.list_lost())
-    return bool(path.finder.find(wanted))
+def _has_alternative(path: StreamPath) -> bool:
+    path_request = path.finder.build_beside(path.head_id, path.list_lost())
+    return bool(path.finder.find(path_request))
