--- a/samphirerill/relay/dialect.py
+++ b/samphirerill/relay/dialect.py
@@ -1,6 +1,7 @@
-"""What the edge needs to know of the words spoken with callers and endpoints.
+"""Interface between the router and a platform's wire format.
 
-An adapter implements :class:`Dialect`; the edge sees typed facts only.
+A platform adapter implements :class:`Dialect`; the router only sees the types
+defined here and never the platform's header or field names.
 """
 
 from __future__ import annotations
@@ -21,10 +22,24 @@
 
 @dataclass(slots=True)
 class RequestFacts:
-    """What a request says of itself.
-
-    `deadline_s` is how long the client waits from now on, 0 if it does not
-    say; `resume_after` is the id of the last event that the client has.
+    """Metadata that a client sent with its request.
+
+    Attributes
+    ----------
+    request_id : bytes
+        The client's id of the request; empty if it has none.
+    api_key : str
+        The bearer token; empty if there is none.
+    deadline_s : float
+        The time until the client gives up; 0 if it did not say.
+    prompt_tokens : float
+        Length of the prompt; 0 if unknown.
+    most_tokens : float
+        The most tokens that the answer may have; 0 if unknown.
+    hinted_tokens : float
+        The client's estimate of the length of the answer; 0 if unknown.
+    resume_after : bytes
+        The id of the last event received, if the client resumes a stream.
     """
 
     request_id: bytes = b''
@@ -38,10 +53,25 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a request: to whom, for whom and until when.
-
-    `left_s` is what is left of the client's time. `hides_key` is set where
-    clients have keys: a key is never passed on, also not on a public route.
+    """One attempt to send a request to an endpoint.
+
+    Attributes
+    ----------
+    replica : Replica
+        The endpoint; the first replica of the path.
+    account : str
+        The client account that the request is made for; empty if none.
+    left_s : float
+        The time left until the client's deadline.
+    hides_key : bool
+        Whether to remove the API key from the forwarded headers. Set whenever
+        API keys are configured, for public routes too.
+    stages : tuple of Stage
+        The path through the pipeline; empty for a single endpoint.
+    priority : int, optional
+        The priority that the endpoint should give to the request.
+    resume_after : bytes
+        The id of the last event received, if a stream is resumed.
     """
 
     replica: Replica
@@ -55,10 +85,22 @@
 
 @dataclass(slots=True)
 class AnswerFacts:
-    """What an endpoint's answer says of itself.
-
-    `is_not_run` is the endpoint's promise that it ran nothing. `at_fault` is
-    the address of the replica on a path that could not do its part.
+    """Metadata in the headers of an endpoint's response.
+
+    Attributes
+    ----------
+    request_id : bytes
+        The id of the request that is answered.
+    is_signed : bool
+        Whether the response carries the endpoint's signature, so that it was
+        not made by anything in between.
+    is_not_run : bool
+        Whether the endpoint guarantees that it did not execute the request,
+        which is then safe to retry.
+    is_encoded : bool
+        Whether the body has a content encoding, such as gzip.
+    at_fault : str
+        The address of the replica on the path that failed; empty if unknown.
     """
 
     request_id: bytes = b''
@@ -70,11 +112,22 @@
 
 @dataclass(slots=True)
 class ReplicaReport:
-    """What an engine says of itself on request, some hundred ms old.
-
-    `slowness` above 1 multiplies its usual times. `stalled` maps the ids of
-    requests that wait to the address of the replica they wait for.
-    `started_ms` is when it started, in Unix milliseconds; 0 if unsaid.
+    """An engine's status report, which may be some hundred ms old.
+
+    Attributes
+    ----------
+    layers : LayerRange, optional
+        The layers that it holds.
+    is_busy : bool
+        Whether it is loading or unloading layers.
+    orders_taken : int
+        How many orders it has accepted since it started.
+    slowness : float
+        Factor on its nominal processing times; 1 is nominal.
+    stalled : dict
+        For each request that waits for another replica, that one's address.
+    started_ms : int
+        When the engine started, in Unix milliseconds; 0 if unknown.
     """
 
     layers: LayerRange | None
@@ -86,7 +139,21 @@
 
 
 class Dialect(Protocol):
-    """The words spoken with callers, endpoints and the store."""
+    """The platform's wire format towards callers, endpoints and the store.
+
+    Attributes
+    ----------
+    ready_path : bytes
+        Path of the router's readiness check.
+    report_path : bytes
+        Path of an engine's status report.
+    order_path : bytes
+        Path at which an engine takes orders.
+    configuration_key : str
+        The store's key of the configuration.
+    replicas_prefix : str
+        Prefix of the store's keys at which replicas announce themselves.
+    """
 
     ready_path: bytes
     report_path: bytes
@@ -95,35 +162,55 @@
     replicas_prefix: str
 
     def read_request(self, req: Request) -> RequestFacts:
-        """Return what a request says of itself."""
+        """Return the metadata of a request."""
 
     def build_headers(
         self, req: Request, facts: RequestFacts, attempt: Attempt
     ) -> Headers:
-        """Return the headers of one send."""
+        """Return the headers to send to the endpoint."""
 
     def read_answer(self, head: Head) -> AnswerFacts:
-        """Return what an answer says of itself."""
+        """Return the metadata of a response."""
 
     def decode_configuration(self, text: bytes) -> FleetConfiguration:
-        """Return the configuration in a stored text."""
+        """Decode a stored configuration; raise ``DocumentError``."""
 
     def decode_replica(self, replica_id: str, text: bytes) -> Replica:
-        """Return the replica announced in a stored text."""
+        """Decode a replica's announcement; raise ``DocumentError``."""
 
     def decode_report(self, text: bytes) -> ReplicaReport:
-        """Return an engine's report."""
+        """Decode an engine's status report; raise ``DocumentError``."""
 
     def encode_place(
         self, layers: LayerRange, expected_orders: int, token: int
     ) -> bytes:
-        """Return the order to hold these layers and no others."""
+        """Encode the order to hold exactly these layers.
+
+        Parameters
+        ----------
+        layers : LayerRange
+            The layers.
+        expected_orders : int
+            The engine's order count; it rejects the order if it differs.
+        token : int
+            Fencing token of the leader's lease.
+        """
 
     def encode_repath(
         self, request_id: bytes, stages: tuple[Stage, ...], token: int
     ) -> bytes:
-        """Return the order to move a stream onto another path."""
+        """Encode the order to reroute a stream to another path.
+
+        Parameters
+        ----------
+        request_id : bytes
+            The request that the stream answers.
+        stages : tuple of Stage
+            The new path.
+        token : int
+            Fencing token; 0 for none.
+        """
 
 
 class DocumentError(Exception):
-    """A document that does not hold what it should."""
+    """A stored document or a report is malformed or has invalid values."""
