--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -1,4 +1,4 @@
-"""Which node commands the engines: a lease in the store decides."""
+"""Leader election by a lease in the store; the leader controls the engines."""
 
 from __future__ import annotations
 
@@ -22,24 +22,30 @@
 
 _LOG = get_logger('leadership')
 KEY = 'samphirerill/commander'
-# Short, so that another node takes over soon; renewals cost a tenth of a read.
-_LEASE_S = 2.0
-_RENEW_S = 0.6
-# Over how long the nodes spread their asking for a free lease: the first of them
-# asks about this long after it has become free, whatever their number.
+# Short, so that another node takes over soon after the leader fails.
+_LEASE_TTL_S = 2.0
+_RENEW_INTERVAL_S = 0.6
+# Nodes campaign after a random delay of up to this much per node, so that the
+# first one does so about this long after the leader is gone, in any fleet size.
 _SPREAD_PER_NODE_S = 0.02
-_MOST_SPREAD_S = 1.0
+_MAX_SPREAD_S = 1.0
 
 
 class Leadership:
-    """Seeks the lease and keeps it.
+    """Campaigns for leadership and renews the lease while leading.
 
     Parameters
     ----------
     state : EdgeState
-        The node's name and source of chance.
+        The node's name, random source and number of nodes.
     store : PlatformStore
-        Where the lease lies.
+        The store that holds the lease.
+
+    Attributes
+    ----------
+    token : int
+        Fencing token: the store revision of the last election won. Engines
+        reject orders with an older token.
     """
 
     prefix = KEY
@@ -50,81 +56,83 @@
         self._store = store
         self._loop = asyncio.get_running_loop()
         self._holder = ''
-        self._has_read = False
+        self._has_listed = False
         self._lease = 0
-        self._lease_until = 0.0
-        self._next_call = 0.0
-        self._ask_at = 0.0
+        self._lease_expires_at = 0.0
+        self._next_call_at = 0.0
+        self._campaign_at = 0.0
 
     @property
     def holder(self) -> str:
-        """Return the name of the node that commands; empty if none does."""
+        """Return the name of the leader; empty if there is none."""
         return self._holder
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
-        """Take a whole reading."""
-        self._has_read = True
+        """Replace the known leader by a full listing of the store."""
+        self._has_listed = True
         self._holder = ''
         for item in found:
             self.take_item(item)
 
     def take_item(self, item: StoredItem) -> None:
-        """Some node commands now."""
+        """Record a newly elected leader."""
         self._holder = item.text.decode()
-        self._ask_at = 0.0
+        self._campaign_at = 0.0
 
     def take_gone(self, gone: DeletedKey) -> None:
-        """No node commands."""
+        """Record that there is no leader any more."""
         self._holder = ''
 
     def is_held(self) -> bool:
-        """Return whether this node surely holds the lease."""
-        return bool(self._lease) and self._loop.time() < self._lease_until
+        """Return whether this node is the leader and its lease is valid."""
+        return bool(self._lease) and self._loop.time() < self._lease_expires_at
 
     async def seek(self) -> None:
-        """Acquire the lease if it is free, renew it if it is held."""
+        """Renew the lease if this node leads, or campaign if nobody does."""
         now = self._loop.time()
-        if now < self._next_call:
+        if now < self._next_call_at:
             return
         if self._lease:
             await self._renew(now)
-        elif self._has_read and not self._holder:
-            await self._try_acquire(now)
+        elif self._has_listed and not self._holder:
+            await self._campaign(now)
 
     async def leave(self) -> None:
-        """Let another node take over at once."""
+        """Resign, so that another node can take over at once."""
         lease = self._lease
         self._lease = 0
         await give_up_lease(self._store, lease, _LOG)
 
     async def _renew(self, now: float) -> None:
-        self._next_call = now + _RENEW_S
+        self._next_call_at = now + _RENEW_INTERVAL_S
         try:
             await self._store.renew_lease(self._lease)
         except NoSuchLeaseError:
-            _LOG.warning('command lost', extra={'token': self.token})
+            _LOG.warning('leadership lost', extra={'token': self.token})
             self._lease = 0
             self._holder = ''
             return
-        self._lease_until = now + _LEASE_S
+        self._lease_expires_at = now + _LEASE_TTL_S
 
-    async def _try_acquire(self, now: float) -> None:
-        """Acquire a free lease, unless another node does it sooner.
+    async def _campaign(self, now: float) -> None:
+        """Campaign after a random delay, unless another node wins before.
 
-        All nodes see it free at the same time; of 70 that ask at once 69
-        would have made three calls in vain.
+        All nodes learn at the same time that there is no leader; without the
+        delay, all but one would call the store in vain.
         """
-        if not self._ask_at:
+        if not self._campaign_at:
             spread_s = _SPREAD_PER_NODE_S * self._state.count_nodes()
-            spread_s = min(_MOST_SPREAD_S, spread_s)
-            self._ask_at = now + spread_s * self._state.random.random()
-        if now >= self._ask_at:
-            self._ask_at = 0.0
+            spread_s = min(_MAX_SPREAD_S, spread_s)
+            self._campaign_at = now + spread_s * self._state.random.random()
+        if now >= self._campaign_at:
+            self._campaign_at = 0.0
             await self._acquire(now)
 
     async def _acquire(self, now: float) -> None:
-        self._next_call = now + _RENEW_S * (0.5 + self._state.random.random())
-        lease = await self._store.grant_lease(_LEASE_S)
+        self._next_call_at = now + _RENEW_INTERVAL_S * (
+            0.5 + self._state.random.random()
+        )
+        lease = await self._store.grant_lease(_LEASE_TTL_S)
         name = self._state.settings.name.encode()
         try:
             self.token = await self._store.write({KEY: name}, {KEY: 0}, lease)
@@ -132,6 +140,6 @@
             await self._store.end_lease(lease)
             return
         self._lease = lease
-        self._lease_until = now + _LEASE_S
-        self._next_call = now + _RENEW_S
+        self._lease_expires_at = now + _LEASE_TTL_S
+        self._next_call_at = now + _RENEW_INTERVAL_S
         _LOG.info('command taken', extra={'token': self.token})
