--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -44,8 +44,9 @@
     Attributes
     ----------
     token : int
-        Fencing token: the store revision of the last election won. Engines
-        reject orders with an older token.
+        Fencing token: the store revision at which this node last became the
+        leader. Sent with each layer order, so that engines can reject those
+        of a former leader.
     """
 
     prefix = KEY
