--- a/samphirerill/relay/node_pages.py
+++ b/samphirerill/relay/node_pages.py
@@ -1,4 +1,4 @@
-"""The pages that a node serves about itself: readiness and metrics."""
+"""HTTP endpoints of a node itself: readiness, metrics and a state dump."""
 
 from __future__ import annotations
 
@@ -23,20 +23,25 @@
 
 
 class NodePages:
-    """Readiness for the balancer, metrics for operators.
+    """Readiness for the load balancer, metrics and state for operators.
 
     Parameters
     ----------
     state : EdgeState
-        What the node knows and has counted.
+        The node's state and counters.
     admission : Admission
-        The queue of streams.
+        The queue of streams that wait for a path.
     store : PlatformStore
-        Counts its calls.
+        Client of the store, which counts its calls.
     count_busy : callable
-        Returns how many requests are under way.
+        Returns the number of connections with a request in progress.
     keeper : Keeper
-        Knows which requests are held back.
+        Lists the quarantined requests.
+
+    Attributes
+    ----------
+    usage : Usage
+        Counts the calls to the store and to endpoints.
     """
 
     def __init__(
@@ -47,39 +52,41 @@
         count_busy: Callable[[], int],
         keeper: Keeper,
     ) -> None:
-        self._keeper = keeper
+        self._quarantine_keeper = keeper
         self._state = state
         self._admission = admission
         self.usage = Usage(state, store)
         self._count_busy = count_busy
 
     def build_ready(self) -> PageHandler:
-        """Return the page that the balancer asks for."""
-        return PageHandler({self._state.dialect.ready_path: self._get_ready})
+        """Return the handler of the load balancer's readiness check."""
+        return PageHandler(
+            {self._state.dialect.ready_path: self._serve_readiness}
+        )
 
     def build_metrics(self) -> PageHandler:
-        """Return the page that metrics are read from."""
+        """Return the handler of the metrics and the state dump."""
         return PageHandler(
-            {b'/metrics': self._get_metrics, b'/state': self._get_state}
+            {b'/metrics': self._serve_metrics, b'/state': self._serve_state}
         )
 
-    def _get_ready(self) -> Page:
+    def _serve_readiness(self) -> Page:
         if self._state.is_ready():
             return _OK, b'ready'
         return _UNAVAILABLE, b'not ready'
 
-    def _get_state(self) -> Page:
+    def _serve_state(self) -> Page:
         state = self._state
         dump = {
             'node': state.settings.name,
             'version': state.version,
             'replicas': len(state.view.known),
             'streams': len(state.streams),
-            'quarantine': self._keeper.describe(),
+            'quarantine': self._quarantine_keeper.describe(),
         }
         return _OK, json.encode(dump)
 
-    def _get_metrics(self) -> Page:
+    def _serve_metrics(self) -> Page:
         state = self._state
         gauges = {**state.counters, **self.usage.count()}
         gauges['now.waiting'] = self._admission.count_waiting()
