--- a/samphirerill/relay/reload.py
+++ b/samphirerill/relay/reload.py
@@ -1,8 +1,8 @@
-"""Take changed settings over while serving.
+"""Reload the settings while serving.
 
-The settings file may change with a signal or without one; its content is looked
-at now and then. What can't change while a node runs, its own addresses, stays
-as it is and is logged; a file that can't be read changes nothing.
+The settings file is polled, and read at once on a reload signal. Settings that
+can't change while a node runs, such as its own addresses, are kept and logged.
+An invalid file changes nothing.
 """
 
 from __future__ import annotations
@@ -24,10 +24,9 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('settings')
-# A look costs two system calls; a change is in force soon after.
-_LOOK_S = 1.0
-# A node is known to the others by these, and listens there.
-_FIXED = (
+_POLL_INTERVAL_S = 1.0
+# The node's identity and listening addresses, fixed until it restarts.
+_RESTART_ONLY = (
     'name',
     'data_centre',
     'host',
@@ -40,59 +39,61 @@
 
 
 class SettingsFile:
-    """One settings file, and how it is read.
+    """A settings file that is watched for changes.
 
     Parameters
     ----------
     path : str
-        The file.
+        Path of the file.
     load : callable
-        Reads and checks it; raises ``InvalidDocumentError``.
+        Reads and validates it; raises ``InvalidDocumentError``.
     """
 
-    __slots__ = ('_load', '_path', '_seen')
+    __slots__ = ('_file_version', '_load', '_path')
 
     def __init__(self, path: str, load: Callable[[str], EdgeSettings]) -> None:
         self._path = Path(path)
         self._load = load
-        self._seen = self._look()
+        self._file_version = self._read_file_version()
 
     def read_if_changed(self) -> EdgeSettings | None:
-        """Return the settings if the file is another than last time."""
-        seen = self._look()
-        if seen is None or seen == self._seen:
+        """Return the settings if the file has changed since the last check."""
+        file_version = self._read_file_version()
+        if file_version is None or file_version == self._file_version:
             return None
-        self._seen = seen
+        self._file_version = file_version
         return self.read()
 
     def read(self) -> EdgeSettings | None:
-        """Return the settings as they are now, or none if they are faulty."""
+        """Return the current settings, or ``None`` if they are invalid."""
         try:
             return self._load(str(self._path))
         except InvalidDocumentError as exc:
             _LOG.error('settings are faulty', extra={'error': str(exc)})
             return None
 
-    def _look(self) -> tuple[int, int, int] | None:
+    def _read_file_version(self) -> tuple[int, int, int] | None:
         try:
-            found = self._path.stat()
+            status = self._path.stat()
         except OSError as exc:
-            _LOG.warning('settings are not there', extra={'error': str(exc)})
+            _LOG.warning(
+                'settings file is not readable', extra={'error': str(exc)}
+            )
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
 
 class Reloader:
-    """Puts changed settings in force.
+    """Applies changed settings.
 
     Parameters
     ----------
     state : EdgeState
-        Holds the settings in force.
+        Holds the current settings.
     store : PlatformStore
-        May have another address.
+        Client of the store, whose address may change.
     source : SettingsFile, optional
-        Where changes come from; without it nothing changes.
+        The settings file; without it nothing is reloaded.
     """
 
     def __init__(
@@ -106,30 +107,32 @@
         self._source = source
 
     async def run(self) -> None:
-        """Look at the file until cancelled."""
+        """Poll the file until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             if self._source is not None:
-                self._take(self._source.read_if_changed())
+                self._apply(self._source.read_if_changed())
 
     def reload(self) -> None:
-        """Read the file now: somebody says that it has changed."""
+        """Read the file now, as a reload signal asks for it."""
         if self._source is not None:
-            self._take(self._source.read())
+            self._apply(self._source.read())
 
-    def _take(self, found: EdgeSettings | None) -> None:
-        now = self._state.settings
-        if found is None or found == now:
+    def _apply(self, loaded: EdgeSettings | None) -> None:
+        current = self._state.settings
+        if loaded is None or loaded == current:
             return
-        fixed = [
+        needs_restart = [
             name
-            for name in _FIXED
-            if getattr(found, name) != getattr(now, name)
+            for name in _RESTART_ONLY
+            if getattr(loaded, name) != getattr(current, name)
         ]
-        if fixed:
-            _LOG.warning('a restart is needed', extra={'changed': fixed})
-        kept = {name: getattr(now, name) for name in _FIXED}
-        settings = structs.replace(found, **kept)
+        if needs_restart:
+            _LOG.warning(
+                'a restart is needed', extra={'changed': needs_restart}
+            )
+        kept = {name: getattr(current, name) for name in _RESTART_ONLY}
+        settings = structs.replace(loaded, **kept)
         self._state.change_settings(settings)
         self._store.change_address(settings.store)
         _LOG.info('settings in force', extra={'store': settings.store})
