--- a/samphirerill/relay/usage.py
+++ b/samphirerill/relay/usage.py
@@ -1,8 +1,8 @@
-"""What a node has used of the store and of endpoints, as metrics and log lines.
+"""Calls that a node made to the store and to endpoints, as metrics and logs.
 
-Calls to the store, questions to replicas and new connections are paid for and shared
-by the whole fleet; who makes them, and for what, is seen here. One line in ten
-seconds, and none if nothing was used.
+The store and the endpoints are shared by all nodes, so calls to them and new
+connections are accounted for by purpose. They are logged periodically, unless
+there were none.
 """
 
 from __future__ import annotations
@@ -18,17 +18,22 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('usage')
-_PERIOD_S = 10.0
-_COUNTERS = ('connections.made', 'reports.sent', 'orders', 'alarms.sent')
+_LOG_INTERVAL_S = 10.0
+_ENDPOINT_COUNTERS = (
+    'connections.made',
+    'reports.sent',
+    'orders',
+    'alarms.sent',
+)
 
 
 class Usage:
-    """Counts of one node since its start.
+    """Usage counters of one node since its start.
 
     Parameters
     ----------
     state : EdgeState
-        Counters of endpoints.
+        Has the counters of calls to endpoints.
     store : PlatformStore
         Counts its calls by purpose.
     """
@@ -39,24 +44,29 @@
         self._logged: Counter[str] = Counter()
 
     async def run(self) -> None:
-        """Log what was used, now and then."""
+        """Log the usage periodically until cancelled."""
         while True:
-            await asyncio.sleep(_PERIOD_S)
+            await asyncio.sleep(_LOG_INTERVAL_S)
             self.log()
 
     def count(self) -> Counter[str]:
-        """Return everything used since the start, by name."""
+        """Return the usage since the start, by counter."""
         used = Counter(
-            {f'store.{name}': made for name, made in self._store.calls.items()}
+            {
+                f'store.{name}': calls
+                for name, calls in self._store.calls.items()
+            }
         )
-        for name in _COUNTERS:
+        for name in _ENDPOINT_COUNTERS:
             used[name] = self._state.counters[name]
         return used
 
     def log(self) -> None:
-        """Log what was used since the last line."""
+        """Log the usage since the last call, if there was any."""
         used = self.count()
-        fresh = used - self._logged
+        increase = used - self._logged
         self._logged = used
-        if fresh:
-            _LOG.info('used', extra={'counts': dict(fresh)})
+        if increase:
+            _LOG.info(
+                'usage since the last report', extra={'counts': dict(increase)}
+            )
