--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -1,4 +1,4 @@
-"""Keep the view of replicas in step with their announcements."""
+"""Apply the announcements of replicas in the store to the fleet view."""
 
 from __future__ import annotations
 
@@ -16,21 +16,27 @@
     from samphirerill.relay.store_health import StoreHealth
 
 _LOG = get_logger('follower')
-# Names in one log line.
-_MOST_SHOWN = 8
-# Keys of entries that could not be read, each logged once.
-_MOST_UNREADABLE = 256
+_MAX_LOGGED_NAMES = 8
+# Invalid entries that are remembered, so that each is logged only once.
+_MAX_INVALID_KEYS = 256
 
 
 class ReplicaFolder:
-    """Keeps the view of replicas in step.
+    """Handles changes of the keys at which replicas announce themselves.
 
     Parameters
     ----------
     state : EdgeState
-        Holds the view.
+        Holds the view of the fleet.
     health : StoreHealth
-        Tells whether a missing entry may only have lapsed.
+        Tells whether a missing entry may only have expired during an outage.
+
+    Attributes
+    ----------
+    prefix : str
+        Key prefix of the announcements.
+    state : EdgeState
+        As given.
     """
 
     def __init__(self, state: EdgeState, health: StoreHealth) -> None:
@@ -38,23 +44,26 @@
         self.state = state
         self._health = health
         self._loop = asyncio.get_running_loop()
-        self._unreadable: set[str] = set()
+        self._invalid_keys: set[str] = set()
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
-        """Take a whole reading."""
+        """Replace the known replicas by a full listing of the store.
+
+        A known replica whose entry is invalid now keeps its last valid one.
+        """
         view = self.state.view
         known = []
-        unreadable = set()
+        invalid = set()
         for item in found:
             replica = self._decode(item)
             if replica is None:
-                unreadable.add(self._strip(item.key))
+                invalid.add(self._get_replica_id(item.key))
             else:
                 known.append((replica, item.revision))
         known.extend(
             (present.replica, present.revision)
             for replica_id, present in view.known.items()
-            if replica_id in unreadable
+            if replica_id in invalid
         )
         present = {replica.replica_id for replica, _ in known}
         missing = sorted(set(view.known) - present)
@@ -66,36 +75,38 @@
             extra={
                 'revision': revision,
                 'count': len(known),
-                'missing': missing[:_MOST_SHOWN],
+                'missing': missing[:_MAX_LOGGED_NAMES],
             },
         )
         self.state.notify()
 
     def take_item(self, item: StoredItem) -> None:
-        """Take one item as it was written."""
+        """Apply a new or changed announcement."""
         replica = self._decode(item)
         if replica is not None:
             was_leaving = self.state.view.is_leaving(replica.replica_id)
-            before = self.state.view.known.get(replica.replica_id)
-            held = None if before is None else before.replica.layers
+            previous = self.state.view.known.get(replica.replica_id)
+            previous_layers = (
+                None if previous is None else previous.replica.layers
+            )
             self.state.view.announce(
                 replica, item.revision, self._find_leaves_at()
             )
-            if replica.layers != held:
+            if replica.layers != previous_layers:
                 _LOG.info(
                     'replica holds',
                     extra={
                         'replica': replica.replica_id,
                         'layers': format_layers(replica.layers),
-                        'before': format_layers(held),
+                        'before': format_layers(previous_layers),
                     },
                 )
             if replica.is_leaving and not was_leaving:
                 _LOG.info('replica leaves', extra={'replica': item.key})
 
     def take_gone(self, gone: DeletedKey) -> None:
-        """Take a deletion; right after an outage it may be a lapse."""
-        replica_id = self._strip(gone.key)
+        """Apply a deletion, which after an outage may be an expired lease."""
+        replica_id = self._get_replica_id(gone.key)
         grace_until = self._get_grace()
         self.state.view.withdraw(
             replica_id, gone.revision, grace_until, self._find_leaves_at()
@@ -108,25 +119,25 @@
     def _decode(self, item: StoredItem) -> Replica | None:
         try:
             return self.state.dialect.decode_replica(
-                self._strip(item.key), item.text
+                self._get_replica_id(item.key), item.text
             )
         except DocumentError as exc:
-            self._note_unreadable(item.key, exc)
+            self._log_invalid(item.key, exc)
             return None
 
-    def _note_unreadable(self, key: str, exc: DocumentError) -> None:
-        """Log an entry once; some are written every second."""
-        if key in self._unreadable:
+    def _log_invalid(self, key: str, exc: DocumentError) -> None:
+        """Log each invalid entry once, as some are rewritten every second."""
+        if key in self._invalid_keys:
             return
-        if len(self._unreadable) >= _MOST_UNREADABLE:
-            self._unreadable.clear()
-        self._unreadable.add(key)
+        if len(self._invalid_keys) >= _MAX_INVALID_KEYS:
+            self._invalid_keys.clear()
+        self._invalid_keys.add(key)
         _LOG.error(
-            'announcement is unreadable',
+            'announcement of a replica is invalid',
             extra={'key': key, 'error': str(exc)},
         )
 
-    def _strip(self, key: str) -> str:
+    def _get_replica_id(self, key: str) -> str:
         return key.removeprefix(self.prefix)
 
     def _get_grace(self) -> float:
