--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -1,4 +1,4 @@
-"""What one node of the edge knows and shares among its parts."""
+"""State of one router node, shared by its components."""
 
 from __future__ import annotations
 
@@ -28,22 +28,67 @@
     from samphirerill.relay.streaming import StreamExchange
 
 _LOG = get_logger('state')
-# Until a node knows the others it takes an eighth of what all share.
-_LEAST_NODES = 8
-_START_NUMBERS = 2_000_000_000
-# Kept of the time for which a leaving replica serves, as news of it is late.
+# Assumed number of nodes until the others are known, so that a node that has
+# just started takes only a small share of fleet-wide limits.
+_MIN_ASSUMED_NODES = 8
+_INCARNATION_RANGE = 2_000_000_000
+# Margin for the delay with which a node learns that a replica is leaving.
 _LEAVING_MARGIN_S = 0.3
 
 
 class EdgeState:
-    """Shared by the parts of one node; lives on the loop's thread.
+    """State shared by the components of one node.
+
+    It is not thread-safe and must be used from the event loop's thread.
 
     Parameters
     ----------
     settings : EdgeSettings
-        The node's settings, whole.
+        The node's settings.
     dialect : Dialect
-        The words spoken with callers and endpoints.
+        The platform's wire format.
+
+    Attributes
+    ----------
+    settings : EdgeSettings
+        The current settings; replaced by `change_settings`.
+    random : Random
+        Source of randomness.
+    counters : Counter
+        Event counters, exported as metrics.
+    metrics : Metrics
+        Histograms of times.
+    view : FleetView
+        The replicas that are known.
+    names : ReplicaNames
+        Replica ids by the checksums that messages between nodes carry.
+    start_number : int
+        Random incarnation number of this process.
+    book : LoadBook
+        Load of each replica by this node and by others.
+    pipes : PipeUse
+        Estimated backlog of the links between data centres.
+    pool : ConnectionPool
+        Connections to endpoints.
+    cfg : FleetConfiguration, optional
+        The current configuration, if there is one.
+    cfg_texts : CfgTexts
+        Its text and those of recent versions.
+    routes : RouteTable, optional
+        Routes of the current configuration.
+    streams : set of StreamExchange
+        The streams in progress.
+    quarantine : Quarantine
+        Requests suspected of crashing replicas.
+    is_draining : bool
+        Whether the node is shutting down.
+    streams_until, requests_until : float
+        Until when a node that shuts down accepts streams and other requests,
+        on the loop's clock.
+    peer_count : int
+        The number of other nodes that are announced.
+    budgets : dict
+        Retry budget of each service.
     """
 
     def __init__(self, settings: EdgeSettings, dialect: Dialect) -> None:
@@ -54,8 +99,9 @@
         self.metrics = Metrics()
         self.view = FleetView()
         self.names = ReplicaNames(self.view)
-        # Told with each datagram, so that those of the start before are known.
-        self.start_number = self.random.randrange(_START_NUMBERS)
+        # Sent in each datagram, so that peers can tell a restarted process
+        # from the one before.
+        self.start_number = self.random.randrange(_INCARNATION_RANGE)
         self.book = LoadBook()
         self.pipes = PipeUse()
         self.pool = ConnectionPool(self.counters)
@@ -65,38 +111,47 @@
         self.streams: set[StreamExchange] = set()
         self.quarantine = Quarantine()
         self.is_draining = False
-        # A node that ends takes no new streams or requests from then on.
         self.streams_until = float('inf')
         self.requests_until = float('inf')
         self.peer_count = 0
-        self._most_nodes = _LEAST_NODES
+        self._max_nodes_seen = _MIN_ASSUMED_NODES
         self.budgets: dict[str, RepeatBudget] = {}
         self._listeners: list[Callable[[], None]] = []
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force; 0 for none."""
+        """Return the version of the current configuration; 0 for none."""
         return 0 if self.cfg is None else self.cfg.version
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send new connections."""
+        """Return whether the load balancer should send new connections."""
         return self.cfg is not None and not self.is_draining
 
     def count_nodes(self) -> int:
-        """Return how many nodes share the fleet, this one included.
+        """Return how many nodes share the endpoints, this one included.
 
-        The most that were ever known: a node that loses sight of the others
-        must not take their shares.
+        This is the highest number ever seen: a node that is cut off from the
+        others must not take over their shares of fleet-wide limits.
         """
         seen = 1 + max(self.peer_count, self.book.count_peers())
-        self._most_nodes = max(self._most_nodes, seen)
-        return self._most_nodes
+        self._max_nodes_seen = max(self._max_nodes_seen, seen)
+        return self._max_nodes_seen
 
     def count_connections(self, service: Service) -> int:
-        """Return how many connections to each endpoint this node may have.
+        """Return the connection limit of this node for each endpoint.
 
-        Endpoints take so many from all nodes together, and reset the others;
-        0 stands for any number.
+        A service's limit applies to all nodes together, and endpoints reset
+        the connections beyond it.
+
+        Parameters
+        ----------
+        service : Service
+            The service of the endpoint.
+
+        Returns
+        -------
+        int
+            This node's share of the limit; 0 if there is no limit.
         """
         if not service.max_connections:
             return 0
@@ -104,10 +159,22 @@
         return max(1, share)
 
     def put_in_force(self, cfg: FleetConfiguration, text: bytes) -> bool:
-        """Let a newer configuration replace the one in force.
-
-        An older one is refused: it may come from a read that was answered
-        late, and callers have already seen the effect of the newer one.
+        """Apply a configuration if it is newer than the current one.
+
+        An older one may come from a delayed read and must not undo a newer
+        one whose effect callers have already seen.
+
+        Parameters
+        ----------
+        cfg : FleetConfiguration
+            The configuration.
+        text : bytes
+            The document that it was decoded from.
+
+        Returns
+        -------
+        bool
+            Whether it was applied.
         """
         if self.cfg is not None and cfg.version <= self.cfg.version:
             return False
@@ -127,36 +194,37 @@
         return True
 
     def find_leaves_at(self, now: float) -> float:
-        """Return until when a replica serves that is found to leave now."""
+        """Return until when a replica still serves that leaves as of now."""
         return now + self.settings.leaving_ms / MS_PER_S - _LEAVING_MARGIN_S
 
     def get_limits(self) -> ClientLimits:
-        """Return what clients may send."""
+        """Return the limits on client requests."""
         return ClientLimits() if self.cfg is None else self.cfg.limits
 
     def get_budget(self, service: str) -> RepeatBudget:
-        """Return a service's budget of repeats."""
-        found = self.budgets.get(service)
-        if found is None:
-            found = RepeatBudget(
+        """Return the retry budget of a service."""
+        budget = self.budgets.get(service)
+        if budget is None:
+            budget = RepeatBudget(
                 self.settings.retry_ratio,
                 self.settings.retry_slack,
                 self.settings.retry_window_s,
             )
-            self.budgets[service] = found
-        return found
+            self.budgets[service] = budget
+        return budget
 
     def forget_told(self, name: str) -> None:
-        """Drop what was told under a name: it is told under another now.
+        """Drop the load that was reported under a name no longer in use.
 
-        Counted under both, the same streams would fill replicas on paper.
+        The same load is now reported under another name and would otherwise
+        be counted twice.
         """
         self.book.forget(name)
         for budget in self.budgets.values():
             budget.others.forget(name)
 
     def change_settings(self, settings: EdgeSettings) -> None:
-        """Let other settings be in force; what was counted is kept."""
+        """Apply other settings; retry budgets keep what they have counted."""
         self.settings = settings
         for budget in self.budgets.values():
             budget.change(
@@ -166,10 +234,10 @@
             )
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Call back whenever load or replicas have changed."""
+        """Add a callback for changes of the load or the replicas."""
         self._listeners.append(listener)
 
     def notify(self) -> None:
-        """Tell that load or replicas have changed."""
+        """Call all callbacks, as the load or the replicas have changed."""
         for listener in self._listeners:
             listener()
