--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -1,4 +1,4 @@
-"""One node of the edge: start, serve, drain, exit."""
+"""Lifecycle of one router node: start, serve, drain, exit."""
 
 from __future__ import annotations
 
@@ -37,35 +37,40 @@
     from samphirerill.relay.server import CallerConnection
 
 _LOG = get_logger('edge')
-_SWEEP_S = 0.25
-# The balancer asks once a second and needs two misses; until then it sends
-# new connections, which are served.
-_NOTICE_S = 3.2
-_DRAIN_STEP_S = 0.05
-_RESTART_S = 0.5
-# Left of the time to SIGKILL for the process to end by itself.
+_SWEEP_INTERVAL_S = 0.25
+# The load balancer checks readiness once a second and stops sending connections
+# after two failures; those that arrive until then are served.
+_READINESS_NOTICE_S = 3.2
+_DRAIN_POLL_S = 0.05
+_LOOP_RESTART_DELAY_S = 0.5
+# Kept of the time before SIGKILL for the process to exit.
 _EXIT_MARGIN_S = 0.6
-_LEAVE_S = 0.15
-# A stream takes some seconds; one that comes later than so much before the
-# end is sent to another node, which can finish it.
-_STREAM_S = 4.5
-# The same for a plain request, as its endpoints take at the most.
-_REQUEST_S = 1.2
+_REVOKE_TIMEOUT_S = 0.15
+# The expected duration of a stream. One that arrives when less time is left is
+# left to another node, which can finish it.
+_EXPECTED_STREAM_S = 4.5
+# The same for a plain request: the longest that endpoints take.
+_MAX_REQUEST_S = 1.2
 
 
 class EdgeProcess:
-    """Everything one node of the edge consists of.
+    """A router node with all its components.
 
     Parameters
     ----------
     settings : EdgeSettings
-        The node's settings, whole.
+        The node's settings.
     dialect : Dialect
-        The words spoken with callers and endpoints.
+        The platform's wire format.
     store : PlatformStore
-        The platform's key-value service.
+        Client of the platform's key-value store.
     source : SettingsFile, optional
-        Where changed settings come from.
+        The settings file, if it is to be reloaded when it changes.
+
+    Attributes
+    ----------
+    state : EdgeState
+        The state that the components share.
     """
 
     def __init__(
@@ -83,20 +88,22 @@
         alarms = Alarms(self.state)
         examiner = Examiner(self.state, alarms)
         keeper = Keeper(self.state)
-        self._sharing = Sharing(self.state, keeper)
+        self._quarantine_sync = Sharing(self.state, keeper)
         self._front = Front(
             self.state,
             self._admission,
             examiner,
-            Witness(self.state, examiner, keeper, self._sharing),
+            Witness(self.state, examiner, keeper, self._quarantine_sync),
         )
         news = NewsSource(settings.name)
         self._members = Members(
             self.state, store, health, news, news.log, alarms
         )
-        self._members.add_talk(self._sharing)
+        self._members.add_talk(self._quarantine_sync)
         leadership = Leadership(self.state, store)
-        self._holds = StoredHolds(self.state, store, keeper, leadership)
+        self._stored_quarantine = StoredHolds(
+            self.state, store, keeper, leadership
+        )
         self._survey = Survey(
             self.state, examiner, alarms, lambda: leadership.holder
         )
@@ -107,7 +114,7 @@
             self.state,
             store,
             health,
-            (self._members, leadership, self._holds),
+            (self._members, leadership, self._stored_quarantine),
             news,
             news.log,
         )
@@ -116,30 +123,30 @@
         )
         self._reloader = Reloader(self.state, store, source)
         self._connections: set[CallerConnection] = set()
-        self._pages: set[CallerConnection] = set()
+        self._page_connections: set[CallerConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[asyncio.Server] = []
         self._ended = asyncio.Event()
-        self._losses = 0
-        self.state.listen(self._move_streams)
+        self._handled_losses = 0
+        self.state.listen(self._reroute_streams)
 
     async def run(self) -> int:
-        """Serve until told to stop; return the exit code."""
+        """Serve until a termination signal; return the exit code."""
         self._catch_signals()
         await self._listen()
         await self._members.start()
-        for work, name in (
+        for run_loop, name in (
             (self._follower.run, 'follow'),
             (self._members.run, 'membership'),
             (self._commander.run, 'commander'),
             (self._survey.run, 'survey'),
-            (self._sharing.run, 'quarantine'),
-            (self._holds.run, 'stored holds'),
+            (self._quarantine_sync.run, 'quarantine'),
+            (self._stored_quarantine.run, 'stored holds'),
             (self._sweep, 'sweep'),
             (self._reloader.run, 'settings'),
             (self._node_pages.usage.run, 'usage'),
         ):
-            self._start_task(self._keep_running(work, name), name)
+            self._start_task(self._keep_running(run_loop, name), name)
         _LOG.info('started', extra={'node': self.state.settings.name})
         gc.freeze()
         await self._ended.wait()
@@ -148,10 +155,10 @@
         return 0
 
     def close(self) -> None:
-        """Close all sockets and end all tasks, without waiting."""
+        """Close all sockets and cancel all tasks, without waiting."""
         for server in self._servers:
             server.close()
-        for conn in (*self._connections, *self._pages):
+        for conn in (*self._connections, *self._page_connections):
             conn.end()
         self._members.close()
         self._node_pages.usage.log()
@@ -159,19 +166,19 @@
             task.cancel()
 
     def get_port(self) -> int:
-        """Return the callers' port; the settings may leave it to the system."""
+        """Return the port for callers, which the system may have assigned."""
         return int(self._servers[0].sockets[0].getsockname()[1])
 
     def get_metrics_port(self) -> int:
-        """Return where metrics and the state are read."""
+        """Return the port of the metrics and the state dump."""
         return int(self._servers[2].sockets[0].getsockname()[1])
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send new connections."""
+        """Return whether the load balancer should send new connections."""
         return self.state.is_ready()
 
     def begin_drain(self) -> None:
-        """Begin to end: no new connections, every request is finished."""
+        """Start a graceful shutdown, in which every request is finished."""
         if self.state.is_draining:
             return
         _LOG.info('draining', extra={'open': self._count_busy()})
@@ -187,72 +194,84 @@
                 listen(
                     settings.readiness,
                     self._node_pages.build_ready(),
-                    self._pages,
+                    self._page_connections,
                 ),
                 listen(
                     metrics_address,
                     self._node_pages.build_metrics(),
-                    self._pages,
+                    self._page_connections,
                 ),
             )
         )
 
-    def _move_streams(self) -> None:
-        """Replicas were lost: streams leave them now, not when they notice."""
-        if self._losses == self.state.view.losses:
+    def _reroute_streams(self) -> None:
+        """Reroute streams at once when replicas were lost.
+
+        Otherwise each stream would only notice by its own timeout.
+        """
+        if self._handled_losses == self.state.view.losses:
             return
-        self._losses = self.state.view.losses
+        self._handled_losses = self.state.view.losses
         self._commander.wake()
         for stream in tuple(self.state.streams):
             stream.check_path()
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = self._loop.time()
-            gone = self.state.view.sweep(now)
+            removed = self.state.view.sweep(now)
             self.state.book.forget_silent(now)
             self.state.pool.sweep(set(self.state.view.known))
-            if gone:
-                _LOG.info('replicas gone', extra={'count': len(gone)})
+            if removed:
+                _LOG.info(
+                    'replicas removed; announcements did not return',
+                    extra={'count': len(removed)},
+                )
             self.state.notify()
 
     async def _drain(self) -> None:
         """Fail the readiness check, finish every request, then end.
 
-        The callers' port stays open to the end: when too few nodes of a data
-        centre are ready, the balancer sends connections to all of them, and
-        one that was refused there would be lost to its client.
+        The port for callers stays open to the end: when too few nodes of a
+        data centre are ready, the load balancer sends connections to all of
+        them, and clients would see a refused connection as an error.
         """
         now = self._loop.time()
-        finish_at = now + self.state.settings.finish_s - _EXIT_MARGIN_S
-        self.state.streams_until = finish_at - _STREAM_S
-        self.state.requests_until = finish_at - _REQUEST_S
-        notice_until = now + _NOTICE_S
-        await self._leave(self._commander.leave())
-        await asyncio.sleep(notice_until - self._loop.time())
+        finish_by = now + self.state.settings.finish_s - _EXIT_MARGIN_S
+        self.state.streams_until = finish_by - _EXPECTED_STREAM_S
+        self.state.requests_until = finish_by - _MAX_REQUEST_S
+        notice_ends_at = now + _READINESS_NOTICE_S
+        await self._revoke_lease(self._commander.leave())
+        await asyncio.sleep(notice_ends_at - self._loop.time())
         self._close_idle()
-        await self._finish(finish_at)
-        await self._leave(self._members.leave())
-        # Requests that were read meanwhile. Nothing is read between the last
-        # look and the end: one that was passed on would be closed unanswered.
-        await self._finish(finish_at)
+        await self._finish_requests(finish_by)
+        await self._revoke_lease(self._members.leave())
+        # Finish requests that were read meanwhile. There must be no await
+        # between the last check and the end: a request that was read and
+        # forwarded in between would get no answer.
+        await self._finish_requests(finish_by)
         self._ended.set()
         self.close()
 
-    async def _finish(self, finish_at: float) -> None:
-        """Wait until no request is under way, or its time is over."""
-        while self._count_busy() and self._loop.time() < finish_at:
-            await asyncio.sleep(_DRAIN_STEP_S)
+    async def _finish_requests(self, finish_by: float) -> None:
+        """Wait until no request is in progress or the time is over."""
+        while self._count_busy() and self._loop.time() < finish_by:
+            await asyncio.sleep(_DRAIN_POLL_S)
             self._close_idle()
 
-    async def _leave(self, leaving: Coroutine[Any, Any, None]) -> None:
-        """Give something up in the store, but don't wait for a slow one."""
+    async def _revoke_lease(
+        self, revocation: Coroutine[Any, Any, None]
+    ) -> None:
+        """Revoke a lease, but don't wait for a slow store."""
         try:
-            async with asyncio.timeout(_LEAVE_S):
-                await leaving
+            async with asyncio.timeout(_REVOKE_TIMEOUT_S):
+                await revocation
         except TimeoutError:
-            _LOG.info('lease left to lapse', extra={'waited_s': _LEAVE_S})
+            _LOG.info(
+                'lease not revoked in time; it will expire',
+                extra={'waited_s': _REVOKE_TIMEOUT_S},
+            )
 
     def _close_idle(self) -> None:
         for conn in tuple(self._connections):
@@ -267,34 +286,36 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
 
     async def _keep_running(
-        self, work: Callable[[], Awaitable[None]], name: str
+        self, run_loop: Callable[[], Awaitable[None]], name: str
     ) -> None:
-        """Run a loop; one that fails is logged and started again.
+        """Run a background loop; log its failures and restart it.
 
-        A loop that ended for good would leave the node with what it knew at
-        that moment, and nobody would notice but by its age. One that fails
-        while it is ended ends all the same: started again it would keep the
-        process from ending, until it is killed.
+        Without the restart, a node would silently go on with stale state. A
+        loop that fails during shutdown is not restarted, as it would keep the
+        process from exiting until it is killed.
         """
         while not self._ended.is_set():
             try:
-                await work()
+                await run_loop()
             except Exception as exc:  # noqa: BLE001
                 _LOG.error(
-                    'loop failed', extra={'loop': name, 'error': repr(exc)}
+                    'background loop failed',
+                    extra={'loop': name, 'error': repr(exc)},
                 )
-            await asyncio.sleep(_RESTART_S)
+            await asyncio.sleep(_LOOP_RESTART_DELAY_S)
 
-    def _start_task(self, work: Coroutine[Any, Any, None], name: str) -> None:
-        task = self._loop.create_task(work, name=name)
+    def _start_task(
+        self, coroutine: Coroutine[Any, Any, None], name: str
+    ) -> None:
+        task = self._loop.create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._end_task)
+        task.add_done_callback(self._handle_task_done)
 
-    def _end_task(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             _LOG.error(
-                'task failed',
+                'background task failed',
                 extra={
                     'task': task.get_name(),
                     'error': repr(task.exception()),
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -25,7 +25,9 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        notice = patch('samphirerill.relay.process._NOTICE_S', SETTLE_S)
+        notice = patch(
+            'samphirerill.relay.process._READINESS_NOTICE_S', SETTLE_S
+        )
         notice.start()
         self.addCleanup(notice.stop)
         self.desk = self.world.replicas['desk-1']
