--- a/samphirerill/platform/__init__.py
+++ b/samphirerill/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Adapter to the users' platform: its words, decoded once into our types.
+"""Adapter to the platform that the router is deployed on.
 
-Nothing outside this package knows the platform's field or header names.
+It decodes the platform's documents and headers into the project's types.
+Nothing outside this package uses the platform's field or header names.
 """
--- a/samphirerill/platform/start.py
+++ b/samphirerill/platform/start.py
@@ -1,4 +1,4 @@
-"""Run a node on the platform: its settings, its words, its store."""
+"""Entry point of a node on the platform."""
 
 from __future__ import annotations
 
@@ -21,21 +21,22 @@
 
 
 def run_edge(path: str = '') -> int:
-    """Run until told to stop; return the exit code.
+    """Run a node until a termination signal; return the exit code.
 
     Parameters
     ----------
     path : str
-        The settings file; by default the one that the environment names.
+        The settings file; by default the one named by the environment
+        variable `SETTINGS_VARIABLE`.
     """
     path = path or os.environ[SETTINGS_VARIABLE]
     settings = load_edge_settings(path)
     start_logging(LogSettings(form='json'), LogSink(sys.stdout.fileno()))
-    source = SettingsFile(path, load_edge_settings)
-    return asyncio.run(_run(settings, source))
+    settings_file = SettingsFile(path, load_edge_settings)
+    return asyncio.run(_run(settings, settings_file))
 
 
-async def _run(settings: EdgeSettings, source: SettingsFile) -> int:
+async def _run(settings: EdgeSettings, settings_file: SettingsFile) -> int:
     store = PlatformStore(settings.store)
-    process = EdgeProcess(settings, PlatformDialect(), store, source)
+    process = EdgeProcess(settings, PlatformDialect(), store, settings_file)
     return await process.run()
