--- a/samphirerill/platform/settings.py
+++ b/samphirerill/platform/settings.py
@@ -1,7 +1,7 @@
 """Settings of a node on the platform.
 
-The platform fills in ``deploy/settings.template``; what comes of it is the
-project's own format, JSON with comments.
+The platform renders ``deploy/settings.template`` into a settings file, which
+is JSON with comments.
 """
 
 from __future__ import annotations
@@ -16,15 +16,44 @@
 
 
 class EdgeSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything a node on the platform learns from its settings file.
-
-    Addresses are ``IP:PORT``. `host` is where the ports without an address
-    of their own are opened. `exchange_port` takes the other nodes' datagrams,
-    `peers` their calls; `seeds` are such addresses of some nodes, perhaps
-    outdated. The figures after them are the platform's bounds: `finish_s`
-    between SIGTERM and SIGKILL, `leaving_ms` until a leaving endpoint may get
-    no more work, and the share of repeats, with its window, that all nodes
-    together may make. `policy` switches single mechanisms off.
+    """Settings of a node.
+
+    Addresses are ``IP:PORT``.
+
+    Attributes
+    ----------
+    name : str
+        The node's name, unique in the fleet.
+    data_centre : str
+        The data centre that the node runs in.
+    host : str
+        The IP address on which `exchange_port` and `metrics_port` are opened.
+    callers : str
+        Listening address for callers.
+    readiness : str
+        Listening address for the load balancer's readiness check.
+    peers : str
+        Listening address for calls from other nodes.
+    store : str
+        Address of the key-value store.
+    exchange_port : int
+        UDP port for datagrams from other nodes.
+    metrics_port : int
+        Port of the metrics and the state dump.
+    seeds : list of str
+        `peers` addresses of some nodes, which may be outdated.
+    finish_s : float
+        The time between SIGTERM and SIGKILL.
+    leaving_ms : float
+        The time after which a leaving endpoint must get no more work.
+    retry_ratio : float
+        The retries allowed to all nodes together, as a share of requests.
+    retry_slack : float
+        Retries allowed to all nodes together in addition to that share.
+    retry_window_s : float
+        The window in which requests and retries are counted.
+    policy : Policy
+        Switches to turn single mechanisms off.
     """
 
     name: str
@@ -51,7 +80,7 @@
     Raises
     ------
     InvalidDocumentError
-        The file can't be read or a value is not what it should be.
+        The file can't be read or a value is invalid.
     """
     parsed = read_commented(path)
     try:
