--- a/samphirerill/platform/announcements.py
+++ b/samphirerill/platform/announcements.py
@@ -1,4 +1,4 @@
-"""What replicas say of themselves, decoded into the project's types."""
+"""Decode the announcements and status reports of replicas."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
     state: str
     kind: str = ''
     layers: _Layers | None = None
-    # Unix milliseconds of the replica's start, under the same id or not.
+    # When the process started, in Unix milliseconds; a restarted replica may
+    # keep its id.
     born: int = 0
 
 
@@ -41,7 +42,7 @@
 class _Report(Struct, rename='camel'):
     layers: _Layers | None = None
     busy: bool = False
-    # Orders that the replica has taken on since it started.
+    # Orders that the replica has accepted since it started.
     sequence: int = 0
     pace: float = 1
     stalled: list[_Stalled] = []
@@ -53,47 +54,63 @@
 
 
 def decode_replica(replica_id: str, text: bytes) -> Replica:
-    """Return the replica that an announcement in the store tells of.
-
-    Others may write under the same prefix; what does not have all that a
-    replica's own entry has names none.
+    """Decode the announcement of a replica.
+
+    Other writers may use the same key prefix, so an entry without all the
+    required fields is rejected.
+
+    Parameters
+    ----------
+    replica_id : str
+        The replica's id, from the key.
+    text : bytes
+        The stored value.
+
+    Raises
+    ------
+    DocumentError
+        The entry is not a valid announcement.
     """
-    found: _Entry = decode_document(_ENTRY, text)
-    _check_entry(found)
+    document: _Entry = decode_document(_ENTRY, text)
+    _check_entry(document)
     return Replica(
         replica_id=replica_id,
-        service=found.service,
-        address=found.address,
-        data_centre=found.zone,
-        slots=found.slots,
-        is_leaving=found.state == _LEAVING,
-        accelerator=found.kind,
-        layers=_build_layers(found.layers),
-        started_ms=found.born,
+        service=document.service,
+        address=document.address,
+        data_centre=document.zone,
+        slots=document.slots,
+        is_leaving=document.state == _LEAVING,
+        accelerator=document.kind,
+        layers=_build_layers(document.layers),
+        started_ms=document.born,
     )
 
 
 def decode_report(text: bytes) -> ReplicaReport:
-    """Return an engine's report on itself."""
-    found: _Report = decode_document(_REPORT, text)
+    """Decode an engine's status report; raise ``DocumentError``."""
+    document: _Report = decode_document(_REPORT, text)
     return ReplicaReport(
-        layers=_build_layers(found.layers),
-        is_busy=found.busy,
-        orders_taken=found.sequence,
-        slowness=found.pace,
-        stalled={item.id: item.address for item in found.stalled},
-        started_ms=found.born,
+        layers=_build_layers(document.layers),
+        is_busy=document.busy,
+        orders_taken=document.sequence,
+        slowness=document.pace,
+        stalled={item.id: item.address for item in document.stalled},
+        started_ms=document.born,
     )
 
 
-def _check_entry(found: _Entry) -> None:
-    if found.state not in _STATES:
-        raise DocumentError(f'state {found.state!r}, expected one of {_STATES}')
-    if not _ADDRESS.fullmatch(found.address):
-        raise DocumentError(f'address {found.address!r}, expected IP:PORT')
+def _check_entry(document: _Entry) -> None:
+    if document.state not in _STATES:
+        raise DocumentError(
+            f'got state {document.state!r}, expected one of {_STATES}'
+        )
+    if not _ADDRESS.fullmatch(document.address):
+        raise DocumentError(
+            f'got address {document.address!r}, expected IP:PORT'
+        )
 
 
-def _build_layers(found: _Layers | None) -> LayerRange | None:
-    if found is None or found.to <= found.begin:
+def _build_layers(document: _Layers | None) -> LayerRange | None:
+    if document is None or document.to <= document.begin:
         return None
-    return LayerRange(found.begin, found.to)
+    return LayerRange(document.begin, document.to)
