--- a/samphirerill/platform/documents.py
+++ b/samphirerill/platform/documents.py
@@ -1,7 +1,7 @@
-"""The operators' configuration, decoded into the project's types.
+"""Decode the operators' configuration into the project's types.
 
-Every document is checked while it is decoded; one that is not what the pages
-say raises :class:`~samphirerill.relay.dialect.DocumentError`. Unknown fields are ignored.
+Documents are validated while they are decoded; an invalid one raises
+:class:`~samphirerill.relay.dialect.DocumentError`. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 )
 from samphirerill.relay.dialect import DocumentError
 
-_MOST_SHOWN = 80
-_REPEATS = {
+_MAX_QUOTED_BYTES = 80
+_REPEAT_BY_KIND = {
     'idempotent': Repeat.IDEMPOTENT,
     'non_idempotent': Repeat.NON_IDEMPOTENT,
     'streaming': Repeat.STREAM,
@@ -43,7 +43,7 @@
     prefix: str
     kind: str
     timeout_ms: float = 30_000
-    # The aim for an answer, not a promise to anybody.
+    # The target latency; not a deadline.
     slo_ms: float = 1000
     priority: int = 5
     service: str = ''
@@ -58,12 +58,12 @@
     load_s: float = 0
 
 
-class _Usual(Struct):
+class _TypicalRequest(Struct):
     prompt: float = 512
     answer: float = 128
 
 
-class _Kind(Struct, rename='camel'):
+class _AcceleratorKind(Struct, rename='camel'):
     name: str
     size_mb: float
     pace: float = 1
@@ -79,14 +79,14 @@
     read_per_s: float = 100_000
     chunk: int = 512
     loads_at_once: int = 0
-    usual: _Usual = field(default_factory=_Usual)
+    usual: _TypicalRequest = field(default_factory=_TypicalRequest)
     layers: int = 0
     layer_mb: float = field(default=0, name='layerMb')
     kv_token_bytes: float = field(default=0, name='kvTokenBytes')
     activation_bytes: float = field(default=0, name='activationBytes')
     pipe_mbps: float = field(default=0, name='pipeMbps')
     models: list[_Model] = []
-    kinds: list[_Kind] = []
+    kinds: list[_AcceleratorKind] = []
 
 
 class _Service(Struct, rename='camel'):
@@ -114,7 +114,7 @@
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits = field(default_factory=_Limits)
-    # Accounts, with the keys that name them; absent means no keys at all.
+    # Client accounts with their API keys; if absent, no keys are required.
     tenants: list[_Account] | None = None
 
 
@@ -122,88 +122,94 @@
 
 
 def decode_configuration(text: bytes) -> FleetConfiguration:
-    """Return the configuration that a stored document holds."""
-    found: _Config = decode_document(_CONFIG, text)
+    """Decode a stored configuration; raise ``DocumentError``."""
+    document: _Config = decode_document(_CONFIG, text)
     accounts = {
         key: ClientAccount(account.name, account.priority)
-        for account in found.tenants or ()
+        for account in document.tenants or ()
         for key in account.api_keys
     }
     return FleetConfiguration(
-        version=found.version,
-        routes=tuple(_build_route(route) for route in found.routes),
-        services={spec.name: _build_service(spec) for spec in found.services},
+        version=document.version,
+        routes=tuple(_build_route(route) for route in document.routes),
+        services={
+            spec.name: _build_service(spec) for spec in document.services
+        },
         accounts=accounts,
-        needs_keys=found.tenants is not None,
+        needs_keys=document.tenants is not None,
         limits=ClientLimits(
-            found.limits.max_header_bytes,
-            found.limits.max_body_bytes,
-            found.limits.header_timeout_ms / MS_PER_S,
-            found.limits.idle_timeout_ms / MS_PER_S,
+            document.limits.max_header_bytes,
+            document.limits.max_body_bytes,
+            document.limits.header_timeout_ms / MS_PER_S,
+            document.limits.idle_timeout_ms / MS_PER_S,
         ),
     )
 
 
 def decode_document(decoder: Any, text: bytes) -> Any:
-    """Return what a decoder reads; raise ``DocumentError`` if it can't."""
+    """Decode a document; raise ``DocumentError`` if it is invalid."""
     try:
         return decoder.decode(text)
     except (DecodeError, ValidationError) as exc:
-        raise DocumentError(f'{exc}; got {text[:_MOST_SHOWN]!r}') from exc
+        raise DocumentError(f'{exc}; got {text[:_MAX_QUOTED_BYTES]!r}') from exc
 
 
-def _build_route(found: _Route) -> FleetRoute:
-    repeat = _REPEATS.get(found.kind, Repeat.NON_IDEMPOTENT)
-    shares = [Share(part.service, part.weight) for part in found.traffic_split]
+def _build_route(document: _Route) -> FleetRoute:
+    repeat = _REPEAT_BY_KIND.get(document.kind, Repeat.NON_IDEMPOTENT)
+    shares = [
+        Share(part.service, part.weight) for part in document.traffic_split
+    ]
     if not shares:
-        shares = [Share(found.service, 1)]
+        shares = [Share(document.service, 1)]
     return FleetRoute(
-        name=found.name,
-        host=found.host.lower(),
-        prefix=found.prefix,
+        name=document.name,
+        host=document.host.lower(),
+        prefix=document.prefix,
         repeat=repeat,
         shares=tuple(shares),
-        timeout_s=found.timeout_ms / MS_PER_S,
-        target_s=found.slo_ms / MS_PER_S,
-        gap_s=found.gap_target_ms / MS_PER_S,
-        priority=found.priority,
-        max_attempts=max(1, found.max_attempts),
-        is_public=found.public,
-        is_resumable=found.resumable,
+        timeout_s=document.timeout_ms / MS_PER_S,
+        target_s=document.slo_ms / MS_PER_S,
+        gap_s=document.gap_target_ms / MS_PER_S,
+        priority=document.priority,
+        max_attempts=max(1, document.max_attempts),
+        is_public=document.public,
+        is_resumable=document.resumable,
         is_streaming=repeat is Repeat.STREAM,
     )
 
 
-def _build_service(found: _Service) -> Service:
+def _build_service(document: _Service) -> Service:
     engine = None
-    if found.engine is not None:
-        engine = _build_engine(found.engine)
-    return Service(found.name, found.health_path, found.max_connections, engine)
+    if document.engine is not None:
+        engine = _build_engine(document.engine)
+    return Service(
+        document.name, document.health_path, document.max_connections, engine
+    )
 
 
-def _build_engine(found: _Engine) -> EngineSpec:
+def _build_engine(document: _Engine) -> EngineSpec:
     kinds = {
         kind.name: Accelerator(
             kind.name, kind.size_mb, kind.pace, kind.read_factor
         )
-        for kind in found.kinds
+        for kind in document.kinds
     }
     return EngineSpec(
-        slots=found.slots,
-        stride=found.stride,
-        step_ms=found.step_ms,
-        per_seq_ms=found.per_seq_ms,
-        context_per_k_ms=found.context_per_k,
-        read_per_s=found.read_per_s,
-        chunk=found.chunk,
-        layers=found.layers,
-        layer_mb=found.layer_mb,
-        token_bytes=found.kv_token_bytes,
-        activation_bytes=found.activation_bytes,
-        pipe_mbps=found.pipe_mbps,
-        load_s=max((model.load_s for model in found.models), default=0),
-        loads_at_once=found.loads_at_once,
-        usual_prompt=found.usual.prompt,
-        usual_answer=found.usual.answer,
+        slots=document.slots,
+        stride=document.stride,
+        step_ms=document.step_ms,
+        per_seq_ms=document.per_seq_ms,
+        context_per_k_ms=document.context_per_k,
+        read_per_s=document.read_per_s,
+        chunk=document.chunk,
+        layers=document.layers,
+        layer_mb=document.layer_mb,
+        token_bytes=document.kv_token_bytes,
+        activation_bytes=document.activation_bytes,
+        pipe_mbps=document.pipe_mbps,
+        load_s=max((model.load_s for model in document.models), default=0),
+        loads_at_once=document.loads_at_once,
+        usual_prompt=document.usual.prompt,
+        usual_answer=document.usual.answer,
         accelerators=kinds,
     )
