--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -1,9 +1,10 @@
-"""The platform's key-value service, on the loop.
+"""Asynchronous client of the platform's key-value store.
 
-One client with kept connections; calls that wait for news have connections of
-their own. Every call ends with an answer, ``StoreRefusedError`` (nothing was
-done) or ``StoreUnreachableError`` (unknown). A write whose answer was lost is
-settled by whoever made it: by reading back what it wrote.
+Connections are kept alive and reused; concurrent calls, such as a watch, each
+use their own. Every call ends with an answer, ``StoreRefusedError`` (nothing
+was done) or ``StoreUnreachableError`` (outcome unknown). After a write whose
+answer was lost, the caller must read the keys back to find out whether it was
+applied.
 """
 
 from __future__ import annotations
@@ -30,33 +31,44 @@
 
 _OK = 200
 _GONE = 410
-_CONFLICT = 412
+_PRECONDITION_FAILED = 412
 _NOT_FOUND = 404
-# The service answers in milliseconds; on its slow days in some hundred.
+# The store usually answers in milliseconds, under load in some hundred.
 CALL_TIMEOUT_S = 1.0
-# A watch that has gone deaf shows only by not ending, or by other nodes that
-# know more. A change must be in force within two seconds also then; a call every
-# 1.8 s costs a node 0.6 reads a second.
+# Server-side timeout of a watch. Bounds how long a broken watch stays unnoticed:
+# a change must take effect within two seconds even then.
 WATCH_WAIT_S = 1.8
-_WATCH_SLACK_S = 0.3
-_MS = 1000
-_IDLE_CONNECTIONS = 3
+_WATCH_MARGIN_S = 0.3
+_MS_PER_S = 1000
+_MAX_IDLE_CONNECTIONS = 3
 
 
 class HistoryGoneError(StoreError):
-    """The changes asked for are no longer known; everything must be read."""
+    """The watched revision was compacted; all keys must be listed again."""
 
 
 class NoSuchLeaseError(StoreError):
-    """The lease has ended."""
+    """The lease has expired or was revoked."""
 
 
 class ConditionFailedError(StoreError):
-    """A transaction's condition did not hold; nothing was done."""
+    """A precondition of a transaction did not hold; nothing was changed."""
 
 
 class StoredItem(Struct):
-    """One key as the service holds it."""
+    """A key with its value.
+
+    Attributes
+    ----------
+    key : str
+        The key.
+    revision : int
+        The store revision at which it was written.
+    text : bytes
+        Its value.
+    lease : int
+        The lease that it is attached to; 0 for none.
+    """
 
     key: str
     revision: int
@@ -65,9 +77,14 @@
 
 
 class Changes(Struct):
-    """What happened under a prefix up to `revision`, in order.
+    """Changes under a prefix, in order.
 
-    An event is an item as it was written, or a key that was deleted.
+    Attributes
+    ----------
+    revision : int
+        The store revision up to which the changes are complete.
+    events : list of StoredItem or DeletedKey
+        Writes and deletions.
     """
 
     revision: int
@@ -75,7 +92,7 @@
 
 
 class DeletedKey(Struct):
-    """A key that is no more, and the revision at which it went."""
+    """A deleted key, and the store revision at which it was deleted."""
 
     key: str
     revision: int
@@ -131,17 +148,17 @@
 
 
 class PlatformStore:
-    """Client of the key-value service.
+    """Client of the key-value store.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT`` of the service.
+        ``IP:PORT`` of the store.
 
     Attributes
     ----------
     calls : Counter
-        Calls made, by purpose; they are paid for, also those that fail.
+        Calls made, by purpose, including those that failed.
     """
 
     def __init__(self, address: str) -> None:
@@ -150,7 +167,15 @@
         self.calls: Counter[str] = Counter()
 
     async def read(self, key: str) -> tuple[StoredItem | None, int]:
-        """Return a key's item, or none, and the service's revision."""
+        """Return the item at a key and the store's current revision.
+
+        Returns
+        -------
+        item : StoredItem or None
+            ``None`` if there is no such key.
+        revision : int
+            The store's revision; 0 if there is no such key.
+        """
         status, body = await self._call(
             'read key', 'GET', '/kv-key', {'key': key}
         )
@@ -160,10 +185,10 @@
         return _build_item(found), found.current_rev
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
-        """Return all items under a prefix, and a revision.
+        """Return all items under a prefix, and a revision to watch from.
 
-        Pages are no snapshot: the revision is the first page's, so that a
-        watch from it on repeats changes rather than misses any.
+        Pages are not a consistent snapshot. The revision is that of the first
+        page, so that a watch from there may repeat changes but misses none.
         """
         found: list[StoredItem] = []
         revision = 0
@@ -181,19 +206,31 @@
             after = page.found[-1].key
 
     async def watch(self, prefix: str, after: int) -> Changes:
-        """Wait for changes after a revision; none may come within a while.
+        """Wait for changes after a revision.
+
+        Parameters
+        ----------
+        prefix : str
+            Prefix of the keys to watch.
+        after : int
+            The revision up to which changes are known.
+
+        Returns
+        -------
+        Changes
+            Without events if nothing changed within `WATCH_WAIT_S`.
 
         Raises
         ------
         HistoryGoneError
-            Read the prefix anew.
+            The revision was compacted; list the prefix again.
         """
         query = {
             'prefix': prefix,
             'after': str(after),
-            'waitMs': str(int(WATCH_WAIT_S * _MS)),
+            'waitMs': str(int(WATCH_WAIT_S * _MS_PER_S)),
         }
-        wait_s = WATCH_WAIT_S + _WATCH_SLACK_S
+        wait_s = WATCH_WAIT_S + _WATCH_MARGIN_S
         _, body = await self._call(
             'watch', 'GET', '/kv-watch', query, wait_s=wait_s
         )
@@ -209,23 +246,25 @@
         lease: int = 0,
         remove: tuple[str, ...] = (),
     ) -> int:
-        """Write all or nothing; return the revision.
+        """Run a transaction; return its revision.
 
         Parameters
         ----------
         puts : mapping
-            New texts by key.
+            New values by key.
         expect : mapping
-            Revisions that keys must have; 0 for none.
+            Revisions that keys must have; 0 for a key that must not exist.
         lease : int
-            The keys written vanish with it.
+            The lease to attach the written keys to; 0 for none.
         remove : tuple of str
             Keys to delete.
 
         Raises
         ------
-        ConditionFailedError, NoSuchLeaseError
-            Nothing was done.
+        ConditionFailedError
+            A key has another revision; nothing was changed.
+        NoSuchLeaseError
+            The lease has expired; nothing was changed.
         """
         call = _Transaction(
             [_Expected(key, revision) for key, revision in expect.items()],
@@ -236,20 +275,22 @@
             list(remove),
         )
         status, body = await self._call('write', 'POST', '/kv-txn', {}, call)
-        if status == _CONFLICT:
-            raise ConditionFailedError('a key has another revision')
+        if status == _PRECONDITION_FAILED:
+            raise ConditionFailedError(
+                'transaction rejected: a key has another revision'
+            )
         if status == _NOT_FOUND:
             raise NoSuchLeaseError(f'lease {lease} has ended')
         return _decode(body, _Written).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return a new lease."""
-        call = {'ttlMs': int(ttl_s * _MS)}
+        """Create a lease that expires unless renewed within `ttl_s`."""
+        call = {'ttlMs': int(ttl_s * _MS_PER_S)}
         _, body = await self._call('grant', 'POST', '/kv-lease', {}, call)
         return _decode(body, _Lease).lease
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raise ``NoSuchLeaseError`` if it has ended."""
+        """Renew a lease; raise ``NoSuchLeaseError`` if it has expired."""
         status, _ = await self._call(
             'renew', 'POST', f'/kv-keep/{lease}', {}, {}
         )
@@ -257,17 +298,17 @@
             raise NoSuchLeaseError(f'lease {lease} has ended')
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease; its keys go at once."""
+        """Revoke a lease; its keys are deleted at once."""
         await self._call('end', 'DELETE', f'/kv-lease-end/{lease}', {})
 
     def change_address(self, address: str) -> None:
-        """Make further calls to another address."""
+        """Use another address for further calls."""
         if address != self._address:
             self._address = address
             self.close()
 
     def close(self) -> None:
-        """Close the connections that wait for calls."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
@@ -280,7 +321,30 @@
         document: object = None,
         wait_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Make one call; return the status and body of a usable answer."""
+        """Make one call.
+
+        Parameters
+        ----------
+        purpose : str
+            The counter in `calls` to increment.
+        method : str
+            HTTP method.
+        path : str
+            URL path.
+        query : dict
+            Query parameters.
+        document : object
+            Encoded as the JSON body, unless ``None``.
+        wait_s : float
+            Timeout of the call.
+
+        Returns
+        -------
+        status : int
+            200, 404 or 412.
+        body : bytes
+            The body of the answer.
+        """
         target = f'{path}?{urlencode(query)}' if query else path
         headers = [(b'host', self._address.encode())]
         body = b''
@@ -292,8 +356,8 @@
         self.calls[purpose] += 1
         status, answer = await self._exchange(call, deadline)
         if status == _GONE:
-            raise HistoryGoneError('the service has dropped this history')
-        if status not in (_OK, _NOT_FOUND, _CONFLICT):
+            raise HistoryGoneError('the store has compacted this revision')
+        if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
             raise StoreRefusedError(f'{method} {path}: got status {status}')
         return status, answer
 
@@ -336,7 +400,7 @@
 
     def _put_back(self, conn: HttpConnection) -> None:
         now = asyncio.get_running_loop().time()
-        if conn.is_usable(now) and len(self._idle) < _IDLE_CONNECTIONS:
+        if conn.is_usable(now) and len(self._idle) < _MAX_IDLE_CONNECTIONS:
             self._idle.append(conn)
         else:
             conn.close()
@@ -347,7 +411,7 @@
         return json.decode(body, type=kind)
     except (DecodeError, ValidationError) as exc:
         raise StoreUnreachableError(
-            f'got an answer that is not what it should be: {exc}',
+            f'got an invalid answer: {exc}',
             may_have_applied=True,
         ) from exc
 
