--- a/samphirerill/platform/dialect.py
+++ b/samphirerill/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's words as the edge needs them."""
+"""The platform's wire format: headers, orders and stored documents."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 _BEARER = 'bearer '
 _MISDIRECTED = 421
-_MOST_DEADLINE_MS = 3_600_000
+_MAX_DEADLINE_MS = 3_600_000
 _HIGHEST_PRIORITY = 9
-# Headers that concern one connection only, or that this system sets itself.
-_OWN = frozenset(
+# Hop-by-hop headers, and headers that the router sets itself.
+_NOT_FORWARDED = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -48,17 +48,17 @@
 )
 
 
-class _Place(Struct, rename='camel'):
+class _PlaceOrder(Struct, rename='camel'):
     begin: int = field(name='from')
     to: int
     expect: int
     fencing_token: int
     operation: str = 'place'
-    # New requests stop at once; those under way end first.
+    # Stop taking new requests at once and finish those in progress.
     mode: str = 'wait'
 
 
-class _Repath(Struct, rename='camel'):
+class _RepathOrder(Struct, rename='camel'):
     id: str
     path: str
     fencing_token: int
@@ -75,23 +75,23 @@
     replicas_prefix = 'servers/'
 
     def read_request(self, req: Request) -> RequestFacts:
-        """Return what a request says of itself; nonsense counts as unsaid."""
-        prompt, _, most = (req.get(words.TOKENS) or b'').partition(b',')
+        """Return the metadata of a request; invalid values count as absent."""
+        prompt, _, max_answer = (req.get(words.TOKENS) or b'').partition(b',')
         return RequestFacts(
             request_id=req.get(words.REQUEST_ID) or b'',
-            api_key=_read_key(req.get(b'authorization') or b''),
-            deadline_s=_read_deadline_s(req.get(words.DEADLINE_MS) or b''),
-            prompt_tokens=_read_number(prompt),
-            most_tokens=_read_number(most),
-            hinted_tokens=_read_number(req.get(words.LENGTH_HINT) or b''),
+            api_key=_parse_bearer_token(req.get(b'authorization') or b''),
+            deadline_s=_parse_deadline_s(req.get(words.DEADLINE_MS) or b''),
+            prompt_tokens=_parse_number(prompt),
+            most_tokens=_parse_number(max_answer),
+            hinted_tokens=_parse_number(req.get(words.LENGTH_HINT) or b''),
             resume_after=req.get(words.RESUME_AFTER) or b'',
         )
 
     def build_headers(
         self, req: Request, facts: RequestFacts, attempt: Attempt
     ) -> Headers:
-        """Return the client's headers with what this system says itself."""
-        dropped = _list_named(req)
+        """Return the client's headers, with those that the router sets."""
+        dropped = _list_connection_headers(req)
         if attempt.hides_key:
             dropped.add(b'authorization')
         if attempt.resume_after:
@@ -99,13 +99,13 @@
         headers = [
             pair
             for pair in req.headers
-            if pair[0] not in _OWN and pair[0] not in dropped
+            if pair[0] not in _NOT_FORWARDED and pair[0] not in dropped
         ]
         headers.append(
             (words.EXPECTED_REPLICA, attempt.replica.replica_id.encode())
         )
-        left_ms = max(1, int(attempt.left_s * MS_PER_S))
-        headers.append((words.DEADLINE_MS, b'%d' % left_ms))
+        remaining_ms = max(1, int(attempt.left_s * MS_PER_S))
+        headers.append((words.DEADLINE_MS, b'%d' % remaining_ms))
         if attempt.account:
             headers.append((words.ACCOUNT, attempt.account.encode()))
         if attempt.resume_after:
@@ -113,12 +113,12 @@
         if attempt.stages:
             headers.append((words.PATH, format_path(attempt.stages).encode()))
         if attempt.priority is not None:
-            rank = min(_HIGHEST_PRIORITY, max(0, attempt.priority))
-            headers.append((words.PRIORITY, b'%d' % rank))
+            priority = min(_HIGHEST_PRIORITY, max(0, attempt.priority))
+            headers.append((words.PRIORITY, b'%d' % priority))
         return headers
 
     def read_answer(self, head: Head) -> AnswerFacts:
-        """Return what an endpoint's answer says of itself."""
+        """Return the metadata of an endpoint's response."""
         encoding = (head.get(b'content-encoding') or b'identity').lower()
         is_other_replica = head.status == _MISDIRECTED
         return AnswerFacts(
@@ -130,58 +130,58 @@
         )
 
     def decode_configuration(self, text: bytes) -> FleetConfiguration:
-        """Return the configuration in a stored text."""
+        """Decode a stored configuration; raise ``DocumentError``."""
         return documents.decode_configuration(text)
 
     def decode_replica(self, replica_id: str, text: bytes) -> Replica:
-        """Return the replica announced in a stored text."""
+        """Decode a replica's announcement; raise ``DocumentError``."""
         return announcements.decode_replica(replica_id, text)
 
     def decode_report(self, text: bytes) -> ReplicaReport:
-        """Return an engine's report."""
+        """Decode an engine's status report; raise ``DocumentError``."""
         return announcements.decode_report(text)
 
     def encode_place(
         self, layers: LayerRange, expected_orders: int, token: int
     ) -> bytes:
-        """Return the order to hold these layers and no others."""
+        """Encode the order to hold exactly these layers."""
         return json.encode(
-            _Place(layers.first, layers.end, expected_orders, token)
+            _PlaceOrder(layers.first, layers.end, expected_orders, token)
         )
 
     def encode_repath(
         self, request_id: bytes, stages: tuple[Stage, ...], token: int
     ) -> bytes:
-        """Return the order to move a stream onto another path."""
-        name = request_id.decode('latin-1')
-        return json.encode(_Repath(name, format_path(stages), token))
+        """Encode the order to reroute a stream to another path."""
+        decoded_id = request_id.decode('latin-1')
+        return json.encode(_RepathOrder(decoded_id, format_path(stages), token))
 
 
 def format_path(stages: tuple[Stage, ...]) -> str:
-    """Return a path as the engines read it."""
+    """Return a path in the format of the path header and of orders."""
     return ','.join(
         f'{stage.replica.address}={stage.layers.first}-{stage.layers.end}'
         for stage in stages
     )
 
 
-def _list_named(req: Request) -> set[bytes]:
-    """Return the headers that the Connection header names."""
-    named = req.get(b'connection') or b''
-    return {word.strip().lower() for word in named.split(b',')}
+def _list_connection_headers(req: Request) -> set[bytes]:
+    """Return the hop-by-hop headers named by the Connection header."""
+    listed = req.get(b'connection') or b''
+    return {word.strip().lower() for word in listed.split(b',')}
 
 
-def _read_key(text: bytes) -> str:
+def _parse_bearer_token(text: bytes) -> str:
     decoded = text.decode('latin-1')
     if not decoded.lower().startswith(_BEARER):
         return ''
     return decoded[len(_BEARER) :].strip()
 
 
-def _read_deadline_s(text: bytes) -> float:
-    return min(_MOST_DEADLINE_MS, _read_number(text)) / MS_PER_S
+def _parse_deadline_s(text: bytes) -> float:
+    return min(_MAX_DEADLINE_MS, _parse_number(text)) / MS_PER_S
 
 
-def _read_number(text: bytes) -> float:
+def _parse_number(text: bytes) -> float:
     stripped = text.strip()
     return float(stripped) if stripped.isdigit() else 0.0
