--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -35,8 +35,8 @@
 _NOT_FOUND = 404
 # The store usually answers in milliseconds, under load in some hundred.
 CALL_TIMEOUT_S = 1.0
-# Server-side timeout of a watch. Bounds how long a broken watch stays unnoticed:
-# a change must take effect within two seconds even then.
+# Server-side timeout of a watch. It bounds how long a broken watch goes
+# unnoticed: a change must take effect within two seconds even then.
 WATCH_WAIT_S = 1.8
 _WATCH_MARGIN_S = 0.3
 _MS_PER_S = 1000
