--- a/samphirerill/tests/platform_documents.py
+++ b/samphirerill/tests/platform_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform as its store holds them."""
+"""Stored documents of the platform, as test data."""
 
 from __future__ import annotations
 
@@ -31,8 +31,16 @@
 
 
 def build_configuration(version: int = 7, **changes: Any) -> bytes:
-    """Return a stored configuration; `changes` go into its first route."""
-    stream = {
+    """Return a stored configuration.
+
+    Parameters
+    ----------
+    version : int
+        Its version.
+    **changes
+        Fields to replace in the first route, which is a streaming one.
+    """
+    streaming_route = {
         'name': 'notes',
         'host': 'bridal.example',
         'prefix': '/notes/',
@@ -48,7 +56,7 @@
         'resumable': True,
         'gapTargetMs': 200,
     }
-    plain = {
+    plain_route = {
         'name': 'pickup',
         'host': 'bridal.example',
         'prefix': '/pickup/',
@@ -59,7 +67,7 @@
     return json.encode(
         {
             'version': version,
-            'routes': [{**stream, **changes}, plain],
+            'routes': [{**streaming_route, **changes}, plain_route],
             'services': [
                 {'name': 'llm', 'engine': ENGINE},
                 {'name': 'desk', 'maxConnections': 40},
@@ -78,7 +86,7 @@
     state: str = 'ready',
 ) -> bytes:
     """Return a replica's announcement."""
-    entry: dict[str, Any] = {
+    announcement: dict[str, Any] = {
         'service': service,
         'address': address,
         'zone': 'a',
@@ -87,8 +95,12 @@
         'kind': kind,
     }
     if layers is not None:
-        entry['layers'] = {'from': layers[0], 'to': layers[1], 'version': 1}
-    return json.encode(entry)
+        announcement['layers'] = {
+            'from': layers[0],
+            'to': layers[1],
+            'version': 1,
+        }
+    return json.encode(announcement)
 
 
 CONFIGURATION = build_configuration()
