--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -1,4 +1,4 @@
-"""The settings template, filled in as the platform does it."""
+"""The settings template, rendered as the platform does it, and reloads."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from samphirerill.relay.state import EdgeState
 
 _TEMPLATE = Path(__file__).parents[2] / 'deploy' / 'settings.template'
-_PLACE = re.compile(r'\{\{([a-zA-Z0-9_.]+)\|json\}\}')
-# The fields that the template names, as the platform's page shows them.
+_PLACEHOLDER = re.compile(r'\{\{([a-zA-Z0-9_.]+)\|json\}\}')
+# The fields that the template refers to, as the platform documents them.
 _FIELDS: dict[str, Any] = {
     'nodeName': 'edge-hall-a-1',
     'ip': '10.1.0.40',
@@ -42,39 +42,40 @@
 }
 
 
-def _fill(match: re.Match[str]) -> str:
-    found: Any = _FIELDS
+def _render_field(match: re.Match[str]) -> str:
+    field: Any = _FIELDS
     for name in match.group(1).split('.'):
-        found = found[int(name)] if name.isdigit() else found[name]
-    return json.encode(found).decode()
+        field = field[int(name)] if name.isdigit() else field[name]
+    return json.encode(field).decode()
 
 
-def _fill_template() -> str:
-    return _PLACE.sub(_fill, _TEMPLATE.read_text()).partition('\n')[2]
+def _render_template() -> str:
+    return _PLACEHOLDER.sub(_render_field, _TEMPLATE.read_text()).partition(
+        '\n'
+    )[2]
 
 
 class TestTemplate(TestCase):
-    """What a node reads of it."""
+    """Settings loaded from the rendered template."""
 
-    def test_every_bound_arrives_in_its_unit(self) -> None:
-        """Symptom: a replica that is gone gets work for half an hour.
+    def test_durations_are_in_the_right_unit(self) -> None:
+        """Milliseconds must not be rendered into a setting in seconds.
 
-        Sequence: a node reads the platform's bound for leaving replicas.
-        Cause: milliseconds were filled in for a setting in seconds.
+        Otherwise a replica that has left would get work for half an hour.
         """
         settings = self._load()
         self.assertEqual(settings.leaving_ms, 2000)
         self.assertEqual(settings.finish_s, 8)
         self.assertEqual(settings.retry_window_s, 10)
 
-    def test_addresses_are_whole(self) -> None:
+    def test_addresses_are_complete(self) -> None:
         settings = self._load()
         self.assertEqual(settings.callers, '10.1.0.40:8227')
         self.assertEqual(settings.store, '10.200.1.7:8223')
         self.assertEqual(settings.exchange_port, 7340)
 
     def _load(self) -> EdgeSettings:
-        text = _fill_template()
+        text = _render_template()
         self.assertNotIn('{{', text)
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'settings.json'
@@ -83,7 +84,7 @@
 
 
 class TestReload(IsolatedAsyncioTestCase):
-    """A settings file that changes while its node serves."""
+    """A settings file that changes while the node is serving."""
 
     async def asyncSetUp(self) -> None:
         folder = TemporaryDirectory()
@@ -97,17 +98,13 @@
         self.reloader = Reloader(self.state, self.store, source)
 
     def write(self, changes: dict[str, Any]) -> None:
-        """Write the settings that the template gives, with changes."""
-        document = json.decode(_fill_template())
+        """Write the settings of the rendered template, with changes."""
+        document = json.decode(_render_template())
         document.update(changes)
         self.path.write_bytes(json.encode(document))
 
-    async def test_bounds_change_while_it_serves(self) -> None:
-        """Symptom: a changed share of repeats holds after a restart only.
-
-        Sequence: the file changes and the node is told by a signal, or is
-        not told at all. Cause: the change was logged and nothing else.
-        """
+    async def test_changed_limits_take_effect_without_restart(self) -> None:
+        """A changed retry budget must take effect without a restart."""
         now = 10.0
         budget = self.state.get_budget('llm')
         self.assertTrue(budget.has_left(now, 8, is_urgent=True))
@@ -116,7 +113,7 @@
         self.assertFalse(budget.has_left(now, 8, is_urgent=True))
         self.assertEqual(self.state.settings.leaving_ms, 900)
 
-    async def test_a_change_is_seen_without_a_signal(self) -> None:
+    async def test_change_is_noticed_without_signal(self) -> None:
         task = asyncio.create_task(self.reloader.run())
         self.addCleanup(task.cancel)
         self.write({'finish_s': 5})
@@ -124,7 +121,7 @@
             while self.state.settings.finish_s != 5:
                 await asyncio.sleep(0.02)
 
-    async def test_a_faulty_file_changes_nothing(self) -> None:
+    async def test_invalid_file_changes_nothing(self) -> None:
         before = self.state.settings
         for text in ('', '{"name": ', '{"finish_s": "soon"}'):
             with self.subTest(text):
@@ -132,7 +129,7 @@
                 self.reloader.reload()
                 self.assertIs(self.state.settings, before)
 
-    async def test_own_addresses_need_a_restart(self) -> None:
+    async def test_own_addresses_are_kept_until_restart(self) -> None:
         before = self.state.settings.callers
         self.write({'callers': '10.1.0.40:1', 'finish_s': 4})
         self.reloader.reload()
