--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: documents, words, and the key-value service."""
+"""The platform adapter: documents, headers and the key-value store."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.platform_documents import CONFIGURATION, KEY
 
-_ROOT = pathlib.Path(__file__).parent.parent
-# Names of the platform's that mean nothing else anywhere.
-_NAMES = re.compile(
+_PACKAGE = pathlib.Path(__file__).parent.parent
+# Names that occur only in the platform's wire format.
+_PLATFORM_NAMES = re.compile(
     'X-Samphirerill-|trafficSplit|maxAttempts|apiKeys|sloMs|kvTokenBytes'
     '|kv-txn|kv-watch|fencingToken|coldLeftMs',
     re.IGNORECASE,
@@ -39,31 +39,27 @@
 
 
 class TestDocuments(TestCase):
-    """Documents become typed objects, or errors."""
+    """Documents are decoded into typed objects, or rejected."""
 
     def setUp(self) -> None:
         self.dialect = PlatformDialect()
 
-    def test_a_configuration_is_read_whole(self) -> None:
+    def test_configuration_is_decoded_completely(self) -> None:
         cfg = self.dialect.decode_configuration(CONFIGURATION)
-        stream, plain = cfg.routes
-        self.assertIs(stream.repeat, Repeat.STREAM)
-        self.assertTrue(stream.is_resumable)
-        self.assertEqual(stream.gap_s, 0.2)
-        self.assertEqual(len(stream.shares), 2)
-        self.assertIs(plain.repeat, Repeat.NON_IDEMPOTENT)
+        streaming_route, plain_route = cfg.routes
+        self.assertIs(streaming_route.repeat, Repeat.STREAM)
+        self.assertTrue(streaming_route.is_resumable)
+        self.assertEqual(streaming_route.gap_s, 0.2)
+        self.assertEqual(len(streaming_route.shares), 2)
+        self.assertIs(plain_route.repeat, Repeat.NON_IDEMPOTENT)
         self.assertEqual(cfg.accounts[KEY].name, 'suva')
         engine = cfg.services['llm'].engine
         assert engine is not None
         self.assertEqual(engine.layers, 80)
         self.assertEqual(engine.accelerators['small'].read_factor, 8.2)
 
-    def test_nonsense_is_an_error_of_its_own(self) -> None:
-        """Symptom: a node stops following the store.
-
-        Sequence: an entry is truncated, or of another type. Cause: an error
-        of the decoder that nobody expected.
-        """
+    def test_malformed_documents_raise_document_error(self) -> None:
+        """Decoder errors must not end the loop that follows the store."""
         for text in (b'', b'{', b'[]', b'{"version":"x"}', b'\xff', b'null'):
             with self.subTest(text):
                 with self.assertRaises(DocumentError):
@@ -71,21 +67,21 @@
                 with self.assertRaises(DocumentError):
                     self.dialect.decode_replica('one', text)
 
-    def test_an_unknown_kind_of_request_is_not_repeated(self) -> None:
+    def test_route_of_unknown_kind_is_not_retried(self) -> None:
         text = CONFIGURATION.replace(b'"streaming"', b'"new_kind"')
         cfg = self.dialect.decode_configuration(text)
         self.assertIs(cfg.routes[0].repeat, Repeat.NON_IDEMPOTENT)
 
 
-class TestWords(TestCase):
-    """Headers of requests and answers."""
+class TestHeaders(TestCase):
+    """Headers of requests and responses."""
 
     def setUp(self) -> None:
         self.dialect = PlatformDialect()
         self.replica = build_replica('one', layers=(0, 80))
 
-    def test_the_key_is_not_passed_on(self) -> None:
-        headers = self._build(
+    def test_api_key_and_forged_headers_are_removed(self) -> None:
+        headers = self._build_headers(
             [
                 (b'authorization', b'Bearer secret'),
                 (b'x-samphirerill-tenant', b'forged'),
@@ -105,21 +101,21 @@
         names = [name for name, _ in headers]
         self.assertEqual(len(names), len(set(names)))
 
-    def test_the_path_names_every_part(self) -> None:
-        headers = dict(self._build([]))
+    def test_path_header_lists_all_stages(self) -> None:
+        headers = dict(self._build_headers([]))
         self.assertEqual(
             headers[b'x-samphirerill-hop-count'],
             f'{self.replica.address}=0-80'.encode(),
         )
         self.assertEqual(headers[b'x-samphirerill-deadline-ms'], b'1500')
 
-    def test_a_refusal_that_ran_nothing_is_told_from_a_failure(self) -> None:
+    def test_not_executed_is_distinguished_from_failure(self) -> None:
         not_run = Head(503, [(b'x-samphirerill-not-executed', b'1')])
         self.assertTrue(self.dialect.read_answer(not_run).is_not_run)
         self.assertTrue(self.dialect.read_answer(Head(421)).is_not_run)
         self.assertFalse(self.dialect.read_answer(Head(503)).is_not_run)
 
-    def test_bad_headers_count_as_unsaid(self) -> None:
+    def test_invalid_headers_count_as_absent(self) -> None:
         req = Request(
             b'GET',
             b'/',
@@ -135,14 +131,14 @@
         self.assertEqual(facts.prompt_tokens, 0)
         self.assertEqual(facts.api_key, '')
 
-    def test_the_key_is_hidden_on_a_public_route_too(self) -> None:
+    def test_api_key_is_removed_on_public_routes(self) -> None:
         key = [(b'authorization', b'Bearer secret')]
-        hidden = self._build(key, account='')
-        self.assertNotIn(b'authorization', dict(hidden))
-        shown = self._build(key, account='', hides_key=False)
-        self.assertIn(b'authorization', dict(shown))
+        removed = self._build_headers(key, account='')
+        self.assertNotIn(b'authorization', dict(removed))
+        kept = self._build_headers(key, account='', hides_key=False)
+        self.assertIn(b'authorization', dict(kept))
 
-    def _build(
+    def _build_headers(
         self,
         headers: list[tuple[bytes, bytes]],
         account: str = 'suva',
@@ -157,19 +153,19 @@
 
 
 class TestBoundary(TestCase):
-    """Nothing outside the adapter knows the platform's names."""
+    """The platform's names are used in the adapter only."""
 
-    def test_names_stay_in_the_adapter(self) -> None:
-        for path in _ROOT.rglob('*.py'):
-            folder = path.relative_to(_ROOT).parts[0]
+    def test_platform_names_are_used_in_adapter_only(self) -> None:
+        for path in _PACKAGE.rglob('*.py'):
+            folder = path.relative_to(_PACKAGE).parts[0]
             if folder in {'platform', 'testing', 'tests'}:
                 continue
-            found = _NAMES.search(path.read_text())
-            self.assertIsNone(found, f'{path}: {found}')
+            match = _PLATFORM_NAMES.search(path.read_text())
+            self.assertIsNone(match, f'{path}: {match}')
 
 
 class TestStore(IsolatedAsyncioTestCase):
-    """The key-value service, also when it misbehaves."""
+    """The client of the key-value store, with failures of the store."""
 
     async def asyncSetUp(self) -> None:
         self.service = StandInStore()
@@ -182,7 +178,7 @@
         self.server.close()
         await asyncio.sleep(0)
 
-    async def test_reads_what_was_written(self) -> None:
+    async def test_written_value_is_read_back(self) -> None:
         revision = await self.store.write({'a': b'\x00\xff'}, {'a': 0})
         item, current = await self.store.read('a')
         assert item is not None
@@ -191,15 +187,15 @@
         missing, _ = await self.store.read('b')
         self.assertIsNone(missing)
 
-    async def test_ranges_come_in_pages(self) -> None:
+    async def test_prefix_is_read_over_several_pages(self) -> None:
         self.service.page = 3
         for number in range(10):
             await self.service.put(f'k{number}', b'x')
-        found, revision = await self.store.read_prefix('k')
-        self.assertEqual(len(found), 10)
+        entries, revision = await self.store.read_prefix('k')
+        self.assertEqual(len(entries), 10)
         self.assertEqual(revision, 10)
 
-    async def test_a_condition_that_fails_changes_nothing(self) -> None:
+    async def test_failed_condition_changes_nothing(self) -> None:
         await self.store.write({'a': b'1'}, {'a': 0})
         with self.assertRaises(ConditionFailedError):
             await self.store.write({'a': b'2'}, {'a': 0})
@@ -207,7 +203,7 @@
         assert item is not None
         self.assertEqual(item.text, b'1')
 
-    async def test_a_watch_brings_writes_and_deletions(self) -> None:
+    async def test_watch_returns_deletions(self) -> None:
         await self.service.put('a', b'1')
         waiting = asyncio.create_task(self.store.watch('', 1))
         await asyncio.sleep(0.05)
@@ -216,20 +212,20 @@
         self.assertEqual(changes.events, [DeletedKey('a', 2)])
         self.assertEqual(changes.revision, 2)
 
-    async def test_a_dropped_history_is_told(self) -> None:
+    async def test_compacted_revision_raises_error(self) -> None:
         await self.service.put('a', b'1')
         await self.service.put('a', b'2')
         self.service.forget_history()
         with self.assertRaises(HistoryGoneError):
             await self.store.watch('', 1)
 
-    async def test_a_busy_service_has_done_nothing(self) -> None:
+    async def test_refused_write_is_not_applied(self) -> None:
         self.service.busy = True
         with self.assertRaises(StoreRefusedError):
             await self.store.write({'a': b'1'}, {})
         self.assertEqual(self.service.keys, {})
 
-    async def test_a_lost_answer_may_hide_a_write(self) -> None:
+    async def test_write_with_lost_answer_may_have_applied(self) -> None:
         self.service.lose_answers = 1
         with self.assertRaises(StoreUnreachableError) as caught:
             await self.store.write({'a': b'1'}, {})
@@ -237,7 +233,7 @@
         item, _ = await self.store.read('a')
         self.assertIsNotNone(item)
 
-    async def test_an_ended_lease_is_told(self) -> None:
+    async def test_renewal_of_revoked_lease_raises_error(self) -> None:
         lease = await self.store.grant_lease(2)
         await self.store.write({'a': b'1'}, {}, lease)
         await self.store.renew_lease(lease)
@@ -246,7 +242,7 @@
         with self.assertRaises(NoSuchLeaseError):
             await self.store.renew_lease(lease)
 
-    async def test_an_absent_service_is_an_error(self) -> None:
+    async def test_unreachable_store_raises_error(self) -> None:
         self.server.close()
         await asyncio.sleep(0)
         with self.assertRaises(StoreError):
