--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their id, and entries of other writers."""
+"""Replicas that restart under the same id, and entries of other writers."""
 
 from __future__ import annotations
 
@@ -18,118 +18,116 @@
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.platform_documents import build_entry
 
-_FIRST_MS = 1_790_000_000_000
-_SECOND_MS = _FIRST_MS + 9_000
-_WHOLE = LayerRange(0, 80)
+_FIRST_START_MS = 1_790_000_000_000
+_SECOND_START_MS = _FIRST_START_MS + 9_000
+_ALL_LAYERS = LayerRange(0, 80)
 _ADDRESS = '10.0.0.1:8080'
 
 
-class TestNewStarts(TestCase):
-    """What is believed of a replica ends with its start."""
+class TestRestarts(TestCase):
+    """State kept about a replica is reset when the replica restarts."""
 
     def setUp(self) -> None:
         self.view = FleetView()
-        self.first = build_replica('one', layers=(0, 80))
-        self.first = replace(self.first, started_ms=_FIRST_MS)
-        self.second = replace(self.first, started_ms=_SECOND_MS, layers=None)
-        self.view.announce(self.first, 1)
+        self.first_process = build_replica('one', layers=(0, 80))
+        self.first_process = replace(
+            self.first_process, started_ms=_FIRST_START_MS
+        )
+        self.second_process = replace(
+            self.first_process, started_ms=_SECOND_START_MS, layers=None
+        )
+        self.view.announce(self.first_process, 1)
 
-    def test_a_path_through_the_start_before_is_lost(self) -> None:
-        """Symptom: streams wait for seconds for an engine that answers.
+    def test_path_through_previous_process_is_lost(self) -> None:
+        """Streams must not wait for an engine that has lost their state.
 
-        Sequence: it is cut off, crashes behind the cut and starts again under
-        its id with nothing loaded, then loads the same layers as before.
-        Cause: by id and layers it looks like the one they pass through.
+        It restarted during a network partition and holds the same layers
+        under the same id as before.
         """
-        stage = Stage(self.first, _WHOLE)
+        stage = Stage(self.first_process, _ALL_LAYERS)
         losses = self.view.losses
-        self.view.announce(replace(self.second, layers=_WHOLE), 2)
+        self.view.announce(replace(self.second_process, layers=_ALL_LAYERS), 2)
         self.assertTrue(is_lost(self.view, stage, 0))
         self.assertGreater(self.view.losses, losses)
 
-    def test_what_was_held_against_it_is_over(self) -> None:
+    def test_suspicion_is_cleared_by_restart(self) -> None:
         self.view.suspect('one', 9, 1)
-        self.view.announce(self.second, 2)
+        self.view.announce(self.second_process, 2)
         self.assertEqual(len(self.view.list_usable('llm', 2)), 1)
 
-    def test_one_that_had_left_may_come_again(self) -> None:
-        """Symptom: a replica that is ready gets no work for half a minute.
-
-        Sequence: its entry is removed without a word before, so that it is
-        taken to leave; it starts again under its id. Cause: who leaves was
-        kept by id.
-        """
+    def test_replica_that_left_gets_work_after_restart(self) -> None:
+        """The leaving state of the previous process must not outlive it."""
         self.view.withdraw('one', 2, 0, leaves_at=9)
-        self.view.announce(self.second, 3)
+        self.view.announce(self.second_process, 3)
         self.assertEqual(len(self.view.list_usable('llm', 3)), 1)
 
-    def test_a_new_start_that_leaves_at_once_gets_no_work(self) -> None:
-        """Symptom: a replica that leaves gets new work.
-
-        Sequence: the first that is heard of another start is that it leaves.
-        Cause: what was known of the start before was dropped after that.
-        """
-        leaving = replace(self.second, is_leaving=True, layers=_WHOLE)
+    def test_restarted_replica_that_is_leaving_gets_no_work(self) -> None:
+        """A restart first seen as leaving must not be reset to available."""
+        leaving = replace(
+            self.second_process, is_leaving=True, layers=_ALL_LAYERS
+        )
         self.view.announce(leaving, 2, leaves_at=9)
         self.assertEqual(self.view.list_usable('llm', 2), [])
 
-    def test_an_entry_that_says_nothing_of_its_start_is_the_same(self) -> None:
+    def test_entry_without_start_time_is_the_same_process(self) -> None:
         self.view.suspect('one', 9, 1)
-        self.view.announce(replace(self.first, started_ms=0), 2)
+        self.view.announce(replace(self.first_process, started_ms=0), 2)
         self.assertEqual(self.view.list_usable('llm', 2), [])
 
 
 class TestConnections(IsolatedAsyncioTestCase):
-    """Kept connections end with the start that they were made to."""
+    """Idle connections are dropped when the replica restarts."""
 
-    async def test_none_is_used_for_the_next_start(self) -> None:
+    async def test_connection_to_previous_process_is_not_reused(self) -> None:
         accepted = Counter[str]()
 
-        async def take(
+        async def accept(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             accepted['made'] += 1
             await reader.read()
             writer.close()
 
-        server = await asyncio.start_server(take, '127.0.0.1', 0)
+        server = await asyncio.start_server(accept, '127.0.0.1', 0)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
-        first = replace(
+        first_process = replace(
             build_replica('one'),
             address=f'{host}:{port}',
-            started_ms=_FIRST_MS,
+            started_ms=_FIRST_START_MS,
         )
         pool = ConnectionPool(Counter())
-        conn = await pool.take(first)
-        pool.give_back(first, conn)
-        again = await pool.take(replace(first, started_ms=_SECOND_MS))
+        conn = await pool.take(first_process)
+        pool.give_back(first_process, conn)
+        again = await pool.take(
+            replace(first_process, started_ms=_SECOND_START_MS)
+        )
         self.assertIsNot(again, conn)
         self.assertFalse(conn.is_open())
         again.close()
 
 
-class TestEntriesOfOthers(TestCase):
-    """What does not have all of a replica's entry names no replica."""
+class TestForeignEntries(TestCase):
+    """Entries that are not a replica's announcement are rejected."""
 
     def setUp(self) -> None:
         self.dialect = PlatformDialect()
         self.entry = json.decode(build_entry('llm', _ADDRESS, 'vast', (0, 80)))
 
-    def test_a_whole_entry_is_read(self) -> None:
-        text = json.encode({**self.entry, 'born': _FIRST_MS})
+    def test_complete_entry_is_decoded(self) -> None:
+        text = json.encode({**self.entry, 'born': _FIRST_START_MS})
         replica = self.dialect.decode_replica('one', text)
-        self.assertEqual(replica.started_ms, _FIRST_MS)
+        self.assertEqual(replica.started_ms, _FIRST_START_MS)
 
-    def test_an_entry_with_a_gap_names_nobody(self) -> None:
+    def test_entry_without_required_field_is_rejected(self) -> None:
         for name in ('service', 'address', 'zone', 'slots', 'state'):
             with self.subTest(name), self.assertRaises(DocumentError):
                 entry = {**self.entry}
                 entry.pop(name)
                 self.dialect.decode_replica('one', json.encode(entry))
 
-    def test_odd_values_name_nobody(self) -> None:
-        odd = {
+    def test_entry_with_invalid_value_is_rejected(self) -> None:
+        invalid = {
             'service': 5,
             'address': 'nowhere',
             'slots': 'many',
@@ -137,17 +135,15 @@
             'layers': 'all',
             'born': 'today',
         }
-        for name, given in odd.items():
+        for name, bad in invalid.items():
             with self.subTest(name), self.assertRaises(DocumentError):
-                text = json.encode({**self.entry, name: given})
+                text = json.encode({**self.entry, name: bad})
                 self.dialect.decode_replica('one', text)
 
-    def test_an_unknown_service_ends_nobody_at_its_address(self) -> None:
-        """Symptom: a replica that is ready gets no more work.
+    def test_entry_of_unknown_service_does_not_replace_replica(self) -> None:
+        """An entry of a service that is not configured must not take over.
 
-        Sequence: somebody else writes an entry of a service that operators
-        don't know, with the replica's address. Cause: the newer entry at an
-        address was taken for its next owner.
+        A newer entry with the same address normally replaces the older one.
         """
         view = FleetView(services=frozenset(('llm',)))
         one = build_replica('one', layers=(0, 80))
