--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -1,4 +1,7 @@
-"""What a node asks of the store itself, and what it leaves to others."""
+"""Calls that a node makes to the store, and failover to watcher nodes.
+
+A few nodes watch the store (watchers); the others get changes from them.
+"""
 
 from __future__ import annotations
 
@@ -22,62 +25,66 @@
     from samphirerill.platform.store import PlatformStore
     from samphirerill.relay.follower import Folder
 
-_MARGIN_S = 0.05
-_NAMES = [f'edge-hall-{zone}-{at}' for zone in 'abc' for at in range(24)]
+_WATCH_DELAY_S = 0.05
+_NODE_NAMES = [
+    f'edge-hall-{data_centre}-{number}'
+    for data_centre in 'abc'
+    for number in range(24)
+]
 
 
 def _build_follower(
-    store: object, folders: list[Folder], news: object
+    store: object, handlers: list[Folder], news: object
 ) -> Follower:
-    """Return a follower that hears of changes from stand-ins."""
+    """Return a follower with a fake store and a fake source of changes."""
     return Follower(
         cast('EdgeState', Mock(spec=EdgeState, view=Mock())),
         cast('PlatformStore', store),
         StoreHealth(0),
-        folders,
+        handlers,
         cast('NewsSource', news),
         ChangeLog(),
     )
 
 
-class _Watcher:
-    """A watcher that can't be reached once, and then tells of a change."""
+class _FlakyWatcherSource:
+    """Source of changes whose watcher fails once, then returns a change."""
 
     def __init__(self) -> None:
-        self.asked: list[int] = []
+        self.revisions: list[int] = []
 
     def choose(self) -> str:
-        """Return the one watcher there is."""
+        """Return the only watcher."""
         return 'watcher'
 
     def note_store(self, *, answers: bool) -> None:
-        """The store has failed; the watcher is chosen all the same."""
+        """Ignore failures of the store."""
 
     def may_ask_store(self) -> bool:
-        """Return that the store may be asked at any time."""
+        """Allow calls to the store at any time."""
         return True
 
     def is_starting(self) -> bool:
-        """Return that the node knows the others."""
+        """Return that start-up is over."""
         return False
 
     async def watch(self, watcher: str, after: int) -> Changes:
-        """Fail the first call."""
-        self.asked.append(after)
-        if len(self.asked) == 1:
+        """Fail the first call; return a change afterwards."""
+        self.revisions.append(after)
+        if len(self.revisions) == 1:
             raise EndpointError('not there')
-        await asyncio.sleep(_MARGIN_S)
+        await asyncio.sleep(_WATCH_DELAY_S)
         return Changes(11, [StoredItem('op/config', 11, b'new')])
 
 
-class _DeafStore:
-    """A store that answers one whole reading and then turns the node away."""
+class _RefusingStore:
+    """A store that answers one listing and refuses all calls afterwards."""
 
     def __init__(self) -> None:
         self.is_up = True
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
-        """Answer once."""
+        """Answer the first call only."""
         if not self.is_up:
             raise StoreRefusedError('got status 503')
         self.is_up = False
@@ -88,8 +95,8 @@
         raise StoreRefusedError('got status 503')
 
 
-class _Folder:
-    """Keeps the keys that it is told of."""
+class _RecordingHandler:
+    """Change handler that records the keys written."""
 
     prefix = 'op/'
 
@@ -97,83 +104,81 @@
         self.keys: list[str] = []
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
-        """A whole reading tells nothing here."""
+        """Ignore full listings."""
 
     def take_item(self, item: StoredItem) -> None:
-        """Keep a key."""
+        """Record a key."""
         self.keys.append(item.key)
 
     def take_gone(self, gone: DeletedKey) -> None:
-        """Nothing goes here."""
+        """Ignore deletions."""
 
 
-class TestTurnedAway(IsolatedAsyncioTestCase):
-    """A node that the store turns away, while watchers work."""
+class TestStoreRefusesCalls(IsolatedAsyncioTestCase):
+    """A node whose calls the store refuses, while the watchers work."""
 
-    async def test_it_goes_on_hearing_of_changes(self) -> None:
-        """Symptom: a node goes on with an old configuration for seconds.
+    async def test_changes_still_arrive_from_watchers(self) -> None:
+        """One failure of a watcher must not leave the node to the store alone.
 
-        Sequence: the store turns it away; a watcher fails once; it asks the
-        store, in vain, and from then on only the store. Cause: after a failed
-        call everything had to be read anew, which only the store can give,
-        though watchers tell what changed since a revision.
+        After a failed call to the store, a full listing was required, which
+        only the store provides, so the node kept an old configuration.
         """
-        folder = _Folder()
-        follower = _build_follower(_DeafStore(), [folder], _Watcher())
+        handler = _RecordingHandler()
+        follower = _build_follower(
+            _RefusingStore(), [handler], _FlakyWatcherSource()
+        )
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(0.5)
         task.cancel()
-        self.assertIn('op/config', folder.keys)
+        self.assertIn('op/config', handler.keys)
 
 
-class _BusyStore:
-    """A store in which something changes all the time."""
+class _ChangingStore:
+    """A store with a change for every watch."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
-        """Return nothing, at revision 10."""
+        """Return an empty listing at revision 10."""
         return [], 10
 
     async def watch(self, prefix: str, after: int) -> Changes:
-        """Return a change at once."""
+        """Return a change immediately."""
         self.calls += 1
         await asyncio.sleep(0)
         return Changes(after + 1, [StoredItem('other', after + 1, b'x')])
 
 
-class TestStartingTogether(TestCase):
-    """Nodes that start while all others do."""
+class TestFleetStart(TestCase):
+    """All nodes of a fleet starting at the same time."""
 
-    def test_a_node_that_starts_gathers_changes_for_longer(self) -> None:
-        """Symptom: a third of all calls are made in the seconds of a start.
+    def test_starting_node_batches_changes_for_longer(self) -> None:
+        """A burst of announcements must not cost one store call for each.
 
-        Sequence: nodes and replicas announce themselves one after another for
-        two seconds; each announcement ends the watch of each node that counts
-        itself a watcher, as it does not know the others yet. Cause: changes
-        were gathered for a quarter of a second at most, always.
+        While a fleet starts, every node watches the store itself, as it does
+        not know the others yet.
         """
         calls = run_virtually(self._follow(3.0))
         self.assertLessEqual(calls, 10)
 
-    async def _follow(self, for_s: float) -> int:
-        store = _BusyStore()
+    async def _follow(self, duration_s: float) -> int:
+        store = _ChangingStore()
         follower = _build_follower(store, [], NewsSource('alone'))
         task = asyncio.create_task(follower.run())
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         task.cancel()
         return store.calls
 
 
-class _AbsentStore:
-    """A store that answers one whole reading, and is away then."""
+class _UnavailableStore:
+    """A store that answers one listing and is unavailable afterwards."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
-        """Answer the first call."""
+        """Answer the first call; refuse further ones."""
         self.calls += 1
         if self.calls > 1:
             raise StoreRefusedError('got status 503')
@@ -185,48 +190,46 @@
         raise StoreRefusedError('got status 503')
 
 
-class _DeafUntil(NewsSource):
-    """Listens at watchers that do not hear the store until a moment."""
+class _CutOffWatchersSource(NewsSource):
+    """Source of changes whose watchers are cut off from the store for a time."""
 
-    def __init__(self, own: str, hears_at: float) -> None:
+    def __init__(self, own: str, recovers_at: float) -> None:
         super().__init__(own)
-        self._hears_at = hears_at
+        self._recovers_at = recovers_at
 
     async def watch(self, watcher: str, after: int) -> Changes:
-        """Say that the watcher is deaf, or tell of a change."""
+        """Fail until the watchers reach the store again, then return a change."""
         await asyncio.sleep(0.01)
-        if asyncio.get_running_loop().time() < self._hears_at:
+        if asyncio.get_running_loop().time() < self._recovers_at:
             self._avoid_until[watcher] = asyncio.get_running_loop().time() + 0.5
             raise DeafWatcherError('does not hear the store')
         return Changes(11, [StoredItem('op/config', 11, b'new')])
 
 
-class TestAbsentStore(TestCase):
-    """The store is away from all nodes for eight seconds."""
+class TestStoreOutage(TestCase):
+    """The store is unavailable to all nodes for eight seconds."""
 
-    def test_only_the_watchers_go_on_asking(self) -> None:
-        """Symptom: 350 of 1,700 calls of a day are refused within eight seconds.
+    def test_other_nodes_back_off_from_the_store(self) -> None:
+        """During an outage, only the watchers should keep polling the store.
 
-        Sequence: the store is away; the watchers say that they do not hear it;
-        each node that listens at them asks it itself, twice a second. Cause:
-        nothing said that the watchers ask already.
+        The other nodes must still get the first change soon after it ends.
         """
-        calls, heard_after_s = run_virtually(self._play(8.0))
+        calls, delay_s = run_virtually(self._simulate_outage(8.0))
         self.assertLessEqual(calls, 5)
-        self.assertLess(heard_after_s, 1.2)
+        self.assertLess(delay_s, 1.2)
 
-    async def _play(self, away_s: float) -> tuple[int, float]:
+    async def _simulate_outage(self, outage_s: float) -> tuple[int, float]:
         loop = asyncio.get_running_loop()
-        watchers = list_watchers(_NAMES)
-        own = next(name for name in _NAMES if name not in watchers)
-        back_at = loop.time() + away_s
-        source = _DeafUntil(own, back_at)
-        source.take_peers(dict.fromkeys(_NAMES, '10.0.0.1:1'))
-        store = _AbsentStore()
-        folder = _Folder()
-        follower = _build_follower(store, [folder], source)
+        watchers = list_watchers(_NODE_NAMES)
+        own = next(name for name in _NODE_NAMES if name not in watchers)
+        recovers_at = loop.time() + outage_s
+        source = _CutOffWatchersSource(own, recovers_at)
+        source.take_peers(dict.fromkeys(_NODE_NAMES, '10.0.0.1:1'))
+        store = _UnavailableStore()
+        handler = _RecordingHandler()
+        follower = _build_follower(store, [handler], source)
         task = asyncio.create_task(follower.run())
-        while not folder.keys:
+        while not handler.keys:
             await asyncio.sleep(0.05)
         task.cancel()
-        return store.calls, loop.time() - back_at
+        return store.calls, loop.time() - recovers_at
