--- a/samphirerill/tests/test_store_health.py
+++ b/samphirerill/tests/test_store_health.py
@@ -1,4 +1,4 @@
-"""What an outage of the store says of entries that are missing."""
+"""Missing entries after an outage of the store."""
 
 from __future__ import annotations
 
@@ -8,26 +8,23 @@
 
 
 class TestStoreHealth(TestCase):
-    """When a missing entry may only have lapsed."""
+    """When a missing entry may only have expired."""
 
-    def test_a_replica_that_left_after_an_outage_is_not_kept(self) -> None:
-        """Symptom: a replica gets work 2.4 s after it has left.
+    def test_grace_period_ends_soon_after_outage(self) -> None:
+        """The grace period counts from the end of the outage.
 
-        Sequence: the store returns; 1.9 s later a replica's entry is removed,
-        as it leaves; it is kept for 2.4 s more. Cause: the grace ran from the
-        removal instead of the store's return.
+        Counted from the removal of the entry, a replica that left shortly
+        after an outage would get work for seconds.
         """
         health = StoreHealth(0)
         health.note_success(15.4)
         self.assertLessEqual(health.find_grace(17.3, 1.7), 17.6)
         self.assertEqual(health.find_grace(17.8, 1.7), 0)
 
-    def test_who_knew_the_fleet_plans_right_after_an_outage(self) -> None:
-        """Symptom: two data centres have no pipeline for 3.7 s.
+    def test_node_that_knew_the_fleet_plans_after_outage(self) -> None:
+        """A node that still counts expired entries as present need not wait.
 
-        Sequence: replicas are replaced while the store is away; it returns; a
-        node takes command, and plans nothing for 2.2 s more. Cause: entries may
-        be missing that have only lapsed; this node still counts them as there.
+        Waiting in any case delayed the repair of pipelines.
         """
         health = StoreHealth(0)
         health.note_success(1)
@@ -38,7 +35,7 @@
         health.note_success(9)
         self.assertTrue(health.knows_fleet(9.1, 1.7))
 
-    def test_when_missing_entries_stop_to_count_it_waits_for_those_alive(
+    def test_planning_waits_once_missing_entries_stop_counting(
         self,
     ) -> None:
         health = StoreHealth(0)
@@ -49,13 +46,13 @@
         self.assertFalse(health.knows_fleet(11.1, 1.7))
         self.assertTrue(health.knows_fleet(11.3, 1.7))
 
-    def test_who_started_after_an_outage_waits(self) -> None:
+    def test_node_started_after_outage_waits(self) -> None:
         health = StoreHealth(20)
         health.note_success(20.1)
         self.assertFalse(health.knows_fleet(21, 1.7))
         self.assertTrue(health.knows_fleet(22.4, 1.7))
 
-    def test_a_short_failure_is_no_outage(self) -> None:
+    def test_short_failure_is_no_outage(self) -> None:
         health = StoreHealth(0)
         health.note_success(10)
         health.note_failure(OSError(), 20)
