--- a/samphirerill/tests/test_usage.py
+++ b/samphirerill/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""What a node says that it has used of the store and of endpoints."""
+"""Usage counters of calls to the store and to endpoints."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class TestUsage(IsolatedAsyncioTestCase):
-    """Counts by purpose, and lines that say only what is new."""
+    """Counts by purpose, and periodic logs of their increase."""
 
-    async def test_calls_to_the_store_are_told_apart(self) -> None:
+    async def test_store_calls_are_counted_by_purpose(self) -> None:
         connections: set[CallerConnection] = set()
         server = await listen('127.0.0.1:0', StandInStore(), connections)
         self.addCleanup(server.close)
@@ -36,7 +36,7 @@
             {'grant': 1, 'write': 1, 'renew': 1, 'read all': 1, 'end': 1},
         )
 
-    def test_a_line_tells_what_is_new(self) -> None:
+    def test_log_contains_increase_since_last_report(self) -> None:
         store = Mock(spec=PlatformStore)
         store.calls = Counter({'watch': 3})
         state = Mock()
@@ -47,7 +47,9 @@
             usage.log()
             store.calls['renew'] += 1
             usage.log()
-        lines = [call.kwargs['extra']['counts'] for call in log.info.mock_calls]
+        reports = [
+            call.kwargs['extra']['counts'] for call in log.info.mock_calls
+        ]
         self.assertEqual(
-            lines, [{'store.watch': 3, 'orders': 2}, {'store.renew': 1}]
+            reports, [{'store.watch': 3, 'orders': 2}, {'store.renew': 1}]
         )
