--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -191,14 +191,14 @@
 
 
 class _CutOffWatchersSource(NewsSource):
-    """Source of changes whose watchers are cut off from the store for a time."""
+    """Source of changes whose watchers can't reach the store for a time."""
 
     def __init__(self, own: str, recovers_at: float) -> None:
         super().__init__(own)
         self._recovers_at = recovers_at
 
     async def watch(self, watcher: str, after: int) -> Changes:
-        """Fail until the watchers reach the store again, then return a change."""
+        """Fail until the watchers have recovered, then return a change."""
         await asyncio.sleep(0.01)
         if asyncio.get_running_loop().time() < self._recovers_at:
             self._avoid_until[watcher] = asyncio.get_running_loop().time() + 0.5
