--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -1,4 +1,4 @@
-"""A node that is told to end answers what it has read."""
+"""Graceful shutdown: a node answers every request that it has read."""
 
 from __future__ import annotations
 
@@ -20,26 +20,22 @@
 )
 
 
-class TestEnd(TwoEnginesCase):
-    """A node that is told to end answers what it has read."""
+class TestShutdown(TwoEnginesCase):
+    """Requests during a graceful shutdown."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        notice = patch(
+        short_notice = patch(
             'samphirerill.relay.process._READINESS_NOTICE_S', SETTLE_S
         )
-        notice.start()
-        self.addCleanup(notice.stop)
-        self.desk = self.world.replicas['desk-1']
+        short_notice.start()
+        self.addCleanup(short_notice.stop)
+        self.plain_endpoint = self.world.replicas['desk-1']
 
-    async def test_a_request_that_comes_as_the_last_one_ends(self) -> None:
-        """Symptom: a node that ends closes a request that it has passed on.
-
-        Sequence: after a SIGTERM nothing is under way any more; the node gives
-        its lease back; a request comes in that moment, long before the latest
-        time, and is passed on; the process ends. Cause: after the last look
-        at what is under way, requests were still read.
-        """
+    async def test_request_read_while_lease_is_revoked_is_answered(
+        self,
+    ) -> None:
+        """A request read after the last check for open ones must be answered."""
         leaving = asyncio.Event()
 
         async def leave(_: object) -> None:
@@ -47,82 +43,75 @@
             await asyncio.sleep(2 * SETTLE_S)
 
         with patch('samphirerill.relay.members.Members.leave', leave):
-            self.desk.free.clear()
+            self.plain_endpoint.free.clear()
             self.process.begin_drain()
             await leaving.wait()
             waiting = self.start(b'/pickup/x')
-            await self.until(lambda: self.desk.seen)
+            await self.until(lambda: self.plain_endpoint.seen)
             await asyncio.sleep(3 * SETTLE_S)
-            self.desk.free.set()
+            self.plain_endpoint.free.set()
             status, reason = await waiting
         self.assertEqual(status, OK, reason)
 
-    async def test_an_answer_that_is_not_yet_on_its_way(self) -> None:
-        """Symptom: a node that ends cuts an answer in the middle.
+    async def test_buffered_response_is_sent_completely(self) -> None:
+        """Data in the node's send buffer must not count as sent.
 
-        Sequence: an answer is written whole to a client with a slow link; a
-        SIGTERM comes; nothing is under way any more, and the process ends with
-        the rest of the answer in its own buffer. Cause: what was written
-        counted as sent.
+        A client with a slow link would otherwise get a truncated response.
         """
-        self.desk.padding = 16_000_000
+        self.plain_endpoint.padding = 16_000_000
         port = self.process.get_port()
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
         call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
         writer.write(call)
-        await self.until(lambda: self.desk.seen)
+        await self.until(lambda: self.plain_endpoint.seen)
         await asyncio.sleep(2 * SETTLE_S)
         self.process.begin_drain()
         await asyncio.sleep(5 * SETTLE_S)
-        read = await _read_rest(reader)
+        received = await _count_received(reader)
         writer.close()
-        self.assertGreater(read, self.desk.padding)
+        self.assertGreater(received, self.plain_endpoint.padding)
 
-    async def test_what_is_unanswered_at_the_end_is_told_so(self) -> None:
-        """Symptom: a node that ends closes connections without an answer.
+    async def test_unfinished_request_gets_error_status(self) -> None:
+        """A request still open at the deadline must get an error response.
 
-        Sequence: a request waits for a slow endpoint as the time after a
-        SIGTERM runs out. Cause: connections were closed without a word, though
-        the status of a request that may have run could still be sent.
+        Its connection used to be closed without one.
         """
         self.change(finish_s=1.3)
         document = json.decode(build_configuration(8))
         document['routes'][1]['timeoutMs'] = 4000
         await self.configure(json.encode(document))
-        self.desk.free.clear()
+        self.plain_endpoint.free.clear()
         waiting = self.start(b'/pickup/x')
-        await self.until(lambda: self.desk.seen)
+        await self.until(lambda: self.plain_endpoint.seen)
         self.process.begin_drain()
         status, reason = await waiting
-        self.desk.free.set()
+        self.plain_endpoint.free.set()
         self.assertIn(status, (502, 504), reason)
 
-    async def test_requests_that_wait_behind_another_are_answered(
+    async def test_pipelined_requests_are_answered(
         self,
     ) -> None:
-        """Symptom: a node that ends closes a connection on a whole request.
+        """The first response must not close a connection with another request.
 
-        Sequence: two requests arrive on one connection; a SIGTERM comes while
-        the first is served; its answer closes the connection. Cause: the
-        connection was ended with a request in it that had been read.
+        The second request was read before the shutdown began.
         """
-        self.desk.free.clear()
+        self.plain_endpoint.free.clear()
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.process.get_port()
         )
         for request_id in ('r1', 'r2'):
             headers = build_headers(request_id)
             writer.write(build_call(b'POST', b'/pickup/x', headers, b''))
-        await self.until(lambda: self.desk.seen)
+        await self.until(lambda: self.plain_endpoint.seen)
         self.process.begin_drain()
-        self.desk.free.set()
+        self.plain_endpoint.free.set()
         body = await reader.read()
         writer.close()
         self.assertEqual(body.count(b'HTTP/1.1 '), 2)
 
-    async def test_a_kept_connection_is_served_until_the_end(self) -> None:
+    async def test_keep_alive_connection_is_served_while_draining(self) -> None:
         conn = HttpConnection(f'127.0.0.1:{self.process.get_port()}')
         await conn.open()
         self.addCleanup(conn.close)
@@ -131,36 +120,36 @@
                 self.process.begin_drain()
             call = build_call(b'POST', b'/pickup/x', build_headers('r'), b'')
             conn.send(call)
-            until = asyncio.get_running_loop().time() + PATIENCE_S
-            status, _ = await read_answer(conn, until)
+            deadline = asyncio.get_running_loop().time() + PATIENCE_S
+            status, _ = await read_answer(conn, deadline)
             self.assertEqual(status, OK)
 
-    async def test_a_stream_between_two_paths_is_finished(self) -> None:
+    async def test_stream_waiting_for_new_path_is_finished(self) -> None:
         waiting, head, other = await self.start_stream()
         now = asyncio.get_running_loop().time()
         self.process.state.view.refuse(other, now)
         self.world.replicas[head].stop_after = 1
-        broken = self.process.state.counters
-        await self.until(lambda: broken['streams.broken'])
+        counters = self.process.state.counters
+        await self.until(lambda: counters['streams.broken'])
         self.process.begin_drain()
         self.assert_whole(await waiting)
 
 
-class TestLeft(TwoEnginesCase):
-    """What a node that has left says of itself."""
+class TestAnnouncement(TwoEnginesCase):
+    """The announcement of a node that has left."""
 
     async def asyncSetUp(self) -> None:
-        renew = patch('samphirerill.relay.members._RENEW_S', SETTLE_S / 2)
-        renew.start()
-        self.addCleanup(renew.stop)
+        fast_renewal = patch(
+            'samphirerill.relay.members._RENEW_S', SETTLE_S / 2
+        )
+        fast_renewal.start()
+        self.addCleanup(fast_renewal.stop)
         await super().asyncSetUp()
 
-    async def test_a_node_that_has_left_stays_away(self) -> None:
-        """Symptom: other nodes wait at one that has ended.
+    async def test_node_is_not_announced_again_after_leaving(self) -> None:
+        """A revoked lease must not be granted again by its renewal.
 
-        Sequence: a node gives its lease back, and finishes a request that came
-        meanwhile; it announces itself anew, and ends without giving that back.
-        Cause: its lease was renewed, and so granted anew, after that.
+        The other nodes would wait for the node until that lease expires.
         """
         await self.until(self.list_announced)
         await self.process._members.leave()  # noqa: SLF001
@@ -169,26 +158,23 @@
 
     def list_announced(self) -> list[str]:
         """Return the keys under which nodes are announced."""
-        known = self.world.service.keys
-        return [key for key in known if key.startswith(PREFIX)]
+        keys = self.world.service.keys
+        return [key for key in keys if key.startswith(PREFIX)]
 
 
-class TestLoops(TwoEnginesCase):
-    """What a node does all the time ends with it."""
+class TestBackgroundLoops(TwoEnginesCase):
+    """Background loops during shutdown."""
 
-    async def test_a_loop_that_fails_as_it_ends_is_not_started_again(
+    async def test_loop_failing_during_shutdown_is_not_restarted(
         self,
     ) -> None:
-        """Symptom: a node that was told to end is killed eight seconds later.
+        """Restarting a loop would keep the process from exiting.
 
-        Sequence: its loops are cancelled; one of them fails in that moment; it
-        is started again, each half second. Cause: the failure was looked at, and
-        not that the node ends. Evidence: "loop failed" each half second until
-        the process was killed.
+        It would then be killed, with a failure logged every half second.
         """
 
         async def fail() -> None:
-            raise ValueError('a port that is closed')
+            raise ValueError('port is closed')
 
         self.process.close()
         self.process._ended.set()  # noqa: SLF001
@@ -196,12 +182,12 @@
             await self.process._keep_running(fail, 'x')  # noqa: SLF001
 
 
-async def _read_rest(reader: asyncio.StreamReader) -> int:
-    """Return how many bytes come before the end, however it comes."""
-    read = 0
+async def _count_received(reader: asyncio.StreamReader) -> int:
+    """Return how many bytes are received until EOF or a reset."""
+    received = 0
     try:
-        while part := await reader.read(65_536):
-            read += len(part)
+        while chunk := await reader.read(65_536):
+            received += len(chunk)
     except ConnectionError:
-        return read
-    return read
+        return received
+    return received
