--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""The lag of a node's event loop must not count as silence of others."""
+"""A blocked event loop must not make live engines look unresponsive."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     from samphirerill.fleet.model import Replica
 
 _OK = 200
-_CALL = build_call(b'GET', b'/report', [(b'host', b'engine')], b'')
-_ANSWERS_AFTER_S = 0.03
-_PATIENCE_S = 0.08
+_REPORT_REQUEST = build_call(b'GET', b'/report', [(b'host', b'engine')], b'')
+_RESPONSE_DELAY_S = 0.03
+_READ_TIMEOUT_S = 0.08
 _BLOCKED_S = 2 * CONNECT_TIMEOUT_S
-# About the passes of the loop until a probe has been sent.
-_MOST_STEPS = 8
+# Covers the event loop iterations until a probe has been sent.
+_MAX_STEPS = 8
 _REPORT = {
     'layers': {'from': 0, 'to': 80, 'version': 1},
     'busy': False,
@@ -43,12 +43,12 @@
 
 
 class _Handler(BaseHTTPRequestHandler):
-    """Reports as an engine does, a moment late."""
+    """Serves the status report of an engine, with a short delay."""
 
     protocol_version = 'HTTP/1.1'
 
     def do_GET(self) -> None:  # noqa: N802
-        time.sleep(_ANSWERS_AFTER_S)
+        time.sleep(_RESPONSE_DELAY_S)
         body = json.encode(_REPORT)
         self.send_response(_OK)
         self.send_header('Content-Length', str(len(body)))
@@ -57,14 +57,14 @@
             self.wfile.write(body)
 
     def log_message(self, *_: object) -> None:
-        """Keep the output of tests clean."""
+        """Suppress the log of requests."""
 
 
 class LoopLagCase(IsolatedAsyncioTestCase):
-    """Engines that run on while this loop is blocked."""
+    """Engines that keep running while this event loop is blocked."""
 
     def start_engine(self) -> str:
-        """Serve in a thread of its own; return the address."""
+        """Start an engine in its own thread; return its address."""
         server = ThreadingHTTPServer(('127.0.0.1', 0), _Handler)
         server.daemon_threads = True
         Thread(target=server.serve_forever, args=(0.01,), daemon=True).start()
@@ -73,27 +73,29 @@
         return f'127.0.0.1:{server.server_address[1]}'
 
     async def block_loop(self) -> None:
-        """Let what is ready begin, then run nothing for a while."""
+        """Run the ready callbacks once, then block the event loop."""
         await asyncio.sleep(0)
         time.sleep(_BLOCKED_S)  # noqa: ASYNC251
 
 
 class TestConnections(LoopLagCase):
-    """What came meanwhile counts, however late it is read."""
+    """Data that arrived while the loop was blocked counts as on time."""
 
-    async def test_an_answer_that_came_meanwhile_is_no_silence(self) -> None:
-        """Streams aren't moved off an engine whose answer waits to be read."""
+    async def test_response_received_while_blocked_is_not_a_timeout(
+        self,
+    ) -> None:
+        """Streams must not be rerouted while a response waits in the socket."""
         conn = HttpConnection(self.start_engine())
         self.addCleanup(conn.close)
         await conn.open()
-        conn.send(_CALL)
-        deadline = asyncio.get_running_loop().time() + _PATIENCE_S
+        conn.send(_REPORT_REQUEST)
+        deadline = asyncio.get_running_loop().time() + _READ_TIMEOUT_S
         reading = asyncio.create_task(conn.read(deadline))
         await self.block_loop()
         self.assertIsInstance(await reading, Head)
 
-    async def test_a_connection_made_meanwhile_is_used(self) -> None:
-        """Engines that accepted in time aren't taken to be unreachable."""
+    async def test_connection_accepted_while_blocked_is_used(self) -> None:
+        """An engine that accepted in time must not count as unreachable."""
         conn = HttpConnection(self.start_engine())
         self.addCleanup(conn.close)
         opening = asyncio.create_task(conn.open())
@@ -102,39 +104,39 @@
         self.assertTrue(conn.is_open())
 
 
-class TestOwnProbes(LoopLagCase):
-    """The own interface asks endpoints in the same way."""
+class TestNativeProbes(LoopLagCase):
+    """Probes of the project's own endpoint interface."""
 
-    async def test_an_answer_that_came_meanwhile_is_taken(self) -> None:
-        """Endpoints aren't suspected because the node was late to read."""
-        asking = asyncio.create_task(fetch(self.start_engine(), '/load'))
+    async def test_probe_answered_while_blocked_succeeds(self) -> None:
+        """An endpoint must not be suspected because the node read late."""
+        probe = asyncio.create_task(fetch(self.start_engine(), '/load'))
         await self.block_loop()
-        self.assertEqual(await asking, json.encode(_REPORT))
+        self.assertEqual(await probe, json.encode(_REPORT))
 
 
-class TestQuestions(LoopLagCase):
-    """A question that the node itself was too late to ask says nothing."""
+class TestHealthProbes(LoopLagCase):
+    """Health probes that this node sent late prove nothing."""
 
-    async def test_an_engine_probed_by_a_blocked_loop_is_not_dead(self) -> None:
-        """Streams of a living engine aren't ended because the node paused."""
+    async def test_engine_probed_by_blocked_loop_is_not_dead(self) -> None:
+        """Streams of a live engine must not end because the node was blocked."""
         world = PlatformWorld()
         self.addAsyncCleanup(world.stop)
         await world.start()
         process = world.expect_process()
-        asked, control = self.build_engine('asked'), self.build_engine('other')
-        process.state.view.announce(asked, 1)
+        probed, control = self.build_engine('asked'), self.build_engine('other')
+        process.state.view.announce(probed, 1)
         process.state.view.announce(control, 2)
         examiner = Examiner(process.state, Alarms(process.state))
-        for steps in range(_MOST_STEPS):
+        for steps in range(_MAX_STEPS):
             with self.subTest(steps=steps):
                 now = asyncio.get_running_loop().time()
-                asking = asyncio.create_task(examiner.ask_after([asked], now))
+                probe = asyncio.create_task(examiner.ask_after([probed], now))
                 for _ in range(steps):
                     await asyncio.sleep(0)
                 await self.block_loop()
-                self.assertEqual(await asking, set())
+                self.assertEqual(await probe, set())
 
     def build_engine(self, name: str) -> Replica:
-        """Start an engine; return how it is announced."""
+        """Start an engine; return it as a replica."""
         replica = build_replica(name, 'a', 'large', (0, 32))
         return replace(replica, address=self.start_engine())
