--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -35,7 +35,7 @@
     async def test_request_read_while_lease_is_revoked_is_answered(
         self,
     ) -> None:
-        """A request read after the last check for open ones must be answered."""
+        """A request read after the last check for open ones needs an answer."""
         leaving = asyncio.Event()
 
         async def leave(_: object) -> None:
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -118,7 +118,7 @@
     """Health probes that this node sent late prove nothing."""
 
     async def test_engine_probed_by_blocked_loop_is_not_dead(self) -> None:
-        """Streams of a live engine must not end because the node was blocked."""
+        """A blocked node must not end the streams of a live engine."""
         world = PlatformWorld()
         self.addAsyncCleanup(world.stop)
         await world.start()
