--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -141,8 +141,8 @@
         if cfg is None or not self._leadership.is_held():
             return
         now = self._loop.time()
-        counted_s = self._state.find_leaves_at(now) - now
-        if not self._health.knows_fleet(now, counted_s):
+        presence_s = self._state.find_leaves_at(now) - now
+        if not self._health.knows_fleet(now, presence_s):
             # Announcements may be missing only because their leases expired.
             return
         if self._state.view.loss_round.is_under_way(now):
@@ -170,9 +170,9 @@
         if not timing.has_settled(present, now):
             return
         settled = timing.list_settled(now)
-        is_calm = timing.is_calm(now) and not self._has_assignments(present)
-        fleet = (engine, service, _list_ids(present), settled, is_calm)
-        if timing.may_plan(fleet, present):
+        is_stable = timing.is_calm(now) and not self._has_assignments(present)
+        scope = (engine, service, _list_ids(present), settled, is_stable)
+        if timing.may_plan(scope, present):
             complete_pipelines = count_whole(engine, present)
             timing.note_whole(complete_pipelines)
             moves = plan_moves(
@@ -183,7 +183,7 @@
                     policy=self._state.settings.policy,
                 ),
                 settled,
-                is_calm=is_calm,
+                is_calm=is_stable,
                 had=timing.had,
             )
             self._record_plan(service, present, complete_pipelines, moves)
@@ -349,6 +349,7 @@
     gap_targets = [
         route.gap_s * MS_PER_S
         for route in cfg.routes
-        if route.gap_s and any(part.service == service for part in route.shares)
+        if route.gap_s
+        and any(share.service == service for share in route.shares)
     ]
     return min(gap_targets, default=DEFAULT_PAUSE_MS)
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -216,10 +216,10 @@
         is_burst = now - self._last_change_at < _BURST_GAP_S + self._batch_s
         self._last_change_at = now
         if is_burst:
-            longer_s = max(_MIN_BATCH_S, 2 * self._batch_s)
+            doubled_s = max(_MIN_BATCH_S, 2 * self._batch_s)
             is_starting = self._change_source.is_starting()
             max_s = _MAX_STARTUP_BATCH_S if is_starting else _MAX_BATCH_S
-            self._batch_s = min(max_s, longer_s)
+            self._batch_s = min(max_s, doubled_s)
         else:
             self._batch_s = 0.0
         return self._batch_s
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -26,7 +26,7 @@
 _LEASE_TTL_S = 2.0
 _RENEW_INTERVAL_S = 0.6
 # Nodes campaign after a random delay of up to this much per node, so that the
-# first one does so about this long after the leader is gone, in any fleet size.
+# first one does so about this long after the leader is lost, in any fleet size.
 _SPREAD_PER_NODE_S = 0.02
 _MAX_SPREAD_S = 1.0
 
