--- a/samphirerill/relay/store_health.py
+++ b/samphirerill/relay/store_health.py
@@ -64,11 +64,11 @@
         """
         return not self.is_up or now < self._regained_at + LAPSE_GRACE_S
 
-    def knows_fleet(self, now: float, most_s: float) -> bool:
+    def knows_fleet(self, now: float, presence_s: float) -> bool:
         """Return whether the known replicas are complete enough to plan layers.
 
         Right after an outage, entries may be missing that have only expired. A
-        node that knew them before counts them as present for `most_s`, and
+        node that knew them before counts them as present for `presence_s`, and
         afterwards waits until the live ones have been written again. A node
         that has just started does not know what is missing and always waits.
 
@@ -76,15 +76,15 @@
         ----------
         now : float
             The time, on the loop's clock.
-        most_s : float
+        presence_s : float
             How long a missing entry counts as present.
         """
         if not self.is_up or now < self._first_success_at + LAPSE_GRACE_S:
             return False
         since_s = now - self._regained_at
-        return not most_s - _PRESENCE_MARGIN_S <= since_s < LAPSE_GRACE_S
+        return not presence_s - _PRESENCE_MARGIN_S <= since_s < LAPSE_GRACE_S
 
-    def find_grace(self, now: float, most_s: float) -> float:
+    def find_grace(self, now: float, serving_s: float) -> float:
         """Return until when a missing entry may come back; 0 for never.
 
         Expired entries come back within the grace period after an outage. A
@@ -95,7 +95,7 @@
         ----------
         now : float
             The time, on the loop's clock.
-        most_s : float
+        serving_s : float
             How long a replica that has left may still get work.
 
         Returns
@@ -105,7 +105,7 @@
         """
         if not self.may_lapse(now):
             return 0.0
-        until = now + most_s
+        until = now + serving_s
         if self.is_up:
             until = min(until, self._regained_at + LAPSE_GRACE_S)
         return until
