--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -106,31 +106,31 @@
     deleted: bool = False
 
 
-class _Found(_Item):
+class _KeyAnswer(_Item):
     current_rev: int = 0
 
 
-class _Range(Struct, rename='camel'):
+class _RangeAnswer(Struct, rename='camel'):
     found: list[_Item] = field(name='items')
     more_pages: bool = False
     current_rev: int = 0
 
 
-class _Events(Struct, rename='camel'):
+class _WatchAnswer(Struct, rename='camel'):
     events: list[_Item]
     current_rev: int = 0
 
 
-class _Lease(Struct, rename='camel'):
+class _LeaseAnswer(Struct, rename='camel'):
     ttl_ms: float
     lease: int = 0
 
 
-class _Written(Struct):
+class _WriteAnswer(Struct):
     revision: int = 0
 
 
-class _Expected(Struct):
+class _Precondition(Struct):
     key: str
     revision: int
 
@@ -142,7 +142,7 @@
 
 
 class _Transaction(Struct):
-    expect: list[_Expected] = field(default_factory=list)
+    expect: list[_Precondition] = field(default_factory=list)
     puts: list[_Put] = field(default_factory=list)
     remove: list[str] = field(default_factory=list)
 
@@ -181,7 +181,7 @@
         )
         if status == _NOT_FOUND:
             return None, 0
-        found = _decode(body, _Found)
+        found = _decode(body, _KeyAnswer)
         return _build_item(found), found.current_rev
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
@@ -198,7 +198,7 @@
             if after:
                 query['after'] = after
             _, body = await self._call('read all', 'GET', '/kv-range', query)
-            page = _decode(body, _Range)
+            page = _decode(body, _RangeAnswer)
             found.extend(_build_item(item) for item in page.found)
             revision = revision or page.current_rev
             if not page.more_pages or not page.found:
@@ -230,11 +230,11 @@
             'after': str(after),
             'waitMs': str(int(WATCH_WAIT_S * _MS_PER_S)),
         }
-        wait_s = WATCH_WAIT_S + _WATCH_MARGIN_S
+        timeout_s = WATCH_WAIT_S + _WATCH_MARGIN_S
         _, body = await self._call(
-            'watch', 'GET', '/kv-watch', query, wait_s=wait_s
+            'watch', 'GET', '/kv-watch', query, timeout_s=timeout_s
         )
-        found = _decode(body, _Events)
+        found = _decode(body, _WatchAnswer)
         return Changes(
             found.current_rev, [_build_event(item) for item in found.events]
         )
@@ -266,28 +266,28 @@
         NoSuchLeaseError
             The lease has expired; nothing was changed.
         """
-        call = _Transaction(
-            [_Expected(key, revision) for key, revision in expect.items()],
+        request = _Transaction(
+            [_Precondition(key, revision) for key, revision in expect.items()],
             [
                 _Put(key, b64encode(text).decode(), lease)
                 for key, text in puts.items()
             ],
             list(remove),
         )
-        status, body = await self._call('write', 'POST', '/kv-txn', {}, call)
+        status, body = await self._call('write', 'POST', '/kv-txn', {}, request)
         if status == _PRECONDITION_FAILED:
             raise ConditionFailedError(
                 'transaction rejected: a key has another revision'
             )
         if status == _NOT_FOUND:
             raise NoSuchLeaseError(f'lease {lease} has ended')
-        return _decode(body, _Written).revision
+        return _decode(body, _WriteAnswer).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Create a lease that expires unless renewed within `ttl_s`."""
-        call = {'ttlMs': int(ttl_s * _MS_PER_S)}
-        _, body = await self._call('grant', 'POST', '/kv-lease', {}, call)
-        return _decode(body, _Lease).lease
+        request = {'ttlMs': int(ttl_s * _MS_PER_S)}
+        _, body = await self._call('grant', 'POST', '/kv-lease', {}, request)
+        return _decode(body, _LeaseAnswer).lease
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease; raise ``NoSuchLeaseError`` if it has expired."""
@@ -319,7 +319,7 @@
         path: str,
         query: dict[str, str],
         document: object = None,
-        wait_s: float = CALL_TIMEOUT_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
         """Make one call.
 
@@ -335,7 +335,7 @@
             Query parameters.
         document : object
             Encoded as the JSON body, unless ``None``.
-        wait_s : float
+        timeout_s : float
             Timeout of the call.
 
         Returns
@@ -351,10 +351,10 @@
         if document is not None:
             headers.append((b'content-type', b'application/json'))
             body = json.encode(document)
-        call = build_call(method.encode(), target.encode(), headers, body)
-        deadline = asyncio.get_running_loop().time() + wait_s
+        request = build_call(method.encode(), target.encode(), headers, body)
+        deadline = asyncio.get_running_loop().time() + timeout_s
         self.calls[purpose] += 1
-        status, answer = await self._exchange(call, deadline)
+        status, answer = await self._exchange(request, deadline)
         if status == _GONE:
             raise HistoryGoneError('the store has compacted this revision')
         if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
@@ -362,53 +362,56 @@
         return status, answer
 
     async def _exchange(
-        self, call: bytes, deadline: float
+        self, request: bytes, deadline: float
     ) -> tuple[int, bytes]:
         try:
-            conn = await self._get_connection(deadline)
+            connection = await self._get_connection(deadline)
         except ConnectError as exc:
             raise StoreUnreachableError(
                 str(exc), may_have_applied=False
             ) from exc
         try:
-            conn.send(call)
-            status, body = await read_answer(conn, deadline)
+            connection.send(request)
+            status, body = await read_answer(connection, deadline)
         except EndpointError as exc:
-            conn.close()
+            connection.close()
             raise StoreUnreachableError(
                 str(exc), may_have_applied=True
             ) from exc
         except asyncio.CancelledError:
-            conn.close()
+            connection.close()
             raise
-        if conn.address == self._address:
-            self._put_back(conn)
+        if connection.address == self._address:
+            self._put_back(connection)
         else:
-            conn.close()
+            connection.close()
         return status, body
 
     async def _get_connection(self, deadline: float) -> HttpConnection:
         now = asyncio.get_running_loop().time()
         while self._idle:
-            conn = self._idle.pop()
-            if conn.is_usable(now):
-                return conn
-            conn.close()
-        conn = HttpConnection(self._address)
-        await conn.open()
-        return conn
-
-    def _put_back(self, conn: HttpConnection) -> None:
+            connection = self._idle.pop()
+            if connection.is_usable(now):
+                return connection
+            connection.close()
+        connection = HttpConnection(self._address)
+        await connection.open()
+        return connection
+
+    def _put_back(self, connection: HttpConnection) -> None:
         now = asyncio.get_running_loop().time()
-        if conn.is_usable(now) and len(self._idle) < _MAX_IDLE_CONNECTIONS:
-            self._idle.append(conn)
+        if (
+            connection.is_usable(now)
+            and len(self._idle) < _MAX_IDLE_CONNECTIONS
+        ):
+            self._idle.append(connection)
         else:
-            conn.close()
+            connection.close()
 
 
-def _decode(body: bytes, kind: type[Any]) -> Any:
+def _decode(body: bytes, answer_type: type[Any]) -> Any:
     try:
-        return json.decode(body, type=kind)
+        return json.decode(body, type=answer_type)
     except (DecodeError, ValidationError) as exc:
         raise StoreUnreachableError(
             f'got an invalid answer: {exc}',
