--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -119,16 +119,18 @@
         await self.announce(min(self.find_tails()), 'draining')
         await asyncio.sleep(0.5)
         self.assertEqual(self.count_moves(), 0)
-        moved = []
+        move_counts = []
         for _ in range(14):
             await asyncio.sleep(0.1)
-            moved.append(self.count_moves())
-        self.assertGreater(moved[-1], 1)
+            move_counts.append(self.count_moves())
+        self.assertGreater(move_counts[-1], 1)
         max_step = max(
             after - before
-            for before, after in zip([0, *moved], moved, strict=False)
+            for before, after in zip(
+                [0, *move_counts], move_counts, strict=False
+            )
         )
-        self.assertLess(max_step, moved[-1])
+        self.assertLess(max_step, move_counts[-1])
         bodies = await asyncio.gather(*streams)
         self.assertTrue(
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
