--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -77,12 +77,12 @@
         Client of the key-value store.
     health : StoreHealth
         Whether the store is reachable; shared by all its users.
-    folders : sequence of Folder
+    handlers : sequence of Folder
         Handlers of the changes, each for one key prefix.
-    news : NewsSource
+    change_source : NewsSource
         Chooses where to get changes from: the store, or another node that
         watches it.
-    log : ChangeLog
+    change_log : ChangeLog
         Records the changes, so that they can be relayed to other nodes.
 
     Attributes
@@ -97,17 +97,17 @@
         state: EdgeState,
         store: PlatformStore,
         health: StoreHealth,
-        folders: Sequence[Folder],
-        news: NewsSource,
-        log: ChangeLog,
+        handlers: Sequence[Folder],
+        change_source: NewsSource,
+        change_log: ChangeLog,
     ) -> None:
         self.revision = 0
-        self._change_source = news
-        self._log = log
+        self._change_source = change_source
+        self._change_log = change_log
         self._state = state
         self._store = store
         self._health = health
-        self._handlers = folders
+        self._handlers = handlers
         self._loop = asyncio.get_running_loop()
         self._must_relist = False
         self._batch_s = 0.0
@@ -158,10 +158,10 @@
                 handler.take_all(matching, revision)
             self.revision = revision
             self._must_relist = False
-            self._log.restart(revision, found)
+            self._change_log.restart(revision, found)
             self._state.notify()
             return
-        self._log.note(changes)
+        self._change_log.note(changes)
         for event in changes.events:
             self._dispatch(event)
         self.revision = max(self.revision, changes.revision)
@@ -270,9 +270,9 @@
     state: EdgeState,
     store: PlatformStore,
     health: StoreHealth,
-    folders: Sequence[Folder],
-    news: NewsSource,
-    log: ChangeLog,
+    handlers: Sequence[Folder],
+    change_source: NewsSource,
+    change_log: ChangeLog,
 ) -> Follower:
     """Return a `Follower` for the configuration, the replicas and more.
 
@@ -284,16 +284,18 @@
         Client of the key-value store.
     health : StoreHealth
         Whether the store is reachable.
-    folders : sequence of Folder
+    handlers : sequence of Folder
         Handlers of further keys.
-    news : NewsSource
+    change_source : NewsSource
         Chooses where to get changes from.
-    log : ChangeLog
+    change_log : ChangeLog
         Records the changes for other nodes.
     """
     all_handlers: list[Folder] = [
         ConfigurationFolder(state),
         ReplicaFolder(state, health),
-        *folders,
+        *handlers,
     ]
-    return Follower(state, store, health, all_handlers, news, log)
+    return Follower(
+        state, store, health, all_handlers, change_source, change_log
+    )
