--- a/samphirerill/relay/cfg_texts.py
+++ b/samphirerill/relay/cfg_texts.py
@@ -46,8 +46,8 @@
         """Return whether a delta from this version can be computed."""
         return version in self._texts
 
-    def encode(self, after: int) -> bytes:
-        """Return the newest configuration for a node that has version `after`.
+    def encode(self, known_version: int) -> bytes:
+        """Return the newest configuration for a node that has version `known_version`.
 
         It is encoded as a delta if that version is still kept, and in full
         otherwise.
@@ -58,38 +58,40 @@
             There is no configuration yet.
         """
         newest = self._texts[max(self._texts, default=0)]
-        previous = self._texts.get(after)
+        previous = self._texts.get(known_version)
         if previous is None:
             return msgpack.encode(_EncodedConfiguration(newest))
-        message = self._encoded_deltas.get(after)
+        message = self._encoded_deltas.get(known_version)
         if message is None:
             message = msgpack.encode(
                 _EncodedConfiguration(b'', build_delta(previous, newest))
             )
-            self._encoded_deltas[after] = message
+            self._encoded_deltas[known_version] = message
         return message
 
-    def decode(self, encoded: bytes, own: int) -> bytes:
+    def decode(self, encoded: bytes, own_version: int) -> bytes:
         """Return the configuration text in a message from another node.
 
         Parameters
         ----------
         encoded : bytes
             The message.
-        own : int
+        own_version : int
             This node's version, as named in the request.
 
         Raises
         ------
         DeltaError
-            The delta does not apply to the text of version `own`.
+            The delta does not apply to the text of `own_version`.
         DecodeError
             The message is malformed.
         """
         message = msgpack.decode(encoded, type=_EncodedConfiguration)
         if message.delta is None:
             return message.text
-        previous = self._texts.get(own)
+        previous = self._texts.get(own_version)
         if previous is None:
-            raise DeltaError(f'received a delta, but version {own} is not kept')
+            raise DeltaError(
+                f'received a delta, but version {own_version} is not kept'
+            )
         return apply_delta(previous, message.delta)
