--- a/samphirerill/relay/cfg_texts.py
+++ b/samphirerill/relay/cfg_texts.py
@@ -47,7 +47,7 @@
         return version in self._texts
 
     def encode(self, known_version: int) -> bytes:
-        """Return the newest configuration for a node that has version `known_version`.
+        """Return the newest configuration for a node that has `known_version`.
 
         It is encoded as a delta if that version is still kept, and in full
         otherwise.
