--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -109,7 +109,7 @@
         try:
             await self._store.renew_lease(self._lease)
         except NoSuchLeaseError:
-            _LOG.warning('leadership lost', extra={'token': self.token})
+            _LOG.warning('command lost', extra={'token': self.token})
             self._lease = 0
             self._holder = ''
             return
