--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -202,7 +202,7 @@
         await asyncio.sleep(0.01)
         if asyncio.get_running_loop().time() < self._recovers_at:
             self._avoid_until[watcher] = asyncio.get_running_loop().time() + 0.5
-            raise DeafWatcherError('does not hear the store')
+            raise DeafWatcherError('watcher does not reach the store')
         return Changes(11, [StoredItem('op/config', 11, b'new')])
 
 
