--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -1,9 +1,10 @@
-"""The platform's key-value service, on the loop.
+"""Asynchronous client of the platform's key-value store.
 
-One client with kept connections; calls that wait for news have connections of
-their own. Every call ends with an answer, ``StoreRefusedError`` (nothing was
-done) or ``StoreUnreachableError`` (unknown). A write whose answer was lost is
-settled by whoever made it: by reading back what it wrote.
+Connections are kept alive and reused; concurrent calls, such as a watch, each
+use their own. Every call ends with an answer, ``StoreRefusedError`` (nothing
+was done) or ``StoreUnreachableError`` (outcome unknown). After a write whose
+answer was lost, the caller must read the keys back to find out whether it was
+applied.
 """
 
 from __future__ import annotations
@@ -30,33 +31,44 @@
 
 _OK = 200
 _GONE = 410
-_CONFLICT = 412
+_PRECONDITION_FAILED = 412
 _NOT_FOUND = 404
-# The service answers in milliseconds; on its slow days in some hundred.
+# The store usually answers in milliseconds, under load in some hundred.
 CALL_TIMEOUT_S = 1.0
-# A watch that has gone deaf shows only by not ending, or by other nodes that
-# know more. A change must be in force within two seconds also then; a call every
-# 1.8 s costs a node 0.6 reads a second.
+# Server-side timeout of a watch. It bounds how long a broken watch goes
+# unnoticed: a change must take effect within two seconds even then.
 WATCH_WAIT_S = 1.8
-_WATCH_SLACK_S = 0.3
-_MS = 1000
-_IDLE_CONNECTIONS = 3
+_WATCH_MARGIN_S = 0.3
+_MS_PER_S = 1000
+_MAX_IDLE_CONNECTIONS = 3
 
 
 class HistoryGoneError(StoreError):
-    """The changes asked for are no longer known; everything must be read."""
+    """The watched revision was compacted; all keys must be listed again."""
 
 
 class NoSuchLeaseError(StoreError):
-    """The lease has ended."""
+    """The lease has expired or was revoked."""
 
 
 class ConditionFailedError(StoreError):
-    """A transaction's condition did not hold; nothing was done."""
+    """A precondition of a transaction did not hold; nothing was changed."""
 
 
 class StoredItem(Struct):
-    """One key as the service holds it."""
+    """A key with its value.
+
+    Attributes
+    ----------
+    key : str
+        The key.
+    revision : int
+        The store revision at which it was written.
+    text : bytes
+        Its value.
+    lease : int
+        The lease that it is attached to; 0 for none.
+    """
 
     key: str
     revision: int
@@ -65,9 +77,14 @@
 
 
 class Changes(Struct):
-    """What happened under a prefix up to `revision`, in order.
+    """Changes under a prefix, in order.
 
-    An event is an item as it was written, or a key that was deleted.
+    Attributes
+    ----------
+    revision : int
+        The store revision up to which the changes are complete.
+    events : list of StoredItem or DeletedKey
+        Writes and deletions.
     """
 
     revision: int
@@ -75,7 +92,7 @@
 
 
 class DeletedKey(Struct):
-    """A key that is no more, and the revision at which it went."""
+    """A deleted key, and the store revision at which it was deleted."""
 
     key: str
     revision: int
@@ -89,31 +106,31 @@
     deleted: bool = False
 
 
-class _Found(_Item):
+class _KeyAnswer(_Item):
     current_rev: int = 0
 
 
-class _Range(Struct, rename='camel'):
+class _RangeAnswer(Struct, rename='camel'):
     found: list[_Item] = field(name='items')
     more_pages: bool = False
     current_rev: int = 0
 
 
-class _Events(Struct, rename='camel'):
+class _WatchAnswer(Struct, rename='camel'):
     events: list[_Item]
     current_rev: int = 0
 
 
-class _Lease(Struct, rename='camel'):
+class _LeaseAnswer(Struct, rename='camel'):
     ttl_ms: float
     lease: int = 0
 
 
-class _Written(Struct):
+class _WriteAnswer(Struct):
     revision: int = 0
 
 
-class _Expected(Struct):
+class _Precondition(Struct):
     key: str
     revision: int
 
@@ -125,23 +142,23 @@
 
 
 class _Transaction(Struct):
-    expect: list[_Expected] = field(default_factory=list)
+    expect: list[_Precondition] = field(default_factory=list)
     puts: list[_Put] = field(default_factory=list)
     remove: list[str] = field(default_factory=list)
 
 
 class PlatformStore:
-    """Client of the key-value service.
+    """Client of the key-value store.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT`` of the service.
+        ``IP:PORT`` of the store.
 
     Attributes
     ----------
     calls : Counter
-        Calls made, by purpose; they are paid for, also those that fail.
+        Calls made, by purpose, including those that failed.
     """
 
     def __init__(self, address: str) -> None:
@@ -150,20 +167,28 @@
         self.calls: Counter[str] = Counter()
 
     async def read(self, key: str) -> tuple[StoredItem | None, int]:
-        """Return a key's item, or none, and the service's revision."""
+        """Return the item at a key and the store's current revision.
+
+        Returns
+        -------
+        item : StoredItem or None
+            ``None`` if there is no such key.
+        revision : int
+            The store's revision; 0 if there is no such key.
+        """
         status, body = await self._call(
             'read key', 'GET', '/kv-key', {'key': key}
         )
         if status == _NOT_FOUND:
             return None, 0
-        found = _decode(body, _Found)
+        found = _decode(body, _KeyAnswer)
         return _build_item(found), found.current_rev
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
-        """Return all items under a prefix, and a revision.
+        """Return all items under a prefix, and a revision to watch from.
 
-        Pages are no snapshot: the revision is the first page's, so that a
-        watch from it on repeats changes rather than misses any.
+        Pages are not a consistent snapshot. The revision is that of the first
+        page, so that a watch from there may repeat changes but misses none.
         """
         found: list[StoredItem] = []
         revision = 0
@@ -173,7 +198,7 @@
             if after:
                 query['after'] = after
             _, body = await self._call('read all', 'GET', '/kv-range', query)
-            page = _decode(body, _Range)
+            page = _decode(body, _RangeAnswer)
             found.extend(_build_item(item) for item in page.found)
             revision = revision or page.current_rev
             if not page.more_pages or not page.found:
@@ -181,23 +206,35 @@
             after = page.found[-1].key
 
     async def watch(self, prefix: str, after: int) -> Changes:
-        """Wait for changes after a revision; none may come within a while.
+        """Wait for changes after a revision.
+
+        Parameters
+        ----------
+        prefix : str
+            Prefix of the keys to watch.
+        after : int
+            The revision up to which changes are known.
+
+        Returns
+        -------
+        Changes
+            Without events if nothing changed within `WATCH_WAIT_S`.
 
         Raises
         ------
         HistoryGoneError
-            Read the prefix anew.
+            The revision was compacted; list the prefix again.
         """
         query = {
             'prefix': prefix,
             'after': str(after),
-            'waitMs': str(int(WATCH_WAIT_S * _MS)),
+            'waitMs': str(int(WATCH_WAIT_S * _MS_PER_S)),
         }
-        wait_s = WATCH_WAIT_S + _WATCH_SLACK_S
+        timeout_s = WATCH_WAIT_S + _WATCH_MARGIN_S
         _, body = await self._call(
-            'watch', 'GET', '/kv-watch', query, wait_s=wait_s
+            'watch', 'GET', '/kv-watch', query, timeout_s=timeout_s
         )
-        found = _decode(body, _Events)
+        found = _decode(body, _WatchAnswer)
         return Changes(
             found.current_rev, [_build_event(item) for item in found.events]
         )
@@ -209,47 +246,51 @@
         lease: int = 0,
         remove: tuple[str, ...] = (),
     ) -> int:
-        """Write all or nothing; return the revision.
+        """Run a transaction; return its revision.
 
         Parameters
         ----------
         puts : mapping
-            New texts by key.
+            New values by key.
         expect : mapping
-            Revisions that keys must have; 0 for none.
+            Revisions that keys must have; 0 for a key that must not exist.
         lease : int
-            The keys written vanish with it.
+            The lease to attach the written keys to; 0 for none.
         remove : tuple of str
             Keys to delete.
 
         Raises
         ------
-        ConditionFailedError, NoSuchLeaseError
-            Nothing was done.
+        ConditionFailedError
+            A key has another revision; nothing was changed.
+        NoSuchLeaseError
+            The lease has expired; nothing was changed.
         """
-        call = _Transaction(
-            [_Expected(key, revision) for key, revision in expect.items()],
+        request = _Transaction(
+            [_Precondition(key, revision) for key, revision in expect.items()],
             [
                 _Put(key, b64encode(text).decode(), lease)
                 for key, text in puts.items()
             ],
             list(remove),
         )
-        status, body = await self._call('write', 'POST', '/kv-txn', {}, call)
-        if status == _CONFLICT:
-            raise ConditionFailedError('a key has another revision')
+        status, body = await self._call('write', 'POST', '/kv-txn', {}, request)
+        if status == _PRECONDITION_FAILED:
+            raise ConditionFailedError(
+                'transaction rejected: a key has another revision'
+            )
         if status == _NOT_FOUND:
             raise NoSuchLeaseError(f'lease {lease} has ended')
-        return _decode(body, _Written).revision
+        return _decode(body, _WriteAnswer).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return a new lease."""
-        call = {'ttlMs': int(ttl_s * _MS)}
-        _, body = await self._call('grant', 'POST', '/kv-lease', {}, call)
-        return _decode(body, _Lease).lease
+        """Create a lease that expires unless renewed within `ttl_s`."""
+        request = {'ttlMs': int(ttl_s * _MS_PER_S)}
+        _, body = await self._call('grant', 'POST', '/kv-lease', {}, request)
+        return _decode(body, _LeaseAnswer).lease
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raise ``NoSuchLeaseError`` if it has ended."""
+        """Renew a lease; raise ``NoSuchLeaseError`` if it has expired."""
         status, _ = await self._call(
             'renew', 'POST', f'/kv-keep/{lease}', {}, {}
         )
@@ -257,17 +298,17 @@
             raise NoSuchLeaseError(f'lease {lease} has ended')
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease; its keys go at once."""
+        """Revoke a lease; its keys are deleted at once."""
         await self._call('end', 'DELETE', f'/kv-lease-end/{lease}', {})
 
     def change_address(self, address: str) -> None:
-        """Make further calls to another address."""
+        """Use another address for further calls."""
         if address != self._address:
             self._address = address
             self.close()
 
     def close(self) -> None:
-        """Close the connections that wait for calls."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
@@ -278,76 +319,102 @@
         path: str,
         query: dict[str, str],
         document: object = None,
-        wait_s: float = CALL_TIMEOUT_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Make one call; return the status and body of a usable answer."""
+        """Make one call.
+
+        Parameters
+        ----------
+        purpose : str
+            The counter in `calls` to increment.
+        method : str
+            HTTP method.
+        path : str
+            URL path.
+        query : dict
+            Query parameters.
+        document : object
+            Encoded as the JSON body, unless ``None``.
+        timeout_s : float
+            Timeout of the call.
+
+        Returns
+        -------
+        status : int
+            200, 404 or 412.
+        body : bytes
+            The body of the answer.
+        """
         target = f'{path}?{urlencode(query)}' if query else path
         headers = [(b'host', self._address.encode())]
         body = b''
         if document is not None:
             headers.append((b'content-type', b'application/json'))
             body = json.encode(document)
-        call = build_call(method.encode(), target.encode(), headers, body)
-        deadline = asyncio.get_running_loop().time() + wait_s
+        request = build_call(method.encode(), target.encode(), headers, body)
+        deadline = asyncio.get_running_loop().time() + timeout_s
         self.calls[purpose] += 1
-        status, answer = await self._exchange(call, deadline)
+        status, answer = await self._exchange(request, deadline)
         if status == _GONE:
-            raise HistoryGoneError('the service has dropped this history')
-        if status not in (_OK, _NOT_FOUND, _CONFLICT):
+            raise HistoryGoneError('the store has compacted this revision')
+        if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
             raise StoreRefusedError(f'{method} {path}: got status {status}')
         return status, answer
 
     async def _exchange(
-        self, call: bytes, deadline: float
+        self, request: bytes, deadline: float
     ) -> tuple[int, bytes]:
         try:
-            conn = await self._get_connection(deadline)
+            connection = await self._get_connection(deadline)
         except ConnectError as exc:
             raise StoreUnreachableError(
                 str(exc), may_have_applied=False
             ) from exc
         try:
-            conn.send(call)
-            status, body = await read_answer(conn, deadline)
+            connection.send(request)
+            status, body = await read_answer(connection, deadline)
         except EndpointError as exc:
-            conn.close()
+            connection.close()
             raise StoreUnreachableError(
                 str(exc), may_have_applied=True
             ) from exc
         except asyncio.CancelledError:
-            conn.close()
+            connection.close()
             raise
-        if conn.address == self._address:
-            self._put_back(conn)
+        if connection.address == self._address:
+            self._put_back(connection)
         else:
-            conn.close()
+            connection.close()
         return status, body
 
     async def _get_connection(self, deadline: float) -> HttpConnection:
         now = asyncio.get_running_loop().time()
         while self._idle:
-            conn = self._idle.pop()
-            if conn.is_usable(now):
-                return conn
-            conn.close()
-        conn = HttpConnection(self._address)
-        await conn.open()
-        return conn
-
-    def _put_back(self, conn: HttpConnection) -> None:
+            connection = self._idle.pop()
+            if connection.is_usable(now):
+                return connection
+            connection.close()
+        connection = HttpConnection(self._address)
+        await connection.open()
+        return connection
+
+    def _put_back(self, connection: HttpConnection) -> None:
         now = asyncio.get_running_loop().time()
-        if conn.is_usable(now) and len(self._idle) < _IDLE_CONNECTIONS:
-            self._idle.append(conn)
+        if (
+            connection.is_usable(now)
+            and len(self._idle) < _MAX_IDLE_CONNECTIONS
+        ):
+            self._idle.append(connection)
         else:
-            conn.close()
+            connection.close()
 
 
-def _decode(body: bytes, kind: type[Any]) -> Any:
+def _decode(body: bytes, answer_type: type[Any]) -> Any:
     try:
-        return json.decode(body, type=kind)
+        return json.decode(body, type=answer_type)
     except (DecodeError, ValidationError) as exc:
         raise StoreUnreachableError(
-            f'got an answer that is not what it should be: {exc}',
+            f'got an invalid answer: {exc}',
             may_have_applied=True,
         ) from exc
 
