--- a/samphirerill/fleet/budget.py
+++ b/samphirerill/fleet/budget.py
@@ -19,13 +19,13 @@
 from operator import attrgetter
 
 # Kept back from the agreed share: nodes learn of each other with a lag.
-_USE = 0.85
+_USABLE_SHARE = 0.85
 # A client whose request ran has more to lose than one that was refused.
-_NEW_SHARE = 0.6
+_NON_URGENT_SHARE = 0.6
 
 
 # What another node told of its use is believed for so long.
-_BELIEVED_S = 4.0
+_PEER_REPORT_TTL_S = 4.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,34 +37,36 @@
     streams: int = 0
 
 
-class OthersUse:
+class PeerUsage:
     """What the other nodes told of their use."""
 
-    __slots__ = ('_told',)
+    __slots__ = ('_reports',)
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[float, Use]] = {}
+        self._reports: dict[str, tuple[float, Use]] = {}
 
-    def hear(self, peer: str, use: Use, now: float) -> None:
+    def hear(self, peer: str, usage: Use, now: float) -> None:
         """Replace what a node, or a data centre, told before."""
-        self._told[peer] = (now + _BELIEVED_S, use)
+        self._reports[peer] = (now + _PEER_REPORT_TTL_S, usage)
 
     def forget(self, peer: str) -> None:
         """Drop what was told under a name: it is told under another now."""
-        self._told.pop(peer, None)
+        self._reports.pop(peer, None)
 
     def sum_up(self, now: float) -> Use:
         """Return the use of all that were heard of lately."""
-        lately = [use for until, use in self._told.values() if until > now]
-        return sum_uses(lately)
+        recent = [
+            usage for until, usage in self._reports.values() if until > now
+        ]
+        return sum_usage(recent)
 
 
-def sum_uses(uses: list[Use]) -> Use:
+def sum_usage(usages: list[Use]) -> Use:
     """Return what several nodes use together."""
     return Use(
-        sum(map(attrgetter('requests'), uses)),
-        sum(map(attrgetter('repeats'), uses)),
-        sum(map(attrgetter('streams'), uses)),
+        sum(map(attrgetter('requests'), usages)),
+        sum(map(attrgetter('repeats'), usages)),
+        sum(map(attrgetter('streams'), usages)),
     )
 
 
@@ -80,9 +82,9 @@
     """
 
     __slots__ = (
-        '_first',
+        '_request_times',
         '_ratio',
-        '_repeats',
+        '_retry_times',
         '_slack',
         '_window_s',
         'others',
@@ -90,23 +92,23 @@
     )
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        self.others = OthersUse()
+        self.others = PeerUsage()
         # Streams of this node that are under way.
         self.streams = 0
-        self._first: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._request_times: deque[float] = deque()
+        self._retry_times: deque[float] = deque()
         self.change(ratio, slack, window_s)
 
     def change(self, ratio: float, slack: float, window_s: float) -> None:
         """Allow another share from now on."""
-        self._ratio = ratio * _USE
-        self._slack = slack * _USE
+        self._ratio = ratio * _USABLE_SHARE
+        self._slack = slack * _USABLE_SHARE
         self._window_s = window_s
 
     def note_first(self, now: float) -> None:
         """Count a request's first send."""
-        self._first.append(now)
-        self._forget(now)
+        self._request_times.append(now)
+        self._drop_expired(now)
 
     def has_left(self, now: float, nodes: int, *, is_urgent: bool) -> bool:
         """Return whether a repeat is left.
@@ -121,42 +123,46 @@
             The request ran and would fail without the repeat; for these the
             last part is kept.
         """
-        self._forget(now)
-        allowed = self._ratio * len(self._first) + self._slack / max(1, nodes)
+        self._drop_expired(now)
+        allowed = self._ratio * len(self._request_times) + self._slack / max(
+            1, nodes
+        )
         if not is_urgent:
-            allowed *= _NEW_SHARE
-        if len(self._repeats) < allowed:
+            allowed *= _NON_URGENT_SHARE
+        if len(self._retry_times) < allowed:
             return True
-        return is_urgent and self._may_borrow(now)
+        return is_urgent and self._can_borrow(now)
 
     def find_use(self, now: float) -> Use:
         """Return what this node uses."""
-        self._forget(now)
-        return Use(len(self._first), len(self._repeats), self.streams)
+        self._drop_expired(now)
+        return Use(
+            len(self._request_times), len(self._retry_times), self.streams
+        )
 
     def spend(self, now: float, nodes: int, *, is_urgent: bool = False) -> bool:
         """Take one repeat; return whether one was left."""
         if not self.has_left(now, nodes, is_urgent=is_urgent):
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
 
     def give_back(self) -> None:
         """A repeat that was taken was not sent after all."""
-        if self._repeats:
-            self._repeats.pop()
+        if self._retry_times:
+            self._retry_times.pop()
 
-    def _may_borrow(self, now: float) -> bool:
+    def _can_borrow(self, now: float) -> bool:
         """Return whether the whole lasts if every stream were sent again."""
         others = self.others.sum_up(now)
         if not others.requests:
             return False
-        use = sum_uses([others, self.find_use(now)])
-        allowed = self._ratio * use.requests + self._slack
-        return use.repeats + use.streams < allowed
+        usage = sum_usage([others, self.find_use(now)])
+        allowed = self._ratio * usage.requests + self._slack
+        return usage.repeats + usage.streams < allowed
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         oldest = now - self._window_s
-        for times in (self._first, self._repeats):
+        for times in (self._request_times, self._retry_times):
             while times and times[0] < oldest:
                 times.popleft()
--- a/samphirerill/fleet/chains.py
+++ b/samphirerill/fleet/chains.py
@@ -12,9 +12,9 @@
 
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.prediction import (
-    STAGE_COST_MS,
+    STAGE_OVERHEAD_MS,
     predict_transfer_ms,
-    predict_visit_ms,
+    predict_stage_ms,
 )
 
 if TYPE_CHECKING:
@@ -23,13 +23,13 @@
     from samphirerill.fleet.model import EngineSpec, Replica
 
 # A missing layer costs more than any detour over present ones.
-_GAP_MS_PER_LAYER = 1000.0
+_MISSING_LAYER_COST_MS = 1000.0
 # One gap of two layers is easier to close than two of one.
-_GAP_MS = 300.0
+_GAP_COST_MS = 300.0
 # A change of data centre costs a pipeline so many transfers of a prompt.
 _TRANSFERS_PER_CROSSING = 4.0
 # With less than this share of its layers, a chain is only a heap of parts.
-_LEAST_COVER = 0.5
+_MIN_COVERAGE = 0.5
 
 
 @dataclass(slots=True)
@@ -43,12 +43,12 @@
         """Return how many layers are missing."""
         return sum(gap.count for gap in self.gaps)
 
-    def crosses(self) -> bool:
+    def crosses_data_centres(self) -> bool:
         """Return whether it leaves a data centre."""
         zones = {stage.replica.data_centre for stage in self.stages}
         return len(zones) > 1
 
-    def find_home(self) -> str:
+    def find_main_data_centre(self) -> str:
         """Return the data centre that most layers are in."""
         layers: dict[str, int] = {}
         for stage in self.stages:
@@ -62,7 +62,7 @@
     """The cheapest way to a layer, ending in one data centre."""
 
     cost: float
-    before: _Step | None
+    previous: _Step | None
     stage: Stage | None
     gap: LayerRange | None
 
@@ -71,93 +71,99 @@
     engine: EngineSpec, replicas: Sequence[Replica]
 ) -> list[Chain]:
     """Return disjoint chains, the cheapest first; heaps are left out."""
-    left = [replica for replica in replicas if replica.layers is not None]
+    remaining = [replica for replica in replicas if replica.layers is not None]
     chains = []
-    while left:
-        chain = _find_chain(engine, left)
+    while remaining:
+        chain = _find_chain(engine, remaining)
         held = engine.layers - chain.count_missing()
-        if held < engine.layers * _LEAST_COVER:
+        if held < engine.layers * _MIN_COVERAGE:
             break
         chains.append(chain)
         used = {stage.replica.replica_id for stage in chain.stages}
-        left = [item for item in left if item.replica_id not in used]
+        remaining = [item for item in remaining if item.replica_id not in used]
     return chains
 
 
 def _find_chain(engine: EngineSpec, replicas: list[Replica]) -> Chain:
-    cuts = _list_cuts(engine, replicas)
+    boundaries = _list_boundaries(engine, replicas)
     crossing_ms = predict_transfer_ms(engine, engine.usual_prompt)
     crossing_ms *= _TRANSFERS_PER_CROSSING
-    best: dict[int, dict[str, _Step]] = {cut: {} for cut in cuts}
+    best: dict[int, dict[str, _Step]] = {
+        boundary: {} for boundary in boundaries
+    }
     best[0][''] = _Step(0, None, None, None)
-    for at, cut in enumerate(cuts[:-1]):
-        for zone, step in tuple(best[cut].items()):
-            _skip(best, cuts, at, zone, step)
+    for index, boundary in enumerate(boundaries[:-1]):
+        for zone, step in tuple(best[boundary].items()):
+            _extend_over_gap(best, boundaries, index, zone, step)
             for replica in replicas:
-                if replica.held.first <= cut < replica.held.end:
-                    _use(engine, best, cut, zone, step, replica, crossing_ms)
-    return _collect(min(best[engine.layers].values(), key=_cost))
+                if replica.held.first <= boundary < replica.held.end:
+                    _extend_over_replica(
+                        engine, best, boundary, zone, step, replica, crossing_ms
+                    )
+    return _build_chain(min(best[engine.layers].values(), key=_get_cost))
 
 
-def _list_cuts(engine: EngineSpec, replicas: list[Replica]) -> list[int]:
-    cuts = {0, engine.layers}
+def _list_boundaries(engine: EngineSpec, replicas: list[Replica]) -> list[int]:
+    boundaries = {0, engine.layers}
     for replica in replicas:
-        cuts.update((replica.held.first, replica.held.end))
-    return sorted(cut for cut in cuts if 0 <= cut <= engine.layers)
+        boundaries.update((replica.held.first, replica.held.end))
+    return sorted(
+        boundary for boundary in boundaries if 0 <= boundary <= engine.layers
+    )
 
 
-def _skip(
+def _extend_over_gap(
     best: dict[int, dict[str, _Step]],
-    cuts: list[int],
-    at: int,
+    boundaries: list[int],
+    index: int,
     zone: str,
     step: _Step,
 ) -> None:
     """Go on without the layers up to the next cut."""
-    gap = LayerRange(cuts[at], cuts[at + 1])
-    cost = step.cost + gap.count * _GAP_MS_PER_LAYER
+    gap = LayerRange(boundaries[index], boundaries[index + 1])
+    cost = step.cost + gap.count * _MISSING_LAYER_COST_MS
     if step.gap is None:
-        cost += _GAP_MS
+        cost += _GAP_COST_MS
     _relax(best, gap.end, zone, _Step(cost, step, None, gap))
 
 
-def _use(
+def _extend_over_replica(
     engine: EngineSpec,
     best: dict[int, dict[str, _Step]],
-    cut: int,
+    boundary: int,
     zone: str,
     step: _Step,
     replica: Replica,
     crossing_ms: float,
 ) -> None:
-    kind = engine.accelerators.get(replica.accelerator)
-    if kind is None or replica.held.end not in best:
+    accelerator = engine.accelerators.get(replica.accelerator)
+    if accelerator is None or replica.held.end not in best:
         return
-    part = LayerRange(cut, replica.held.end)
-    cost = step.cost + STAGE_COST_MS
-    cost += predict_visit_ms(engine, kind, part.count, 1)
+    layers = LayerRange(boundary, replica.held.end)
+    cost = step.cost + STAGE_OVERHEAD_MS
+    cost += predict_stage_ms(engine, accelerator, layers.count, 1)
     if zone and zone != replica.data_centre:
         cost += crossing_ms
-    found = _Step(cost, step, Stage(replica, part), None)
-    _relax(best, part.end, replica.data_centre, found)
+    found = _Step(cost, step, Stage(replica, layers), None)
+    _relax(best, layers.end, replica.data_centre, found)
 
 
 def _relax(
-    best: dict[int, dict[str, _Step]], cut: int, zone: str, step: _Step
+    best: dict[int, dict[str, _Step]], boundary: int, zone: str, step: _Step
 ) -> None:
-    known = best[cut].get(zone)
+    known = best[boundary].get(zone)
     if known is None or step.cost < known.cost:
-        best[cut][zone] = step
+        best[boundary][zone] = step
 
 
-def _collect(step: _Step | None) -> Chain:
+def _build_chain(step: _Step | None) -> Chain:
     chain = Chain()
     while step is not None:
         if step.stage is not None:
             chain.stages.append(step.stage)
         if step.gap is not None:
             _add_gap(chain, step.gap)
-        step = step.before
+        step = step.previous
     chain.stages.reverse()
     chain.gaps.reverse()
     return chain
@@ -171,5 +177,5 @@
         chain.gaps.append(gap)
 
 
-def _cost(step: _Step) -> float:
+def _get_cost(step: _Step) -> float:
     return step.cost
--- a/samphirerill/fleet/deltas.py
+++ b/samphirerill/fleet/deltas.py
@@ -41,16 +41,19 @@
 
 def build_delta(old: bytes, new: bytes) -> Delta:
     """Return how to make `new` of `old`."""
-    had = _split(old)
-    places = {piece: at for at, piece in reversed(list(enumerate(had)))}
+    old_pieces = _split(old)
+    positions = {
+        piece: position
+        for position, piece in reversed(list(enumerate(old_pieces)))
+    }
     parts: list[Run | bytes] = []
     for piece in _split(new):
         last = parts[-1] if parts else b''
-        if isinstance(last, Run) and _continues(had, last, piece):
+        if isinstance(last, Run) and _extends_run(old_pieces, last, piece):
             last.count += 1
         else:
-            at = places.get(piece)
-            parts.append(piece if at is None else Run(at, 1))
+            position = positions.get(piece)
+            parts.append(piece if position is None else Run(position, 1))
     return Delta(_checksum(old), _checksum(new), parts)
 
 
@@ -58,22 +61,22 @@
     """Return the new text; raise ``DeltaError`` if `old` is another one."""
     if _checksum(old) != delta.base:
         raise DeltaError('the difference is to another text; read it whole')
-    had = _split(old)
+    old_pieces = _split(old)
     chunks = []
     for part in delta.parts:
         if isinstance(part, bytes):
             chunks.append(part)
         else:
-            chunks.extend(had[part.first : part.first + part.count])
+            chunks.extend(old_pieces[part.first : part.first + part.count])
     new = b''.join(chunks)
     if _checksum(new) != delta.target:
         raise DeltaError('the difference is damaged; read the text whole')
     return new
 
 
-def _continues(had: list[bytes], run: Run, piece: bytes) -> bool:
-    follows = run.first + run.count
-    return follows < len(had) and had[follows] == piece
+def _extends_run(old_pieces: list[bytes], run: Run, piece: bytes) -> bool:
+    next_piece = run.first + run.count
+    return next_piece < len(old_pieces) and old_pieces[next_piece] == piece
 
 
 def _split(text: bytes) -> list[bytes]:
--- a/samphirerill/fleet/doubling.py
+++ b/samphirerill/fleet/doubling.py
@@ -16,8 +16,8 @@
 
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.rates import (
-    WANTED_REQUESTS,
-    count_most_layers,
+    TARGET_REQUESTS,
+    count_max_layers,
     predict_rate,
 )
 
@@ -30,44 +30,44 @@
 # The share of its time that a pipeline is out of work for each part that
 # nobody doubles: on a bad day one replica in four is lost within half a
 # minute, and closing a gap takes some three seconds.
-OUTAGE_SHARE = 0.022
+OUTAGE_SHARE_WITHOUT_BACKUP = 0.022
 Moves = dict[str, LayerRange]
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
+class RatedStage:
     """Layers of a pipeline that answers `rate` requests a second."""
 
     layers: LayerRange
     rate: float
 
 
-def list_parts(
+def list_rated_stages(
     engine: EngineSpec, pipelines: Iterable[Pipeline], pause_ms: float
-) -> list[Part]:
+) -> list[RatedStage]:
     """Return the parts of pipelines."""
-    parts: list[Part] = []
+    stages: list[RatedStage] = []
     for pipeline in pipelines:
         rate = predict_rate(engine, pipeline, pause_ms)
-        parts.extend(
-            Part(stage.layers, rate) for stage in pipeline.list_stages()
+        stages.extend(
+            RatedStage(stage.layers, rate) for stage in pipeline.list_stages()
         )
-    return parts
+    return stages
 
 
-def predict_outage(
-    parts: Iterable[Part], doubles: Sequence[LayerRange]
+def predict_repair_loss(
+    stages: Iterable[RatedStage], backups: Sequence[LayerRange]
 ) -> float:
     """Return the answers a second that are lost to repairs."""
     return sum(
-        part.rate * OUTAGE_SHARE
-        for part in parts
-        if list_uncovered(part.layers, doubles)
+        stage.rate * OUTAGE_SHARE_WITHOUT_BACKUP
+        for stage in stages
+        if list_uncovered(stage.layers, backups)
     )
 
 
-def double_parts(
-    engine: EngineSpec, parts: Iterable[Part], spares: Sequence[Replica]
+def assign_backups(
+    engine: EngineSpec, stages: Iterable[RatedStage], spares: Sequence[Replica]
 ) -> Moves:
     """Return the layers that spares of one data centre should hold.
 
@@ -80,27 +80,27 @@
     spares : sequence of Replica
         Replicas that no pipeline needs. One that doubles something keeps it.
     """
-    order = sorted(parts, key=_rank_part)
+    order = sorted(stages, key=_rank_stage)
     held, free = _split_spares(order, spares)
-    pool = _Pool(engine, free)
+    pool = _SparePool(engine, free)
     moves: Moves = {}
-    for part in order:
-        for gap in list_uncovered(part.layers, held):
-            taken = pool.cover(gap)
-            held.extend(taken.values())
-            moves.update(taken)
+    for stage in order:
+        for gap in list_uncovered(stage.layers, held):
+            assigned = pool.cover(gap)
+            held.extend(assigned.values())
+            moves.update(assigned)
     return moves
 
 
-class _Pool:
+class _SparePool:
     """Spares that hold nothing of use, those that can hold least first."""
 
-    __slots__ = ('_free', '_last', '_limits')
+    __slots__ = ('_free', '_layer_count', '_limits')
 
     def __init__(self, engine: EngineSpec, spares: Iterable[Replica]) -> None:
-        self._last = engine.layers
+        self._layer_count = engine.layers
         self._limits = {
-            item.replica_id: count_most_layers(engine, item, WANTED_REQUESTS)
+            item.replica_id: count_max_layers(engine, item, TARGET_REQUESTS)
             for item in spares
         }
         self._free = [item for item in spares if self._limits[item.replica_id]]
@@ -115,16 +115,18 @@
         first = gap.first
         while first < gap.end and self._free:
             chosen = self._choose(gap.end - first)
-            end = min(first + self._limits[chosen.replica_id], self._last)
+            end = min(
+                first + self._limits[chosen.replica_id], self._layer_count
+            )
             moves[chosen.replica_id] = LayerRange(first, end)
             self._free.remove(chosen)
             first = end
         return moves
 
-    def _choose(self, wanted: int) -> Replica:
+    def _choose(self, layer_count: int) -> Replica:
         """Return the smallest that holds so many layers, or the largest."""
         for spare in self._free:
-            if self._limits[spare.replica_id] >= wanted:
+            if self._limits[spare.replica_id] >= layer_count:
                 return spare
         return self._free[-1]
 
@@ -133,26 +135,26 @@
 
 
 def list_uncovered(
-    part: LayerRange, held: Iterable[LayerRange]
+    stage: LayerRange, held: Iterable[LayerRange]
 ) -> list[LayerRange]:
     """Return the layers of a part that no range covers, in order."""
     gaps = []
-    position = part.first
-    for layers in sorted(held, key=_first):
+    position = stage.first
+    for layers in sorted(held, key=_get_first_layer):
         if layers.end <= position:
             continue
-        if layers.first >= part.end:
+        if layers.first >= stage.end:
             break
         if layers.first > position:
             gaps.append(LayerRange(position, layers.first))
         position = layers.end
-    if position < part.end:
-        gaps.append(LayerRange(position, part.end))
+    if position < stage.end:
+        gaps.append(LayerRange(position, stage.end))
     return gaps
 
 
 def _split_spares(
-    parts: Sequence[Part], spares: Sequence[Replica]
+    stages: Sequence[RatedStage], spares: Sequence[Replica]
 ) -> tuple[list[LayerRange], list[Replica]]:
     """Return what spares hold of use, and the spares that are free.
 
@@ -163,27 +165,29 @@
     free = []
     for spare in spares:
         layers = spare.layers
-        if layers is None or not _is_useful(layers, parts, held):
+        if layers is None or not _backs_up_stage(layers, stages, held):
             free.append(spare)
         else:
             held.append(layers)
     return held, free
 
 
-def _is_useful(
-    layers: LayerRange, parts: Sequence[Part], held: list[LayerRange]
+def _backs_up_stage(
+    layers: LayerRange, stages: Sequence[RatedStage], held: list[LayerRange]
 ) -> bool:
     return any(
         gap.first < layers.end and layers.first < gap.end
-        for part in parts
-        for gap in list_uncovered(part.layers, held)
+        for stage in stages
+        for gap in list_uncovered(stage.layers, held)
     )
 
 
-def _rank_part(part: Part) -> tuple[float, int]:
+def _rank_stage(stage: RatedStage) -> tuple[float, int]:
     """Rank small parts of busy pipelines first: they need the fewest spares."""
-    return part.layers.count / max(part.rate, OUTAGE_SHARE), part.layers.first
+    return stage.layers.count / max(
+        stage.rate, OUTAGE_SHARE_WITHOUT_BACKUP
+    ), stage.layers.first
 
 
-def _first(layers: LayerRange) -> int:
+def _get_first_layer(layers: LayerRange) -> int:
     return layers.first
--- a/samphirerill/fleet/endings.py
+++ b/samphirerill/fleet/endings.py
@@ -43,12 +43,12 @@
     if found.suspicion.dead_until > now:
         return 0.0
     end = view.leaving.get(replica_id, float('inf'))
-    if gives_up(stage.layers, found.replica.layers):
-        return min(end, found.gives_up_until)
+    if releases_layers(stage.layers, found.replica.layers):
+        return min(end, found.release_until)
     return end
 
 
-def gives_up(held: LayerRange | None, layers: LayerRange | None) -> bool:
+def releases_layers(held: LayerRange | None, layers: LayerRange | None) -> bool:
     """Return whether some of the layers held are no longer there."""
     if held is None:
         return False
--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -17,7 +17,7 @@
 # An endpoint that fails every request looks this many times as busy.
 _FAILURE_WEIGHT = 12.0
 # Until it has answered, an endpoint is taken to be fast, so that it is tried.
-_LEAST_LATENCY_S = 0.005
+_MIN_LATENCY_S = 0.005
 
 
 def choose_endpoint(
@@ -34,20 +34,22 @@
 
     Endpoints that are avoided are used only if no other is left.
     """
-    present = [
+    candidates = [
         found
         for found in view.list_service(service)
         if found.replica.replica_id not in tried
         and may_call(found.replica.replica_id)
     ]
-    fresh = [found for found in present if found.suspicion.dead_until <= now]
-    pool = fresh or present
+    trusted = [
+        found for found in candidates if found.suspicion.dead_until <= now
+    ]
+    pool = trusted or candidates
     if not pool:
         return None
     return min(pool, key=lambda found: _predict_wait(found, book))
 
 
 def _predict_wait(found: Known, book: LoadBook) -> float:
-    busy = 1 + book.requests(found.replica.replica_id)
-    latency_s = max(_LEAST_LATENCY_S, found.latency_s)
-    return busy * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
+    in_flight = 1 + book.requests(found.replica.replica_id)
+    latency_s = max(_MIN_LATENCY_S, found.latency_s)
+    return in_flight * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -6,7 +6,7 @@
 
 from samphirerill.fleet.model import format_layers
 from samphirerill.fleet.outage import find_gap, list_ranges
-from samphirerill.fleet.paths import has_room
+from samphirerill.fleet.paths import has_memory
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -21,21 +21,23 @@
     engine: EngineSpec,
     usable: Sequence[Known],
     book: LoadBook,
-    wanted: PathRequest,
+    request: PathRequest,
 ) -> str:
     """Return what is missing: a holder, room, or a way between them."""
-    present = [
+    candidates = [
         found
         for found in usable
-        if found.replica.replica_id not in wanted.avoid
+        if found.replica.replica_id not in request.avoid
     ]
-    gap = find_gap(engine, list_ranges(present))
+    gap = find_gap(engine, list_ranges(candidates))
     if gap is not None:
         return f'nobody holds layers {format_layers(gap)}'
-    roomy = [
-        found for found in present if has_room(engine, found, book, wanted)
+    with_memory = [
+        found
+        for found in candidates
+        if has_memory(engine, found, book, request)
     ]
-    gap = find_gap(engine, list_ranges(roomy))
+    gap = find_gap(engine, list_ranges(with_memory))
     if gap is not None:
         return f'no room in layers {format_layers(gap)}'
     return 'no way between the parts that have room'
--- a/samphirerill/fleet/mending.py
+++ b/samphirerill/fleet/gap_filling.py
@@ -11,10 +11,10 @@
 
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.rates import (
-    LEAST_REQUESTS,
-    WANTED_REQUESTS,
+    MIN_REQUESTS,
+    TARGET_REQUESTS,
     Pipeline,
-    count_most_layers,
+    count_max_layers,
     predict_rate,
 )
 
@@ -24,30 +24,32 @@
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
 
-_REQUESTS = range(WANTED_REQUESTS, LEAST_REQUESTS - 1, -5)
+_REQUEST_TARGETS = range(TARGET_REQUESTS, MIN_REQUESTS - 1, -5)
 # What one move takes off a predicted rate: it costs a load, and a spare that
 # joins doubles nothing any more.
-_MOVE_COST = 0.01
+_MOVE_PENALTY = 0.01
 Moves = dict[str, LayerRange]
 
 
-def close_gaps(
+def fill_gaps(
     engine: EngineSpec, chain: Chain, spares: Sequence[Replica]
 ) -> Moves | None:
     """Return the moves that close a chain's gaps, or none if they can't be."""
-    left = list(spares)
+    remaining = list(spares)
     moves: Moves = {}
-    home = chain.find_home()
+    main_data_centre = chain.find_main_data_centre()
     for gap in chain.gaps:
-        taken = _close_gap(engine, gap, left, home)
-        if taken is None:
+        assigned = _fill_gap(engine, gap, remaining, main_data_centre)
+        if assigned is None:
             return None
-        moves.update(taken)
-        left = [item for item in left if item.replica_id not in taken]
+        moves.update(assigned)
+        remaining = [
+            item for item in remaining if item.replica_id not in assigned
+        ]
     return moves
 
 
-def cut_anew(
+def repartition(
     engine: EngineSpec,
     chain: Chain,
     spares: Sequence[Replica],
@@ -59,27 +61,25 @@
     of the chain's data centre join them where the first gap is, as many as
     give the highest rate.
     """
-    home = chain.find_home()
-    near = [item for item in spares if item.data_centre == home]
-    near.sort(key=lambda item: _rank_joining(engine, item))
+    main_data_centre = chain.find_main_data_centre()
+    local = [item for item in spares if item.data_centre == main_data_centre]
+    local.sort(key=lambda item: _rank_for_joining(engine, item))
     options = [
-        _cut(engine, _join(chain, near[:joining]), pause_ms)
-        for joining in range(len(near) + 1)
+        _partition(engine, _insert_replicas(chain, local[:joining]), pause_ms)
+        for joining in range(len(local) + 1)
     ]
-    _, best = max(options, key=_rate, default=(0.0, None))
+    _, best = max(options, key=_get_rate, default=(0.0, None))
     return best
 
 
-def _cut(
+def _partition(
     engine: EngineSpec, replicas: list[Replica], pause_ms: float
 ) -> tuple[float, Moves | None]:
     """Cut the layers among replicas in order; return the rate and the moves."""
-    for requests in _REQUESTS:
-        counts = [
-            count_most_layers(engine, item, requests) for item in replicas
-        ]
+    for requests in _REQUEST_TARGETS:
+        counts = [count_max_layers(engine, item, requests) for item in replicas]
         if sum(counts) >= engine.layers:
-            moves = _assign(engine, replicas, counts)
+            moves = _assign_layers(engine, replicas, counts)
             held = {item.replica_id: item for item in replicas}
             pipeline = Pipeline(
                 [(held[name], layers.count) for name, layers in moves.items()]
@@ -88,23 +88,23 @@
                 held[name].layers != layers for name, layers in moves.items()
             )
             rate = predict_rate(engine, pipeline, pause_ms)
-            return rate * (1 - _MOVE_COST * changed), moves
+            return rate * (1 - _MOVE_PENALTY * changed), moves
     return 0.0, None
 
 
-def _rate(option: tuple[float, Moves | None]) -> float:
+def _get_rate(option: tuple[float, Moves | None]) -> float:
     return option[0]
 
 
-def _rank_joining(
+def _rank_for_joining(
     engine: EngineSpec, replica: Replica
 ) -> tuple[bool, int, str]:
     """Rank empty replicas first, then those that can hold the most."""
-    most = count_most_layers(engine, replica)
-    return replica.layers is not None, -most, replica.replica_id
+    max_count = count_max_layers(engine, replica)
+    return replica.layers is not None, -max_count, replica.replica_id
 
 
-def complete(
+def build_repaired_pipeline(
     chain: Chain, moves: Moves, replicas: dict[str, Replica]
 ) -> Pipeline:
     """Return the pipeline that a chain becomes by moves.
@@ -129,17 +129,20 @@
     return Pipeline([(replica, layers.count) for replica, layers in parts])
 
 
-def _close_gap(
-    engine: EngineSpec, gap: LayerRange, spares: list[Replica], home: str
+def _fill_gap(
+    engine: EngineSpec,
+    gap: LayerRange,
+    spares: list[Replica],
+    main_data_centre: str,
 ) -> Moves | None:
     """Cut a gap among spares: near ones first, then empty ones."""
-    for requests in (WANTED_REQUESTS, LEAST_REQUESTS):
-        rank = partial(_rank_for_gap, engine, gap, home, requests)
+    for requests in (TARGET_REQUESTS, MIN_REQUESTS):
+        rank = partial(_rank_for_gap, engine, gap, main_data_centre, requests)
         moves: Moves = {}
         first = gap.first
         for replica in sorted(spares, key=rank):
-            most = count_most_layers(engine, replica, requests)
-            count = min(most, gap.end - first)
+            max_count = count_max_layers(engine, replica, requests)
+            count = min(max_count, gap.end - first)
             if count <= 0:
                 continue
             moves[replica.replica_id] = LayerRange(first, first + count)
@@ -152,7 +155,7 @@
 def _rank_for_gap(
     engine: EngineSpec,
     gap: LayerRange,
-    home: str,
+    main_data_centre: str,
     requests: float,
     replica: Replica,
 ) -> tuple[tuple[bool, str], bool, int, int, str]:
@@ -161,25 +164,25 @@
     Those of one other data centre come together, so that few pipes are
     crossed.
     """
-    most = count_most_layers(engine, replica, requests)
+    max_count = count_max_layers(engine, replica, requests)
     return (
-        (replica.data_centre != home, replica.data_centre),
+        (replica.data_centre != main_data_centre, replica.data_centre),
         replica.layers is not None,
-        max(0, gap.count - most),
-        max(0, most - gap.count),
+        max(0, gap.count - max_count),
+        max(0, max_count - gap.count),
         replica.replica_id,
     )
 
 
-def _join(chain: Chain, joining: Sequence[Replica]) -> list[Replica]:
+def _insert_replicas(chain: Chain, joining: Sequence[Replica]) -> list[Replica]:
     """Return a chain's parts with others where its first gap is."""
-    cards = [(stage.layers.first, stage.replica) for stage in chain.stages]
-    cards.extend((chain.gaps[0].first, item) for item in joining)
-    cards.sort(key=lambda pair: (pair[0], pair[1].replica_id))
-    return [replica for _, replica in cards]
+    positioned = [(stage.layers.first, stage.replica) for stage in chain.stages]
+    positioned.extend((chain.gaps[0].first, item) for item in joining)
+    positioned.sort(key=lambda pair: (pair[0], pair[1].replica_id))
+    return [replica for _, replica in positioned]
 
 
-def _assign(
+def _assign_layers(
     engine: EngineSpec, replicas: list[Replica], counts: list[int]
 ) -> Moves:
     """Give out all layers in order, most to those that can hold most.
--- a/samphirerill/fleet/gathering.py
+++ b/samphirerill/fleet/gathering.py
@@ -17,7 +17,7 @@
 # Up to so many other nodes, each tells each: sums would be known later.
 MOST_DIRECT = 15
 # Nodes of another data centre that get a sum; if one is gone, the next has it.
-_RECEIVERS = 2
+_RECEIVERS_PER_DATA_CENTRE = 2
 
 
 def is_direct(others: int) -> bool:
@@ -32,7 +32,7 @@
 
 def list_receivers(names: Iterable[str]) -> list[str]:
     """Return the nodes of another data centre that a sum is sent to."""
-    return sorted(names, key=_rank)[:_RECEIVERS]
+    return sorted(names, key=_rank)[:_RECEIVERS_PER_DATA_CENTRE]
 
 
 def name_sum(data_centre: str) -> str:
--- a/samphirerill/fleet/load.py
+++ b/samphirerill/fleet/load.py
@@ -19,7 +19,7 @@
 
 # A node not heard of for this long is taken as gone, with its requests; the
 # largest fleets tell each other every 1.3 s.
-PEER_FORGET_S = 4.0
+PEER_TIMEOUT_S = 4.0
 
 
 @dataclass(slots=True)
@@ -45,12 +45,12 @@
 class LoadBook:
     """Requests and tokens at every replica, as this node knows them."""
 
-    __slots__ = ('_own', '_peers', '_sums', 'own_version')
+    __slots__ = ('_own', '_peers', '_peer_totals', 'own_version')
 
     def __init__(self) -> None:
         self._own: defaultdict[str, Held] = defaultdict(Held)
         self._peers: dict[str, PeerLoad] = {}
-        self._sums: defaultdict[str, Held] = defaultdict(Held)
+        self._peer_totals: defaultdict[str, Held] = defaultdict(Held)
         # Changes with own requests only: telling others about what they told
         # would make them tell it again.
         self.own_version = 0
@@ -79,26 +79,26 @@
         """Replace what another node, or a data centre, told before."""
         known = self._peers.get(peer)
         if known is not None:
-            known.until = now + PEER_FORGET_S
+            known.until = now + PEER_TIMEOUT_S
             known.nodes = nodes
             if known.held == held:
                 return
-            self._add(known.held, -1)
-        self._peers[peer] = PeerLoad(held, now + PEER_FORGET_S, nodes)
-        self._add(held, 1)
+            self._add_to_totals(known.held, -1)
+        self._peers[peer] = PeerLoad(held, now + PEER_TIMEOUT_S, nodes)
+        self._add_to_totals(held, 1)
 
     def forget(self, peer: str) -> None:
         """Drop what was told under a name: it is told under another now."""
         known = self._peers.pop(peer, None)
         if known is not None:
-            self._add(known.held, -1)
+            self._add_to_totals(known.held, -1)
 
     def forget_silent(self, now: float) -> None:
         """Drop nodes not heard of for long."""
-        silent = [
+        expired = [
             name for name, peer in self._peers.items() if peer.until < now
         ]
-        for name in silent:
+        for name in expired:
             self.forget(name)
 
     def count_peers(self) -> int:
@@ -112,22 +112,22 @@
     def requests(self, replica_id: str) -> int:
         """Return how many requests are at a replica."""
         own = self._own.get(replica_id)
-        others = self._sums.get(replica_id)
+        others = self._peer_totals.get(replica_id)
         count = 0 if own is None else own.requests
         return count if others is None else count + others.requests
 
     def tokens(self, replica_id: str) -> float:
         """Return how many tokens requests hold at a replica."""
         own = self._own.get(replica_id)
-        others = self._sums.get(replica_id)
+        others = self._peer_totals.get(replica_id)
         held = 0.0 if own is None else own.tokens
         return held if others is None else held + others.tokens
 
-    def _add(self, held: dict[str, Held], sign: int) -> None:
-        for replica_id, part in held.items():
-            total = self._sums[replica_id]
-            total.requests += sign * part.requests
-            total.tokens += sign * part.tokens
+    def _add_to_totals(self, held: dict[str, Held], sign: int) -> None:
+        for replica_id, load in held.items():
+            total = self._peer_totals[replica_id]
+            total.requests += sign * load.requests
+            total.tokens += sign * load.tokens
 
 
 def list_ids(stages: tuple[Stage, ...]) -> tuple[str, ...]:
--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -23,23 +23,23 @@
     )
 
 # Nodes that ask after each replica: a death is sure by the word of two.
-ASKERS = 2
+PROBERS_PER_REPLICA = 2
 # Places of each node among the replicas; more make shares more even, and cost 1 us
 # each when a loss begins.
-_PLACES = 8
+_VIRTUAL_NODES = 8
 _HASH_BYTES = 8
 # A loss is taken to be whole if nothing more was found for so long: an asker hears
 # of the first silence at once, and answers are waited for 0.09 s at the most.
-_QUIET_S = 0.12
+_QUIET_PERIOD_S = 0.12
 # Nobody waits longer than this for a loss to be whole: callers do.
-_LONGEST_S = 0.4
+_MAX_WAIT_S = 0.4
 # What is found later than this belongs to another loss.
-_ROUND_S = 1.0
+_EVENT_WINDOW_S = 1.0
 # Words of two replicas within this time are of one loss: silences of streams differ
 # by about so much.
-_TOGETHER_S = 0.3
+_CORRELATION_WINDOW_S = 0.3
 # A loss that goes on is asked after anew; a survey takes a quarter of a second.
-_AGAIN_S = 0.5
+_RESURVEY_INTERVAL_S = 0.5
 
 
 class Askers:
@@ -62,13 +62,13 @@
     def __init__(self, nodes: Mapping[str, str]) -> None:
         self._nodes = nodes
         self._is_one_zone = len(set(nodes.values())) == 1
-        places = sorted(
-            (_hash(f'{name}/{place}'), name)
+        positions = sorted(
+            (_hash(f'{name}/{position}'), name)
             for name in nodes
-            for place in range(_PLACES)
+            for position in range(_VIRTUAL_NODES)
         )
-        self._hashes = [place for place, _ in places]
-        self._ring = [name for _, name in places]
+        self._hashes = [position for position, _ in positions]
+        self._ring = [name for _, name in positions]
 
     def list_share(
         self, node: str, replica_ids: Iterable[str], turn: int = 0
@@ -85,35 +85,37 @@
             0 for the first two askers of a replica; 1 for the two after them,
             who ask in the place of askers that are lost themselves.
         """
-        since = ASKERS * turn
+        start = PROBERS_PER_REPLICA * turn
         return [
             name
             for name in replica_ids
-            if node in self.choose(name, since + ASKERS)[since:]
+            if node in self.choose(name, start + PROBERS_PER_REPLICA)[start:]
         ]
 
-    def choose(self, replica_id: str, count: int = ASKERS) -> Sequence[str]:
+    def choose(
+        self, replica_id: str, count: int = PROBERS_PER_REPLICA
+    ) -> Sequence[str]:
         """Return who asks after a replica, the first ones first.
 
         A cut often separates whole data centres; the first two askers are in
         two, if there are two.
         """
-        following = self._list_following(replica_id)
+        following = self._iterate_ring(replica_id)
         first = next(following, None)
         if first is None:
             return ()
         if self._is_one_zone:
             return (first, *islice(following, count - 1))
         home = self._nodes[first]
-        passed: list[str] = []
+        skipped: list[str] = []
         for name in following:
             if self._nodes[name] != home:
-                rest = chain(passed, following)
-                return (first, name, *islice(rest, count - ASKERS))
-            passed.append(name)
-        return (first, *passed[: count - 1])
+                rest = chain(skipped, following)
+                return (first, name, *islice(rest, count - PROBERS_PER_REPLICA))
+            skipped.append(name)
+        return (first, *skipped[: count - 1])
 
-    def _list_following(self, replica_id: str) -> Iterator[str]:
+    def _iterate_ring(self, replica_id: str) -> Iterator[str]:
         """Yield all nodes, each once, as they follow a replica."""
         first = bisect_right(self._hashes, _hash(replica_id))
         seen = set()
@@ -152,15 +154,15 @@
         self.doubted = {
             name: at
             for name, at in self.doubted.items()
-            if at + _TOGETHER_S > now
+            if at + _CORRELATION_WINDOW_S > now
         }
         self.doubted[replica_id] = now
         if not is_sure and len(self.doubted) == 1:
             return
-        if now > self._last_at + _ROUND_S:
+        if now > self._last_at + _EVENT_WINDOW_S:
             self._first_at = now
         self._last_at = now
-        if now > self.began_at + _AGAIN_S:
+        if now > self.began_at + _RESURVEY_INTERVAL_S:
             self.began_at = now
             self.heard.clear()
 
@@ -170,12 +172,14 @@
 
     def is_under_way(self, now: float) -> bool:
         """Return whether more of the loss may still come to light."""
-        until = min(self._last_at + _QUIET_S, self._first_at + _LONGEST_S)
+        until = min(
+            self._last_at + _QUIET_PERIOD_S, self._first_at + _MAX_WAIT_S
+        )
         return now < until
 
     def is_recent(self, now: float) -> bool:
         """Return whether who has not been heard from since may be lost too."""
-        return now < self.began_at + _ROUND_S
+        return now < self.began_at + _EVENT_WINDOW_S
 
     def has_heard(self, replica_id: str) -> bool:
         """Return whether a replica has worked since the loss began."""
--- a/samphirerill/fleet/migration.py
+++ b/samphirerill/fleet/migration.py
@@ -13,7 +13,7 @@
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.planner import plan_zone
 from samphirerill.fleet.rates import Pipeline
-from samphirerill.fleet.worth import predict_worth
+from samphirerill.fleet.worth import predict_goodput
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -23,17 +23,17 @@
     from samphirerill.fleet.worth import Aims
 
 # A change takes some seconds of a pipeline's work; it must be worth it.
-_GAIN = 1.6
+_MIN_GAIN = 1.6
 # What one move takes off a plan's predicted rate when plans are compared.
-_MOVE_COST = 0.004
+_MOVE_PENALTY = 0.004
 Moves = dict[str, LayerRange]
 
 
-def plan_migration(
+def plan_rebalance(
     engine: EngineSpec,
-    cards: Sequence[Replica],
-    whole: Sequence[Pipeline],
-    doubles: Sequence[LayerRange],
+    replicas: Sequence[Replica],
+    current: Sequence[Pipeline],
+    backups: Sequence[LayerRange],
     aims: Aims,
 ) -> Moves:
     """Return the moves to a clearly better plan, if there is one.
@@ -51,12 +51,12 @@
     aims : Aims
         What is asked for.
     """
-    planned = plan_zone(engine, cards, aims)
-    if planned is None:
+    plan = plan_zone(engine, replicas, aims)
+    if plan is None:
         return {}
-    worth = predict_worth(engine, whole, doubles, aims)
-    moves = assign_parts(planned.pipelines, cards)
-    if planned.worth * (1 - _MOVE_COST * len(moves)) <= worth * _GAIN:
+    goodput = predict_goodput(engine, current, backups, aims)
+    moves = assign_stages(plan.pipelines, replicas)
+    if plan.goodput * (1 - _MOVE_PENALTY * len(moves)) <= goodput * _MIN_GAIN:
         return {}
     return moves
 
@@ -68,8 +68,8 @@
     )
 
 
-def assign_parts(
-    pipelines: Sequence[Pipeline], cards: Sequence[Replica]
+def assign_stages(
+    pipelines: Sequence[Pipeline], replicas: Sequence[Replica]
 ) -> Moves:
     """Return the moves that a plan needs.
 
@@ -86,39 +86,39 @@
     holds most of it already.
     """
     free: dict[str, list[Replica]] = {}
-    for card in cards:
-        free.setdefault(card.accelerator, []).append(card)
+    for replica in replicas:
+        free.setdefault(replica.accelerator, []).append(replica)
     moves: Moves = {}
-    for kind, layers in _list_open_parts(pipelines, free):
-        overlaps = [_overlap(item, layers) for item in free[kind]]
-        chosen = free[kind].pop(overlaps.index(max(overlaps)))
+    for accelerator, layers in _list_unassigned_stages(pipelines, free):
+        overlaps = [_count_overlap(item, layers) for item in free[accelerator]]
+        chosen = free[accelerator].pop(overlaps.index(max(overlaps)))
         moves[chosen.replica_id] = layers
     return moves
 
 
-def _list_open_parts(
+def _list_unassigned_stages(
     pipelines: Sequence[Pipeline], free: dict[str, list[Replica]]
 ) -> list[tuple[str, LayerRange]]:
     """Return the parts that nobody holds yet; who holds one is not free."""
-    parts = []
+    stages = []
     for pipeline in pipelines:
         for stage in pipeline.list_stages():
-            kind = stage.replica.accelerator
-            if not _keep(free[kind], stage.layers):
-                parts.append((kind, stage.layers))
-    return parts
+            accelerator = stage.replica.accelerator
+            if not _take_exact_holder(free[accelerator], stage.layers):
+                stages.append((accelerator, stage.layers))
+    return stages
 
 
-def _keep(free: list[Replica], layers: LayerRange) -> bool:
+def _take_exact_holder(free: list[Replica], layers: LayerRange) -> bool:
     """Take out the replica that holds just these layers, if there is one."""
-    for at, replica in enumerate(free):
+    for index, replica in enumerate(free):
         if replica.layers == layers:
-            free.pop(at)
+            free.pop(index)
             return True
     return False
 
 
-def _overlap(replica: Replica, layers: LayerRange) -> int:
+def _count_overlap(replica: Replica, layers: LayerRange) -> int:
     held = replica.layers
     if held is None:
         return 0
--- a/samphirerill/fleet/moves.py
+++ b/samphirerill/fleet/moves.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.prediction import (
-    predict_reading_ms,
+    predict_prefill_ms,
     predict_transfer_ms,
 )
 
@@ -28,7 +28,7 @@
     stages: Sequence[Stage],
     held: Collection[str],
     tokens: float,
-    crowd: int,
+    concurrent: int,
 ) -> float:
     """Return how long a stream stands still until new parts have read it.
 
@@ -46,22 +46,22 @@
         How many streams move at the same moment, this one included; on
         average half of the others go first.
     """
-    steps_ms = [
-        *_list_reading_ms(engine, stages, held, tokens),
+    durations_ms = [
+        *_list_prefill_ms(engine, stages, held, tokens),
         *_list_transfers_ms(engine, stages, held, tokens),
     ]
-    before = max(0, crowd - 1) / 2
-    return sum(steps_ms) + before * max(steps_ms, default=0.0)
+    previous = max(0, concurrent - 1) / 2
+    return sum(durations_ms) + previous * max(durations_ms, default=0.0)
 
 
-def _list_reading_ms(
+def _list_prefill_ms(
     engine: EngineSpec,
     stages: Sequence[Stage],
     held: Collection[str],
     tokens: float,
 ) -> list[float]:
     return [
-        predict_reading_ms(
+        predict_prefill_ms(
             engine,
             engine.accelerators[stage.replica.accelerator],
             stage.layers.count,
@@ -81,7 +81,7 @@
     transfer_ms = predict_transfer_ms(engine, tokens)
     return [
         transfer_ms
-        for before, stage in zip(stages, stages[1:], strict=False)
+        for previous, stage in zip(stages, stages[1:], strict=False)
         if stage.replica.replica_id not in held
-        and stage.replica.data_centre != before.replica.data_centre
+        and stage.replica.data_centre != previous.replica.data_centre
     ]
--- a/samphirerill/fleet/outage.py
+++ b/samphirerill/fleet/outage.py
@@ -20,15 +20,15 @@
 
 # From the loss of the last holder until layers are ordered elsewhere: the loss is
 # found out and planned for as a whole.
-_ORDER_S = 0.7
+_REASSIGNMENT_DELAY_S = 0.7
 # Parts are loaded beside each other; three in four are no larger than the one by
 # which the time is predicted.
-_PART_QUANTILE = 0.75
+_STAGE_QUANTILE = 0.75
 # What takes longer than predicted may be over at any moment.
-_OVERDUE_S = 0.7
+_MIN_WAIT_S = 0.7
 # A service is looked at when a request finds no path. Not looked at for so long, it
 # was whole meanwhile, and this is another outage.
-_ANOTHER_S = 1.0
+_NEW_OUTAGE_AFTER_S = 1.0
 
 
 class Outage:
@@ -46,21 +46,25 @@
 
     def observe(self, live: Sequence[Known], now: float) -> bool:
         """Take the replicas that live; return whether layers are missing."""
-        is_whole = find_gap(self._engine, list_ranges(live)) is None
-        if is_whole:
+        is_covered = find_gap(self._engine, list_ranges(live)) is None
+        if is_covered:
             self.began_at = 0.0
-        elif not self.began_at or now > self._seen_at + _ANOTHER_S:
+        elif not self.began_at or now > self._seen_at + _NEW_OUTAGE_AFTER_S:
             self.began_at = now
         self._seen_at = now
-        return not is_whole
+        return not is_covered
 
     def predict_wait_s(self, live: Sequence[Known], now: float) -> float:
         """Return after how long the missing layers should be there."""
         counts = sorted(layers.count for layers in list_ranges(live))
-        part = counts[int(_PART_QUANTILE * len(counts))] if counts else 0
+        stage_layers = (
+            counts[int(_STAGE_QUANTILE * len(counts))] if counts else 0
+        )
         engine = self._engine
-        load_s = engine.load_s * part / max(1, engine.layers)
-        return max(_OVERDUE_S, self.began_at + _ORDER_S + load_s - now)
+        load_s = engine.load_s * stage_layers / max(1, engine.layers)
+        return max(
+            _MIN_WAIT_S, self.began_at + _REASSIGNMENT_DELAY_S + load_s - now
+        )
 
 
 def list_ranges(known: Iterable[Known]) -> list[LayerRange]:
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -15,10 +15,10 @@
 from samphirerill.fleet.model import LayerRange, Stage, count_tokens
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.prediction import (
-    STAGE_COST_MS,
-    predict_reading_ms,
+    STAGE_OVERHEAD_MS,
+    predict_prefill_ms,
     predict_transfer_ms,
-    predict_visit_ms,
+    predict_stage_ms,
 )
 
 if TYPE_CHECKING:
@@ -31,10 +31,10 @@
 
 # Reports of others are a little late, and answers may be longer than said. The
 # rest is kept for streams that lost their path.
-MEMORY_USE = 0.92
-URGENT_USE = 1.0
+MAX_MEMORY_USE = 0.92
+MAX_URGENT_MEMORY_USE = 1.0
 # Engines refuse a path of more parts.
-MOST_STAGES = 32
+MAX_STAGES = 32
 # A transfer holds up the next event of every stream behind it, not only of its
 # own: with weight 0.5, paths through three data centres were chosen to save
 # 13 ms an event, and pauses of seconds came of it.
@@ -43,25 +43,25 @@
 # 45 of them passed through one head, most paused for 210 to 340 ms; 15 need a
 # third of that. For every stream that is there already a replica counts as
 # slower by this share of the time to read a usual prompt.
-CROWD_WEIGHT = 0.02
+COLOCATION_WEIGHT = 0.02
 # Bytes between data centres are paid for, and a loss should not meet the streams
 # of all data centres: a head elsewhere has to save so much between two events.
-AWAY_MS = 6.0
+REMOTE_ENTRY_PENALTY_MS = 6.0
 
 
 @dataclass(slots=True)
-class _Partial:
+class _PartialPath:
     """A path up to some layer and its predicted milliseconds per event."""
 
     cost: float
     replica: Replica
     layers: LayerRange
-    before: _Partial | None
+    previous: _PartialPath | None
     stages: int
 
 
 @dataclass(slots=True)
-class _Holder:
+class _Candidate:
     """A replica with room, and what a layer costs there per event."""
 
     replica: Replica
@@ -94,17 +94,19 @@
     engine: EngineSpec,
     usable: Sequence[Known],
     book: LoadBook,
-    wanted: PathRequest,
+    request: PathRequest,
     now: float,
 ) -> tuple[Stage, ...]:
     """Return the stages of the best path with room, or an empty tuple."""
-    holders = [
-        _Holder(found.replica, _weigh_layer(engine, found, book, wanted, now))
+    candidates = [
+        _Candidate(
+            found.replica, _score_layer(engine, found, book, request, now)
+        )
         for found in usable
-        if found.replica.replica_id not in wanted.avoid
-        and has_room(engine, found, book, wanted)
+        if found.replica.replica_id not in request.avoid
+        and has_memory(engine, found, book, request)
     ]
-    return _PathSearch(engine, holders, book, wanted, now).find()
+    return _PathSearch(engine, candidates, book, request, now).find()
 
 
 class _PathSearch:
@@ -120,148 +122,171 @@
         '_best',
         '_book',
         '_engine',
-        '_holders',
+        '_candidates',
         '_now',
         '_transfer_ms',
-        '_wanted',
+        '_request',
     )
 
     def __init__(
         self,
         engine: EngineSpec,
-        holders: Sequence[_Holder],
+        candidates: Sequence[_Candidate],
         book: LoadBook,
-        wanted: PathRequest,
+        request: PathRequest,
         now: float,
     ) -> None:
         self._engine = engine
-        self._holders = holders
+        self._candidates = candidates
         self._book = book
-        self._wanted = wanted
+        self._request = request
         self._now = now
         # For each end, the cheapest partial path in each data centre.
-        self._best: dict[int, dict[str, _Partial]] = {}
-        tokens = wanted.tokens or engine.usual_prompt
+        self._best: dict[int, dict[str, _PartialPath]] = {}
+        tokens = request.tokens or engine.usual_prompt
         self._transfer_ms = predict_transfer_ms(engine, tokens)
         self._transfer_ms *= TRANSFER_WEIGHT
 
     def find(self) -> tuple[Stage, ...]:
         """Return the cheapest whole path, or an empty tuple."""
-        cuts = self._list_cuts()
-        covering = self._list_covering(cuts)
-        for holder in self._holders:
-            if self._may_begin(holder.replica):
-                self._begin(holder)
-        for cut in cuts:
-            if cut in self._best:
-                self._extend(cut, covering[cut])
-        return _collect(self._best.get(self._engine.layers, {}))
-
-    def _list_cuts(self) -> list[int]:
+        boundaries = self._list_boundaries()
+        continuing = self._list_continuing(boundaries)
+        for candidate in self._candidates:
+            if self._can_start(candidate.replica):
+                self._start_path(candidate)
+        for boundary in boundaries:
+            if boundary in self._best:
+                self._extend(boundary, continuing[boundary])
+        return _build_stages(self._best.get(self._engine.layers, {}))
+
+    def _list_boundaries(self) -> list[int]:
         """Return where parts may end short of the last layer, in order."""
-        cuts = {holder.replica.held.end for holder in self._holders}
-        cuts.add(self._wanted.first_end)
-        return sorted(cut for cut in cuts if 0 < cut < self._engine.layers)
-
-    def _list_covering(self, cuts: Sequence[int]) -> dict[int, list[_Holder]]:
+        boundaries = {
+            candidate.replica.held.end for candidate in self._candidates
+        }
+        boundaries.add(self._request.first_end)
+        return sorted(
+            boundary
+            for boundary in boundaries
+            if 0 < boundary < self._engine.layers
+        )
+
+    def _list_continuing(
+        self, boundaries: Sequence[int]
+    ) -> dict[int, list[_Candidate]]:
         """Return, for each place to end, who may go on from there."""
-        covering: dict[int, list[_Holder]] = {cut: [] for cut in cuts}
-        holders = [
-            holder
-            for holder in self._holders
-            if not self._is_fixed_head(holder.replica)
+        continuing: dict[int, list[_Candidate]] = {
+            boundary: [] for boundary in boundaries
+        }
+        candidates = [
+            candidate
+            for candidate in self._candidates
+            if not self._is_pinned_first_stage(candidate.replica)
         ]
-        for holder in holders:
-            held = holder.replica.held
-            for cut in cuts[bisect_left(cuts, held.first) :]:
-                if cut >= held.end:
+        for candidate in candidates:
+            held = candidate.replica.held
+            for boundary in boundaries[bisect_left(boundaries, held.first) :]:
+                if boundary >= held.end:
                     break
-                covering[cut].append(holder)
-        return covering
+                continuing[boundary].append(candidate)
+        return continuing
 
-    def _is_fixed_head(self, replica: Replica) -> bool:
+    def _is_pinned_first_stage(self, replica: Replica) -> bool:
         """Return whether a replica's part ends short of what it holds.
 
         A stream that moves keeps its first part as it was; its replica may
         hold more by now, but comes only once on a path.
         """
-        wanted = self._wanted
-        return bool(wanted.first_end) and replica.replica_id in wanted.heads
+        request = self._request
+        return bool(request.first_end) and replica.replica_id in request.heads
 
-    def _may_begin(self, replica: Replica) -> bool:
-        if self._wanted.heads and replica.replica_id not in self._wanted.heads:
+    def _can_start(self, replica: Replica) -> bool:
+        if (
+            self._request.heads
+            and replica.replica_id not in self._request.heads
+        ):
             return False
         if replica.held.first or not replica.held.end:
             return False
         return self._book.requests(replica.replica_id) < self._engine.slots
 
-    def _begin(self, holder: _Holder) -> None:
-        held = holder.replica.held
-        end = self._wanted.first_end or held.end
+    def _start_path(self, candidate: _Candidate) -> None:
+        held = candidate.replica.held
+        end = self._request.first_end or held.end
         if end <= held.end:
-            away_ms = self._find_away_ms(holder.replica)
-            self._add(None, holder, LayerRange(0, end), away_ms)
+            penalty_ms = self._find_remote_entry_ms(candidate.replica)
+            self._add(None, candidate, LayerRange(0, end), penalty_ms)
 
-    def _find_away_ms(self, head: Replica) -> float:
+    def _find_remote_entry_ms(self, replica: Replica) -> float:
         """Return what it costs that events come from another data centre."""
-        wanted = self._wanted
-        is_home = not wanted.home or head.data_centre == wanted.home
-        return 0.0 if is_home or not wanted.policy.near_heads else AWAY_MS
-
-    def _extend(self, cut: int, holders: Sequence[_Holder]) -> None:
+        request = self._request
+        is_local = not request.home or replica.data_centre == request.home
+        return (
+            0.0
+            if is_local or not request.policy.near_heads
+            else REMOTE_ENTRY_PENALTY_MS
+        )
+
+    def _extend(self, boundary: int, candidates: Sequence[_Candidate]) -> None:
         """Go on from the cheapest partial paths at a cut."""
-        entries: dict[str, tuple[float, _Partial] | None] = {}
-        for holder in holders:
-            zone = holder.replica.data_centre
+        entries: dict[str, tuple[float, _PartialPath] | None] = {}
+        for candidate in candidates:
+            zone = candidate.replica.data_centre
             if zone not in entries:
-                entries[zone] = self._find_entry(cut, zone)
+                entries[zone] = self._find_cheapest_entry(boundary, zone)
             entry = entries[zone]
             if entry is not None:
-                layers = LayerRange(cut, holder.replica.held.end)
-                self._add(entry[1], holder, layers, entry[0])
+                layers = LayerRange(boundary, candidate.replica.held.end)
+                self._add(entry[1], candidate, layers, entry[0])
 
-    def _find_entry(self, cut: int, zone: str) -> tuple[float, _Partial] | None:
+    def _find_cheapest_entry(
+        self, boundary: int, zone: str
+    ) -> tuple[float, _PartialPath] | None:
         """Return the cheapest way into a data centre, and its hop's cost."""
         options = []
-        for here, partial in self._best[cut].items():
-            hop_ms = self._find_hop_ms(here, zone)
-            if hop_ms is not None and partial.stages < MOST_STAGES:
+        for origin, partial in self._best[boundary].items():
+            hop_ms = self._find_hop_ms(origin, zone)
+            if hop_ms is not None and partial.stages < MAX_STAGES:
                 options.append((partial.cost + hop_ms, hop_ms, partial))
         if not options:
             return None
-        cheapest = min(options, key=_first)
+        cheapest = min(options, key=_get_first)
         return cheapest[1], cheapest[2]
 
-    def _find_hop_ms(self, here: str, there: str) -> float | None:
+    def _find_hop_ms(self, origin: str, destination: str) -> float | None:
         """Return what the way between data centres costs; none if it's shut."""
-        if here == there:
+        if origin == destination:
             return 0.0
-        pipes = self._wanted.pipes
+        pipes = self._request.pipes
         if pipes is None:
             return self._transfer_ms
         if not pipes.is_open(
-            here, there, self._now, is_urgent=self._wanted.is_urgent
+            origin, destination, self._now, is_urgent=self._request.is_urgent
         ):
             return None
-        return self._transfer_ms + pipes.backlog_ms(here, there, self._now)
+        return self._transfer_ms + pipes.backlog_ms(
+            origin, destination, self._now
+        )
 
     def _add(
         self,
-        before: _Partial | None,
-        holder: _Holder,
+        previous: _PartialPath | None,
+        candidate: _Candidate,
         layers: LayerRange,
         hop_ms: float,
     ) -> None:
-        cost = hop_ms + holder.layer_ms * layers.count + STAGE_COST_MS
+        cost = hop_ms + candidate.layer_ms * layers.count + STAGE_OVERHEAD_MS
         count = 1
-        if before is not None:
-            cost += before.cost
-            count += before.stages
-        zone = holder.replica.data_centre
+        if previous is not None:
+            cost += previous.cost
+            count += previous.stages
+        zone = candidate.replica.data_centre
         best = self._best.setdefault(layers.end, {})
         known = best.get(zone)
         if known is None or cost < known.cost:
-            best[zone] = _Partial(cost, holder.replica, layers, before, count)
+            best[zone] = _PartialPath(
+                cost, candidate.replica, layers, previous, count
+            )
 
 
 def predict_gap_ms(
@@ -276,77 +301,77 @@
     for stage in stages:
         found = known.get(stage.replica.replica_id)
         if found is not None:
-            layer_ms = _layer_ms(engine, found, book, now)
+            layer_ms = _predict_layer_ms(engine, found, book, now)
             total += layer_ms * stage.layers.count
     return total
 
 
-def count_capacity(
+def count_token_capacity(
     engine: EngineSpec, found: Known, layers: LayerRange
 ) -> float:
     """Return how many tokens fit at a replica."""
-    kind = engine.accelerators.get(found.replica.accelerator)
-    if kind is None:
+    accelerator = engine.accelerators.get(found.replica.accelerator)
+    if accelerator is None:
         return 0.0
-    return count_tokens(engine, kind, layers.count)
+    return count_tokens(engine, accelerator, layers.count)
 
 
-def has_room(
-    engine: EngineSpec, found: Known, book: LoadBook, wanted: PathRequest
+def has_memory(
+    engine: EngineSpec, found: Known, book: LoadBook, request: PathRequest
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
     if replica.layers is None:
         return False
-    if replica.replica_id in wanted.held:
+    if replica.replica_id in request.held:
         return True
-    use = URGENT_USE if wanted.is_urgent else MEMORY_USE
-    fits = count_capacity(engine, found, replica.layers) * use
-    return book.tokens(replica.replica_id) + wanted.tokens <= fits
+    max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
+    capacity = count_token_capacity(engine, found, replica.layers) * max_use
+    return book.tokens(replica.replica_id) + request.tokens <= capacity
 
 
-def _layer_ms(
+def _predict_layer_ms(
     engine: EngineSpec, found: Known, book: LoadBook, now: float
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
-    kind = engine.accelerators.get(replica.accelerator)
-    if kind is None:
+    accelerator = engine.accelerators.get(replica.accelerator)
+    if accelerator is None:
         return float('inf')
     running = book.requests(replica.replica_id) + 1
     slowness = found.slowness if found.slow_until > now else 1.0
-    return predict_visit_ms(engine, kind, 1, running, slowness)
+    return predict_stage_ms(engine, accelerator, 1, running, slowness)
 
 
-def _weigh_layer(
+def _score_layer(
     engine: EngineSpec,
     found: Known,
     book: LoadBook,
-    wanted: PathRequest,
+    request: PathRequest,
     now: float,
 ) -> float:
     """Return what one layer costs a stream that may choose among replicas."""
-    layer_ms = _layer_ms(engine, found, book, now)
-    kind = engine.accelerators.get(found.replica.accelerator)
-    if kind is None or not wanted.policy.spread:
+    layer_ms = _predict_layer_ms(engine, found, book, now)
+    accelerator = engine.accelerators.get(found.replica.accelerator)
+    if accelerator is None or not request.policy.spread:
         return layer_ms
-    crowd = book.requests(found.replica.replica_id)
-    reading_ms = predict_reading_ms(engine, kind, 1, engine.usual_prompt)
-    return layer_ms + CROWD_WEIGHT * crowd * reading_ms
+    stream_count = book.requests(found.replica.replica_id)
+    prefill_ms = predict_prefill_ms(engine, accelerator, 1, engine.usual_prompt)
+    return layer_ms + COLOCATION_WEIGHT * stream_count * prefill_ms
 
 
-def _collect(ends: dict[str, _Partial]) -> tuple[Stage, ...]:
-    step: _Partial | None = min(ends.values(), key=_cost, default=None)
+def _build_stages(ends: dict[str, _PartialPath]) -> tuple[Stage, ...]:
+    step: _PartialPath | None = min(ends.values(), key=_get_cost, default=None)
     stages: list[Stage] = []
     while step is not None:
         stages.append(Stage(step.replica, step.layers))
-        step = step.before
+        step = step.previous
     return tuple(reversed(stages))
 
 
-def _cost(partial: _Partial) -> float:
+def _get_cost(partial: _PartialPath) -> float:
     return partial.cost
 
 
-def _first(option: tuple[float, float, _Partial]) -> float:
+def _get_first(option: tuple[float, float, _PartialPath]) -> float:
     return option[0]
--- a/samphirerill/fleet/pipes.py
+++ b/samphirerill/fleet/pipes.py
@@ -12,25 +12,25 @@
 
 # Above this use, prompts wait for prompts and pauses triple; it also covers
 # the tokens, which cross beside the prompts.
-_USE = 0.65
+_MAX_USE = 0.65
 # Further prompts wait at the node rather than in the pipe: behind so much,
 # the next token of a stream is still on time.
-MOST_BACKLOG_MS = 160.0
+MAX_BACKLOG_MS = 160.0
 # A stream that has begun may wait behind more; its client gives up after a pause of
 # two seconds, and it still has to be read. When a third of a fleet was lost, all
 # streams under way went over the same pipes, and hardly any came through in time.
-MOST_URGENT_BACKLOG_MS = 800.0
+MAX_URGENT_BACKLOG_MS = 800.0
 Pair = frozenset[str]
 
 
 class PipeUse:
     """The estimated backlog of every pipe, in milliseconds of transfer."""
 
-    __slots__ = ('_free_at', '_heard', 'near_sent', 'own_version', 'sent')
+    __slots__ = ('_free_at', '_peer_totals', 'near_sent', 'own_version', 'sent')
 
     def __init__(self) -> None:
         self._free_at: dict[Pair, float] = {}
-        self._heard: dict[tuple[str, Pair], float] = {}
+        self._peer_totals: dict[tuple[str, Pair], float] = {}
         # What this node has sent through each pipe since it started.
         self.sent: dict[Pair, float] = {}
         # The same with what the nodes of its data centre have sent since it
@@ -47,8 +47,8 @@
         self, one: str, other: str, now: float, *, is_urgent: bool = False
     ) -> bool:
         """Return whether another prompt, or a stream under way, may cross."""
-        most_ms = MOST_URGENT_BACKLOG_MS if is_urgent else MOST_BACKLOG_MS
-        return self.backlog_ms(one, other, now) < most_ms
+        max_ms = MAX_URGENT_BACKLOG_MS if is_urgent else MAX_BACKLOG_MS
+        return self.backlog_ms(one, other, now) < max_ms
 
     def note(
         self, one: str, other: str, transfer_ms: float, now: float
@@ -85,16 +85,16 @@
             The node is in the same data centre.
         """
         key = (node, pair)
-        before = self._heard.get(key, sent_ms)
-        self._heard[key] = max(before, sent_ms)
-        if sent_ms > before:
-            self._add(pair, sent_ms - before, now)
+        previous = self._peer_totals.get(key, sent_ms)
+        self._peer_totals[key] = max(previous, sent_ms)
+        if sent_ms > previous:
+            self._add(pair, sent_ms - previous, now)
             if is_near:
-                self._add_near(pair, sent_ms - before)
+                self._add_near(pair, sent_ms - previous)
 
     def _add_near(self, pair: Pair, transfer_ms: float) -> None:
         self.near_sent[pair] = self.near_sent.get(pair, 0.0) + transfer_ms
 
     def _add(self, pair: Pair, transfer_ms: float, now: float) -> None:
-        spent_s = transfer_ms / MS_PER_S / _USE
-        self._free_at[pair] = max(now, self._free_at.get(pair, 0.0)) + spent_s
+        busy_s = transfer_ms / MS_PER_S / _MAX_USE
+        self._free_at[pair] = max(now, self._free_at.get(pair, 0.0)) + busy_s
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -18,15 +18,15 @@
 from itertools import chain
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.doubling import double_parts, list_parts
+from samphirerill.fleet.doubling import assign_backups, list_rated_stages
 from samphirerill.fleet.model import MB, LayerRange, count_tokens
 from samphirerill.fleet.rates import (
-    WANTED_REQUESTS,
+    TARGET_REQUESTS,
     Pipeline,
-    get_kind,
+    get_accelerator,
     predict_total_rate,
 )
-from samphirerill.fleet.worth import predict_worth
+from samphirerill.fleet.worth import predict_goodput
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -35,14 +35,14 @@
     from samphirerill.fleet.worth import Aims
 
 # Fewer tokens than this many usual requests a pipeline is not worth building.
-_LEAST_REQUESTS = 8
-_MOST_REQUESTS = 160
-_LADDER = 1.15
-Plan = dict[str, LayerRange]
+_MIN_REQUESTS = 8
+_MAX_REQUESTS = 160
+_REQUESTS_STEP_FACTOR = 1.15
+LayerAssignments = dict[str, LayerRange]
 
 
 @dataclass(slots=True)
-class Planned:
+class PlacementPlan:
     """Pipelines, what is left over, and doubles that the latter may hold.
 
     `worth` is the predicted answers a second, less what losses will cost.
@@ -50,17 +50,17 @@
 
     pipelines: list[Pipeline]
     spares: list[Replica]
-    doubles: Plan
-    worth: float
+    backups: LayerAssignments
+    goodput: float
 
-    def list_ranges(self) -> Plan:
+    def list_ranges(self) -> LayerAssignments:
         """Return the layers of each replica that should hold any."""
         ranges = {
             stage.replica.replica_id: stage.layers
             for pipeline in self.pipelines
             for stage in pipeline.list_stages()
         }
-        ranges.update(self.doubles)
+        ranges.update(self.backups)
         return ranges
 
 
@@ -68,7 +68,7 @@
     engine: EngineSpec,
     replicas: Sequence[Replica],
     aims: Aims,
-) -> Planned | None:
+) -> PlacementPlan | None:
     """Return the best plan found, or none if no pipeline can be built.
 
     Parameters
@@ -81,37 +81,35 @@
         What is asked for.
     """
     plans = []
-    homeless: list[Replica] = []
-    for cards in group_by_zone(replicas).values():
-        planned = plan_zone(engine, cards, aims)
-        if planned is None:
-            homeless.extend(cards)
+    unplaced: list[Replica] = []
+    for zone_replicas in group_by_zone(replicas).values():
+        plan = plan_zone(engine, zone_replicas, aims)
+        if plan is None:
+            unplaced.extend(zone_replicas)
         else:
-            plans.append(planned)
-    joined = _plan_across(engine, homeless, aims)
-    if joined is not None:
-        plans.append(joined)
+            plans.append(plan)
+    cross_zone = _plan_across_zones(engine, unplaced, aims)
+    if cross_zone is not None:
+        plans.append(cross_zone)
     if not plans:
         return None
-    return Planned(
-        [pipeline for planned in plans for pipeline in planned.pipelines],
-        [spare for planned in plans for spare in planned.spares],
-        {
-            key: held
-            for planned in plans
-            for key, held in planned.doubles.items()
-        },
-        sum(planned.worth for planned in plans),
+    return PlacementPlan(
+        [pipeline for plan in plans for pipeline in plan.pipelines],
+        [spare for plan in plans for spare in plan.spares],
+        {key: held for plan in plans for key, held in plan.backups.items()},
+        sum(plan.goodput for plan in plans),
     )
 
 
 def plan_zone(
-    engine: EngineSpec, cards: Sequence[Replica], aims: Aims
-) -> Planned | None:
+    engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
+) -> PlacementPlan | None:
     """Return the best plan of one data centre, if it can have any."""
-    for goals in _list_token_goals(engine):
-        plans = [_plan_local(engine, cards, tokens, aims) for tokens in goals]
-        best = _choose(plans)
+    for targets in _list_token_targets(engine):
+        plans = [
+            _plan_local(engine, replicas, tokens, aims) for tokens in targets
+        ]
+        best = _choose_best(plans)
         if best is not None:
             return best
     return None
@@ -125,129 +123,143 @@
     return dict(sorted(zones.items()))
 
 
-def _choose(plans: list[Planned]) -> Planned | None:
-    best = max(plans, key=lambda planned: planned.worth, default=None)
+def _choose_best(plans: list[PlacementPlan]) -> PlacementPlan | None:
+    best = max(plans, key=lambda plan: plan.goodput, default=None)
     return best if best is not None and best.pipelines else None
 
 
 def _plan_local(
     engine: EngineSpec,
-    cards: Sequence[Replica],
+    replicas: Sequence[Replica],
     tokens: float,
     aims: Aims,
-) -> Planned:
+) -> PlacementPlan:
     """Build pipelines whose parts all have room for so many tokens."""
-    most, free = _list_free(engine, cards, tokens)
+    max_layers, free = _list_candidates(engine, replicas, tokens)
     pipelines = []
-    while taken := _take(engine, free, free, most):
-        pipelines.append(taken)
-    spares = _list_rest(cards, pipelines)
-    parts = list_parts(engine, pipelines, aims.pause_ms)
-    doubles = double_parts(engine, parts, [_empty(item) for item in spares])
-    worth = predict_worth(engine, pipelines, list(doubles.values()), aims)
-    return Planned(pipelines, spares, doubles, worth)
-
-
-def _plan_across(
-    engine: EngineSpec, cards: Sequence[Replica], aims: Aims
-) -> Planned | None:
+    while pipeline := _build_pipeline(engine, free, free, max_layers):
+        pipelines.append(pipeline)
+    spares = _list_unused(replicas, pipelines)
+    stages = list_rated_stages(engine, pipelines, aims.pause_ms)
+    backups = assign_backups(
+        engine, stages, [_without_layers(item) for item in spares]
+    )
+    goodput = predict_goodput(engine, pipelines, list(backups.values()), aims)
+    return PlacementPlan(pipelines, spares, backups, goodput)
+
+
+def _plan_across_zones(
+    engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
+) -> PlacementPlan | None:
     """Join data centres that can't build a pipeline of their own."""
     plans = []
-    for tokens in chain.from_iterable(_list_token_goals(engine)):
-        most, free = _list_free(engine, cards, tokens)
+    for tokens in chain.from_iterable(_list_token_targets(engine)):
+        max_layers, free = _list_candidates(engine, replicas, tokens)
         pipelines = []
-        while taken := _take(engine, free, _order_zones(free, most), most):
-            pipelines.append(taken)
+        while pipeline := _build_pipeline(
+            engine, free, _order_by_zone(free, max_layers), max_layers
+        ):
+            pipelines.append(pipeline)
         rate = predict_total_rate(engine, pipelines, aims.pause_ms)
-        plans.append(Planned(pipelines, _list_rest(cards, pipelines), {}, rate))
-    return _choose(plans)
+        plans.append(
+            PlacementPlan(
+                pipelines, _list_unused(replicas, pipelines), {}, rate
+            )
+        )
+    return _choose_best(plans)
 
 
-def _list_free(
-    engine: EngineSpec, cards: Sequence[Replica], tokens: float
+def _list_candidates(
+    engine: EngineSpec, replicas: Sequence[Replica], tokens: float
 ) -> tuple[dict[str, int], list[Replica]]:
     """Return the layers each kind may hold, and the cards, fast ones first."""
-    most = {
-        name: _most_layers(engine, accelerator, tokens)
+    max_layers = {
+        name: _find_max_layers(engine, accelerator, tokens)
         for name, accelerator in engine.accelerators.items()
     }
-    free = [item for item in cards if most.get(item.accelerator)]
-    free.sort(key=partial(_rank, engine, most))
-    return most, free
+    free = [item for item in replicas if max_layers.get(item.accelerator)]
+    free.sort(key=partial(_rank_by_speed, engine, max_layers))
+    return max_layers, free
 
 
-def _order_zones(free: list[Replica], most: dict[str, int]) -> list[Replica]:
+def _order_by_zone(
+    free: list[Replica], max_layers: dict[str, int]
+) -> list[Replica]:
     """Return cards of the data centre with the most layers first."""
     layers: dict[str, int] = {}
     for replica in free:
         held = layers.get(replica.data_centre, 0)
-        layers[replica.data_centre] = held + most[replica.accelerator]
+        layers[replica.data_centre] = held + max_layers[replica.accelerator]
     order = sorted(layers, key=layers.__getitem__, reverse=True)
     return sorted(free, key=lambda item: order.index(item.data_centre))
 
 
-def _list_rest(
-    cards: Sequence[Replica], pipelines: list[Pipeline]
+def _list_unused(
+    replicas: Sequence[Replica], pipelines: list[Pipeline]
 ) -> list[Replica]:
     used = {
         replica.replica_id
         for pipeline in pipelines
         for replica, _ in pipeline.parts
     }
-    return [item for item in cards if item.replica_id not in used]
+    return [item for item in replicas if item.replica_id not in used]
 
 
-def _take(
+def _build_pipeline(
     engine: EngineSpec,
     free: list[Replica],
     order: Sequence[Replica],
-    most: dict[str, int],
+    max_layers: dict[str, int],
 ) -> Pipeline | None:
     """Build a pipeline of the first cards that together hold all layers."""
-    needed = []
-    left = engine.layers
-    for card in order:
-        if left <= 0:
+    members = []
+    missing = engine.layers
+    for replica in order:
+        if missing <= 0:
             break
-        needed.append(card)
-        left -= most[card.accelerator]
-    if left > 0:
+        members.append(replica)
+        missing -= max_layers[replica.accelerator]
+    if missing > 0:
         return None
-    return _close_pipeline(engine, free, needed, most)
+    return _partition_layers(engine, free, members, max_layers)
 
 
-def _close_pipeline(
+def _partition_layers(
     engine: EngineSpec,
     free: list[Replica],
-    needed: list[Replica],
-    most: dict[str, int],
+    members: list[Replica],
+    max_layers: dict[str, int],
 ) -> Pipeline:
     """Take cards out of the free ones and cut the layers among them.
 
     What they could hold beyond all layers is taken off those whose last layer
     leaves them the least memory.
     """
-    for replica in needed:
+    for replica in members:
         free.remove(replica)
-    counts = [most[card.accelerator] for card in needed]
+    counts = [max_layers[member.accelerator] for member in members]
     while sum(counts) > engine.layers:
         ranks = [
-            _rank_room(engine, card, count)
-            for card, count in zip(needed, counts, strict=True)
+            _rank_memory_pressure(engine, member, count)
+            for member, count in zip(members, counts, strict=True)
         ]
         counts[ranks.index(max(ranks))] -= 1
-    parts = list(zip(needed, counts, strict=True))
-    return Pipeline([part for part in parts if part[1] > 0])
+    stages = list(zip(members, counts, strict=True))
+    return Pipeline([part for part in stages if part[1] > 0])
 
 
-def _rank_room(engine: EngineSpec, card: Replica, count: int) -> float:
+def _rank_memory_pressure(
+    engine: EngineSpec, replica: Replica, count: int
+) -> float:
     """Rank a card by how little room for tokens its layers leave it."""
     if count <= 1:
         return -1
-    return 1 / (1 + count_tokens(engine, get_kind(engine, card), count))
+    return 1 / (
+        1 + count_tokens(engine, get_accelerator(engine, replica), count)
+    )
 
 
-def _list_token_goals(
+def _list_token_targets(
     engine: EngineSpec,
 ) -> tuple[list[float], list[float]]:
     """Return the steps of the ladder: those to try first, and the others.
@@ -256,17 +268,17 @@
     hold up its pipeline; it is better than none.
     """
     usual = engine.usual_prompt + engine.usual_answer / 2
-    roomy: list[float] = []
-    narrow: list[float] = []
-    requests = float(_LEAST_REQUESTS)
-    while requests < _MOST_REQUESTS:
-        goals = narrow if requests < WANTED_REQUESTS else roomy
-        goals.append(requests * usual)
-        requests *= _LADDER
-    return roomy, narrow
+    preferred: list[float] = []
+    fallback: list[float] = []
+    requests = float(_MIN_REQUESTS)
+    while requests < _MAX_REQUESTS:
+        targets = fallback if requests < TARGET_REQUESTS else preferred
+        targets.append(requests * usual)
+        requests *= _REQUESTS_STEP_FACTOR
+    return preferred, fallback
 
 
-def _most_layers(
+def _find_max_layers(
     engine: EngineSpec, accelerator: Accelerator, tokens: float
 ) -> int:
     per_layer = engine.layer_mb
@@ -274,13 +286,15 @@
     return min(engine.layers, int(accelerator.size_mb / per_layer))
 
 
-def _rank(
-    engine: EngineSpec, most: dict[str, int], replica: Replica
+def _rank_by_speed(
+    engine: EngineSpec, max_layers: dict[str, int], replica: Replica
 ) -> tuple[float, str]:
-    kind = get_kind(engine, replica)
-    return kind.pace / most[replica.accelerator], replica.replica_id
+    accelerator = get_accelerator(engine, replica)
+    return accelerator.pace / max_layers[
+        replica.accelerator
+    ], replica.replica_id
 
 
-def _empty(replica: Replica) -> Replica:
+def _without_layers(replica: Replica) -> Replica:
     """Return a replica as if it held nothing."""
     return replace(replica, layers=None)
--- a/samphirerill/fleet/prediction.py
+++ b/samphirerill/fleet/prediction.py
@@ -15,22 +15,22 @@
 
 # An event meets a pass under way at a random moment: half of it is left on
 # average, beside the event's own pass.
-_PASSES_PER_VISIT = 1.5
+_MEAN_PASSES_PER_STAGE = 1.5
 # A hop costs its delay and one more chance that a stage is lost.
-STAGE_COST_MS = 0.5
-_PER_K = 1000
+STAGE_OVERHEAD_MS = 0.5
+_TOKENS_PER_K = 1000
 _BITS = 8
 _MBIT = 1_000_000
 
 
 def predict_step_ms(engine: EngineSpec, running: float) -> float:
     """Return the time of one step for all layers at nominal pace."""
-    context_k = (engine.usual_prompt + engine.usual_answer / 2) / _PER_K
+    context_k = (engine.usual_prompt + engine.usual_answer / 2) / _TOKENS_PER_K
     per_stream = engine.per_seq_ms + engine.context_per_k_ms * context_k
     return engine.step_ms + running * per_stream
 
 
-def predict_visit_ms(
+def predict_stage_ms(
     engine: EngineSpec,
     accelerator: Accelerator,
     layers: int,
@@ -40,16 +40,16 @@
     """Return what one stage adds to the time between two events."""
     share = layers / max(1, engine.layers)
     step_ms = predict_step_ms(engine, running) * accelerator.pace * slowness
-    return _PASSES_PER_VISIT * engine.stride * step_ms * share
+    return _MEAN_PASSES_PER_STAGE * engine.stride * step_ms * share
 
 
-def predict_reading_ms(
+def predict_prefill_ms(
     engine: EngineSpec, accelerator: Accelerator, layers: int, tokens: float
 ) -> float:
     """Return how long one stage reads a prompt of so many tokens."""
     share = layers / max(1, engine.layers)
-    whole_ms = tokens / engine.read_per_s * MS_PER_S
-    return whole_ms * accelerator.read_factor * share
+    total_ms = tokens / engine.read_per_s * MS_PER_S
+    return total_ms * accelerator.read_factor * share
 
 
 def predict_transfer_ms(engine: EngineSpec, tokens: float) -> float:
--- a/samphirerill/fleet/rates.py
+++ b/samphirerill/fleet/rates.py
@@ -18,11 +18,11 @@
     count_tokens,
 )
 from samphirerill.fleet.prediction import (
-    STAGE_COST_MS,
+    STAGE_OVERHEAD_MS,
     count_events,
-    predict_reading_ms,
+    predict_prefill_ms,
     predict_transfer_ms,
-    predict_visit_ms,
+    predict_stage_ms,
 )
 
 if TYPE_CHECKING:
@@ -31,21 +31,21 @@
     from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
 
 # Above this use of a pipe, prompts wait for prompts and pauses triple.
-_PIPE_USE = 0.2
+_MAX_LINK_USE = 0.2
 # Memory is never filled to the last token: answers differ in length.
-_MEMORY_USE = 0.85
+_MAX_MEMORY_USE = 0.85
 # The share of the wanted pause that the predicted mean may take; pauses at
 # one in a hundred are some three times the mean.
-_PAUSE_USE = 0.45
+_MEAN_INTERVAL_SHARE = 0.45
 DEFAULT_PAUSE_MS = 200.0
 # A part must leave room for this many usual requests, or it would throttle
 # the pipeline it completes.
-LEAST_REQUESTS = 15
+MIN_REQUESTS = 15
 # Parts are given room for this many where that is possible: with less, a part
 # holds up a pipeline whose other parts hold more.
-WANTED_REQUESTS = 40
-_FEWER = 0.8
-_LEAST_MS = 0.001
+TARGET_REQUESTS = 40
+_REDUCTION_FACTOR = 0.8
+_MIN_PREFILL_MS = 0.001
 
 
 @dataclass(slots=True)
@@ -79,20 +79,20 @@
     engine: EngineSpec, pipeline: Pipeline, pause_ms: float
 ) -> float:
     """Return the answers a second that a pipeline gives in good time."""
-    usual = engine.usual_prompt + engine.usual_answer / 2
+    mean_tokens = engine.usual_prompt + engine.usual_answer / 2
     tokens = min(
-        count_tokens(engine, get_kind(engine, replica), layers)
+        count_tokens(engine, get_accelerator(engine, replica), layers)
         for replica, layers in pipeline.parts
     )
-    running = min(engine.slots, tokens * _MEMORY_USE / usual)
+    running = min(engine.slots, tokens * _MAX_MEMORY_USE / mean_tokens)
     if running < 1:
         return 0.0
     event_ms = predict_event_ms(engine, pipeline, running)
-    while event_ms > pause_ms * _PAUSE_USE and running > 1:
-        running *= _FEWER
+    while event_ms > pause_ms * _MEAN_INTERVAL_SHARE and running > 1:
+        running *= _REDUCTION_FACTOR
         event_ms = predict_event_ms(engine, pipeline, running)
     rate = running / (count_events(engine) * event_ms / MS_PER_S)
-    return min(rate, *_list_reading_rates(engine, pipeline))
+    return min(rate, *_list_prefill_rates(engine, pipeline))
 
 
 def predict_total_rate(
@@ -104,16 +104,16 @@
     path, as often as it crosses there.
     """
     transfer_s = predict_transfer_ms(engine, engine.usual_prompt) / MS_PER_S
-    most = _PIPE_USE / transfer_s if transfer_s > 0 else float('inf')
-    left: dict[frozenset[str], float] = {}
+    max_rate = _MAX_LINK_USE / transfer_s if transfer_s > 0 else float('inf')
+    remaining: dict[frozenset[str], float] = {}
     total = 0.0
     for pipeline in sorted(pipelines, key=Pipeline.count_crossings):
         rate = predict_rate(engine, pipeline, pause_ms)
         crossings = pipeline.list_crossings()
         for pair, times in crossings.items():
-            rate = min(rate, left.get(pair, most) / times)
+            rate = min(rate, remaining.get(pair, max_rate) / times)
         for pair, times in crossings.items():
-            left[pair] = left.get(pair, most) - rate * times
+            remaining[pair] = remaining.get(pair, max_rate) - rate * times
         total += rate
     return total
 
@@ -123,37 +123,42 @@
 ) -> float:
     """Return the predicted time between two events of a stream."""
     return sum(
-        predict_visit_ms(engine, get_kind(engine, replica), layers, running)
-        + STAGE_COST_MS
+        predict_stage_ms(
+            engine, get_accelerator(engine, replica), layers, running
+        )
+        + STAGE_OVERHEAD_MS
         for replica, layers in pipeline.parts
     )
 
 
-def count_most_layers(
-    engine: EngineSpec, replica: Replica, requests: float = LEAST_REQUESTS
+def count_max_layers(
+    engine: EngineSpec, replica: Replica, requests: float = MIN_REQUESTS
 ) -> int:
     """Return how many layers leave room for so many usual requests."""
-    kind = engine.accelerators.get(replica.accelerator)
-    if kind is None:
+    accelerator = engine.accelerators.get(replica.accelerator)
+    if accelerator is None:
         return 0
     tokens = requests * (engine.usual_prompt + engine.usual_answer / 2)
-    count = min(engine.layers, int(kind.size_mb / engine.layer_mb))
-    while count > 0 and count_tokens(engine, kind, count) < tokens:
+    count = min(engine.layers, int(accelerator.size_mb / engine.layer_mb))
+    while count > 0 and count_tokens(engine, accelerator, count) < tokens:
         count -= 1
     return count
 
 
-def get_kind(engine: EngineSpec, replica: Replica) -> Accelerator:
+def get_accelerator(engine: EngineSpec, replica: Replica) -> Accelerator:
     """Return the figures of a replica's accelerator."""
     return engine.accelerators[replica.accelerator]
 
 
-def _list_reading_rates(
+def _list_prefill_rates(
     engine: EngineSpec, pipeline: Pipeline
 ) -> Iterable[float]:
     """Yield, for each stage, the prompts it can read with half its time."""
     for replica, layers in pipeline.parts:
-        reading_ms = predict_reading_ms(
-            engine, get_kind(engine, replica), layers, engine.usual_prompt
+        prefill_ms = predict_prefill_ms(
+            engine,
+            get_accelerator(engine, replica),
+            layers,
+            engine.usual_prompt,
         )
-        yield MS_PER_S / 2 / max(reading_ms, _LEAST_MS)
+        yield MS_PER_S / 2 / max(prefill_ms, _MIN_PREFILL_MS)
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -14,24 +14,28 @@
 
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.doubling import (
-    double_parts,
-    list_parts,
-    predict_outage,
+    assign_backups,
+    list_rated_stages,
+    predict_repair_loss,
 )
-from samphirerill.fleet.mending import close_gaps, complete, cut_anew
-from samphirerill.fleet.migration import plan_migration
+from samphirerill.fleet.gap_filling import (
+    fill_gaps,
+    build_repaired_pipeline,
+    repartition,
+)
+from samphirerill.fleet.migration import plan_rebalance
 from samphirerill.fleet.model import NO_LAYERS, LayerRange
 from samphirerill.fleet.planner import group_by_zone, plan_layers
 from samphirerill.fleet.rates import (
-    count_most_layers,
+    count_max_layers,
     predict_rate,
 )
-from samphirerill.fleet.stranded import build_anew, mend_across
+from samphirerill.fleet.zone_rebuild import rebuild_zone, repair_across_zones
 from samphirerill.fleet.zone_state import (
-    by_id,
-    list_held,
-    list_used,
-    read_zone,
+    index_replicas,
+    list_held_ranges,
+    list_used_ids,
+    analyze_zone,
 )
 
 if TYPE_CHECKING:
@@ -43,9 +47,9 @@
     from samphirerill.fleet.zone_state import Zone
 
 # A slower pipeline is given up for a faster one only for this much more.
-_GAIN = 1.3
+_MIN_GAIN = 1.3
 # A newcomer of a kind that so few others have will take over from one of them.
-_FEW_HOLDERS = 2
+_MAX_HOLDERS_TO_PRELOAD = 2
 Moves = dict[str, LayerRange]
 
 
@@ -80,25 +84,27 @@
         item for item in present if item.accelerator in engine.accelerators
     ]
     if all(replica.layers is None for replica in known):
-        planned = plan_layers(engine, known, aims)
-        return {} if planned is None else planned.list_ranges()
+        plan = plan_layers(engine, known, aims)
+        return {} if plan is None else plan.list_ranges()
     zones = [
-        read_zone(engine, cards, aims, settled, (had or {}).get(name, 0))
-        for name, cards in group_by_zone(known).items()
+        analyze_zone(engine, replicas, aims, settled, (had or {}).get(name, 0))
+        for name, replicas in group_by_zone(known).items()
     ]
     for zone in zones:
-        _mend_zone(engine, zone, aims)
-        if not zone.whole:
-            build_anew(engine, zone, aims)
-    mend_across(engine, zones)
-    moves = _drop_done(_join_moves(item.moves for item in zones), known)
+        _repair_zone(engine, zone, aims)
+        if not zone.complete:
+            rebuild_zone(engine, zone, aims)
+    repair_across_zones(engine, zones)
+    moves = _drop_unchanged(_merge_moves(item.moves for item in zones), known)
     if moves:
         return moves
-    doubles = [_double(engine, item, aims, settled) for item in zones]
-    moves = _drop_done(_join_moves(doubles), known)
+    backups = [
+        _assign_zone_backups(engine, item, aims, settled) for item in zones
+    ]
+    moves = _drop_unchanged(_merge_moves(backups), known)
     if moves or not is_calm:
         return moves
-    return _migrate(engine, zones, aims)
+    return _rebalance(engine, zones, aims)
 
 
 def count_whole(
@@ -106,20 +112,20 @@
 ) -> dict[str, int]:
     """Return how many whole pipelines each data centre has."""
     return {
-        name: sum(not chain.gaps for chain in extract_chains(engine, cards))
-        for name, cards in group_by_zone(present).items()
+        name: sum(not chain.gaps for chain in extract_chains(engine, replicas))
+        for name, replicas in group_by_zone(present).items()
     }
 
 
-def _mend_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
+def _repair_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
     """Make broken pipelines whole, the fastest first."""
-    for chain in tuple(zone.broken):
-        if chain not in zone.broken:
+    for chain in tuple(zone.incomplete):
+        if chain not in zone.incomplete:
             # A faster one has taken its parts.
             continue
         moves = _find_moves(engine, zone, chain, aims)
-        if moves and _is_worth_it(engine, zone, chain, moves, aims):
-            _accept(zone, chain, moves)
+        if moves and _is_net_gain(engine, zone, chain, moves, aims):
+            _apply_moves(zone, chain, moves)
 
 
 def _find_moves(
@@ -127,51 +133,55 @@
 ) -> Moves | None:
     """Return the moves that make a pipeline whole, the gentlest that do."""
     return (
-        close_gaps(engine, chain, zone.spares)
-        or _use_slower(engine, zone, chain)
-        or cut_anew(engine, chain, zone.spares, aims.pause_ms)
-        or _sacrifice(engine, zone, chain, aims)
+        fill_gaps(engine, chain, zone.spares)
+        or _fill_from_slower(engine, zone, chain)
+        or repartition(engine, chain, zone.spares, aims.pause_ms)
+        or _dismantle_slowest(engine, zone, chain, aims)
     )
 
 
-def _use_slower(engine: EngineSpec, zone: Zone, chain: Chain) -> Moves | None:
+def _fill_from_slower(
+    engine: EngineSpec, zone: Zone, chain: Chain
+) -> Moves | None:
     """Close gaps with the parts of broken pipelines that are slower."""
-    at = zone.broken.index(chain)
+    at = zone.incomplete.index(chain)
     slower = [
         stage.replica
-        for other in zone.broken[at + 1 :]
+        for other in zone.incomplete[at + 1 :]
         for stage in other.stages
     ]
     if not slower:
         return None
-    return close_gaps(engine, chain, [*zone.spares, *slower])
+    return fill_gaps(engine, chain, [*zone.spares, *slower])
 
 
-def _sacrifice(
+def _dismantle_slowest(
     engine: EngineSpec, zone: Zone, chain: Chain, aims: Aims
 ) -> Moves | None:
     """Close gaps with the parts of a whole pipeline that is worth less."""
-    slow = min(
-        zone.whole,
+    slowest = min(
+        zone.complete,
         key=lambda pipeline: predict_rate(engine, pipeline, aims.pause_ms),
         default=None,
     )
-    if slow is None:
+    if slowest is None:
         return None
-    parts = [replica for replica, _ in slow.parts]
-    moves = close_gaps(engine, chain, [*zone.spares, *parts])
+    stages = [replica for replica, _ in slowest.parts]
+    moves = fill_gaps(engine, chain, [*zone.spares, *stages])
     if moves is None:
         return None
-    gained = predict_rate(
-        engine, complete(chain, moves, by_id(zone)), aims.pause_ms
+    gained_rate = predict_rate(
+        engine,
+        build_repaired_pipeline(chain, moves, index_replicas(zone)),
+        aims.pause_ms,
     )
-    if gained < predict_rate(engine, slow, aims.pause_ms) * _GAIN:
+    if gained_rate < predict_rate(engine, slowest, aims.pause_ms) * _MIN_GAIN:
         return None
-    zone.whole.remove(slow)
+    zone.complete.remove(slowest)
     return moves
 
 
-def _is_worth_it(
+def _is_net_gain(
     engine: EngineSpec,
     zone: Zone,
     chain: Chain,
@@ -179,45 +189,54 @@
     aims: Aims,
 ) -> bool:
     """Return whether a pipeline is worth the doubles that it takes away."""
-    gained = predict_rate(
-        engine, complete(chain, moves, by_id(zone)), aims.pause_ms
+    gained_rate = predict_rate(
+        engine,
+        build_repaired_pipeline(chain, moves, index_replicas(zone)),
+        aims.pause_ms,
+    )
+    stages = list_rated_stages(engine, zone.complete, aims.pause_ms)
+    backups = list_held_ranges(zone.spares)
+    before = predict_repair_loss(stages, backups)
+    remaining = [item for item in zone.spares if item.replica_id not in moves]
+    return (
+        gained_rate
+        > predict_repair_loss(stages, list_held_ranges(remaining)) - before
     )
-    parts = list_parts(engine, zone.whole, aims.pause_ms)
-    doubles = list_held(zone.spares)
-    before = predict_outage(parts, doubles)
-    left = [item for item in zone.spares if item.replica_id not in moves]
-    return gained > predict_outage(parts, list_held(left)) - before
 
 
-def _accept(zone: Zone, chain: Chain, moves: Moves) -> None:
+def _apply_moves(zone: Zone, chain: Chain, moves: Moves) -> None:
     """Take moves as done."""
-    zone.whole.append(complete(chain, moves, by_id(zone)))
-    zone.broken.remove(chain)
-    zone.broken = [
+    zone.complete.append(
+        build_repaired_pipeline(chain, moves, index_replicas(zone))
+    )
+    zone.incomplete.remove(chain)
+    zone.incomplete = [
         other
-        for other in zone.broken
+        for other in zone.incomplete
         if not any(stage.replica.replica_id in moves for stage in other.stages)
     ]
     zone.moves.update(moves)
-    used = list_used(zone)
-    zone.spares = [item for item in zone.cards if item.replica_id not in used]
+    used = list_used_ids(zone)
+    zone.spares = [
+        item for item in zone.replicas if item.replica_id not in used
+    ]
 
 
-def _double(
+def _assign_zone_backups(
     engine: EngineSpec,
     zone: Zone,
     aims: Aims,
     settled: Collection[str],
 ) -> Moves:
     """Let spares double parts; newcomers only where that is no guess."""
-    moves = _expect_leavers(engine, zone, settled)
-    parts = list_parts(engine, zone.whole, aims.pause_ms)
+    moves = _preload_replacements(engine, zone, settled)
+    stages = list_rated_stages(engine, zone.complete, aims.pause_ms)
     spares = [item for item in zone.spares if item.replica_id in settled]
-    moves.update(double_parts(engine, parts, spares))
+    moves.update(assign_backups(engine, stages, spares))
     return moves
 
 
-def _expect_leavers(
+def _preload_replacements(
     engine: EngineSpec, zone: Zone, settled: Collection[str]
 ) -> Moves:
     """Load a newcomer with what the only other one of its kind holds.
@@ -227,46 +246,52 @@
     that their pipeline is out of work, which for the largest ones is five.
     """
     moves: Moves = {}
-    for card in zone.spares:
-        if card.replica_id in settled or card.layers is not None:
+    for replica in zone.spares:
+        if replica.replica_id in settled or replica.layers is not None:
             continue
-        held = _list_held_by(zone, card.accelerator)
-        left = [item for item in held if item not in moves.values()]
-        largest = max(left, key=_count, default=NO_LAYERS)
-        fits = 0 < largest.count <= count_most_layers(engine, card)
-        if fits and len(held) <= _FEW_HOLDERS:
-            moves[card.replica_id] = largest
+        held = _list_ranges_by_accelerator(zone, replica.accelerator)
+        remaining = [item for item in held if item not in moves.values()]
+        largest = max(remaining, key=_get_count, default=NO_LAYERS)
+        fits = 0 < largest.count <= count_max_layers(engine, replica)
+        if fits and len(held) <= _MAX_HOLDERS_TO_PRELOAD:
+            moves[replica.replica_id] = largest
     return moves
 
 
-def _list_held_by(zone: Zone, accelerator: str) -> list[LayerRange]:
+def _list_ranges_by_accelerator(
+    zone: Zone, accelerator: str
+) -> list[LayerRange]:
     """Return the parts of pipelines on accelerators of one kind."""
     return [
         stage.layers
-        for pipeline in zone.whole
+        for pipeline in zone.complete
         for stage in pipeline.list_stages()
         if stage.replica.accelerator == accelerator
     ]
 
 
-def _migrate(engine: EngineSpec, zones: list[Zone], aims: Aims) -> Moves:
+def _rebalance(engine: EngineSpec, zones: list[Zone], aims: Aims) -> Moves:
     """Return the moves of one data centre to a better plan."""
     for zone in zones:
-        if not zone.whole:
+        if not zone.complete:
             continue
-        moves = plan_migration(
-            engine, zone.cards, zone.whole, list_held(zone.spares), aims
+        moves = plan_rebalance(
+            engine,
+            zone.replicas,
+            zone.complete,
+            list_held_ranges(zone.spares),
+            aims,
         )
         if moves:
             return moves
     return {}
 
 
-def _join_moves(steps: Iterable[Moves]) -> Moves:
+def _merge_moves(steps: Iterable[Moves]) -> Moves:
     return {name: layers for step in steps for name, layers in step.items()}
 
 
-def _drop_done(moves: Moves, present: Sequence[Replica]) -> Moves:
+def _drop_unchanged(moves: Moves, present: Sequence[Replica]) -> Moves:
     """Leave out what replicas already hold."""
     held = {item.replica_id: item.layers for item in present}
     return {
@@ -274,5 +299,5 @@
     }
 
 
-def _count(layers: LayerRange) -> int:
+def _get_count(layers: LayerRange) -> int:
     return layers.count
--- a/samphirerill/fleet/smoothing.py
+++ b/samphirerill/fleet/smoothing.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-_MEAN_SHARE = 0.125
-_DEVIATION_SHARE = 0.25
+_MEAN_WEIGHT = 0.125
+_DEVIATION_WEIGHT = 0.25
 
 
 @dataclass(slots=True)
@@ -22,8 +22,10 @@
             self.deviation_s = took_s / 2
             return
         error_s = took_s - self.mean_s
-        self.mean_s += _MEAN_SHARE * error_s
-        self.deviation_s += _DEVIATION_SHARE * (abs(error_s) - self.deviation_s)
+        self.mean_s += _MEAN_WEIGHT * error_s
+        self.deviation_s += _DEVIATION_WEIGHT * (
+            abs(error_s) - self.deviation_s
+        )
 
     def find_longest(self, deviations: float) -> float:
         """Return what is hardly ever longer: so many deviations above."""
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -15,7 +15,7 @@
 # So many nodes, each with one vote, make it sure that a replica is dead.
 SURE_VOTES = 2
 # This node's own word.
-_OWN = ''
+_LOCAL_NODE = ''
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,13 +30,13 @@
     since: float
     until: float
     votes: int = 1
-    node: str = _OWN
+    node: str = _LOCAL_NODE
     data_centre: str = ''
 
     @property
     def is_own(self) -> bool:
         """Return whether this node has found it out itself."""
-        return self.node == _OWN
+        return self.node == _LOCAL_NODE
 
 
 @dataclass(slots=True)
@@ -106,17 +106,17 @@
         The nodes of another data centre speak for themselves at first, and
         together later; a node that is heard both ways has one vote.
         """
-        alone: Counter[str] = Counter()
-        together: Counter[str] = Counter()
+        individual: Counter[str] = Counter()
+        aggregated: Counter[str] = Counter()
         for word in self.words.values():
             if word.until <= now:
                 continue
             if word.node == name_sum(word.data_centre):
-                together[word.data_centre] = word.votes
+                aggregated[word.data_centre] = word.votes
             else:
-                alone[word.data_centre] += word.votes
-        return (alone | together).total()
+                individual[word.data_centre] += word.votes
+        return (individual | aggregated).total()
 
     def get_own(self) -> Word | None:
         """Return what this node says of it, if anything."""
-        return self.words.get(_OWN)
+        return self.words.get(_LOCAL_NODE)
--- a/samphirerill/fleet/timing.py
+++ b/samphirerill/fleet/timing.py
@@ -12,13 +12,13 @@
 
 # Replicas announce themselves one by one at the start; the first plan waits
 # until no new one has come for this long.
-_SETTLE_S = 0.6
+_INITIAL_SETTLE_S = 0.6
 # How long a replica is new; in a release the old one leaves within a second.
-_NEWCOMER_S = 2.5
+_NEWCOMER_PERIOD_S = 2.5
 # A release replaces a replica about once a second.
-_CALM_S = 1.2
+_STABLE_PERIOD_S = 1.2
 # A change to a better plan takes a step for each pipeline.
-_MOST_ROUNDS = 8
+_MAX_PLANS_PER_INPUT = 8
 
 
 @dataclass(slots=True)
@@ -28,9 +28,9 @@
     _ids: frozenset[str] = frozenset()
     _changed_at: float = 0.0
     _first_seen: dict[str, float] = field(default_factory=dict)
-    _fleet: object = None
+    _inputs: object = None
     _holdings: tuple[Replica, ...] = ()
-    _rounds: int = 0
+    _plan_count: int = 0
     # The most whole pipelines that each data centre has had.
     had: dict[str, int] = field(default_factory=dict)
 
@@ -47,20 +47,20 @@
             name: self._first_seen.get(name, since) for name in ids
         }
 
-    def note_whole(self, whole: dict[str, int]) -> None:
+    def note_whole(self, counts: dict[str, int]) -> None:
         """Take how many whole pipelines each data centre has."""
-        for zone, count in whole.items():
+        for zone, count in counts.items():
             self.had[zone] = max(count, self.had.get(zone, 0))
 
     def has_settled(self, present: Sequence[Replica], now: float) -> bool:
         """Return whether all replicas of a first plan have announced."""
         if any(replica.layers is not None for replica in present):
             return True
-        return now >= self._changed_at + _SETTLE_S
+        return now >= self._changed_at + _INITIAL_SETTLE_S
 
     def is_calm(self, now: float) -> bool:
         """Return whether nobody has come or gone for a while."""
-        return now >= self._changed_at + _CALM_S
+        return now >= self._changed_at + _STABLE_PERIOD_S
 
     def list_settled(self, now: float) -> frozenset[str]:
         """Return the replicas that have been there for a while.
@@ -71,10 +71,10 @@
         return frozenset(
             name
             for name, since in self._first_seen.items()
-            if since + _NEWCOMER_S <= now
+            if since + _NEWCOMER_PERIOD_S <= now
         )
 
-    def may_plan(self, fleet: object, present: Sequence[Replica]) -> bool:
+    def may_plan(self, inputs: object, present: Sequence[Replica]) -> bool:
         """Return whether something has changed that a plan should answer.
 
         Plans that answered to their own effects have moved the same layers to
@@ -88,11 +88,14 @@
             The replicas with what they hold.
         """
         holdings = tuple(present)
-        if self._fleet != fleet:
-            self._fleet = fleet
-            self._rounds = 0
-        elif self._holdings == holdings or self._rounds >= _MOST_ROUNDS:
+        if self._inputs != inputs:
+            self._inputs = inputs
+            self._plan_count = 0
+        elif (
+            self._holdings == holdings
+            or self._plan_count >= _MAX_PLANS_PER_INPUT
+        ):
             return False
         self._holdings = holdings
-        self._rounds += 1
+        self._plan_count += 1
         return True
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.endings import gives_up
+from samphirerill.fleet.endings import releases_layers
 from samphirerill.fleet.losses import LossRound
 from samphirerill.fleet.suspicion import SURE_VOTES, Suspicion, Word
 
@@ -24,16 +24,16 @@
 LAPSE_GRACE_S = 2.2
 # How long a replica that refused is not asked again, doubled each time, and
 # how long a refusal counts.
-_REST_S = 0.25
-_MOST_DOUBLINGS = 4
-_STREAK_S = 5.0
+_REFUSAL_BACKOFF_S = 0.25
+_MAX_DOUBLINGS = 4
+_REFUSAL_WINDOW_S = 5.0
 # How long a replica's own word on its pace counts.
-_PACE_S = 5.0
+_SLOWNESS_TTL_S = 5.0
 # Replicas that were withdrawn while they served are forgotten so much later
 # than they may have ended; some serve on for many seconds.
-_FORGET_LEAVING_S = 30.0
+_DRAINING_RETENTION_S = 30.0
 # The ids of replicas that were withdrawn, kept to refuse older news of them.
-_MOST_TOMBS = 4096
+_MAX_TOMBSTONES = 4096
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
     lapsed_until: float = 0.0
     slowness: float = 1.0
     slow_until: float = 0.0
-    gives_up_until: float = 0.0
+    release_until: float = 0.0
     suspicion: Suspicion = field(default_factory=Suspicion)
     failures: float = 0.0
     latency_s: float = 0.0
@@ -82,7 +82,7 @@
     # The services that operators know; an entry of any other is somebody
     # else's, and ends no replica at its address. Empty if not known yet.
     services: frozenset[str] = frozenset()
-    _tombs: dict[str, int] = field(default_factory=dict)
+    _tombstones: dict[str, int] = field(default_factory=dict)
 
     def announce(
         self, replica: Replica, revision: int, leaves_at: float = 0.0
@@ -100,7 +100,7 @@
             or gives up layers.
         """
         replica_id = replica.replica_id
-        if revision <= self._tombs.get(replica_id, -1):
+        if revision <= self._tombstones.get(replica_id, -1):
             return False
         found = self.known.get(replica_id)
         if found is not None and revision <= found.revision:
@@ -112,11 +112,11 @@
         if is_new and not replica.is_leaving:
             self.leaving.pop(replica_id, None)
         if found is None or is_new:
-            self._admit(replica, revision)
+            self._register(replica, revision)
         else:
-            if gives_up(found.replica.layers, replica.layers):
+            if releases_layers(found.replica.layers, replica.layers):
                 self.losses += 1
-                found.gives_up_until = leaves_at
+                found.release_until = leaves_at
             found.replica = replica
             found.revision = revision
             found.lapsed_until = 0.0
@@ -156,7 +156,7 @@
         may_serve = (
             replica_id not in self.leaving and not found.suspicion.dead_until
         )
-        self._bury(replica_id, revision)
+        self._remove(replica_id, revision)
         if may_serve and leaves_at:
             self.leaving[replica_id] = leaves_at
 
@@ -182,17 +182,17 @@
 
     def sweep(self, now: float) -> list[str]:
         """Drop replicas whose announcements did not come back in time."""
-        gone = [
+        removed = [
             replica_id
             for replica_id, found in self.known.items()
             if found.lapsed_until and found.lapsed_until < now
         ]
-        for replica_id in gone:
-            self._bury(replica_id, self.known[replica_id].revision)
+        for replica_id in removed:
+            self._remove(replica_id, self.known[replica_id].revision)
         for replica_id in set(self.leaving) - set(self.known):
-            if self.leaving[replica_id] + _FORGET_LEAVING_S < now:
+            if self.leaving[replica_id] + _DRAINING_RETENTION_S < now:
                 self.leaving.pop(replica_id)
-        return gone
+        return removed
 
     def suspect(
         self,
@@ -232,17 +232,17 @@
             return False
         found_at = now if since is None else since
         word = Word(found_at, until, votes, witness, data_centre)
-        before = found.suspicion.count_votes(now)
+        votes_before = found.suspicion.count_votes(now)
         is_news = found.suspicion.take(word, now)
         self.losses += is_news
-        after = found.suspicion.count_votes(now)
-        is_first = not before and after > 0
+        votes_after = found.suspicion.count_votes(now)
+        is_first = not votes_before and votes_after > 0
         # Paths don't miss one that leaves, nor one that holds no layers.
-        is_needed = (
+        is_serving = (
             found.replica.layers is not None and replica_id not in self.leaving
         )
-        if is_needed and (is_first or is_news):
-            is_sure = after >= SURE_VOTES
+        if is_serving and (is_first or is_news):
+            is_sure = votes_after >= SURE_VOTES
             self.loss_round.note_silence(replica_id, now, is_sure=is_sure)
         if word.is_own:
             self.own_version += is_news
@@ -265,11 +265,13 @@
         found = self.known.get(replica_id)
         if found is None:
             return
-        if now - found.refused_at > _STREAK_S:
+        if now - found.refused_at > _REFUSAL_WINDOW_S:
             found.refusals = 0
         found.refusals += 1
         found.refused_at = now
-        pause_s = _REST_S * 2 ** min(found.refusals - 1, _MOST_DOUBLINGS)
+        pause_s = _REFUSAL_BACKOFF_S * 2 ** min(
+            found.refusals - 1, _MAX_DOUBLINGS
+        )
         found.busy_until = max(found.busy_until, now + pause_s)
 
     def note_pace(self, replica_id: str, slowness: float, now: float) -> None:
@@ -277,7 +279,7 @@
         found = self.known.get(replica_id)
         if found is not None:
             found.slowness = max(1.0, slowness)
-            found.slow_until = now + _PACE_S
+            found.slow_until = now + _SLOWNESS_TTL_S
 
     def trust(self, replica_id: str, at: float | None = None) -> None:
         """A replica has worked: what was held against it is over.
@@ -347,7 +349,7 @@
                 best = found
         return best
 
-    def _admit(self, replica: Replica, revision: int) -> None:
+    def _register(self, replica: Replica, revision: int) -> None:
         """Take a replica that is new, or a new start of a known one.
 
         Nothing that was held against the start before, or for it, is true of
@@ -356,24 +358,24 @@
         refused by a replica that they don't name, again and again.
         """
         is_ours = replica.service in self.services or not self.services
-        gone = [
+        removed = [
             name
             for name, found in self.known.items()
             if found.replica.address == replica.address
             and found.revision < revision
             and is_ours
         ]
-        for name in gone:
-            self._bury(name, self.known[name].revision)
+        for name in removed:
+            self._remove(name, self.known[name].revision)
         self.losses += replica.replica_id in self.known
         self.known[replica.replica_id] = Known(replica, revision)
         self.ids_version += 1
 
-    def _bury(self, replica_id: str, revision: int) -> None:
+    def _remove(self, replica_id: str, revision: int) -> None:
         self.known.pop(replica_id, None)
         self.leaving.pop(replica_id, None)
-        self._tombs[replica_id] = revision
+        self._tombstones[replica_id] = revision
         self.ids_version += 1
         self.losses += 1
-        while len(self._tombs) > _MOST_TOMBS:
-            self._tombs.pop(next(iter(self._tombs)))
+        while len(self._tombstones) > _MAX_TOMBSTONES:
+            self._tombstones.pop(next(iter(self._tombstones)))
--- a/samphirerill/fleet/watchers.py
+++ b/samphirerill/fleet/watchers.py
@@ -14,9 +14,9 @@
     from collections.abc import Collection, Iterable
 
 # Any two of these may be gone, or deaf, and a third still brings the news.
-_LEAST_WATCHERS = 3
+_MIN_WATCHERS = 3
 # How many nodes wait at one watcher.
-_LISTENERS = 16
+_LISTENERS_PER_WATCHER = 16
 
 
 def list_watchers(names: Iterable[str]) -> list[str]:
@@ -26,7 +26,7 @@
     centre, which are named alike, are not all chosen.
     """
     ranked = sorted(names, key=_rank)
-    count = max(_LEAST_WATCHERS, len(ranked) // _LISTENERS)
+    count = max(_MIN_WATCHERS, len(ranked) // _LISTENERS_PER_WATCHER)
     return ranked[:count]
 
 
@@ -55,10 +55,12 @@
     Parameters are those of `choose_watcher`.
     """
     watchers = list_watchers({own, *names})
-    left = [name for name in watchers if name != own and name not in avoid]
-    if not left:
+    candidates = [
+        name for name in watchers if name != own and name not in avoid
+    ]
+    if not candidates:
         return ''
-    return left[zlib.crc32(own.encode()) % len(left)]
+    return candidates[zlib.crc32(own.encode()) % len(candidates)]
 
 
 def _rank(name: str) -> tuple[int, str]:
--- a/samphirerill/fleet/worth.py
+++ b/samphirerill/fleet/worth.py
@@ -12,16 +12,16 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.doubling import (
-    list_parts,
+    list_rated_stages,
     list_uncovered,
-    predict_outage,
+    predict_repair_loss,
 )
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.prediction import count_events
 from samphirerill.fleet.rates import (
     DEFAULT_PAUSE_MS,
-    WANTED_REQUESTS,
+    TARGET_REQUESTS,
     predict_event_ms,
     predict_total_rate,
 )
@@ -33,16 +33,16 @@
     from samphirerill.fleet.rates import Pipeline
 
 # On a bad day one replica in four is lost or replaced within half a minute.
-_LOSSES_PER_S = 0.0083
+_LOSS_RATE_PER_S = 0.0083
 # Of the streams on a part that is lost, this share is late if somebody near
 # holds its layers too, and all of them if nobody does.
-_LATE_IF_COVERED = 0.5
+_LATE_SHARE_IF_COVERED = 0.5
 # Streams that a part is planned to have when times are predicted.
-_USUAL_RUNNING = 20
+_ASSUMED_STREAMS = 20
 # Answers beyond what is asked for count so much, to tell plans apart that all
 # give enough.
-_SURPLUS_SHARE = 0.02
-_LEAST_RATE = 0.001
+_SURPLUS_WEIGHT = 0.02
+_MIN_RATE = 0.001
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,14 +54,14 @@
     """
 
     pause_ms: float = DEFAULT_PAUSE_MS
-    demand: float = WANTED_REQUESTS
+    demand: float = TARGET_REQUESTS
     policy: Policy = Policy()
 
 
-def predict_worth(
+def predict_goodput(
     engine: EngineSpec,
     pipelines: Sequence[Pipeline],
-    doubles: Sequence[LayerRange],
+    backups: Sequence[LayerRange],
     aims: Aims,
 ) -> float:
     """Return the answers a second that are of use and in time.
@@ -80,32 +80,32 @@
     if not pipelines:
         return 0.0
     rate = predict_total_rate(engine, pipelines, aims.pause_ms)
-    parts = list_parts(engine, pipelines, aims.pause_ms)
-    outage = predict_outage(parts, doubles)
+    stages = list_rated_stages(engine, pipelines, aims.pause_ms)
+    repair_loss = predict_repair_loss(stages, backups)
     if not aims.policy.lean_plans:
-        return rate - outage
-    spent_s = _predict_spent_s(engine, pipelines)
-    useful = min(rate, aims.demand / spent_s)
-    useful += _SURPLUS_SHARE * (rate - useful)
-    risk = _count_risk(pipelines, doubles) / len(pipelines)
-    timely = 1 - min(1.0, _LOSSES_PER_S * spent_s * risk)
-    return useful * (timely - outage / max(rate, _LEAST_RATE))
+        return rate - repair_loss
+    answer_s = _predict_answer_s(engine, pipelines)
+    useful = min(rate, aims.demand / answer_s)
+    useful += _SURPLUS_WEIGHT * (rate - useful)
+    exposed = _count_exposed_stages(pipelines, backups) / len(pipelines)
+    on_time_share = 1 - min(1.0, _LOSS_RATE_PER_S * answer_s * exposed)
+    return useful * (on_time_share - repair_loss / max(rate, _MIN_RATE))
 
 
-def _predict_spent_s(
+def _predict_answer_s(
     engine: EngineSpec, pipelines: Sequence[Pipeline]
 ) -> float:
     """Return how long a usual answer takes, on average over pipelines."""
     events_ms = [
-        predict_event_ms(engine, pipeline, _USUAL_RUNNING)
+        predict_event_ms(engine, pipeline, _ASSUMED_STREAMS)
         for pipeline in pipelines
     ]
     mean_ms = sum(events_ms) / len(events_ms)
     return count_events(engine) * mean_ms / MS_PER_S
 
 
-def _count_risk(
-    pipelines: Sequence[Pipeline], doubles: Sequence[LayerRange]
+def _count_exposed_stages(
+    pipelines: Sequence[Pipeline], backups: Sequence[LayerRange]
 ) -> float:
     """Return the parts whose loss makes streams late, over all pipelines.
 
@@ -115,12 +115,12 @@
         [stage.layers for stage in pipeline.list_stages()]
         for pipeline in pipelines
     ]
-    risk = 0.0
+    exposed = 0.0
     for at, own in enumerate(held):
-        others = list(doubles)
+        others = list(backups)
         for other in (*held[:at], *held[at + 1 :]):
             others.extend(other)
         for layers in own:
             is_covered = not list_uncovered(layers, others)
-            risk += _LATE_IF_COVERED if is_covered else 1.0
-    return risk
+            exposed += _LATE_SHARE_IF_COVERED if is_covered else 1.0
+    return exposed
--- a/samphirerill/fleet/stranded.py
+++ b/samphirerill/fleet/zone_rebuild.py
@@ -9,10 +9,10 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.chains import extract_chains
-from samphirerill.fleet.mending import close_gaps
-from samphirerill.fleet.migration import assign_parts
+from samphirerill.fleet.gap_filling import fill_gaps
+from samphirerill.fleet.migration import assign_stages
 from samphirerill.fleet.planner import plan_zone
-from samphirerill.fleet.zone_state import list_used
+from samphirerill.fleet.zone_state import list_used_ids
 
 if TYPE_CHECKING:
     from samphirerill.fleet.chains import Chain
@@ -21,7 +21,7 @@
     from samphirerill.fleet.zone_state import Zone
 
 
-def build_anew(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
+def rebuild_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
     """Plan a data centre from nothing in which no pipeline can be mended.
 
     Its replicas came back empty, or hold parts that don't fit together; what
@@ -29,41 +29,51 @@
     pipes bind. Left to be mended, a data centre whose replicas had all started
     anew never served again.
     """
-    planned = plan_zone(engine, zone.cards, aims)
-    if planned is None:
+    plan = plan_zone(engine, zone.replicas, aims)
+    if plan is None:
         return
-    zone.moves.update(assign_parts(planned.pipelines, zone.cards))
-    zone.whole.extend(planned.pipelines)
-    zone.broken.clear()
-    used = list_used(zone)
+    zone.moves.update(assign_stages(plan.pipelines, zone.replicas))
+    zone.complete.extend(plan.pipelines)
+    zone.incomplete.clear()
+    used = list_used_ids(zone)
     used.update(zone.moves)
-    zone.spares = [item for item in zone.cards if item.replica_id not in used]
+    zone.spares = [
+        item for item in zone.replicas if item.replica_id not in used
+    ]
 
 
-def mend_across(engine: EngineSpec, zones: list[Zone]) -> None:
+def repair_across_zones(engine: EngineSpec, zones: list[Zone]) -> None:
     """Let data centres without a pipeline use what others don't need."""
-    stranded = [zone for zone in zones if not zone.whole]
-    if not stranded:
+    unserved = [zone for zone in zones if not zone.complete]
+    if not unserved:
         return
-    names = {card.data_centre for zone in stranded for card in zone.cards}
-    cards = [card for zone in stranded for card in zone.cards]
-    cards.extend(card for zone in zones if zone.whole for card in zone.spares)
+    data_centres = {
+        replica.data_centre for zone in unserved for replica in zone.replicas
+    }
+    replicas = [replica for zone in unserved for replica in zone.replicas]
+    replicas.extend(
+        replica for zone in zones if zone.complete for replica in zone.spares
+    )
     chains = [
         chain
-        for chain in extract_chains(engine, cards)
-        if any(stage.replica.data_centre in names for stage in chain.stages)
+        for chain in extract_chains(engine, replicas)
+        if any(
+            stage.replica.data_centre in data_centres for stage in chain.stages
+        )
     ]
     if not chains:
         return
     if all(chain.gaps for chain in chains):
         best = chains[0]
         held = {stage.replica.replica_id for stage in best.stages}
-        free = [card for card in cards if card.replica_id not in held]
-        stranded[0].moves.update(close_gaps(engine, best, free) or {})
-    _reserve(zones, chains)
+        free = [
+            replica for replica in replicas if replica.replica_id not in held
+        ]
+        unserved[0].moves.update(fill_gaps(engine, best, free) or {})
+    _reserve_spares(zones, chains)
 
 
-def _reserve(zones: list[Zone], chains: list[Chain]) -> None:
+def _reserve_spares(zones: list[Zone], chains: list[Chain]) -> None:
     """Take away spares that a pipeline across data centres needs."""
     used = {
         stage.replica.replica_id
@@ -74,5 +84,5 @@
     used.update(name for zone in zones for name in zone.moves)
     for zone in zones:
         zone.spares = [
-            card for card in zone.spares if card.replica_id not in used
+            replica for replica in zone.spares if replica.replica_id not in used
         ]
--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -28,25 +28,25 @@
 # One end may be anybody's; with two, a request runs where it harms few others.
 SUSPECT_DEATHS = 2
 # The third end decides, if there was no other suspect.
-_ENOUGH_DEATHS = 3
+_MIN_CRASHES = 3
 # Nobody is aboard so often by chance, whoever else was.
-_BEYOND_DOUBT = 6
+_CERTAIN_CRASHES = 6
 # Ends of this long ago that a request did not see tell how many it may see by
 # chance: with more than a few, it must have been the only suspect more than once.
-_LATELY_S = 10.0
-_FEW_ELSEWHERE = 1
-_SOME_ELSEWHERE = 5
+_RECENT_S = 10.0
+_FEW_OTHER_ENDPOINTS = 1
+_SEVERAL_OTHER_ENDPOINTS = 5
 # Those that were broken off together are heard of within this time, from all nodes;
 # judged sooner, whoever is heard of first would seem to have been there alone.
 SETTLE_S = 0.1
 # How long a request is held back after its third end; doubled with each more. Then
 # one run decides: an engine may have been mended.
 _HOLD_S = 600.0
-_MOST_HOLD_S = 7200.0
+_MAX_HOLD_S = 7200.0
 # Evidence outlasts the hold, so that a request that goes on as before is known.
-_KEPT = 2.0
+_RETENTION_FACTOR = 2.0
 # At about 0.5 KB each.
-MOST_RECORDS = 1024
+MAX_RECORDS = 1024
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Verdict:
+class _Hold:
     """Until when a request is held back, and the ends that decided it."""
 
     until: float
@@ -75,14 +75,14 @@
         The oldest of the least evidence are forgotten beyond that.
     """
 
-    __slots__ = ('_held', '_heavy', '_most', '_records')
+    __slots__ = ('_held', '_candidates', '_max_records', '_records')
 
-    def __init__(self, most_records: int = MOST_RECORDS) -> None:
-        self._most = most_records
+    def __init__(self, max_records: int = MAX_RECORDS) -> None:
+        self._max_records = max_records
         self._records: dict[bytes, Record] = {}
         # Requests with enough ends, whoever else was there.
-        self._heavy: set[bytes] = set()
-        self._held: dict[bytes, _Verdict] = {}
+        self._candidates: set[bytes] = set()
+        self._held: dict[bytes, _Hold] = {}
 
     def __len__(self) -> int:
         """Return of how many requests something is known."""
@@ -100,17 +100,17 @@
         now : float
             On the loop's clock.
         """
-        if death.at + _KEPT * _MOST_HOLD_S < now:
+        if death.at + _RETENTION_FACTOR * _MAX_HOLD_S < now:
             return False
         record = self._records.get(request)
         if record is None:
-            self._make_room()
+            self._evict_record()
             record = Record()
             self._records[request] = record
         if not record.add(death):
             return False
-        if len(record.list_moments()) >= _ENOUGH_DEATHS:
-            self._heavy.add(request)
+        if len(record.list_distinct_crashes()) >= _MIN_CRASHES:
+            self._candidates.add(request)
         return True
 
     def note_survival(self, request: bytes, at: float) -> bool:
@@ -122,8 +122,8 @@
         record = self._records.get(request)
         if record is None or not record.note_survival(at):
             return False
-        if len(record.list_moments()) < _ENOUGH_DEATHS:
-            self._heavy.discard(request)
+        if len(record.list_distinct_crashes()) < _MIN_CRASHES:
+            self._candidates.discard(request)
         return True
 
     def judge(self, now: float) -> list[News]:
@@ -135,28 +135,28 @@
         before = self._held
         self._held = {}
         settled = now - SETTLE_S
-        for request in self._heavy:
-            moments = [
+        for request in self._candidates:
+            crashes = [
                 death
-                for death in self._records[request].list_moments()
+                for death in self._records[request].list_distinct_crashes()
                 if death.at <= settled
             ]
-            if self._is_guilty(request, moments):
-                until = moments[-1].at + _find_hold_s(len(moments))
-                self._held[request] = _Verdict(until, tuple(moments))
+            if self._is_culprit(request, crashes):
+                until = crashes[-1].at + _find_hold_s(len(crashes))
+                self._held[request] = _Hold(until, tuple(crashes))
         return list(self._list_changes(before))
 
     def find_held_until(self, request: bytes, now: float) -> float:
         """Return until when a request is held back; 0 if it may run."""
-        verdict = self._held.get(request)
-        if verdict is None or verdict.until <= now:
+        hold = self._held.get(request)
+        if hold is None or hold.until <= now:
             return 0.0
-        return verdict.until
+        return hold.until
 
     def count_deaths(self, request: bytes) -> int:
         """Return at how many moments a request saw an endpoint end."""
         record = self._records.get(request)
-        return 0 if record is None else len(record.list_moments())
+        return 0 if record is None else len(record.list_distinct_crashes())
 
     def list_records(self) -> Iterator[tuple[bytes, Record]]:
         """Yield what is known, requests that are held back first."""
@@ -172,26 +172,28 @@
 
     def forget(self, now: float) -> None:
         """Drop what is too old to matter."""
-        old = [
+        expired = [
             request
             for request, record in self._records.items()
-            if _find_kept_until(record) < now
+            if _find_expiry(record) < now
         ]
-        for request in old:
+        for request in expired:
             self._drop(request)
 
-    def _is_guilty(self, request: bytes, moments: list[Death]) -> bool:
-        if len(moments) < _ENOUGH_DEATHS:
+    def _is_culprit(self, request: bytes, crashes: list[Death]) -> bool:
+        if len(crashes) < _MIN_CRASHES:
             return False
-        if len(moments) >= _BEYOND_DOUBT:
+        if len(crashes) >= _CERTAIN_CRASHES:
             return True
-        alone = sum(
-            self._was_alone(request, death)
-            for death in moments[SUSPECT_DEATHS:]
+        sole_suspect_count = sum(
+            self._was_only_suspect(request, death)
+            for death in crashes[SUSPECT_DEATHS:]
+        )
+        return sole_suspect_count >= self._count_required(
+            request, crashes[-1].at
         )
-        return alone >= self._count_needed(request, moments[-1].at)
 
-    def _was_alone(self, request: bytes, death: Death) -> bool:
+    def _was_only_suspect(self, request: bytes, death: Death) -> bool:
         """Return whether no other suspect saw an end."""
         return not any(
             record.was_suspect(death, SUSPECT_DEATHS)
@@ -199,42 +201,46 @@
             if other != request
         )
 
-    def _count_needed(self, request: bytes, until: float) -> int:
+    def _count_required(self, request: bytes, until: float) -> int:
         """Return how often a request must have been the only suspect."""
         own = {death.endpoint for death in self._records[request].deaths}
         elsewhere = {
             death.endpoint
             for record in self._records.values()
             for death in record.deaths
-            if until - _LATELY_S <= death.at <= until
+            if until - _RECENT_S <= death.at <= until
         }
-        missed = len(elsewhere - own)
-        return 1 + (missed > _FEW_ELSEWHERE) + (missed > _SOME_ELSEWHERE)
+        unseen = len(elsewhere - own)
+        return (
+            1
+            + (unseen > _FEW_OTHER_ENDPOINTS)
+            + (unseen > _SEVERAL_OTHER_ENDPOINTS)
+        )
 
-    def _list_changes(self, before: dict[bytes, _Verdict]) -> Iterator[News]:
-        for request, verdict in self._held.items():
+    def _list_changes(self, before: dict[bytes, _Hold]) -> Iterator[News]:
+        for request, hold in self._held.items():
             known = before.get(request)
-            if known is None or known.until != verdict.until:
-                yield News(request, verdict.deaths, verdict.until)
+            if known is None or known.until != hold.until:
+                yield News(request, hold.deaths, hold.until)
         for request in before.keys() - self._held.keys():
             yield News(request, before[request].deaths, 0.0)
 
-    def _make_room(self) -> None:
+    def _evict_record(self) -> None:
         """Forget the oldest request of the least evidence, if need be.
 
         Whoever sends many bodies must not push out what is known of others:
         of a hundred that an endpoint's end breaks off, one is guilty.
         """
-        if len(self._records) < self._most:
+        if len(self._records) < self._max_records:
             return
-        for most_deaths in range(1, _BEYOND_DOUBT):
-            weak = (
+        for max_crashes in range(1, _CERTAIN_CRASHES):
+            evictable = (
                 request
                 for request, record in self._records.items()
-                if len(record.deaths) <= most_deaths
+                if len(record.deaths) <= max_crashes
                 and request not in self._held
             )
-            found = list(islice(weak, 1))
+            found = list(islice(evictable, 1))
             if found:
                 self._drop(found[0])
                 return
@@ -242,18 +248,18 @@
 
     def _drop(self, request: bytes) -> None:
         self._records.pop(request)
-        self._heavy.discard(request)
+        self._candidates.discard(request)
         self._held.pop(request, None)
 
 
 def _find_hold_s(deaths: int) -> float:
-    doubled = 2 ** (deaths - _ENOUGH_DEATHS)
-    return min(_MOST_HOLD_S, _HOLD_S * doubled)
+    factor = 2 ** (deaths - _MIN_CRASHES)
+    return min(_MAX_HOLD_S, _HOLD_S * factor)
 
 
-def _find_kept_until(record: Record) -> float:
+def _find_expiry(record: Record) -> float:
     """Return until when a record is kept."""
     if not record.deaths:
         return record.survived_at + _HOLD_S
-    hold_s = _find_hold_s(max(_ENOUGH_DEATHS, len(record.deaths)))
-    return record.deaths[-1].at + _KEPT * hold_s
+    hold_s = _find_hold_s(max(_MIN_CRASHES, len(record.deaths)))
+    return record.deaths[-1].at + _RETENTION_FACTOR * hold_s
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -11,7 +11,7 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from samphirerill.quarantine.identity import DIGEST_BYTES
-from samphirerill.quarantine.records import MOST_DEATHS, Death
+from samphirerill.quarantine.records import MAX_CRASHES, Death
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -20,15 +20,15 @@
     from samphirerill.quarantine.records import Record
 
 _MS_PER_S = 1000
-_MOST_NAME = 80
+_MAX_NAME_CHARS = 80
 # Names of endpoints and attempts are cut to this; they are shorter.
-_KEPT_NAME = 40
-_MOST_TOLD = 64
-_OLDEST_MS = 14_400_000
-_UNSAID = -1
+_SENT_NAME_CHARS = 40
+_MAX_RECORDS_PER_MESSAGE = 64
+_MAX_AGE_MS = 14_400_000
+_NEVER_SURVIVED = -1
 
 
-class ToldDeath(Struct, array_like=True):
+class CrashMessage(Struct, array_like=True):
     """One end, with how many milliseconds ago it was."""
 
     endpoint: str
@@ -40,8 +40,8 @@
     """One request; `survived_ms` is how long ago a run went on, -1 for never."""
 
     request: bytes
-    deaths: list[ToldDeath]
-    survived_ms: int = _UNSAID
+    deaths: list[CrashMessage]
+    survived_ms: int = _NEVER_SURVIVED
 
 
 class UnreadableEvidenceError(Exception):
@@ -50,13 +50,13 @@
 
 def build_told(request: bytes, record: Record, now: float) -> ToldRecord:
     """Return a record as other nodes are told of it."""
-    survived_ms = _UNSAID
+    survived_ms = _NEVER_SURVIVED
     if record.survived_at > 0:
         survived_ms = _to_ms(now - record.survived_at)
     deaths = [
-        ToldDeath(
-            death.endpoint[:_KEPT_NAME],
-            death.request_id[:_KEPT_NAME],
+        CrashMessage(
+            death.endpoint[:_SENT_NAME_CHARS],
+            death.request_id[:_SENT_NAME_CHARS],
             _to_ms(now - death.at),
         )
         for death in record.deaths
@@ -64,49 +64,51 @@
     return ToldRecord(request, deaths, survived_ms)
 
 
-def encode_told(told: list[ToldRecord]) -> bytes:
+def encode_told(messages: list[ToldRecord]) -> bytes:
     """Return records as bytes."""
-    return msgpack.encode(told)
+    return msgpack.encode(messages)
 
 
 def decode_told(text: bytes) -> list[ToldRecord]:
     """Return the records in a message; raise if it is not what it should be."""
     try:
-        told = msgpack.decode(text, type=list[ToldRecord])
+        messages = msgpack.decode(text, type=list[ToldRecord])
     except (DecodeError, ValidationError) as exc:
         raise UnreadableEvidenceError(str(exc)) from exc
-    check_told(told)
-    return told
+    check_told(messages)
+    return messages
 
 
-def check_told(told: list[ToldRecord]) -> None:
+def check_told(messages: list[ToldRecord]) -> None:
     """Raise ``UnreadableEvidenceError`` if records are not in bounds."""
-    if len(told) > _MOST_TOLD or not all(map(_is_sound, told)):
+    if len(messages) > _MAX_RECORDS_PER_MESSAGE or not all(
+        map(_is_valid_record, messages)
+    ):
         raise UnreadableEvidenceError(
-            f'got {len(told)} records, expected {_MOST_TOLD} at most, each in '
+            f'got {len(messages)} records, expected {_MAX_RECORDS_PER_MESSAGE} at most, each in '
             'bounds'
         )
 
 
-def move_back(told: ToldRecord, by_ms: int) -> ToldRecord:
+def move_back(messages: ToldRecord, by_ms: int) -> ToldRecord:
     """Return a record as it is so many milliseconds after it was written."""
     deaths = [
-        ToldDeath(death.endpoint, death.request_id, death.ago_ms + by_ms)
-        for death in told.deaths
+        CrashMessage(death.endpoint, death.request_id, death.ago_ms + by_ms)
+        for death in messages.deaths
     ]
-    survived_ms = told.survived_ms
-    if survived_ms != _UNSAID:
+    survived_ms = messages.survived_ms
+    if survived_ms != _NEVER_SURVIVED:
         survived_ms += by_ms
-    return ToldRecord(told.request, deaths, survived_ms)
+    return ToldRecord(messages.request, deaths, survived_ms)
 
 
 def take_told(
-    quarantine: Quarantine, told: Iterable[ToldRecord], now: float
+    quarantine: Quarantine, messages: Iterable[ToldRecord], now: float
 ) -> list[bytes]:
     """Let what another node told count; return the requests with news."""
-    fresh = []
-    for record in told:
-        news = [
+    changed = []
+    for record in messages:
+        changes = [
             quarantine.note_death(
                 record.request,
                 Death(
@@ -118,24 +120,31 @@
             )
             for death in record.deaths
         ]
-        if record.survived_ms != _UNSAID:
+        if record.survived_ms != _NEVER_SURVIVED:
             at = now - record.survived_ms / _MS_PER_S
-            news.append(quarantine.note_survival(record.request, at))
-        if any(news):
-            fresh.append(record.request)
-    return fresh
-
-
-def _is_sound(told: ToldRecord) -> bool:
-    has_size = len(told.request) == DIGEST_BYTES
-    is_short = len(told.deaths) <= MOST_DEATHS
-    in_time = _UNSAID <= told.survived_ms <= _OLDEST_MS
-    return has_size and is_short and in_time and all(map(_is_real, told.deaths))
-
-
-def _is_real(death: ToldDeath) -> bool:
-    names_fit = max(len(death.endpoint), len(death.request_id)) <= _MOST_NAME
-    return names_fit and 0 <= death.ago_ms <= _OLDEST_MS
+            changes.append(quarantine.note_survival(record.request, at))
+        if any(changes):
+            changed.append(record.request)
+    return changed
+
+
+def _is_valid_record(messages: ToldRecord) -> bool:
+    has_digest_size = len(messages.request) == DIGEST_BYTES
+    has_few_crashes = len(messages.deaths) <= MAX_CRASHES
+    is_recent = _NEVER_SURVIVED <= messages.survived_ms <= _MAX_AGE_MS
+    return (
+        has_digest_size
+        and has_few_crashes
+        and is_recent
+        and all(map(_is_valid_crash, messages.deaths))
+    )
+
+
+def _is_valid_crash(death: CrashMessage) -> bool:
+    names_fit = (
+        max(len(death.endpoint), len(death.request_id)) <= _MAX_NAME_CHARS
+    )
+    return names_fit and 0 <= death.ago_ms <= _MAX_AGE_MS
 
 
 def _to_ms(seconds: float) -> int:
--- a/samphirerill/quarantine/records.py
+++ b/samphirerill/quarantine/records.py
@@ -11,11 +11,11 @@
     from collections.abc import Iterable
 
 # Ends so close together have one cause, as when a rack loses power.
-_APART_S = 0.05
+_SAME_CAUSE_S = 0.05
 # Two nodes that saw the same endpoint end differ by less.
-_SAME_S = 1.0
+_SAME_CRASH_S = 1.0
 # More of them change nothing.
-MOST_DEATHS = 8
+MAX_CRASHES = 8
 _NEVER = float('-inf')
 _MS_PER_S = 1000
 
@@ -38,9 +38,9 @@
     request_id: str
     at: float
 
-    def is_same(self, other: Death) -> bool:
+    def is_same_crash(self, other: Death) -> bool:
         """Return whether both tell of one end of one endpoint."""
-        is_close = abs(self.at - other.at) < _SAME_S
+        is_close = abs(self.at - other.at) < _SAME_CRASH_S
         return self.endpoint == other.endpoint and is_close
 
 
@@ -57,9 +57,11 @@
 
     def add(self, death: Death) -> bool:
         """Take an end; return whether it counts and was not known."""
-        if death.at <= self.survived_at or any(map(death.is_same, self.deaths)):
+        if death.at <= self.survived_at or any(
+            map(death.is_same_crash, self.deaths)
+        ):
             return False
-        if len(self.deaths) == MOST_DEATHS:
+        if len(self.deaths) == MAX_CRASHES:
             self.deaths.pop(0)
         insort(self.deaths, death, key=attrgetter('at'))
         return True
@@ -67,27 +69,27 @@
     def note_survival(self, at: float) -> bool:
         """Forget the ends before a moment; return whether there were any."""
         self.survived_at = max(self.survived_at, at)
-        before = len(self.deaths)
+        latest = len(self.deaths)
         self.deaths = [death for death in self.deaths if death.at > at]
-        return len(self.deaths) < before
+        return len(self.deaths) < latest
 
-    def list_moments(self) -> list[Death]:
+    def list_distinct_crashes(self) -> list[Death]:
         """Return the ends, one of each moment."""
-        moments: list[Death] = []
+        distinct: list[Death] = []
         for death in self.deaths:
-            if not moments or death.at - moments[-1].at >= _APART_S:
-                moments.append(death)
-        return moments
+            if not distinct or death.at - distinct[-1].at >= _SAME_CAUSE_S:
+                distinct.append(death)
+        return distinct
 
-    def was_suspect(self, death: Death, enough: int) -> bool:
+    def was_suspect(self, death: Death, min_crashes: int) -> bool:
         """Return whether the request saw an end after enough others."""
-        if len(self.deaths) <= enough:
+        if len(self.deaths) <= min_crashes:
             return False
-        if not any(map(death.is_same, self.deaths)):
+        if not any(map(death.is_same_crash, self.deaths)):
             return False
-        before = death.at - _APART_S
-        earlier = [known.at < before for known in self.list_moments()]
-        return sum(earlier) >= enough
+        latest = death.at - _SAME_CAUSE_S
+        earlier = [known.at < latest for known in self.list_distinct_crashes()]
+        return sum(earlier) >= min_crashes
 
 
 def describe_record(record: Record, until: float, now: float) -> dict[str, Any]:
--- a/samphirerill/tests/fleets.py
+++ b/samphirerill/tests/fleets.py
@@ -41,7 +41,7 @@
     'b': {'middle': 1, 'small': 8, 'tiny': 3},
     'c': {'middle': 2, 'small': 4, 'tiny': 7},
 }
-NO_TIME = 0.0
+START_S = 0.0
 
 
 def build_fleet(zones: dict[str, dict[str, int]]) -> list[Replica]:
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -19,12 +19,12 @@
 # Many streams hardly slow down a pass.
 _ENGINE = replace(ENGINE, per_seq_ms=0.0028, context_per_k_ms=0.0037)
 _TOKENS = 500
-_STREAMS = 45
-_SAVED_MS = 20
-_NO_TIME = 0.0
+_STREAM_COUNT = 45
+_MIN_SAVED_MS = 20
+_START_S = 0.0
 
 
-def _build(zone: str) -> list[Replica]:
+def _build_pipeline(zone: str) -> list[Replica]:
     """Return a pipeline of small replicas."""
     return [
         build_replica(f'{zone}-{first}', zone, 'small', (first, end))
@@ -36,22 +36,30 @@
     """Three pipelines, one of them a little faster."""
 
     def setUp(self) -> None:
-        self.known = know([*_build('a'), *_build('b'), *_build('c')])
+        self.known = know(
+            [
+                *_build_pipeline('a'),
+                *_build_pipeline('b'),
+                *_build_pipeline('c'),
+            ]
+        )
         # Two parts of one pipeline are faster.
         for at, layers in ((-1, (70, 80)), (-2, (60, 70))):
             name = f'c-{layers[0]}'
             self.known[at].replica = build_replica(name, 'c', 'middle', layers)
 
-    def take(
-        self, policy: Policy, homes: str = ''
+    def place_streams(
+        self, policy: Policy, data_centres: str = ''
     ) -> tuple[LoadBook, Counter[str]]:
         """Let all streams choose; return the load and how many began where."""
         book = LoadBook()
         heads: Counter[str] = Counter()
-        for number in range(_STREAMS):
-            home = homes[number % len(homes)] if homes else ''
-            wanted = PathRequest(_TOKENS, home=home, policy=policy)
-            stages = choose_path(_ENGINE, self.known, book, wanted, _NO_TIME)
+        for number in range(_STREAM_COUNT):
+            home = (
+                data_centres[number % len(data_centres)] if data_centres else ''
+            )
+            request = PathRequest(_TOKENS, home=home, policy=policy)
+            stages = choose_path(_ENGINE, self.known, book, request, _START_S)
             book.take(list_ids(stages), _TOKENS)
             heads[stages[0].replica.data_centre] += 1
         return book, heads
@@ -63,18 +71,23 @@
         through it; its first replica crashes; they are read elsewhere one after
         another. Cause: what a loss costs the crowd was no part of the choice.
         """
-        together, _ = self.take(Policy(spread=False))
-        apart, _ = self.take(Policy())
-        self.assertGreater(self.find_most(together), _STREAMS * 2 / 3)
-        self.assertLess(self.find_most(apart), _STREAMS * 2 / 3 - 5)
+        concentrated, _ = self.place_streams(Policy(spread=False))
+        spread_out, _ = self.place_streams(Policy())
+        self.assertGreater(
+            self.find_max_streams(concentrated), _STREAM_COUNT * 2 / 3
+        )
+        self.assertLess(
+            self.find_max_streams(spread_out), _STREAM_COUNT * 2 / 3 - 5
+        )
         self.assertLess(
-            self.predict_pause(apart), self.predict_pause(together) - _SAVED_MS
+            self.predict_pause(spread_out),
+            self.predict_pause(concentrated) - _MIN_SAVED_MS,
         )
 
     def test_heads_are_near(self) -> None:
         """Two thirds of all events came from another data centre."""
-        _, heads = self.take(Policy(), 'abc')
-        self.assertGreater(min(heads.values()), _STREAMS / 4)
+        _, heads = self.place_streams(Policy(), 'abc')
+        self.assertGreater(min(heads.values()), _STREAM_COUNT / 4)
 
     def test_a_far_head_goes_before_a_path_that_is_much_slower(self) -> None:
         fast = know(
@@ -83,13 +96,13 @@
                 build_replica('far-too', 'd', 'large', (40, 80)),
             ]
         )
-        wanted = PathRequest(_TOKENS, home='a')
+        request = PathRequest(_TOKENS, home='a')
         stages = choose_path(
-            _ENGINE, [*self.known, *fast], LoadBook(), wanted, _NO_TIME
+            _ENGINE, [*self.known, *fast], LoadBook(), request, _START_S
         )
         self.assertEqual(list_ids(stages), ('far', 'far-too'))
 
-    def find_most(self, book: LoadBook) -> int:
+    def find_max_streams(self, book: LoadBook) -> int:
         """Return how many streams the busiest replica has."""
         return max(
             book.requests(found.replica.replica_id) for found in self.known
@@ -97,7 +110,7 @@
 
     def predict_pause(self, book: LoadBook) -> float:
         """Return the pause of a stream whose replica is lost."""
-        wanted = PathRequest(_TOKENS)
-        stages = choose_path(_ENGINE, self.known, book, wanted, _NO_TIME)
-        crowd = self.find_most(book)
-        return predict_pause_ms(_ENGINE, stages, (), _TOKENS, crowd)
+        request = PathRequest(_TOKENS)
+        stages = choose_path(_ENGINE, self.known, book, request, _START_S)
+        concurrent = self.find_max_streams(book)
+        return predict_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -13,7 +13,7 @@
 from samphirerill.fleet.endings import is_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
-from samphirerill.fleet.load import PEER_FORGET_S, Held, LoadBook, list_ids
+from samphirerill.fleet.load import PEER_TIMEOUT_S, Held, LoadBook, list_ids
 from samphirerill.fleet.model import (
     ClientLimits,
     FleetConfiguration,
@@ -38,8 +38,10 @@
     place,
 )
 
-_MARK = st.integers(min_value=0, max_value=8).map(lambda mark: mark * 10)
-_RANGES = st.tuples(_MARK, _MARK).filter(lambda pair: pair[0] < pair[1])
+_BOUNDARY = st.integers(min_value=0, max_value=8).map(
+    lambda boundary: boundary * 10
+)
+_RANGES = st.tuples(_BOUNDARY, _BOUNDARY).filter(lambda pair: pair[0] < pair[1])
 
 
 class TestPaths(TestCase):
@@ -107,8 +109,8 @@
                 build_replica('last', 'a', 'large', (40, 80)),
             ]
         )
-        wanted = PathRequest(900, heads=frozenset(('head',)), first_end=20)
-        stages = choose_path(ENGINE, known, LoadBook(), wanted, 0)
+        request = PathRequest(900, heads=frozenset(('head',)), first_end=20)
+        stages = choose_path(ENGINE, known, LoadBook(), request, 0)
         names = ('head', 'other', 'next', 'last')
         self.assertEqual(list_ids(stages), names)
         self.assertEqual(stages[0].layers, LayerRange(0, 20))
@@ -122,14 +124,14 @@
         known = know([build_replica('one', 'a', 'large', (0, 40))])
         known += know([build_replica('two', 'a', 'large', (40, 80))])
         book = LoadBook()
-        wanted = PathRequest(900)
-        self.assertTrue(choose_path(ENGINE, known, book, wanted, 0))
+        request = PathRequest(900)
+        self.assertTrue(choose_path(ENGINE, known, book, request, 0))
         book.hear('other', {'two': Held(4, 3_000)}, 0)
-        self.assertFalse(choose_path(ENGINE, known, book, wanted, 0))
-        reason = explain_no_path(ENGINE, known, book, wanted)
+        self.assertFalse(choose_path(ENGINE, known, book, request, 0))
+        reason = explain_no_path(ENGINE, known, book, request)
         self.assertEqual(reason, 'no room in layers 40-80')
-        book.forget_silent(PEER_FORGET_S + 1)
-        self.assertTrue(choose_path(ENGINE, known, book, wanted, 0))
+        book.forget_silent(PEER_TIMEOUT_S + 1)
+        self.assertTrue(choose_path(ENGINE, known, book, request, 0))
 
     def test_local_paths_go_before_faster_ones_that_cross(self) -> None:
         """Symptom: pauses of seconds while every mean is 40 ms.
@@ -159,22 +161,22 @@
             ]
         )
         pipes = PipeUse()
-        wanted = PathRequest(900, pipes=pipes)
-        self.assertTrue(choose_path(ENGINE, known, LoadBook(), wanted, 0))
+        request = PathRequest(900, pipes=pipes)
+        self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 0))
         for _ in range(20):
             pipes.note('a', 'b', 34, 0)
-        self.assertFalse(choose_path(ENGINE, known, LoadBook(), wanted, 0))
-        self.assertTrue(choose_path(ENGINE, known, LoadBook(), wanted, 5))
+        self.assertFalse(choose_path(ENGINE, known, LoadBook(), request, 0))
+        self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 5))
 
     def test_nodes_share_one_estimate_of_a_pipe(self) -> None:
-        mine = PipeUse()
+        local = PipeUse()
         other = PipeUse()
         pair = frozenset('ab')
-        mine.hear('other/1', pair, 0, 0)
+        local.hear('other/1', pair, 0, 0)
         other.note('a', 'b', 400, 0)
-        mine.hear('other/1', pair, other.sent[pair], 0)
+        local.hear('other/1', pair, other.sent[pair], 0)
         self.assertAlmostEqual(
-            mine.backlog_ms('a', 'b', 0), other.backlog_ms('a', 'b', 0)
+            local.backlog_ms('a', 'b', 0), other.backlog_ms('a', 'b', 0)
         )
 
 
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -10,11 +10,11 @@
 
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.model import Replica
-from samphirerill.fleet.planner import Planned, plan_layers
+from samphirerill.fleet.planner import PlacementPlan, plan_layers
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.rates import (
-    WANTED_REQUESTS,
-    count_most_layers,
+    TARGET_REQUESTS,
+    count_max_layers,
     predict_total_rate,
 )
 from samphirerill.fleet.repair import count_whole, plan_moves
@@ -29,17 +29,17 @@
 )
 
 _AIMS = Aims(200.0)
-_RICH = Aims(200.0, policy=Policy(lean_plans=False))
+_MAX_RATE_AIMS = Aims(200.0, policy=Policy(lean_plans=False))
 
 
 class PlanCase(TestCase):
     """Asserts that all plans share."""
 
-    def assert_sound(self, planned: Planned | None) -> Planned:
+    def assert_sound(self, plan: PlacementPlan | None) -> PlacementPlan:
         """Every pipeline runs each layer once, nobody holds too much."""
-        assert planned is not None
+        assert plan is not None
         seen: Counter[str] = Counter()
-        for pipeline in planned.pipelines:
+        for pipeline in plan.pipelines:
             total = sum(count for _, count in pipeline.parts)
             self.assertEqual(total, ENGINE.layers)
             for replica, count in pipeline.parts:
@@ -47,9 +47,11 @@
                 kind = ENGINE.accelerators[replica.accelerator]
                 self.assertLess(count * ENGINE.layer_mb, kind.size_mb)
         self.assertEqual(set(seen.values()) | {1}, {1})
-        return planned
+        return plan
 
-    def mend(self, replicas: list[Replica], rounds: int = 10) -> list[Replica]:
+    def settle(
+        self, replicas: list[Replica], rounds: int = 10
+    ) -> list[Replica]:
         """Let plans take effect until there is nothing left to do."""
         names = {item.replica_id for item in replicas}
         for _ in range(rounds):
@@ -69,12 +71,10 @@
     """Plans for replicas that hold nothing."""
 
     def test_pipelines_stay_in_their_data_centres(self) -> None:
-        planned = self.assert_sound(
+        plan = self.assert_sound(
             plan_layers(ENGINE, build_fleet(THREE_ZONES), _AIMS)
         )
-        local = [
-            item for item in planned.pipelines if not item.count_crossings()
-        ]
+        local = [item for item in plan.pipelines if not item.count_crossings()]
         self.assertEqual(len(local), 3)
 
     def test_serves_fleets_of_other_shapes(self) -> None:
@@ -94,10 +94,10 @@
 
     def test_crosses_less_through_slow_pipes(self) -> None:
         slow = replace(ENGINE, pipe_mbps=1_100)
-        planned = self.assert_sound(
+        plan = self.assert_sound(
             plan_layers(slow, build_fleet(THREE_ZONES), _AIMS)
         )
-        crossings = sum(item.count_crossings() for item in planned.pipelines)
+        crossings = sum(item.count_crossings() for item in plan.pipelines)
         self.assertLessEqual(crossings, 2)
 
     def test_too_few_replicas_give_no_plan(self) -> None:
@@ -129,31 +129,31 @@
         """
         fleet = build_fleet(THREE_ZONES)
         lean = self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
-        rich = self.assert_sound(plan_layers(ENGINE, fleet, _RICH))
-        self.assertLess(_count_parts(lean), _count_parts(rich))
-        self.assertGreater(len(lean.doubles), len(rich.doubles))
+        max_rate = self.assert_sound(plan_layers(ENGINE, fleet, _MAX_RATE_AIMS))
+        self.assertLess(_count_parts(lean), _count_parts(max_rate))
+        self.assertGreater(len(lean.backups), len(max_rate.backups))
         for pipeline in lean.pipelines:
             for replica, count in pipeline.parts:
-                most = count_most_layers(ENGINE, replica, WANTED_REQUESTS)
+                most = count_max_layers(ENGINE, replica, TARGET_REQUESTS)
                 self.assertLessEqual(count, most)
 
     def test_a_large_demand_gets_all_that_there_is(self) -> None:
         fleet = build_fleet(THREE_ZONES)
-        asked = self.assert_sound(
+        large = self.assert_sound(
             plan_layers(ENGINE, fleet, replace(_AIMS, demand=1000))
         )
-        usual = self.assert_sound(
+        small = self.assert_sound(
             plan_layers(ENGINE, fleet, replace(_AIMS, demand=5))
         )
         rates = [
-            predict_total_rate(ENGINE, planned.pipelines, _AIMS.pause_ms)
-            for planned in (asked, usual)
+            predict_total_rate(ENGINE, plan.pipelines, _AIMS.pause_ms)
+            for plan in (large, small)
         ]
         self.assertGreater(rates[0], rates[1])
 
 
-def _count_parts(planned: Planned) -> int:
-    return sum(len(pipeline.parts) for pipeline in planned.pipelines)
+def _count_parts(plan: PlacementPlan) -> int:
+    return sum(len(pipeline.parts) for pipeline in plan.pipelines)
 
 
 class TestRepair(PlanCase):
@@ -161,7 +161,7 @@
 
     def setUp(self) -> None:
         fleet = build_fleet(THREE_ZONES)
-        self.fleet = self.mend(fleet)
+        self.fleet = self.settle(fleet)
 
     def test_leaves_working_pipelines_alone(self) -> None:
         """Symptom: 30 loads within two seconds of one loss.
@@ -172,12 +172,12 @@
         """
         lost = self._find_part('b', 0)
         left = [item for item in self.fleet if item is not lost]
-        whole = [
+        complete = [
             chain for chain in extract_chains(ENGINE, left) if not chain.gaps
         ]
         kept = {
             stage.replica.replica_id
-            for chain in whole
+            for chain in complete
             for stage in chain.stages
         }
         settled = {item.replica_id for item in left}
@@ -201,7 +201,7 @@
                 left = [
                     item for at, item in enumerate(self.fleet) if at not in lost
                 ]
-                self.assertGreaterEqual(self.count_whole(self.mend(left)), 3)
+                self.assertGreaterEqual(self.count_whole(self.settle(left)), 3)
 
     def test_plans_come_to_rest(self) -> None:
         """Symptom: the same replica is ordered to and fro for 20 seconds.
@@ -211,15 +211,13 @@
         """
         for seed in range(12):
             with self.subTest(seed=seed):
-                chosen = set(Random(seed).sample(range(len(self.fleet)), 3))
+                lost = set(Random(seed).sample(range(len(self.fleet)), 3))
                 left = [
-                    item
-                    for at, item in enumerate(self.fleet)
-                    if at not in chosen
+                    item for at, item in enumerate(self.fleet) if at not in lost
                 ]
-                rested = self.mend(left, rounds=16)
-                names = {item.replica_id for item in rested}
-                moves = plan_moves(ENGINE, rested, _AIMS, names)
+                settled = self.settle(left, rounds=16)
+                names = {item.replica_id for item in settled}
+                moves = plan_moves(ENGINE, settled, _AIMS, names)
                 self.assertEqual(moves, {})
 
     def test_doubled_parts_need_no_load(self) -> None:
@@ -243,7 +241,7 @@
         """
         for item in self.fleet:
             with self.subTest(item.replica_id):
-                most = count_most_layers(ENGINE, item, WANTED_REQUESTS)
+                most = count_max_layers(ENGINE, item, TARGET_REQUESTS)
                 self.assertLessEqual(item.held.count, most)
 
     def test_repairs_stay_in_their_data_centre(self) -> None:
@@ -264,8 +262,8 @@
         ]
         crossing = [
             chain
-            for chain in extract_chains(ENGINE, self.mend(left))
-            if not chain.gaps and chain.crosses()
+            for chain in extract_chains(ENGINE, self.settle(left))
+            if not chain.gaps and chain.crosses_data_centres()
         ]
         self.assertEqual(len(crossing), 1)
 
@@ -310,11 +308,11 @@
         """
         fleet = build_fleet(THREE_ZONES)
         known = fleet[::3]
-        planned = plan_layers(ENGINE, known, _AIMS)
-        assert planned is not None
-        replicas = self.mend(place(fleet, planned.list_ranges()))
-        whole = self.count_by_zone(replicas)
-        self.assertTrue(all(whole.values()), whole)
+        plan = plan_layers(ENGINE, known, _AIMS)
+        assert plan is not None
+        replicas = self.settle(place(fleet, plan.list_ranges()))
+        complete = self.count_by_zone(replicas)
+        self.assertTrue(all(complete.values()), complete)
 
     def test_a_data_centre_that_came_back_empty_serves_again(self) -> None:
         """Symptom: a data centre that lost all replicas never serves again.
@@ -323,16 +321,16 @@
         the other data centres work. Cause: there was no part of a pipeline
         left that could have been mended.
         """
-        fleet = self.mend(build_fleet(THREE_ZONES))
+        fleet = self.settle(build_fleet(THREE_ZONES))
         lost = [
             replace(item, layers=None) if item.data_centre == 'b' else item
             for item in fleet
         ]
-        whole = self.count_by_zone(self.mend(lost))
-        self.assertTrue(all(whole.values()), whole)
+        complete = self.count_by_zone(self.settle(lost))
+        self.assertTrue(all(complete.values()), complete)
 
     def test_what_works_elsewhere_is_not_taken_apart_for_it(self) -> None:
-        fleet = self.mend(build_fleet(THREE_ZONES))
+        fleet = self.settle(build_fleet(THREE_ZONES))
         lost = [
             replace(item, layers=None) if item.data_centre == 'b' else item
             for item in fleet
