--- a/samphirerill/fleet/__init__.py
+++ b/samphirerill/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""Decisions over a fleet of engines that each hold some layers.
+"""Placement, routing and failure detection for a fleet of inference replicas.
 
-Pure: no I/O, no clock, no threads. Time and load are arguments.
+Each replica holds a contiguous range of a model's layers. The modules here are
+pure: no I/O, no clock, no threads; time and load are arguments.
 """
--- a/samphirerill/fleet/budget.py
+++ b/samphirerill/fleet/budget.py
@@ -1,15 +1,14 @@
-"""The share of repeats that all nodes together may make.
-
-Each node keeps to its part of the whole without asking anybody: its own
-requests earn it a fraction of a repeat each, and the slack is divided by the
-number of nodes. When many endpoints fail at once, repeats stay that fraction
-of the load instead of doubling it.
-
-Nodes also tell each other what they use. A request whose run broke off may take
-from what the others leave, as long as the whole would last even if every stream of
-all nodes were sent once more at this moment. Answers to: 78 nodes, each with
-four repeats of its own, where one endpoint lost cut 103 streams of a few nodes
-while 300 repeats were left.
+"""Retry budget that all nodes share without coordination.
+
+Each request earns its node a fraction of a retry, and a fixed reserve is
+divided by the number of nodes. When many endpoints fail at once, retries stay
+below that fraction of the load instead of doubling it.
+
+Nodes also report their usage to each other. A request whose run was interrupted
+may exceed its node's share if the global budget would still cover a retry of
+every active stream on all nodes. Otherwise one lost endpoint could exhaust the
+share of the few nodes whose streams it served while the other nodes' shares
+stay unused.
 """
 
 from __future__ import annotations
@@ -18,19 +17,20 @@
 from dataclasses import dataclass
 from operator import attrgetter
 
-# Kept back from the agreed share: nodes learn of each other with a lag.
+# Headroom, since nodes learn of each other's retries with a delay.
 _USABLE_SHARE = 0.85
-# A client whose request ran has more to lose than one that was refused.
+# The rest is reserved for requests that have run: failing one of those costs
+# its client more than a refusal.
 _NON_URGENT_SHARE = 0.6
 
 
-# What another node told of its use is believed for so long.
+# How long another node's usage report is valid.
 _PEER_REPORT_TTL_S = 4.0
 
 
 @dataclass(slots=True, frozen=True)
 class Use:
-    """Requests and repeats in the window, and streams under way now."""
+    """Requests and retries in the window, and streams active now."""
 
     requests: int = 0
     repeats: int = 0
@@ -38,7 +38,7 @@
 
 
 class PeerUsage:
-    """What the other nodes told of their use."""
+    """Retry usage as reported by the other nodes."""
 
     __slots__ = ('_reports',)
 
@@ -46,15 +46,15 @@
         self._reports: dict[str, tuple[float, Use]] = {}
 
     def hear(self, peer: str, usage: Use, now: float) -> None:
-        """Replace what a node, or a data centre, told before."""
+        """Replace the last report of a node or of a whole data centre."""
         self._reports[peer] = (now + _PEER_REPORT_TTL_S, usage)
 
     def forget(self, peer: str) -> None:
-        """Drop what was told under a name: it is told under another now."""
+        """Drop a peer's report: its usage is now reported under another name."""
         self._reports.pop(peer, None)
 
     def sum_up(self, now: float) -> Use:
-        """Return the use of all that were heard of lately."""
+        """Return the total usage in all reports that are still valid."""
         recent = [
             usage for until, usage in self._reports.values() if until > now
         ]
@@ -62,7 +62,7 @@
 
 
 def sum_usage(usages: list[Use]) -> Use:
-    """Return what several nodes use together."""
+    """Return the sum of several usages."""
     return Use(
         sum(map(attrgetter('requests'), usages)),
         sum(map(attrgetter('repeats'), usages)),
@@ -71,12 +71,13 @@
 
 
 class RepeatBudget:
-    """Repeats of one service within a sliding window.
+    """Retries of one service within a sliding window.
 
     Parameters
     ----------
     ratio, slack : float
-        Repeats allowed for each request, and beyond that, for all nodes.
+        Retries allowed for each request, and a fixed number on top; both for
+        all nodes together.
     window_s : float
         Length of the window in seconds.
     """
@@ -93,25 +94,25 @@
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self.others = PeerUsage()
-        # Streams of this node that are under way.
+        # Active streams of this node.
         self.streams = 0
         self._request_times: deque[float] = deque()
         self._retry_times: deque[float] = deque()
         self.change(ratio, slack, window_s)
 
     def change(self, ratio: float, slack: float, window_s: float) -> None:
-        """Allow another share from now on."""
+        """Replace the limits."""
         self._ratio = ratio * _USABLE_SHARE
         self._slack = slack * _USABLE_SHARE
         self._window_s = window_s
 
     def note_first(self, now: float) -> None:
-        """Count a request's first send."""
+        """Count the first attempt of a request."""
         self._request_times.append(now)
         self._drop_expired(now)
 
     def has_left(self, now: float, nodes: int, *, is_urgent: bool) -> bool:
-        """Return whether a repeat is left.
+        """Return whether a retry is available.
 
         Parameters
         ----------
@@ -120,8 +121,9 @@
         nodes : int
             How many nodes share the slack.
         is_urgent : bool
-            The request ran and would fail without the repeat; for these the
-            last part is kept.
+            The request has run and would fail without the retry. Urgent
+            requests may use the whole budget, and what other nodes leave
+            unused.
         """
         self._drop_expired(now)
         allowed = self._ratio * len(self._request_times) + self._slack / max(
@@ -134,26 +136,26 @@
         return is_urgent and self._can_borrow(now)
 
     def find_use(self, now: float) -> Use:
-        """Return what this node uses."""
+        """Return this node's usage."""
         self._drop_expired(now)
         return Use(
             len(self._request_times), len(self._retry_times), self.streams
         )
 
     def spend(self, now: float, nodes: int, *, is_urgent: bool = False) -> bool:
-        """Take one repeat; return whether one was left."""
+        """Consume one retry; return whether one was available."""
         if not self.has_left(now, nodes, is_urgent=is_urgent):
             return False
         self._retry_times.append(now)
         return True
 
     def give_back(self) -> None:
-        """A repeat that was taken was not sent after all."""
+        """Refund a retry that was consumed but not sent."""
         if self._retry_times:
             self._retry_times.pop()
 
     def _can_borrow(self, now: float) -> bool:
-        """Return whether the whole lasts if every stream were sent again."""
+        """Return whether the global budget covers retrying all active streams."""
         others = self.others.sum_up(now)
         if not others.requests:
             return False
