--- a/samphirerill/fleet/chains.py
+++ b/samphirerill/fleet/chains.py
@@ -1,8 +1,8 @@
-"""Read from what replicas hold which pipelines there are, whole or broken.
+"""Find the pipelines, complete or with gaps, in what replicas hold.
 
-A chain runs from the first layer to the last; where nobody holds a layer it
-has a gap. The cheapest chain is taken out first, then the next of what is
-left, so that whole and fast ones come before those with gaps.
+A chain covers the layers from the first to the last; layers that no replica
+holds form gaps. The cheapest chain is extracted first, then the next from the
+remaining replicas, so that complete and fast chains precede those with gaps.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
     from samphirerill.fleet.model import EngineSpec, Replica
 
-# A missing layer costs more than any detour over present ones.
+# A missing layer costs more than any detour over layers that are held.
 _MISSING_LAYER_COST_MS = 1000.0
-# One gap of two layers is easier to close than two of one.
+# Added for each gap: one gap of two layers is easier to fill than two of one.
 _GAP_COST_MS = 300.0
-# A change of data centre costs a pipeline so many transfers of a prompt.
+# Each crossing between data centres costs a pipeline this many prompt
+# transfers.
 _TRANSFERS_PER_CROSSING = 4.0
-# With less than this share of its layers, a chain is only a heap of parts.
+# A chain with a smaller share of the layers is not worth repairing.
 _MIN_COVERAGE = 0.5
 
 
 @dataclass(slots=True)
 class Chain:
-    """Parts in order, and the ranges between them that nobody holds."""
+    """A sequence of stages, and the gaps between them that no replica holds."""
 
     stages: list[Stage] = field(default_factory=list)
     gaps: list[LayerRange] = field(default_factory=list)
@@ -44,12 +45,12 @@
         return sum(gap.count for gap in self.gaps)
 
     def crosses_data_centres(self) -> bool:
-        """Return whether it leaves a data centre."""
+        """Return whether the stages are in more than one data centre."""
         zones = {stage.replica.data_centre for stage in self.stages}
         return len(zones) > 1
 
     def find_main_data_centre(self) -> str:
-        """Return the data centre that most layers are in."""
+        """Return the data centre that holds the most layers."""
         layers: dict[str, int] = {}
         for stage in self.stages:
             zone = stage.replica.data_centre
@@ -59,7 +60,7 @@
 
 @dataclass(slots=True)
 class _Step:
-    """The cheapest way to a layer, ending in one data centre."""
+    """The last step of the cheapest way to a layer within one data centre."""
 
     cost: float
     previous: _Step | None
@@ -70,7 +71,11 @@
 def extract_chains(
     engine: EngineSpec, replicas: Sequence[Replica]
 ) -> list[Chain]:
-    """Return disjoint chains, the cheapest first; heaps are left out."""
+    """Return disjoint chains, the cheapest first.
+
+    The search ends at the first chain that covers less than `_MIN_COVERAGE` of
+    the layers.
+    """
     remaining = [replica for replica in replicas if replica.layers is not None]
     chains = []
     while remaining:
@@ -119,7 +124,7 @@
     zone: str,
     step: _Step,
 ) -> None:
-    """Go on without the layers up to the next cut."""
+    """Extend a partial chain over missing layers, up to the next boundary."""
     gap = LayerRange(boundaries[index], boundaries[index + 1])
     cost = step.cost + gap.count * _MISSING_LAYER_COST_MS
     if step.gap is None:
@@ -170,7 +175,7 @@
 
 
 def _add_gap(chain: Chain, gap: LayerRange) -> None:
-    """Add a gap before all known ones, joined to one that it touches."""
+    """Append a gap; gaps arrive last to first, and adjacent ones are merged."""
     if chain.gaps and chain.gaps[-1].first == gap.end:
         chain.gaps[-1] = LayerRange(gap.first, chain.gaps[-1].end)
     else:
