--- a/samphirerill/fleet/deltas.py
+++ b/samphirerill/fleet/deltas.py
@@ -1,9 +1,9 @@
-"""The difference between two versions of one large text.
+"""Differences between two versions of a large text.
 
-A configuration has some hundred kilobytes, and one version differs from the
-next by some hundred bytes. Who has the version before needs only the difference.
-Texts are compared in pieces that end where a JSON object does; any other text is
-right too, only not smaller.
+A configuration has some hundred kilobytes, and consecutive versions differ by
+some hundred bytes, so a receiver of the previous version needs only the
+difference. Texts are split where JSON objects end; other texts work too, but
+their differences are larger.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 
 
 class DeltaError(Exception):
-    """A difference does not fit the text that it is applied to."""
+    """A difference does not apply to the given text, or is corrupt."""
 
 
 class Run(Struct, array_like=True):
-    """Pieces of the old text that follow each other."""
+    """Consecutive pieces of the old text."""
 
     first: int
     count: int
 
 
 class Delta(Struct, array_like=True):
-    """How to make a new text of an old one.
+    """Instructions that rebuild a new text from an old one.
 
-    `base` and `target` are checksums of the two; `parts` make up the new
-    text: runs of the old one's pieces, and bytes that it does not have.
+    `base` and `target` are the checksums of the two texts. `parts` are
+    concatenated to the new text: runs of pieces of the old one, and literal
+    bytes.
     """
 
     base: bytes
@@ -40,7 +41,7 @@
 
 
 def build_delta(old: bytes, new: bytes) -> Delta:
-    """Return how to make `new` of `old`."""
+    """Return the difference that turns `old` into `new`."""
     old_pieces = _split(old)
     positions = {
         piece: position
@@ -58,9 +59,11 @@
 
 
 def apply_delta(old: bytes, delta: Delta) -> bytes:
-    """Return the new text; raise ``DeltaError`` if `old` is another one."""
+    """Return the new text; raise ``DeltaError`` if `delta` does not fit `old`."""
     if _checksum(old) != delta.base:
-        raise DeltaError('the difference is to another text; read it whole')
+        raise DeltaError(
+            'delta was built for another base text; fetch the full text'
+        )
     old_pieces = _split(old)
     chunks = []
     for part in delta.parts:
@@ -70,7 +73,9 @@
             chunks.extend(old_pieces[part.first : part.first + part.count])
     new = b''.join(chunks)
     if _checksum(new) != delta.target:
-        raise DeltaError('the difference is damaged; read the text whole')
+        raise DeltaError(
+            'delta is corrupt: checksum mismatch; fetch the full text'
+        )
     return new
 
 
