--- a/samphirerill/fleet/doubling.py
+++ b/samphirerill/fleet/doubling.py
@@ -1,12 +1,10 @@
-"""Let replicas that no pipeline needs hold parts of pipelines a second time.
+"""Assign backup copies of pipeline stages to spare replicas.
 
-A part with a second holder survives its loss without a load: paths go over the
-other holder at once, while one that is not doubled is out of work, with its
-whole pipeline, until somebody has loaded its layers. Doubles stay within one
-data centre, since a path that leaves it and returns crosses twice.
-
-Answers to: losses of single replicas, one after another, on a fleet whose
-pipelines carry the load.
+A stage with a backup survives the loss of its replica without a load: paths use
+the backup at once. Without one, the whole pipeline is out of service until
+another replica has loaded the layers. Backups stay in the data centre of their
+pipeline, because a path over a remote backup would cross between data centres
+twice.
 """
 
 from __future__ import annotations
@@ -27,16 +25,16 @@
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.rates import Pipeline
 
-# The share of its time that a pipeline is out of work for each part that
-# nobody doubles: on a bad day one replica in four is lost within half a
-# minute, and closing a gap takes some three seconds.
+# The share of time that a pipeline is out of service for each stage without a
+# backup: a quarter of the replicas lost per half minute, times about three
+# seconds to reload a stage.
 OUTAGE_SHARE_WITHOUT_BACKUP = 0.022
 Moves = dict[str, LayerRange]
 
 
 @dataclass(slots=True, frozen=True)
 class RatedStage:
-    """Layers of a pipeline that answers `rate` requests a second."""
+    """The layers of one stage, and its pipeline's rate in answers per second."""
 
     layers: LayerRange
     rate: float
@@ -45,7 +43,7 @@
 def list_rated_stages(
     engine: EngineSpec, pipelines: Iterable[Pipeline], pause_ms: float
 ) -> list[RatedStage]:
-    """Return the parts of pipelines."""
+    """Return the stages of pipelines with their pipelines' predicted rates."""
     stages: list[RatedStage] = []
     for pipeline in pipelines:
         rate = predict_rate(engine, pipeline, pause_ms)
@@ -58,7 +56,7 @@
 def predict_repair_loss(
     stages: Iterable[RatedStage], backups: Sequence[LayerRange]
 ) -> float:
-    """Return the answers a second that are lost to repairs."""
+    """Return the answers per second lost while stages are reloaded."""
     return sum(
         stage.rate * OUTAGE_SHARE_WITHOUT_BACKUP
         for stage in stages
@@ -69,16 +67,17 @@
 def assign_backups(
     engine: EngineSpec, stages: Iterable[RatedStage], spares: Sequence[Replica]
 ) -> Moves:
-    """Return the layers that spares of one data centre should hold.
+    """Return the layers that the spares of one data centre should hold.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
-    parts : iterable of Part
+    stages : iterable of RatedStage
         Of the pipelines in that data centre.
     spares : sequence of Replica
-        Replicas that no pipeline needs. One that doubles something keeps it.
+        Replicas that no pipeline needs. One that already is a backup keeps its
+        layers.
     """
     order = sorted(stages, key=_rank_stage)
     held, free = _split_spares(order, spares)
@@ -93,7 +92,7 @@
 
 
 class _SparePool:
-    """Spares that hold nothing of use, those that can hold least first."""
+    """Spares that back up nothing, ordered by the layers they can hold."""
 
     __slots__ = ('_free', '_layer_count', '_limits')
 
@@ -107,9 +106,10 @@
         self._free.sort(key=self._rank)
 
     def cover(self, gap: LayerRange) -> Moves:
-        """Take spares out that hold a gap's layers, as far as there are any.
+        """Remove spares from the pool that together hold a gap's layers.
 
-        Each holds as much as it can, also beyond the gap.
+        The gap stays partly open if the pool runs out. Each spare holds as many
+        layers as it can, also beyond the gap.
         """
         moves: Moves = {}
         first = gap.first
@@ -124,7 +124,7 @@
         return moves
 
     def _choose(self, layer_count: int) -> Replica:
-        """Return the smallest that holds so many layers, or the largest."""
+        """Return the smallest spare that holds so many layers, or the largest."""
         for spare in self._free:
             if self._limits[spare.replica_id] >= layer_count:
                 return spare
@@ -137,7 +137,7 @@
 def list_uncovered(
     stage: LayerRange, held: Iterable[LayerRange]
 ) -> list[LayerRange]:
-    """Return the layers of a part that no range covers, in order."""
+    """Return the layers of a stage that no range covers, in order."""
     gaps = []
     position = stage.first
     for layers in sorted(held, key=_get_first_layer):
@@ -156,10 +156,10 @@
 def _split_spares(
     stages: Sequence[RatedStage], spares: Sequence[Replica]
 ) -> tuple[list[LayerRange], list[Replica]]:
-    """Return what spares hold of use, and the spares that are free.
+    """Return the ranges of useful backups, and the spares that are free.
 
-    One that holds nothing of any part, or only what others hold already, may
-    as well hold something else.
+    A spare whose layers belong to no stage, or have another backup already, is
+    free.
     """
     held: list[LayerRange] = []
     free = []
@@ -183,7 +183,7 @@
 
 
 def _rank_stage(stage: RatedStage) -> tuple[float, int]:
-    """Rank small parts of busy pipelines first: they need the fewest spares."""
+    """Rank small stages of fast pipelines first: they need the fewest spares."""
     return stage.layers.count / max(
         stage.rate, OUTAGE_SHARE_WITHOUT_BACKUP
     ), stage.layers.first
