--- a/samphirerill/fleet/endings.py
+++ b/samphirerill/fleet/endings.py
@@ -1,7 +1,7 @@
-"""Until when the parts of a path serve what has begun.
+"""How long the stages of a path keep serving active streams.
 
-A replica that leaves, or gives up layers, serves its streams for some time; one
-that is gone or dead serves nothing.
+A replica that drains or releases layers serves its active streams for a limited
+time; one that is gone or suspected dead serves nothing.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 def is_lost(view: FleetView, stage: Stage, now: float) -> bool:
-    """Return whether a part of a path should be left at once.
+    """Return whether streams should leave a stage at once.
 
-    Its replica is gone or taken to be dead, or has waited long enough for
-    streams to leave the layers that it gives up. One that leaves serves
-    what it has begun until it breaks off.
+    That is the case if its replica is gone or suspected dead, or if the
+    deadline for streams to leave its released layers has passed. A draining
+    replica serves its active streams until it disconnects them.
     """
     if stage.replica.replica_id in view.leaving:
         return find_end(view, stage, now) <= 0
@@ -26,13 +26,13 @@
 
 
 def find_end(view: FleetView, stage: Stage, now: float) -> float:
-    """Return until when a part serves what it has begun.
+    """Return until when a stage serves its active streams.
 
     Returns
     -------
     float
-        On the loop's clock: 0 for a part that serves nothing any more,
-        infinity if it does not end.
+        On the loop's clock: 0 for a stage that no longer serves, infinity if no
+        end is known.
     """
     replica_id = stage.replica.replica_id
     found = view.known.get(replica_id)
@@ -49,7 +49,7 @@
 
 
 def releases_layers(held: LayerRange | None, layers: LayerRange | None) -> bool:
-    """Return whether some of the layers held are no longer there."""
+    """Return whether some of the layers in `held` are missing from `layers`."""
     if held is None:
         return False
     if layers is None:
