--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -1,7 +1,7 @@
-"""Choose an endpoint of a plain service.
+"""Choose an endpoint of a service without layers.
 
-The one with the least predicted wait gets the request: what it has in hand,
-times how long it takes, raised by how often it fails.
+The endpoint with the least predicted wait is chosen: its requests in flight
+times its latency, increased by its failure rate.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
     from samphirerill.fleet.load import LoadBook
     from samphirerill.fleet.view import FleetView, Known
 
-# An endpoint that fails every request looks this many times as busy.
+# The wait of an endpoint that fails every request is multiplied by 1 plus this.
 _FAILURE_WEIGHT = 12.0
-# Until it has answered, an endpoint is taken to be fast, so that it is tried.
+# Also the assumed latency of an endpoint that has not answered yet, so that it
+# is tried.
 _MIN_LATENCY_S = 0.005
 
 
@@ -28,11 +29,10 @@
     now: float,
     may_call: Callable[[str], bool] = bool,
 ) -> Known | None:
-    """Return the best endpoint not yet tried, or none.
+    """Return the best endpoint not yet tried, or ``None``.
 
-    `may_call` tells of an endpoint's id whether it would take a call now.
-
-    Endpoints that are avoided are used only if no other is left.
+    Endpoints suspected dead are chosen only if no other is left. `may_call`
+    returns whether an endpoint, given by id, would accept a call now.
     """
     candidates = [
         found
