--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -1,4 +1,4 @@
-"""Say why no path was found, for logs and refusals."""
+"""Explain why no path was found, for logs and refusals."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     book: LoadBook,
     request: PathRequest,
 ) -> str:
-    """Return what is missing: a holder, room, or a way between them."""
+    """Return what is missing: a holder of layers, memory, or a connection."""
     candidates = [
         found
         for found in usable
