--- a/samphirerill/fleet/gathering.py
+++ b/samphirerill/fleet/gathering.py
@@ -1,9 +1,9 @@
-"""Who tells whom of load, when all nodes telling all others is too much.
+"""Aggregation of load reports between data centres.
 
-Within a data centre every node tells every other one. One node of each, the
-gatherer, tells a few nodes of each other data centre the sum, and these pass it
-on at home. Answers to: 78 nodes on links of 10 Mbit/s, where each telling each
-made most of the bytes between data centres, and load was known a second late.
+Within a data centre every node reports to every other. In large fleets one node
+of each data centre, the aggregator, sends the sum to a few nodes of each other
+data centre, and these forward it locally. A full mesh of reports would use most
+of the bandwidth between data centres and delay them.
 """
 
 from __future__ import annotations
@@ -14,19 +14,20 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Up to so many other nodes, each tells each: sums would be known later.
+# Up to this many other nodes all report to each other directly, which is
+# faster.
 MOST_DIRECT = 15
-# Nodes of another data centre that get a sum; if one is gone, the next has it.
+# More than one, so that a sum arrives although a receiver is down.
 _RECEIVERS_PER_DATA_CENTRE = 2
 
 
 def is_direct(others: int) -> bool:
-    """Return whether each node tells each other one."""
+    """Return whether all nodes report to each other directly."""
     return others <= MOST_DIRECT
 
 
 def choose_gatherer(names: Iterable[str]) -> str:
-    """Return who sums up a data centre: the same at all who know the same."""
+    """Return a data centre's aggregator; nodes that know the same names agree."""
     return min(names, key=_rank)
 
 
@@ -36,7 +37,7 @@
 
 
 def name_sum(data_centre: str) -> str:
-    """Return the name under which a data centre's sum is told."""
+    """Return the sender name of a data centre's aggregated reports."""
     return f'all of {data_centre}'
 
 
