--- a/samphirerill/fleet/load.py
+++ b/samphirerill/fleet/load.py
@@ -1,9 +1,9 @@
-"""Who holds how much: own requests, and what the other nodes tell of theirs.
+"""Requests and tokens in flight at each replica, over all nodes.
 
 All nodes send to the same replicas. Each counts its own requests exactly and
-hears the others' counts some ten times a second; without them, eight nodes
-would each fill a replica's memory, which one would notice as preempted streams
-and prompts read twice.
+receives the other nodes' counts about ten times a second. Without those, every
+node would fill a replica's memory by itself, and streams would be preempted and
+their prompts prefilled twice.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
     from samphirerill.fleet.model import Stage
 
-# A node not heard of for this long is taken as gone, with its requests; the
-# largest fleets tell each other every 1.3 s.
+# A silent node is considered gone, with its requests; must exceed the 1.3 s
+# between reports in the largest fleets.
 PEER_TIMEOUT_S = 4.0
 
 
 @dataclass(slots=True)
 class Held:
-    """Requests at one replica and the tokens they hold there."""
+    """Requests in flight at one replica, and their tokens in its memory."""
 
     requests: int = 0
     tokens: float = 0.0
@@ -32,9 +32,9 @@
 
 @dataclass(slots=True)
 class PeerLoad:
-    """What other nodes hold, by replica; believed until `until`.
+    """Load reported under one name, by replica; valid until `until`.
 
-    `nodes` is how many they are: one, or those of a data centre together.
+    `nodes` is how many nodes the report covers: one, or all of a data centre.
     """
 
     held: dict[str, Held] = field(default_factory=dict)
@@ -43,7 +43,7 @@
 
 
 class LoadBook:
-    """Requests and tokens at every replica, as this node knows them."""
+    """Requests and tokens at each replica, as far as this node knows."""
 
     __slots__ = ('_own', '_peers', '_peer_totals', 'own_version')
 
@@ -51,12 +51,12 @@
         self._own: defaultdict[str, Held] = defaultdict(Held)
         self._peers: dict[str, PeerLoad] = {}
         self._peer_totals: defaultdict[str, Held] = defaultdict(Held)
-        # Changes with own requests only: telling others about what they told
-        # would make them tell it again.
+        # Changes with this node's requests only; if reports of others counted
+        # too, nodes would echo each other's reports.
         self.own_version = 0
 
     def take(self, replica_ids: Iterable[str], tokens: float) -> None:
-        """Count one request at each replica of its path."""
+        """Add one request at each replica of its path."""
         for replica_id in replica_ids:
             held = self._own[replica_id]
             held.requests += 1
@@ -64,7 +64,7 @@
         self.own_version += 1
 
     def give_back(self, replica_ids: Iterable[str], tokens: float) -> None:
-        """Take one request off again."""
+        """Remove one request from each replica of its path."""
         for replica_id in replica_ids:
             held = self._own[replica_id]
             held.requests -= 1
@@ -76,7 +76,7 @@
     def hear(
         self, peer: str, held: dict[str, Held], now: float, nodes: int = 1
     ) -> None:
-        """Replace what another node, or a data centre, told before."""
+        """Replace the last report of a node or of a whole data centre."""
         known = self._peers.get(peer)
         if known is not None:
             known.until = now + PEER_TIMEOUT_S
@@ -88,13 +88,13 @@
         self._add_to_totals(held, 1)
 
     def forget(self, peer: str) -> None:
-        """Drop what was told under a name: it is told under another now."""
+        """Drop a peer's report: its load is now reported under another name."""
         known = self._peers.pop(peer, None)
         if known is not None:
             self._add_to_totals(known.held, -1)
 
     def forget_silent(self, now: float) -> None:
-        """Drop nodes not heard of for long."""
+        """Drop the reports of nodes that have timed out."""
         expired = [
             name for name, peer in self._peers.items() if peer.until < now
         ]
@@ -102,22 +102,22 @@
             self.forget(name)
 
     def count_peers(self) -> int:
-        """Return how many other nodes are heard of."""
+        """Return how many other nodes the current reports cover."""
         return sum(peer.nodes for peer in self._peers.values())
 
     def own(self) -> dict[str, Held]:
-        """Return this node's counts by replica."""
+        """Return this node's own counts by replica."""
         return self._own
 
     def requests(self, replica_id: str) -> int:
-        """Return how many requests are at a replica."""
+        """Return how many requests are in flight at a replica."""
         own = self._own.get(replica_id)
         others = self._peer_totals.get(replica_id)
         count = 0 if own is None else own.requests
         return count if others is None else count + others.requests
 
     def tokens(self, replica_id: str) -> float:
-        """Return how many tokens requests hold at a replica."""
+        """Return how many tokens requests hold in a replica's memory."""
         own = self._own.get(replica_id)
         others = self._peer_totals.get(replica_id)
         held = 0.0 if own is None else own.tokens
@@ -131,5 +131,5 @@
 
 
 def list_ids(stages: tuple[Stage, ...]) -> tuple[str, ...]:
-    """Return the replicas of a path."""
+    """Return the replica ids of a path."""
     return tuple(stage.replica.replica_id for stage in stages)
