--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -1,9 +1,9 @@
-"""Losses of many replicas: who asks after whom, and what silence proves.
+"""Detection of correlated failures: who probes which replica.
 
-Answers to: racks and links that fail take a third of the replicas at one moment. A
-stream finds only the part that it waits for; one by one, the loss of nine of 29 took
-three seconds to be known, while streams went round among the dead and plans counted
-them. So the first silence makes all nodes ask, each its share of the fleet.
+When a rack or link fails, many replicas are lost at once. A stream notices only
+the stage that it waits for, so finding the losses one by one takes seconds in
+which streams are moved to replicas that are dead too. Therefore the first
+silence makes all nodes probe, each its share of the fleet.
 """
 
 from __future__ import annotations
@@ -22,34 +22,33 @@
         Sequence,
     )
 
-# Nodes that ask after each replica: a death is sure by the word of two.
+# Two nodes have to agree that a replica is dead.
 PROBERS_PER_REPLICA = 2
-# Places of each node among the replicas; more make shares more even, and cost 1 us
-# each when a loss begins.
+# Positions of each node on the hash ring: more make shares more even, at 1 us
+# each when a failure begins.
 _VIRTUAL_NODES = 8
 _HASH_BYTES = 8
-# A loss is taken to be whole if nothing more was found for so long: an asker hears
-# of the first silence at once, and answers are waited for 0.09 s at the most.
+# A failure is considered complete if no further loss is found for this long;
+# probers wait at most 0.09 s for answers.
 _QUIET_PERIOD_S = 0.12
-# Nobody waits longer than this for a loss to be whole: callers do.
+# Callers wait meanwhile, so planning is not delayed longer than this.
 _MAX_WAIT_S = 0.4
-# What is found later than this belongs to another loss.
+# Losses found later than this belong to another failure.
 _EVENT_WINDOW_S = 1.0
-# Words of two replicas within this time are of one loss: silences of streams differ
-# by about so much.
+# Reports on two replicas within this time belong to one failure: streams notice
+# silence up to this much apart.
 _CORRELATION_WINDOW_S = 0.3
-# A loss that goes on is asked after anew; a survey takes a quarter of a second.
+# A failure that continues triggers another survey; one takes 0.25 s.
 _RESURVEY_INTERVAL_S = 0.5
 
 
 class Askers:
-    """Which nodes ask after which replicas.
+    """Assignment of replicas to the nodes that probe them.
 
-    Nodes and replicas lie on a ring by the hashes of their names; the nodes
-    that follow a replica ask after it. Nodes that know of slightly different
-    others still agree on nearly all, and a node's share is found without
-    looking at the shares of the others. Each node lies there at several places:
-    with one, a node of 22 had 14 of 29 replicas to ask after and ten had none.
+    Nodes and replicas are placed on a consistent hash ring; the nodes that
+    follow a replica probe it. Nodes with slightly different membership lists
+    agree on nearly all assignments. Each node has several positions on the
+    ring, which evens out the shares.
 
     Parameters
     ----------
@@ -73,17 +72,17 @@
     def list_share(
         self, node: str, replica_ids: Iterable[str], turn: int = 0
     ) -> list[str]:
-        """Return the replicas that a node asks after.
+        """Return the replicas that a node probes.
 
         Parameters
         ----------
         node : str
-            Which node.
+            The probing node.
         replica_ids : iterable of str
-            Of these replicas.
+            The replicas to choose from.
         turn : int
-            0 for the first two askers of a replica; 1 for the two after them,
-            who ask in the place of askers that are lost themselves.
+            0 for the first two probers of a replica; 1 for the next two, who
+            replace probers that are lost themselves.
         """
         start = PROBERS_PER_REPLICA * turn
         return [
@@ -95,10 +94,10 @@
     def choose(
         self, replica_id: str, count: int = PROBERS_PER_REPLICA
     ) -> Sequence[str]:
-        """Return who asks after a replica, the first ones first.
+        """Return the nodes that probe a replica, in order of precedence.
 
-        A cut often separates whole data centres; the first two askers are in
-        two, if there are two.
+        The first two are in different data centres where possible, since a
+        network partition often separates whole data centres.
         """
         following = self._iterate_ring(replica_id)
         first = next(following, None)
@@ -116,7 +115,7 @@
         return (first, *skipped[: count - 1])
 
     def _iterate_ring(self, replica_id: str) -> Iterator[str]:
-        """Yield all nodes, each once, as they follow a replica."""
+        """Yield all nodes once, in ring order from a replica's position."""
         first = bisect_right(self._hashes, _hash(replica_id))
         seen = set()
         ring = self._ring
@@ -127,15 +126,15 @@
 
 
 class LossRound:
-    """One loss of more than one replica; points on the loop's clock.
+    """One failure that affects several replicas.
 
-    Where links lose packets there is always one node's word of one replica, and
-    two others look after that one. Two such words close to each other, or a death
-    that is sure, are a loss: whoever answered before may be lost since.
+    A single report on a single replica is common where links lose packets, and
+    only its probers check it. Two reports close together, or a confirmed death,
+    are treated as a failure: replicas that answered before it may be lost now.
 
-    `began_at` is when the loss was last seen to go on, `heard` when each
-    replica was last known to work, as others tell; `doubted` are replicas of
-    which there is only a word, with when it came.
+    `began_at` is when the failure was last seen to continue, `heard` when each
+    replica is last known to have worked, and `doubted` when each unconfirmed
+    report arrived, by replica; times are on the loop's clock.
     """
 
     __slots__ = ('_first_at', '_last_at', 'began_at', 'doubted', 'heard')
@@ -150,7 +149,7 @@
     def note_silence(
         self, replica_id: str, now: float, *, is_sure: bool = False
     ) -> None:
-        """A replica is said to be silent, or dead for sure, that was not."""
+        """Record that a replica was newly reported silent or confirmed dead."""
         self.doubted = {
             name: at
             for name, at in self.doubted.items()
@@ -167,33 +166,31 @@
             self.heard.clear()
 
     def note_heard(self, replica_id: str, at: float) -> None:
-        """A replica worked at a moment."""
+        """Record that a replica worked at the given time."""
         self.heard[replica_id] = max(at, self.heard.get(replica_id, at))
 
     def is_under_way(self, now: float) -> bool:
-        """Return whether more of the loss may still come to light."""
+        """Return whether further losses of this failure may still be found."""
         until = min(
             self._last_at + _QUIET_PERIOD_S, self._first_at + _MAX_WAIT_S
         )
         return now < until
 
     def is_recent(self, now: float) -> bool:
-        """Return whether who has not been heard from since may be lost too."""
+        """Return whether replicas not heard from since may be lost too."""
         return now < self.began_at + _EVENT_WINDOW_S
 
     def has_heard(self, replica_id: str) -> bool:
-        """Return whether a replica has worked since the loss began."""
+        """Return whether a replica has worked since the failure began."""
         return self.heard.get(replica_id, float('-inf')) >= self.began_at
 
 
 def is_own_fault(silent: Collection[str], heard: Collection[str]) -> bool:
-    """Return whether it is the asking node that is cut off or held up.
+    """Return whether the probing node itself is cut off or stalled.
 
-    A node that hears from fewer replicas than are silent to it says nothing of
-    these: it would leave the whole fleet for nothing. One that hears from as
-    many is not cut off, however many parts of one path are silent. With a
-    third of a path as the bound, the loss of nine of 29 replicas was taken for
-    the node's own fault wherever two of six parts were gone.
+    A node that hears from fewer replicas than are silent to it reports none of
+    them, as it would otherwise declare the whole fleet dead. One that hears
+    from as many is considered connected: half of a path may fail at once.
     """
     return len(silent) > max(1, len(heard))
 
