--- a/samphirerill/fleet/gap_filling.py
+++ b/samphirerill/fleet/gap_filling.py
@@ -1,7 +1,8 @@
-"""Make a broken pipeline whole again with few loads.
+"""Complete a pipeline that lost stages, with few loads.
 
-Gaps are closed by replicas that no pipeline needs, near and empty ones first.
-Where they don't suffice, the parts that are left take on more layers each.
+Gaps are filled by replicas that no pipeline needs, local and empty ones first.
+Where those do not suffice, the layers are partitioned again among the remaining
+stages.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
     from samphirerill.fleet.model import EngineSpec, Replica
 
 _REQUEST_TARGETS = range(TARGET_REQUESTS, MIN_REQUESTS - 1, -5)
-# What one move takes off a predicted rate: it costs a load, and a spare that
-# joins doubles nothing any more.
+# Reduction of the predicted rate for each move: a move costs a load, and a
+# spare that joins the pipeline is no backup any more.
 _MOVE_PENALTY = 0.01
 Moves = dict[str, LayerRange]
 
@@ -34,7 +35,7 @@
 def fill_gaps(
     engine: EngineSpec, chain: Chain, spares: Sequence[Replica]
 ) -> Moves | None:
-    """Return the moves that close a chain's gaps, or none if they can't be."""
+    """Return the moves that fill a chain's gaps, or ``None`` if none do."""
     remaining = list(spares)
     moves: Moves = {}
     main_data_centre = chain.find_main_data_centre()
@@ -55,11 +56,11 @@
     spares: Sequence[Replica],
     pause_ms: float,
 ) -> Moves | None:
-    """Let each part of a broken chain take on some of the missing layers.
+    """Partition all layers again among a chain's stages and local spares.
 
-    The parts keep their order, so that most of what they hold stays. Spares
-    of the chain's data centre join them where the first gap is, as many as
-    give the highest rate.
+    The stages keep their order, so that most of what they hold stays. Spares of
+    the chain's main data centre are inserted at the first gap, as many as give
+    the highest predicted rate.
     """
     main_data_centre = chain.find_main_data_centre()
     local = [item for item in spares if item.data_centre == main_data_centre]
@@ -75,7 +76,7 @@
 def _partition(
     engine: EngineSpec, replicas: list[Replica], pause_ms: float
 ) -> tuple[float, Moves | None]:
-    """Cut the layers among replicas in order; return the rate and the moves."""
+    """Partition the layers among replicas in order; return rate and moves."""
     for requests in _REQUEST_TARGETS:
         counts = [count_max_layers(engine, item, requests) for item in replicas]
         if sum(counts) >= engine.layers:
@@ -107,16 +108,16 @@
 def build_repaired_pipeline(
     chain: Chain, moves: Moves, replicas: dict[str, Replica]
 ) -> Pipeline:
-    """Return the pipeline that a chain becomes by moves.
+    """Return the pipeline that results from a chain and moves.
 
     Parameters
     ----------
     chain : Chain
-        With gaps, or not.
+        With or without gaps.
     moves : dict of str to LayerRange
-        As `close_gaps` and `cut_anew` return them.
+        As `fill_gaps` and `repartition` return them.
     replicas : dict of str to Replica
-        All that the moves may name.
+        All replicas that the moves may name.
     """
     ranges = {
         stage.replica.replica_id: (stage.replica, stage.layers)
@@ -135,7 +136,7 @@
     spares: list[Replica],
     main_data_centre: str,
 ) -> Moves | None:
-    """Cut a gap among spares: near ones first, then empty ones."""
+    """Partition a gap among spares: local ones first, then empty ones."""
     for requests in (TARGET_REQUESTS, MIN_REQUESTS):
         rank = partial(_rank_for_gap, engine, gap, main_data_centre, requests)
         moves: Moves = {}
@@ -159,10 +160,10 @@
     requests: float,
     replica: Replica,
 ) -> tuple[tuple[bool, str], bool, int, int, str]:
-    """Rank a replica for a gap: near, empty, not too small, not too large.
+    """Rank a replica for a gap: local, empty, large enough, least oversized.
 
-    Those of one other data centre come together, so that few pipes are
-    crossed.
+    Replicas of one remote data centre rank next to each other, so that the
+    pipeline crosses few links.
     """
     max_count = count_max_layers(engine, replica, requests)
     return (
@@ -175,7 +176,7 @@
 
 
 def _insert_replicas(chain: Chain, joining: Sequence[Replica]) -> list[Replica]:
-    """Return a chain's parts with others where its first gap is."""
+    """Return a chain's replicas with others inserted at its first gap."""
     positioned = [(stage.layers.first, stage.replica) for stage in chain.stages]
     positioned.extend((chain.gaps[0].first, item) for item in joining)
     positioned.sort(key=lambda pair: (pair[0], pair[1].replica_id))
@@ -185,9 +186,10 @@
 def _assign_layers(
     engine: EngineSpec, replicas: list[Replica], counts: list[int]
 ) -> Moves:
-    """Give out all layers in order, most to those that can hold most.
+    """Assign all layers in order, at most `counts` to each replica.
 
-    Parts that get none are left out.
+    The surplus is taken from the largest counts; replicas that are left without
+    layers are omitted.
     """
     surplus = sum(counts) - engine.layers
     while surplus:
