--- a/samphirerill/fleet/migration.py
+++ b/samphirerill/fleet/migration.py
@@ -1,9 +1,9 @@
-"""Change over to a better plan, one data centre at a time.
+"""Change to a clearly better placement, one data centre at a time.
 
-After some losses and repairs the parts that are left may add up to far less
-than the same replicas could do if they were cut anew. The change is made only
-for a clear gain, and at once: done a pipeline at a time, each step was mended in
-another way than the next one meant it, and the same replicas loaded for ever.
+After losses and repairs, the pipelines may be far slower than a new placement
+of the same replicas. A change is made only for a clear gain, and in one step:
+when pipelines were changed one by one, repairs undid the steps in between and
+the same replicas loaded layers over and over.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.worth import Aims
 
-# A change takes some seconds of a pipeline's work; it must be worth it.
+# A change takes a pipeline out of service for some seconds.
 _MIN_GAIN = 1.6
-# What one move takes off a plan's predicted rate when plans are compared.
+# Reduction of a plan's predicted goodput for each move.
 _MOVE_PENALTY = 0.004
 Moves = dict[str, LayerRange]
 
@@ -36,20 +36,20 @@
     backups: Sequence[LayerRange],
     aims: Aims,
 ) -> Moves:
-    """Return the moves to a clearly better plan, if there is one.
+    """Return the moves to a clearly better placement, if there is one.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
-    cards : sequence of Replica
-        Those of one data centre that live and are not leaving.
-    whole : sequence of Pipeline
-        The pipelines that work now.
-    doubles : sequence of LayerRange
-        What replicas hold that no pipeline needs.
+    replicas : sequence of Replica
+        The live replicas of one data centre that are not draining.
+    current : sequence of Pipeline
+        The pipelines that are complete now.
+    backups : sequence of LayerRange
+        The layers of replicas that no pipeline needs.
     aims : Aims
-        What is asked for.
+        The targets of the plan.
     """
     plan = plan_zone(engine, replicas, aims)
     if plan is None:
@@ -62,7 +62,7 @@
 
 
 def build_pipeline(chain: Chain) -> Pipeline:
-    """Return a whole chain as a pipeline."""
+    """Return a chain without gaps as a pipeline."""
     return Pipeline(
         [(stage.replica, stage.layers.count) for stage in chain.stages]
     )
@@ -71,19 +71,19 @@
 def assign_stages(
     pipelines: Sequence[Pipeline], replicas: Sequence[Replica]
 ) -> Moves:
-    """Return the moves that a plan needs.
+    """Return the moves that turn the current placement into a plan.
 
     Parameters
     ----------
     pipelines : sequence of Pipeline
-        What the plan wants.
-    cards : sequence of Replica
-        Those that it was made for.
+        The planned pipelines.
+    replicas : sequence of Replica
+        The replicas that the plan was made for.
 
     Notes
     -----
-    Replicas of one kind are interchangeable: each part goes to the one that
-    holds most of it already.
+    Replicas with the same kind of accelerator are interchangeable: each stage
+    goes to the one that already holds most of its layers.
     """
     free: dict[str, list[Replica]] = {}
     for replica in replicas:
@@ -99,7 +99,10 @@
 def _list_unassigned_stages(
     pipelines: Sequence[Pipeline], free: dict[str, list[Replica]]
 ) -> list[tuple[str, LayerRange]]:
-    """Return the parts that nobody holds yet; who holds one is not free."""
+    """Return the stages that no replica holds exactly.
+
+    Replicas that hold a planned stage are removed from `free`.
+    """
     stages = []
     for pipeline in pipelines:
         for stage in pipeline.list_stages():
@@ -110,7 +113,7 @@
 
 
 def _take_exact_holder(free: list[Replica], layers: LayerRange) -> bool:
-    """Take out the replica that holds just these layers, if there is one."""
+    """Remove the replica that holds exactly these layers, if there is one."""
     for index, replica in enumerate(free):
         if replica.layers == layers:
             free.pop(index)
