--- a/samphirerill/fleet/model.py
+++ b/samphirerill/fleet/model.py
@@ -1,8 +1,8 @@
-"""What a node knows of the fleet, as typed immutable objects.
+"""The fleet as typed immutable objects.
 
-Operators' configuration and the endpoints' own announcements arrive in some
-platform's words; an adapter turns them into these classes. The rest of the
-code reads only these.
+Operators' configuration and endpoint announcements arrive in the platform's
+vocabulary; an adapter converts them to these classes, which all other modules
+use.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Repeat(enum.Enum):
-    """Whether a request of a route may run more than once."""
+    """Whether a route's requests may be retried."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Accelerator:
-    """One kind of accelerator; `pace` and `read_factor` scale its times.
+    """One kind of accelerator, with factors on the engine's nominal times.
 
-    `pace` multiplies the time of a step, `read_factor` that of reading
-    prompts; 1.0 is the engine's nominal time for all layers.
+    `pace` multiplies the time of a decoding step, `read_factor` that of
+    prefill.
     """
 
     name: str
@@ -42,10 +42,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineSpec:
-    """How the engines of one service compute, as their operators state it.
+    """Published figures of the inference engines of one service.
 
-    Times are in milliseconds for the whole model on a nominal accelerator;
-    they scale with the share of the layers that one pass runs.
+    Times are in milliseconds for the whole model on a nominal accelerator; they
+    scale with the share of the layers that one pass runs. A pass runs `stride`
+    decoding steps, and a stream gets one event per pass. `read_per_s` is the
+    prefill rate in tokens per second.
     """
 
     slots: int = 1
@@ -69,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A set of interchangeable endpoints; `engine` if they run a model."""
+    """A set of interchangeable endpoints; `engine` is set if they run a model."""
 
     name: str
     health_path: str = '/health'
@@ -79,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Share:
-    """One service of a route and its weight among the others."""
+    """One service of a route and its weight."""
 
     service: str
     weight: float
@@ -87,10 +89,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetRoute:
-    """Requests of one host below one path prefix.
+    """Requests for one host and one path prefix.
 
-    `priority` ranks, 0 first. `target_s` is the time within which an answer
-    (of a stream: its first event) is on time, `gap_s` the same for pauses.
+    Lower values of `priority` go first. `target_s` is the time within which an
+    answer (of a stream: its first event) counts as on time, `gap_s` the same
+    for pauses between events.
     """
 
     name: str
@@ -110,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientAccount:
-    """A client account as a bearer key names it."""
+    """A client account, identified by a bearer key."""
 
     name: str
     priority: int | None = None
@@ -118,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """What a client may send, and how long it may take."""
+    """Limits on the size of a request and on how long its client may take."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -147,7 +150,7 @@
 
     @property
     def count(self) -> int:
-        """Return how many layers this is."""
+        """Return the number of layers."""
         return self.end - self.first
 
 
@@ -156,12 +159,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Replica:
-    """One start of an endpoint as it announces itself.
+    """One process of an endpoint, as it announces itself.
 
-    An endpoint may start again under the same `replica_id`; then it holds
-    nothing of before. `started_ms` tells starts apart, in Unix milliseconds; 0
-    if it says nothing of it. `layers` is what it holds now; ``None`` means
-    none, or that the service has no layers.
+    An endpoint may restart under the same `replica_id`; then it holds nothing
+    of what it held before. `started_ms`, in Unix milliseconds, identifies the
+    process; 0 if not announced. `layers` is what it holds now; ``None`` if it
+    holds none, or if the service has no layers.
     """
 
     replica_id: str
@@ -175,7 +178,7 @@
     started_ms: int = 0
 
     def is_other_start(self, started_ms: int) -> bool:
-        """Return whether something was said by another start than this."""
+        """Return whether a start time belongs to another process than this."""
         return bool(started_ms and self.started_ms not in (0, started_ms))
 
     @property
@@ -186,7 +189,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stage:
-    """One replica's part of a path."""
+    """The layers of a path that one replica runs."""
 
     replica: Replica
     layers: LayerRange
@@ -195,10 +198,10 @@
 def count_tokens(
     engine: EngineSpec, accelerator: Accelerator, layers: int
 ) -> float:
-    """Return the tokens that fit beside so many layers.
+    """Return how many tokens fit in memory beside so many layers.
 
-    Source: the engines' published memory model, what the layers leave of the
-    accelerator's memory holds the tokens' keys and values of these layers.
+    The memory that the layers leave free holds the keys and values of the
+    tokens for these layers.
     """
     if layers <= 0 or engine.token_bytes <= 0:
         return 0.0
@@ -208,5 +211,5 @@
 
 
 def format_layers(layers: LayerRange | None) -> str:
-    """Return a range as logs show it."""
+    """Return a range as it appears in logs."""
     return 'none' if layers is None else f'{layers.first}-{layers.end}'
