--- a/samphirerill/fleet/moves.py
+++ b/samphirerill/fleet/moves.py
@@ -1,11 +1,10 @@
-"""What it takes to let a stream that lost a part go on.
+"""Predict the pause of a stream that moves to another path.
 
-Answers to: the loss of one replica, when all streams that pass through it move
-at the same moment. Parts that are new to a stream read everything so far, one
-stream after another; where the part before them is in another data centre, the
-activations of all these tokens pass through a pipe first. Through one pipe, 40
-streams that moved together stood still for 570 to 680 ms; read anew over a whole
-path within one data centre they need a third of that.
+When a replica is lost, all its streams move at once. Replicas that are new to a
+stream have to prefill everything so far, one stream after another; where the
+previous stage is in another data centre, the activations of all these tokens
+cross a link first. The link is the bottleneck: prefilling anew on a path within
+one data centre can be faster.
 """
 
 from __future__ import annotations
@@ -30,21 +29,21 @@
     tokens: float,
     concurrent: int,
 ) -> float:
-    """Return how long a stream stands still until new parts have read it.
+    """Return how long a stream pauses until its new replicas have prefilled it.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
     stages : sequence of Stage
-        The whole path to go on over.
+        The whole new path.
     held : collection of str
-        Replicas that have read the stream already.
+        Replicas that already hold the stream's tokens.
     tokens : float
-        What is to be read.
-    crowd : int
-        How many streams move at the same moment, this one included; on
-        average half of the others go first.
+        How many tokens to prefill.
+    concurrent : int
+        How many streams move at the same time, this one included; on average
+        half of the others go first.
     """
     durations_ms = [
         *_list_prefill_ms(engine, stages, held, tokens),
