--- a/samphirerill/fleet/outage.py
+++ b/samphirerill/fleet/outage.py
@@ -1,8 +1,7 @@
-"""Layers that nobody holds: no request can be served until they are loaded.
+"""Outages: layers that no replica holds, so that no request can be served.
 
-Answers to: more replicas lost at once than are doubled. Requests that waited for a
-path all the same were refused after 1.4 s, or began seconds late; those that are
-told at once when it makes sense to come back are served then.
+Requests that arrive during an outage are refused at once with the time after
+which to retry, instead of waiting for a path until they time out.
 """
 
 from __future__ import annotations
@@ -18,23 +17,22 @@
     from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.view import Known
 
-# From the loss of the last holder until layers are ordered elsewhere: the loss is
-# found out and planned for as a whole.
+# From the loss of the last holder until its layers are assigned elsewhere,
+# which includes detecting and planning for the whole failure.
 _REASSIGNMENT_DELAY_S = 0.7
-# Parts are loaded beside each other; three in four are no larger than the one by
-# which the time is predicted.
+# Stages load in parallel, so the time is predicted for a large one.
 _STAGE_QUANTILE = 0.75
-# What takes longer than predicted may be over at any moment.
+# Loads that take longer than predicted may complete at any moment.
 _MIN_WAIT_S = 0.7
-# A service is looked at when a request finds no path. Not looked at for so long, it
-# was whole meanwhile, and this is another outage.
+# A service is observed whenever a request finds no path. After a longer
+# interval without observation, this is a new outage.
 _NEW_OUTAGE_AFTER_S = 1.0
 
 
 class Outage:
-    """Since when a service's layers have not all been held.
+    """The current outage of one service.
 
-    `began_at` is on the loop's clock, 0 for a service that is whole.
+    `began_at` is on the loop's clock; 0 if all layers are held.
     """
 
     __slots__ = ('_engine', '_seen_at', 'began_at')
@@ -45,7 +43,7 @@
         self._seen_at = 0.0
 
     def observe(self, live: Sequence[Known], now: float) -> bool:
-        """Take the replicas that live; return whether layers are missing."""
+        """Update from the live replicas; return whether layers are missing."""
         is_covered = find_gap(self._engine, list_ranges(live)) is None
         if is_covered:
             self.began_at = 0.0
@@ -55,7 +53,7 @@
         return not is_covered
 
     def predict_wait_s(self, live: Sequence[Known], now: float) -> float:
-        """Return after how long the missing layers should be there."""
+        """Return the predicted time until the missing layers are loaded."""
         counts = sorted(layers.count for layers in list_ranges(live))
         stage_layers = (
             counts[int(_STAGE_QUANTILE * len(counts))] if counts else 0
@@ -68,7 +66,7 @@
 
 
 def list_ranges(known: Iterable[Known]) -> list[LayerRange]:
-    """Return what replicas hold."""
+    """Return the layer ranges that replicas hold."""
     return [
         found.replica.layers
         for found in known
@@ -79,10 +77,10 @@
 def find_gap(
     engine: EngineSpec, ranges: Iterable[LayerRange]
 ) -> LayerRange | None:
-    """Return the first layers that no range covers; none if all are covered.
+    """Return the first layers that no range covers, or ``None``.
 
-    A path may change over to another holder after any layer, so that there is
-    one wherever all layers are covered.
+    A path may switch to another replica after any layer, so that a path exists
+    wherever all layers are covered.
     """
     position = 0
     for layers in sorted(ranges, key=attrgetter('first')):
