--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -1,9 +1,10 @@
-"""Choose the path of one request over what replicas hold.
+"""Choose the path of one request through the replicas.
 
-A path runs every layer once, in order. From a position, any replica that holds
-the next layer may run up to the end of its part, wherever that part began. Of
-all paths with room, the one with the least predicted time between events is
-chosen; a change of data centre costs what the prompt's transfer holds up.
+A path runs every layer once, in order. From any position, a replica that holds
+the next layer may run all layers up to the end of its range, even if the range
+began earlier. Of all paths with enough memory, the one with the least predicted
+time between events is chosen; a crossing between data centres adds the delay
+that the prompt's transfer causes on the link.
 """
 
 from __future__ import annotations
@@ -29,23 +30,23 @@
     from samphirerill.fleet.pipes import PipeUse
     from samphirerill.fleet.view import Known
 
-# Reports of others are a little late, and answers may be longer than said. The
-# rest is kept for streams that lost their path.
+# Load reports of other nodes lag, and answers may be longer than announced. The
+# rest is reserved for streams that lost their path.
 MAX_MEMORY_USE = 0.92
 MAX_URGENT_MEMORY_USE = 1.0
-# Engines refuse a path of more parts.
+# Engines refuse longer paths.
 MAX_STAGES = 32
-# A transfer holds up the next event of every stream behind it, not only of its
-# own: with weight 0.5, paths through three data centres were chosen to save
-# 13 ms an event, and pauses of seconds came of it.
+# A transfer delays the next event of every stream behind it on the link, not
+# only of its own.
 TRANSFER_WEIGHT = 4.0
-# When a replica is lost, its streams are read elsewhere one after another. Where
-# 45 of them passed through one head, most paused for 210 to 340 ms; 15 need a
-# third of that. For every stream that is there already a replica counts as
-# slower by this share of the time to read a usual prompt.
+# When a replica is lost, its streams are prefilled elsewhere one after another,
+# so streams should not concentrate on few replicas. Each stream already there
+# makes a replica count as slower by this share of the time to prefill a usual
+# prompt.
 COLOCATION_WEIGHT = 0.02
-# Bytes between data centres are paid for, and a loss should not meet the streams
-# of all data centres: a head elsewhere has to save so much between two events.
+# Traffic between data centres is paid for, and a failure should not affect the
+# streams of all data centres: a remote first stage has to save this much per
+# event.
 REMOTE_ENTRY_PENALTY_MS = 6.0
 
 
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True)
 class _Candidate:
-    """A replica with room, and what a layer costs there per event."""
+    """A replica with enough memory, and its cost per layer and event."""
 
     replica: Replica
     layer_ms: float
@@ -70,13 +71,13 @@
 
 @dataclass(slots=True)
 class PathRequest:
-    """What is asked: room for `tokens`, without the replicas of `avoid`.
+    """Requirements of a path: memory for `tokens` without replicas in `avoid`.
 
-    `heads` names the replicas that a path may begin with, if not any;
-    `first_end` is where its first part must end, if not anywhere. Replicas in
-    `held` already hold the tokens. An urgent request, one that has begun, may
-    use the last of the memory, and pipes that are busier. `home` is the data
-    centre of who asks.
+    `heads` limits the replicas that may run the first stage; empty means any.
+    `first_end` is where the first stage must end; 0 means anywhere. Replicas in
+    `held` already hold the tokens. An urgent request, whose stream has begun,
+    may use the reserved memory and links with a longer queue. `home` is the
+    data centre of the requesting node.
     """
 
     tokens: float
@@ -97,7 +98,7 @@
     request: PathRequest,
     now: float,
 ) -> tuple[Stage, ...]:
-    """Return the stages of the best path with room, or an empty tuple."""
+    """Return the stages of the cheapest feasible path, or an empty tuple."""
     candidates = [
         _Candidate(
             found.replica, _score_layer(engine, found, book, request, now)
@@ -110,12 +111,11 @@
 
 
 class _PathSearch:
-    """The cheapest partial paths, by where they end and in which data centre.
+    """Search over partial paths, by the layer and data centre where they end.
 
-    Every part runs up to its replica's end, so that no replica comes twice and
-    each is looked at once for each end before it. Ending parts at all places
-    where another one begins, too, saved no time between events and took ten
-    times as long: 23 ms instead of 1 at 98 replicas.
+    Every stage runs up to the end of its replica's range, so that no replica
+    occurs twice. Also ending stages wherever another range begins would
+    multiply the search time without shortening the time between events.
     """
 
     __slots__ = (
@@ -148,7 +148,7 @@
         self._transfer_ms *= TRANSFER_WEIGHT
 
     def find(self) -> tuple[Stage, ...]:
-        """Return the cheapest whole path, or an empty tuple."""
+        """Return the cheapest complete path, or an empty tuple."""
         boundaries = self._list_boundaries()
         continuing = self._list_continuing(boundaries)
         for candidate in self._candidates:
@@ -160,7 +160,7 @@
         return _build_stages(self._best.get(self._engine.layers, {}))
 
     def _list_boundaries(self) -> list[int]:
-        """Return where parts may end short of the last layer, in order."""
+        """Return where stages may end before the last layer, in order."""
         boundaries = {
             candidate.replica.held.end for candidate in self._candidates
         }
@@ -174,7 +174,7 @@
     def _list_continuing(
         self, boundaries: Sequence[int]
     ) -> dict[int, list[_Candidate]]:
-        """Return, for each place to end, who may go on from there."""
+        """Return, for each boundary, the candidates that hold the next layer."""
         continuing: dict[int, list[_Candidate]] = {
             boundary: [] for boundary in boundaries
         }
@@ -192,10 +192,10 @@
         return continuing
 
     def _is_pinned_first_stage(self, replica: Replica) -> bool:
-        """Return whether a replica's part ends short of what it holds.
+        """Return whether a replica's stage ends at `first_end`.
 
-        A stream that moves keeps its first part as it was; its replica may
-        hold more by now, but comes only once on a path.
+        A stream that moves keeps its first stage unchanged. Its replica may
+        hold more layers by now, but must not occur on the path again.
         """
         request = self._request
         return bool(request.first_end) and replica.replica_id in request.heads
@@ -218,7 +218,7 @@
             self._add(None, candidate, LayerRange(0, end), penalty_ms)
 
     def _find_remote_entry_ms(self, replica: Replica) -> float:
-        """Return what it costs that events come from another data centre."""
+        """Return the penalty for a first stage in another data centre."""
         request = self._request
         is_local = not request.home or replica.data_centre == request.home
         return (
@@ -228,7 +228,7 @@
         )
 
     def _extend(self, boundary: int, candidates: Sequence[_Candidate]) -> None:
-        """Go on from the cheapest partial paths at a cut."""
+        """Extend the cheapest partial paths that end at a boundary."""
         entries: dict[str, tuple[float, _PartialPath] | None] = {}
         for candidate in candidates:
             zone = candidate.replica.data_centre
@@ -242,7 +242,7 @@
     def _find_cheapest_entry(
         self, boundary: int, zone: str
     ) -> tuple[float, _PartialPath] | None:
-        """Return the cheapest way into a data centre, and its hop's cost."""
+        """Return the cost and start of the cheapest way into a data centre."""
         options = []
         for origin, partial in self._best[boundary].items():
             hop_ms = self._find_hop_ms(origin, zone)
@@ -254,7 +254,7 @@
         return cheapest[1], cheapest[2]
 
     def _find_hop_ms(self, origin: str, destination: str) -> float | None:
-        """Return what the way between data centres costs; none if it's shut."""
+        """Return the cost of a crossing, or ``None`` if the link is full."""
         if origin == destination:
             return 0.0
         pipes = self._request.pipes
@@ -309,7 +309,7 @@
 def count_token_capacity(
     engine: EngineSpec, found: Known, layers: LayerRange
 ) -> float:
-    """Return how many tokens fit at a replica."""
+    """Return how many tokens fit in a replica's memory beside its layers."""
     accelerator = engine.accelerators.get(found.replica.accelerator)
     if accelerator is None:
         return 0.0
@@ -350,7 +350,7 @@
     request: PathRequest,
     now: float,
 ) -> float:
-    """Return what one layer costs a stream that may choose among replicas."""
+    """Return the cost of one layer, including the penalty for co-location."""
     layer_ms = _predict_layer_ms(engine, found, book, now)
     accelerator = engine.accelerators.get(found.replica.accelerator)
     if accelerator is None or not request.policy.spread:
