--- a/samphirerill/fleet/pipes.py
+++ b/samphirerill/fleet/pipes.py
@@ -1,59 +1,58 @@
-"""How much of the pipes between data centres is in use.
+"""Estimated backlog of the links between data centres.
 
-Transfers queue in a pipe one after another: a prompt that crosses holds up
-every other stream's next token there. All nodes keep the same estimate of each
-pipe's backlog: every node counts what it has sent in all, tells the others,
-and adds what they have sent since it last heard.
+Transfers queue on a link: a prompt that crosses delays the next token of every
+other stream there. All nodes keep the same estimate of each link's backlog:
+every node reports the total it has sent, and adds what others have sent since
+their previous report.
 """
 
 from __future__ import annotations
 
 from samphirerill.fleet.model import MS_PER_S
 
-# Above this use, prompts wait for prompts and pauses triple; it also covers
-# the tokens, which cross beside the prompts.
+# Above this utilisation prompts queue behind prompts and pauses triple; the
+# rest also covers the tokens that cross beside the prompts.
 _MAX_USE = 0.65
-# Further prompts wait at the node rather than in the pipe: behind so much,
-# the next token of a stream is still on time.
+# Further prompts wait at the node instead: behind this backlog, the next token
+# of a stream is still on time.
 MAX_BACKLOG_MS = 160.0
-# A stream that has begun may wait behind more; its client gives up after a pause of
-# two seconds, and it still has to be read. When a third of a fleet was lost, all
-# streams under way went over the same pipes, and hardly any came through in time.
+# For streams that have begun. Their clients give up after a pause of 2 s, which
+# must also cover the prefill.
 MAX_URGENT_BACKLOG_MS = 800.0
 Pair = frozenset[str]
 
 
 class PipeUse:
-    """The estimated backlog of every pipe, in milliseconds of transfer."""
+    """The backlog of every link, in milliseconds of transfer time."""
 
     __slots__ = ('_free_at', '_peer_totals', 'near_sent', 'own_version', 'sent')
 
     def __init__(self) -> None:
         self._free_at: dict[Pair, float] = {}
         self._peer_totals: dict[tuple[str, Pair], float] = {}
-        # What this node has sent through each pipe since it started.
+        # Total sent by this node on each link since it started.
         self.sent: dict[Pair, float] = {}
-        # The same with what the nodes of its data centre have sent since it
-        # heard of them; this only ever grows.
+        # The same plus what the other nodes of its data centre have sent since
+        # their first report; never decreases.
         self.near_sent: dict[Pair, float] = {}
         self.own_version = 0
 
     def backlog_ms(self, one: str, other: str, now: float) -> float:
-        """Return how long a prompt would wait for those before it."""
+        """Return how long a prompt would wait for earlier transfers."""
         free_at = self._free_at.get(frozenset((one, other)), 0.0)
         return max(0.0, free_at - now) * MS_PER_S
 
     def is_open(
         self, one: str, other: str, now: float, *, is_urgent: bool = False
     ) -> bool:
-        """Return whether another prompt, or a stream under way, may cross."""
+        """Return whether a prompt, or an urgent stream's, may cross now."""
         max_ms = MAX_URGENT_BACKLOG_MS if is_urgent else MAX_BACKLOG_MS
         return self.backlog_ms(one, other, now) < max_ms
 
     def note(
         self, one: str, other: str, transfer_ms: float, now: float
     ) -> None:
-        """Count one prompt of this node that crosses."""
+        """Count a prompt of this node that crosses a link."""
         pair = frozenset((one, other))
         self.sent[pair] = self.sent.get(pair, 0.0) + transfer_ms
         self.own_version += 1
@@ -69,12 +68,12 @@
         *,
         is_near: bool = False,
     ) -> None:
-        """Take what another node has sent through a pipe in all.
+        """Update from another node's report of its total on a link.
 
         Parameters
         ----------
         node : str
-            Which start of which node.
+            The sender, including which of its processes.
         pair : frozenset of str
             The data centres.
         sent_ms : float
@@ -82,7 +81,7 @@
         now : float
             On the loop's clock.
         is_near : bool
-            The node is in the same data centre.
+            The sender is in the same data centre.
         """
         key = (node, pair)
         previous = self._peer_totals.get(key, sent_ms)
