--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -1,14 +1,13 @@
-"""Decide which layers each engine should hold, from nothing.
+"""Plan which layers each replica should hold, from scratch.
 
-A plan is a set of pipelines; each covers every layer once. For a wanted number
-of tokens each accelerator kind has a number of layers that leaves room for
-them. Pipelines are built within one data centre, since a prompt that crosses
-a pipe holds up every other stream's next token there; only data centres that
-can't build one of their own are joined. What is left doubles parts.
+A plan is a set of pipelines; each covers every layer once. A target number of
+tokens determines how many layers each kind of accelerator can hold beside them.
+Pipelines stay within one data centre, since a prompt that crosses a link delays
+every other stream's next token there; only data centres that cannot build a
+pipeline by themselves are combined. Spare replicas become backups.
 
-Of a ladder of wanted tokens the step wins, for each data centre, that is worth
-the most (see `predict_worth`). Answers to: the usual load of a day, and replicas
-that are lost one after another.
+For each data centre, plans are made for several token targets, and the one with
+the highest goodput is chosen (see `predict_goodput`).
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
     from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
     from samphirerill.fleet.worth import Aims
 
-# Fewer tokens than this many usual requests a pipeline is not worth building.
+# A pipeline with memory for fewer usual requests is not worth building.
 _MIN_REQUESTS = 8
 _MAX_REQUESTS = 160
 _REQUESTS_STEP_FACTOR = 1.15
@@ -43,9 +42,9 @@
 
 @dataclass(slots=True)
 class PlacementPlan:
-    """Pipelines, what is left over, and doubles that the latter may hold.
+    """Pipelines, spare replicas, and the layers that spares hold as backups.
 
-    `worth` is the predicted answers a second, less what losses will cost.
+    `goodput` is the predicted rate of answers on time, less the cost of losses.
     """
 
     pipelines: list[Pipeline]
@@ -54,7 +53,7 @@
     goodput: float
 
     def list_ranges(self) -> LayerAssignments:
-        """Return the layers of each replica that should hold any."""
+        """Return the planned layers by replica id."""
         ranges = {
             stage.replica.replica_id: stage.layers
             for pipeline in self.pipelines
@@ -69,16 +68,16 @@
     replicas: Sequence[Replica],
     aims: Aims,
 ) -> PlacementPlan | None:
-    """Return the best plan found, or none if no pipeline can be built.
+    """Return the best plan found, or ``None`` if no pipeline can be built.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
     replicas : sequence of Replica
-        Those that may be ordered, of one service.
+        The replicas of one service that may be assigned layers.
     aims : Aims
-        What is asked for.
+        The targets of the plan.
     """
     plans = []
     unplaced: list[Replica] = []
@@ -104,7 +103,7 @@
 def plan_zone(
     engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
 ) -> PlacementPlan | None:
-    """Return the best plan of one data centre, if it can have any."""
+    """Return the best plan of one data centre, or ``None``."""
     for targets in _list_token_targets(engine):
         plans = [
             _plan_local(engine, replicas, tokens, aims) for tokens in targets
@@ -116,7 +115,7 @@
 
 
 def group_by_zone(replicas: Iterable[Replica]) -> dict[str, list[Replica]]:
-    """Return the replicas of each data centre, in order of its name."""
+    """Return the replicas of each data centre, ordered by its name."""
     zones: dict[str, list[Replica]] = {}
     for replica in replicas:
         zones.setdefault(replica.data_centre, []).append(replica)
@@ -134,7 +133,7 @@
     tokens: float,
     aims: Aims,
 ) -> PlacementPlan:
-    """Build pipelines whose parts all have room for so many tokens."""
+    """Build pipelines whose stages all have memory for so many tokens."""
     max_layers, free = _list_candidates(engine, replicas, tokens)
     pipelines = []
     while pipeline := _build_pipeline(engine, free, free, max_layers):
@@ -151,7 +150,7 @@
 def _plan_across_zones(
     engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
 ) -> PlacementPlan | None:
-    """Join data centres that can't build a pipeline of their own."""
+    """Build pipelines across data centres that have too few replicas."""
     plans = []
     for tokens in chain.from_iterable(_list_token_targets(engine)):
         max_layers, free = _list_candidates(engine, replicas, tokens)
@@ -172,7 +171,7 @@
 def _list_candidates(
     engine: EngineSpec, replicas: Sequence[Replica], tokens: float
 ) -> tuple[dict[str, int], list[Replica]]:
-    """Return the layers each kind may hold, and the cards, fast ones first."""
+    """Return each accelerator's most layers, and the replicas, fastest first."""
     max_layers = {
         name: _find_max_layers(engine, accelerator, tokens)
         for name, accelerator in engine.accelerators.items()
@@ -185,7 +184,7 @@
 def _order_by_zone(
     free: list[Replica], max_layers: dict[str, int]
 ) -> list[Replica]:
-    """Return cards of the data centre with the most layers first."""
+    """Return replicas, those of the data centre with the most layers first."""
     layers: dict[str, int] = {}
     for replica in free:
         held = layers.get(replica.data_centre, 0)
@@ -211,7 +210,7 @@
     order: Sequence[Replica],
     max_layers: dict[str, int],
 ) -> Pipeline | None:
-    """Build a pipeline of the first cards that together hold all layers."""
+    """Build a pipeline of the first replicas that can hold all layers."""
     members = []
     missing = engine.layers
     for replica in order:
@@ -230,10 +229,9 @@
     members: list[Replica],
     max_layers: dict[str, int],
 ) -> Pipeline:
-    """Take cards out of the free ones and cut the layers among them.
+    """Partition the layers among members, and remove these from `free`.
 
-    What they could hold beyond all layers is taken off those whose last layer
-    leaves them the least memory.
+    Surplus layers are taken from the members with the least memory left.
     """
     for replica in members:
         free.remove(replica)
@@ -251,7 +249,7 @@
 def _rank_memory_pressure(
     engine: EngineSpec, replica: Replica, count: int
 ) -> float:
-    """Rank a card by how little room for tokens its layers leave it."""
+    """Rank a replica by how little memory its layers leave for tokens."""
     if count <= 1:
         return -1
     return 1 / (
@@ -262,10 +260,10 @@
 def _list_token_targets(
     engine: EngineSpec,
 ) -> tuple[list[float], list[float]]:
-    """Return the steps of the ladder: those to try first, and the others.
+    """Return the token targets to try first, and the fallbacks.
 
-    A part with room for fewer requests than others are given room for would
-    hold up its pipeline; it is better than none.
+    A stage with memory for fewer than `TARGET_REQUESTS` requests limits its
+    pipeline, so such targets are tried only if no other gives a pipeline.
     """
     usual = engine.usual_prompt + engine.usual_answer / 2
     preferred: list[float] = []
