--- a/samphirerill/fleet/policy.py
+++ b/samphirerill/fleet/policy.py
@@ -1,8 +1,7 @@
-"""Which ways of deciding are in use; each can be switched off by itself.
+"""Feature switches for single mechanisms of routing and planning.
 
-A mechanism stays only if it is worth something. To measure that, every one has
-a field here, all of them on unless the settings say otherwise; the object is
-passed whole to those who decide.
+Each mechanism can be switched off in the settings to measure its benefit; all
+are on by default.
 """
 
 from __future__ import annotations
@@ -12,20 +11,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """Switches of single mechanisms.
-
-    `unhurried_leaving`: streams on a replica that leaves stay as long as it
-    serves them, and then move one by one; otherwise all move at once.
-    `cheaper_way`: a stream that lost a part is sent again where that takes
-    less than moving it; otherwise it moves if it can.
-    `own_silence`: a silence is measured by the stream's own gaps; otherwise by
-    three gaps as they were predicted.
-    `signs_of_life`: replicas that other streams' events come through are not
-    asked about a silence; otherwise all of a silent path are.
-    `spread`: a replica counts as slower for each stream that is there already.
-    `lean_plans`: pipelines have few parts that their load is met with;
-    otherwise as many as give the most answers.
-    `near_heads`: paths that begin in the node's own data centre go first.
+    """Switches; each is described as it acts when on, then when off.
+
+    `unhurried_leaving`: streams on a draining replica stay while it serves
+    them, then move one by one; otherwise all move at once.
+
+    `cheaper_way`: a stream that lost a stage is sent again from the start where
+    that is faster than moving it; otherwise it moves if it can.
+
+    `own_silence`: the timeout for a silent stream adapts to its own event
+    intervals; otherwise it is three predicted intervals.
+
+    `signs_of_life`: on a silent path, replicas that currently deliver events of
+    other streams are not probed; otherwise all are.
+
+    `spread`: a replica counts as slower for each stream already on it.
+
+    `lean_plans`: pipelines have as few stages as the demand allows; otherwise
+    as many as maximise the rate.
+
+    `near_heads`: paths whose first stage is in the node's own data centre are
+    preferred.
     """
 
     unhurried_leaving: bool = True
