--- a/samphirerill/fleet/prediction.py
+++ b/samphirerill/fleet/prediction.py
@@ -1,7 +1,7 @@
 """Predict an engine's times from its published figures.
 
-A token visits every stage of its path; each visit is a pass of `stride`
-steps, after the rest of the pass that is under way there.
+A token visits every stage of its path. At each stage it waits for the rest of
+the pass in progress, then takes part in a pass of `stride` steps.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Accelerator, EngineSpec
 
-# An event meets a pass under way at a random moment: half of it is left on
-# average, beside the event's own pass.
+# An event arrives at a random moment of the pass in progress and waits for half
+# of it on average, then takes a full pass.
 _MEAN_PASSES_PER_STAGE = 1.5
-# A hop costs its delay and one more chance that a stage is lost.
+# Network latency of a hop, and the risk of one more stage to lose.
 STAGE_OVERHEAD_MS = 0.5
 _TOKENS_PER_K = 1000
 _BITS = 8
@@ -24,7 +24,7 @@
 
 
 def predict_step_ms(engine: EngineSpec, running: float) -> float:
-    """Return the time of one step for all layers at nominal pace."""
+    """Return the time of one step for all layers on a nominal accelerator."""
     context_k = (engine.usual_prompt + engine.usual_answer / 2) / _TOKENS_PER_K
     per_stream = engine.per_seq_ms + engine.context_per_k_ms * context_k
     return engine.step_ms + running * per_stream
@@ -46,14 +46,14 @@
 def predict_prefill_ms(
     engine: EngineSpec, accelerator: Accelerator, layers: int, tokens: float
 ) -> float:
-    """Return how long one stage reads a prompt of so many tokens."""
+    """Return how long one stage takes to prefill so many tokens."""
     share = layers / max(1, engine.layers)
     total_ms = tokens / engine.read_per_s * MS_PER_S
     return total_ms * accelerator.read_factor * share
 
 
 def predict_transfer_ms(engine: EngineSpec, tokens: float) -> float:
-    """Return how long a prompt occupies a pipe between data centres."""
+    """Return how long a prompt occupies a link between data centres."""
     if engine.pipe_mbps <= 0:
         return 0.0
     bits = tokens * engine.activation_bytes * _BITS
