--- a/samphirerill/fleet/rates.py
+++ b/samphirerill/fleet/rates.py
@@ -1,7 +1,7 @@
-"""Predict what pipelines answer in good time.
+"""Predict the rates at which pipelines answer on time.
 
-A pipeline holds as many streams as its smallest part has memory for, or fewer
-where their events would come too slowly. Rates are answers a second.
+A pipeline holds as many streams as its smallest stage has memory for, or fewer
+where events would otherwise come too slowly. Rates are answers per second.
 """
 
 from __future__ import annotations
@@ -30,19 +30,20 @@
 
     from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
 
-# Above this use of a pipe, prompts wait for prompts and pauses triple.
+# Above this utilisation of a link, prompts queue behind prompts and pauses
+# triple.
 _MAX_LINK_USE = 0.2
-# Memory is never filled to the last token: answers differ in length.
+# Headroom, because answers differ in length.
 _MAX_MEMORY_USE = 0.85
-# The share of the wanted pause that the predicted mean may take; pauses at
-# one in a hundred are some three times the mean.
+# The longest mean event interval, as a share of the target pause: the 99th
+# percentile is about three times the mean.
 _MEAN_INTERVAL_SHARE = 0.45
 DEFAULT_PAUSE_MS = 200.0
-# A part must leave room for this many usual requests, or it would throttle
-# the pipeline it completes.
+# A stage with memory for fewer usual requests would limit its pipeline too
+# much.
 MIN_REQUESTS = 15
-# Parts are given room for this many where that is possible: with less, a part
-# holds up a pipeline whose other parts hold more.
+# Stages get memory for this many where possible, so that none limits a pipeline
+# whose other stages hold more.
 TARGET_REQUESTS = 40
 _REDUCTION_FACTOR = 0.8
 _MIN_PREFILL_MS = 0.001
@@ -50,12 +51,12 @@
 
 @dataclass(slots=True)
 class Pipeline:
-    """Replicas in order, with the layers each would hold."""
+    """Replicas in order, with the number of layers each runs."""
 
     parts: list[tuple[Replica, int]] = field(default_factory=list)
 
     def list_stages(self) -> list[Stage]:
-        """Return the parts with their layers, from the first one on."""
+        """Return the stages with their layer ranges, in order."""
         stages = []
         first = 0
         for replica, count in self.parts:
@@ -64,11 +65,11 @@
         return stages
 
     def count_crossings(self) -> int:
-        """Return how often a prompt changes data centres."""
+        """Return how often a prompt crosses between data centres."""
         return self.list_crossings().total()
 
     def list_crossings(self) -> Counter[frozenset[str]]:
-        """Return how often a prompt passes through each pipe."""
+        """Return how often a prompt crosses each link."""
         zones = [replica.data_centre for replica, _ in self.parts]
         return Counter(
             frozenset(pair) for pair in pairwise(zones) if pair[0] != pair[1]
@@ -78,7 +79,7 @@
 def predict_rate(
     engine: EngineSpec, pipeline: Pipeline, pause_ms: float
 ) -> float:
-    """Return the answers a second that a pipeline gives in good time."""
+    """Return the answers per second that a pipeline gives on time."""
     mean_tokens = engine.usual_prompt + engine.usual_answer / 2
     tokens = min(
         count_tokens(engine, get_accelerator(engine, replica), layers)
@@ -98,9 +99,9 @@
 def predict_total_rate(
     engine: EngineSpec, pipelines: Sequence[Pipeline], pause_ms: float
 ) -> float:
-    """Return the answers a second that pipelines give together.
+    """Return the answers per second that pipelines give together.
 
-    Those that cross share the pipes: each prompt occupies every pipe on its
+    Pipelines that cross share the links: each prompt occupies every link on its
     path, as often as it crosses there.
     """
     transfer_s = predict_transfer_ms(engine, engine.usual_prompt) / MS_PER_S
@@ -134,7 +135,7 @@
 def count_max_layers(
     engine: EngineSpec, replica: Replica, requests: float = MIN_REQUESTS
 ) -> int:
-    """Return how many layers leave room for so many usual requests."""
+    """Return how many layers leave memory for so many usual requests."""
     accelerator = engine.accelerators.get(replica.accelerator)
     if accelerator is None:
         return 0
@@ -153,7 +154,10 @@
 def _list_prefill_rates(
     engine: EngineSpec, pipeline: Pipeline
 ) -> Iterable[float]:
-    """Yield, for each stage, the prompts it can read with half its time."""
+    """Yield, for each stage, the prompts per second it can prefill.
+
+    Half of the stage's time is reserved for decoding.
+    """
     for replica, layers in pipeline.parts:
         prefill_ms = predict_prefill_ms(
             engine,
