--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -1,11 +1,10 @@
 """Decide the next moves of layers, given what replicas hold now.
 
-Data centres are planned one by one. Whole pipelines stay as they are; one that
-lost a part is made whole, first by replicas that no pipeline needs. What is left
-doubles parts. A data centre without any whole pipeline is planned from nothing; only
-one that can't have a pipeline of its own takes replicas of others. A calm fleet changes over to a clearly better plan.
-
-Answers to: losses, releases and newcomers, several at once.
+Data centres are planned one by one. Complete pipelines are kept; those that
+lost a stage are repaired, first with spare replicas. Spares become backups. A
+data centre without any complete pipeline is planned from scratch, and uses
+other data centres' spares only if it cannot build a pipeline by itself. A fleet
+without recent changes is rebalanced if that is a clear gain.
 """
 
 from __future__ import annotations
@@ -46,9 +45,10 @@
     from samphirerill.fleet.worth import Aims
     from samphirerill.fleet.zone_state import Zone
 
-# A slower pipeline is given up for a faster one only for this much more.
+# A slower pipeline is dismantled for a faster one only above this ratio of
+# rates.
 _MIN_GAIN = 1.3
-# A newcomer of a kind that so few others have will take over from one of them.
+# With so few replicas of its kind, a newcomer must be the replacement of one.
 _MAX_HOLDERS_TO_PRELOAD = 2
 Moves = dict[str, LayerRange]
 
@@ -62,23 +62,23 @@
     is_calm: bool = True,
     had: Mapping[str, int] | None = None,
 ) -> Moves:
-    """Return the layers that replicas should hold other than now.
+    """Return the layers of replicas that should hold others than now.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
     present : sequence of Replica
-        Those that live and are not leaving.
+        The live replicas that are not draining.
     aims : Aims
-        What is asked for.
+        The targets of the plan.
     settled : collection of str
-        Replicas that may be given something to double; the others are kept
-        free to take over from one that leaves.
+        Replicas that may become backups; newer ones are kept free to replace
+        replicas that drain.
     is_calm : bool
-        No replica has come or gone for a while.
+        No replica has joined or left for a while.
     had : mapping of str to int, optional
-        How many whole pipelines each data centre had.
+        The most complete pipelines that each data centre has had.
     """
     known = [
         item for item in present if item.accelerator in engine.accelerators
@@ -110,7 +110,7 @@
 def count_whole(
     engine: EngineSpec, present: Sequence[Replica]
 ) -> dict[str, int]:
-    """Return how many whole pipelines each data centre has."""
+    """Return the number of complete pipelines in each data centre."""
     return {
         name: sum(not chain.gaps for chain in extract_chains(engine, replicas))
         for name, replicas in group_by_zone(present).items()
@@ -118,10 +118,10 @@
 
 
 def _repair_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
-    """Make broken pipelines whole, the fastest first."""
+    """Repair incomplete pipelines, the fastest first."""
     for chain in tuple(zone.incomplete):
         if chain not in zone.incomplete:
-            # A faster one has taken its parts.
+            # A faster pipeline has taken its replicas.
             continue
         moves = _find_moves(engine, zone, chain, aims)
         if moves and _is_net_gain(engine, zone, chain, moves, aims):
@@ -131,7 +131,7 @@
 def _find_moves(
     engine: EngineSpec, zone: Zone, chain: Chain, aims: Aims
 ) -> Moves | None:
-    """Return the moves that make a pipeline whole, the gentlest that do."""
+    """Return the moves that complete a pipeline, by the least disruptive way."""
     return (
         fill_gaps(engine, chain, zone.spares)
         or _fill_from_slower(engine, zone, chain)
@@ -143,7 +143,7 @@
 def _fill_from_slower(
     engine: EngineSpec, zone: Zone, chain: Chain
 ) -> Moves | None:
-    """Close gaps with the parts of broken pipelines that are slower."""
+    """Fill gaps with the stages of slower incomplete pipelines."""
     at = zone.incomplete.index(chain)
     slower = [
         stage.replica
@@ -158,7 +158,7 @@
 def _dismantle_slowest(
     engine: EngineSpec, zone: Zone, chain: Chain, aims: Aims
 ) -> Moves | None:
-    """Close gaps with the parts of a whole pipeline that is worth less."""
+    """Fill gaps with the stages of the slowest complete pipeline."""
     slowest = min(
         zone.complete,
         key=lambda pipeline: predict_rate(engine, pipeline, aims.pause_ms),
@@ -188,7 +188,7 @@
     moves: Moves,
     aims: Aims,
 ) -> bool:
-    """Return whether a pipeline is worth the doubles that it takes away."""
+    """Return whether a pipeline outweighs the backups that it takes away."""
     gained_rate = predict_rate(
         engine,
         build_repaired_pipeline(chain, moves, index_replicas(zone)),
@@ -205,7 +205,7 @@
 
 
 def _apply_moves(zone: Zone, chain: Chain, moves: Moves) -> None:
-    """Take moves as done."""
+    """Update the data centre's state as if moves were done."""
     zone.complete.append(
         build_repaired_pipeline(chain, moves, index_replicas(zone))
     )
@@ -228,7 +228,7 @@
     aims: Aims,
     settled: Collection[str],
 ) -> Moves:
-    """Let spares double parts; newcomers only where that is no guess."""
+    """Assign backups to settled spares, and likely replacements to newcomers."""
     moves = _preload_replacements(engine, zone, settled)
     stages = list_rated_stages(engine, zone.complete, aims.pause_ms)
     spares = [item for item in zone.spares if item.replica_id in settled]
@@ -239,11 +239,11 @@
 def _preload_replacements(
     engine: EngineSpec, zone: Zone, settled: Collection[str]
 ) -> Moves:
-    """Load a newcomer with what the only other one of its kind holds.
+    """Assign newcomers the layers of the replica they probably replace.
 
-    In a release the new replica starts just before the old one leaves. Where
-    it can only be one or two, loading at once takes that second off the time
-    that their pipeline is out of work, which for the largest ones is five.
+    In a release the new replica starts about a second before the old one
+    drains. Where only one or two have its kind of accelerator, loading at once
+    shortens the time that their pipeline is out of service.
     """
     moves: Moves = {}
     for replica in zone.spares:
@@ -261,7 +261,7 @@
 def _list_ranges_by_accelerator(
     zone: Zone, accelerator: str
 ) -> list[LayerRange]:
-    """Return the parts of pipelines on accelerators of one kind."""
+    """Return the pipelines' layer ranges on one kind of accelerator."""
     return [
         stage.layers
         for pipeline in zone.complete
@@ -271,7 +271,7 @@
 
 
 def _rebalance(engine: EngineSpec, zones: list[Zone], aims: Aims) -> Moves:
-    """Return the moves of one data centre to a better plan."""
+    """Return the moves that rebalance the first data centre that gains by it."""
     for zone in zones:
         if not zone.complete:
             continue
@@ -292,7 +292,7 @@
 
 
 def _drop_unchanged(moves: Moves, present: Sequence[Replica]) -> Moves:
-    """Leave out what replicas already hold."""
+    """Omit moves whose replica already holds the layers."""
     held = {item.replica_id: item.layers for item in present}
     return {
         name: layers for name, layers in moves.items() if held[name] != layers
