--- a/samphirerill/fleet/routes.py
+++ b/samphirerill/fleet/routes.py
@@ -11,12 +11,12 @@
 
 
 class RouteTable:
-    """Routes of one configuration; a look-up costs a step a path segment.
+    """Routes of one configuration; lookup time is linear in path segments.
 
     Parameters
     ----------
     cfg : FleetConfiguration
-        The configuration in force.
+        The active configuration.
     """
 
     __slots__ = ('_routes',)
@@ -28,14 +28,14 @@
             prefixes[route.prefix] = route
 
     def find(self, host: str, target: str) -> FleetRoute | None:
-        """Return the route of a request, or none.
+        """Return the route of a request, or ``None``.
 
         Parameters
         ----------
         host : str
-            As the client named it, with or without a port.
+            The requested host, with or without a port.
         target : str
-            Path with its query.
+            The path with its query.
         """
         prefixes = self._routes.get(_strip_port(host))
         if prefixes is None:
@@ -51,7 +51,7 @@
 
 
 def choose_service(route: FleetRoute, random: Random) -> str:
-    """Draw one of a route's services by weight; empty if none has any."""
+    """Choose a route's service at random by weight; empty if all are zero."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [max(0.0, share.weight) for share in route.shares]
