--- a/samphirerill/fleet/smoothing.py
+++ b/samphirerill/fleet/smoothing.py
@@ -1,4 +1,4 @@
-"""A mean and a deviation, smoothed as transports smooth round trips."""
+"""Smoothed mean and deviation of durations, as in TCP's RTT estimator."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(slots=True)
 class Smoothed:
-    """What some time usually takes, in seconds; 0 before the first one."""
+    """Smoothed duration in seconds; 0 before the first sample."""
 
     mean_s: float = 0.0
     deviation_s: float = 0.0
 
     def note(self, took_s: float) -> None:
-        """Take one more time."""
+        """Add a sample."""
         if not self.mean_s:
             self.mean_s = took_s
             self.deviation_s = took_s / 2
@@ -28,5 +28,5 @@
         )
 
     def find_longest(self, deviations: float) -> float:
-        """Return what is hardly ever longer: so many deviations above."""
+        """Return the mean plus so many deviations, as an upper bound."""
         return self.mean_s + deviations * self.deviation_s
