--- a/samphirerill/fleet/zone_rebuild.py
+++ b/samphirerill/fleet/zone_rebuild.py
@@ -1,7 +1,8 @@
-"""Data centres in which no pipeline is left, or never was.
+"""Plans for data centres without a complete pipeline.
 
-Answers to: a data centre whose replicas all start anew, a first plan that was made
-for half of a fleet, more losses than a data centre's own replicas can make up for.
+This covers a data centre whose replicas have all restarted, a first plan made
+before all replicas were known, and more losses than the data centre's own
+replicas can make up for.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 
 def rebuild_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
-    """Plan a data centre from nothing in which no pipeline can be mended.
+    """Plan a data centre from scratch if none of its pipelines is repairable.
 
-    Its replicas came back empty, or hold parts that don't fit together; what
-    they hold serves at the most paths that cross to other data centres, which
-    pipes bind. Left to be mended, a data centre whose replicas had all started
-    anew never served again.
+    Its replicas restarted empty, or hold layers that do not fit together. These
+    could serve only paths that cross to other data centres, which the links
+    limit. Without this, a data centre whose replicas had all restarted would
+    never serve again, as there is no incomplete pipeline to repair.
     """
     plan = plan_zone(engine, zone.replicas, aims)
     if plan is None:
@@ -43,7 +44,7 @@
 
 
 def repair_across_zones(engine: EngineSpec, zones: list[Zone]) -> None:
-    """Let data centres without a pipeline use what others don't need."""
+    """Complete a pipeline from data centres without one and others' spares."""
     unserved = [zone for zone in zones if not zone.complete]
     if not unserved:
         return
@@ -74,7 +75,7 @@
 
 
 def _reserve_spares(zones: list[Zone], chains: list[Chain]) -> None:
-    """Take away spares that a pipeline across data centres needs."""
+    """Remove the spares that a pipeline across data centres uses."""
     used = {
         stage.replica.replica_id
         for chain in chains
