--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -1,8 +1,9 @@
-"""Whether a replica is taken to be dead: by whose word, and until when.
+"""Failure detection for one replica from the reports of several nodes.
 
-Each node finds silent replicas by itself and tells the others. Its word counts for
-its own streams at once; that a replica is dead for all takes two nodes. A word is
-about a moment: who has heard from the replica since knows better.
+Each node finds silent replicas by itself and reports them to the others. Its
+report applies to its own streams at once; a death is confirmed for all nodes by
+two reports. A report is discarded at a node that has heard from the replica
+since.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 
 from samphirerill.fleet.gathering import name_sum
 
-# So many nodes, each with one vote, make it sure that a replica is dead.
+# Votes of different nodes that confirm a death.
 SURE_VOTES = 2
-# This node's own word.
+# Key of this node's own report.
 _LOCAL_NODE = ''
 
 
 @dataclass(slots=True, frozen=True)
 class Word:
-    """What a node, or all of a data centre, says of a replica's silence.
+    """A report, by a node or a whole data centre, that a replica is silent.
 
-    `since` is when it was found silent, `until` how long the word counts, both
-    on the loop's clock; `votes` is how many nodes say so, or `SURE_VOTES` if
-    there is no doubt. `node` is empty for this node.
+    It is valid from `since`, when the silence was found, to `until`, both on
+    the loop's clock. `votes` is the number of nodes behind it, or `SURE_VOTES`
+    for a confirmed death. `node` is empty for this node.
     """
 
     since: float
@@ -35,18 +36,18 @@
 
     @property
     def is_own(self) -> bool:
-        """Return whether this node has found it out itself."""
+        """Return whether this node found the silence itself."""
         return self.node == _LOCAL_NODE
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """What speaks for and against a replica's death.
+    """Evidence that a replica is dead or alive.
 
-    `dead_until` is how long it is taken to be dead, `found_until` the same as
-    far as this node found it out itself, `sure_until` as far as more than one
-    node did. `has_ended` is whether nobody listens at its address. `heard_at`
-    is the latest moment of which it is known that the replica worked.
+    The replica is suspected until `dead_until`, by this node's own report until
+    `found_until`, and by confirmed reports until `sure_until`. `has_ended`
+    means that nothing listens at its address. `heard_at` is the latest time at
+    which it is known to have worked.
     """
 
     dead_until: float = 0.0
@@ -57,12 +58,11 @@
     words: dict[str, Word] = field(default_factory=dict)
 
     def take(self, word: Word, now: float) -> bool:
-        """Take a word; return whether the replica is dead by it, as news.
+        """Add a report; return whether it makes the replica newly suspected.
 
-        A node that is cut off or was held up finds replicas silent that live.
-        Two such nodes made a death sure for all, and the layers of whole data
-        centres were loaded anew; so a word counts for nothing at a node that
-        has heard from the replica since.
+        Reports older than the last sign of life are rejected: nodes that are
+        cut off or stalled find live replicas silent, and two of them would
+        otherwise confirm their deaths for all nodes.
         """
         if word.since < self.heard_at:
             return False
@@ -79,9 +79,10 @@
         return is_news
 
     def hear(self, at: float) -> bool:
-        """The replica worked at a moment; return whether it is dead no more.
+        """Record a sign of life; return whether it ends a suspicion.
 
-        What was said of the time before is over, also what others said.
+        All reports of silence before `at` become void, including those of
+        others.
         """
         if at <= self.heard_at:
             return False
@@ -93,7 +94,7 @@
         return was_dead
 
     def clear(self) -> None:
-        """Hold nothing against the replica any more."""
+        """Discard all evidence against the replica."""
         self.dead_until = 0.0
         self.found_until = 0.0
         self.sure_until = 0.0
@@ -101,10 +102,10 @@
         self.words.clear()
 
     def count_votes(self, now: float) -> int:
-        """Return how many votes there are for that it is dead.
+        """Return the number of votes for the replica's death.
 
-        The nodes of another data centre speak for themselves at first, and
-        together later; a node that is heard both ways has one vote.
+        Nodes of another data centre first report individually and later as an
+        aggregate; a node counted in both has one vote.
         """
         individual: Counter[str] = Counter()
         aggregated: Counter[str] = Counter()
@@ -118,5 +119,5 @@
         return (individual | aggregated).total()
 
     def get_own(self) -> Word | None:
-        """Return what this node says of it, if anything."""
+        """Return this node's own report, or ``None``."""
         return self.words.get(_LOCAL_NODE)
