--- a/samphirerill/fleet/timing.py
+++ b/samphirerill/fleet/timing.py
@@ -1,4 +1,4 @@
-"""When a fleet may be planned for: settled, calm, and not in circles."""
+"""Decide when to plan: after the fleet is known, and without oscillation."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
     from samphirerill.fleet.model import Replica
 
 # Replicas announce themselves one by one at the start; the first plan waits
-# until no new one has come for this long.
+# until no new one has appeared for this long.
 _INITIAL_SETTLE_S = 0.6
-# How long a replica is new; in a release the old one leaves within a second.
+# In a release, the replica that a newcomer replaces drains within a second.
 _NEWCOMER_PERIOD_S = 2.5
-# A release replaces a replica about once a second.
+# Longer than the interval at which a release replaces replicas, about 1 s.
 _STABLE_PERIOD_S = 1.2
-# A change to a better plan takes a step for each pipeline.
+# Enough for a rebalance, which takes one plan per pipeline.
 _MAX_PLANS_PER_INPUT = 8
 
 
 @dataclass(slots=True)
 class PlanTiming:
-    """What one service's replicas did lately, as points on the clock."""
+    """Recent changes of one service's replicas; times are on the loop's clock."""
 
     _ids: frozenset[str] = frozenset()
     _changed_at: float = 0.0
@@ -31,15 +31,15 @@
     _inputs: object = None
     _holdings: tuple[Replica, ...] = ()
     _plan_count: int = 0
-    # The most whole pipelines that each data centre has had.
+    # The most complete pipelines that each data centre has had.
     had: dict[str, int] = field(default_factory=dict)
 
     def observe(self, present: Sequence[Replica], now: float) -> None:
-        """Take the replicas that are there now."""
+        """Update from the replicas that are present now."""
         ids = frozenset(replica.replica_id for replica in present)
         if ids == self._ids:
             return
-        # Who commands anew finds a fleet that may have been there for long.
+        # On the first call, the replicas may have been present for long.
         since = now if self._ids else float('-inf')
         self._ids = ids
         self._changed_at = now
@@ -48,25 +48,25 @@
         }
 
     def note_whole(self, counts: dict[str, int]) -> None:
-        """Take how many whole pipelines each data centre has."""
+        """Record the number of complete pipelines in each data centre."""
         for zone, count in counts.items():
             self.had[zone] = max(count, self.had.get(zone, 0))
 
     def has_settled(self, present: Sequence[Replica], now: float) -> bool:
-        """Return whether all replicas of a first plan have announced."""
+        """Return whether all replicas of a first plan should be known."""
         if any(replica.layers is not None for replica in present):
             return True
         return now >= self._changed_at + _INITIAL_SETTLE_S
 
     def is_calm(self, now: float) -> bool:
-        """Return whether nobody has come or gone for a while."""
+        """Return whether no replica has joined or left for a while."""
         return now >= self._changed_at + _STABLE_PERIOD_S
 
     def list_settled(self, now: float) -> frozenset[str]:
-        """Return the replicas that have been there for a while.
+        """Return the replicas that have been present for a while.
 
-        In a release the new replica starts just before an old one leaves;
-        it should wait for that one's layers rather than load others.
+        In a release the new replica starts just before an old one drains; it
+        should wait for that one's layers instead of loading others.
         """
         return frozenset(
             name
@@ -75,17 +75,18 @@
         )
 
     def may_plan(self, inputs: object, present: Sequence[Replica]) -> bool:
-        """Return whether something has changed that a plan should answer.
+        """Return whether the input of a plan has changed.
 
-        Plans that answered to their own effects have moved the same layers to
-        and fro for ever; each fleet is planned for a few times only.
+        The number of plans for the same inputs is limited, since plans that
+        react to their own effects could move the same layers back and forth
+        forever.
 
         Parameters
         ----------
-        fleet : object
-            All that decides a plan, but for what replicas hold.
+        inputs : object
+            Everything that determines a plan except the layers of replicas.
         present : sequence of Replica
-            The replicas with what they hold.
+            The replicas with their layers.
         """
         holdings = tuple(present)
         if self._inputs != inputs:
