--- a/samphirerill/fleet/watchers.py
+++ b/samphirerill/fleet/watchers.py
@@ -1,8 +1,8 @@
-"""Which nodes watch the store, and from whom the others hear.
+"""Choose the nodes that watch the store for all others.
 
-The store counts every waiting watch and every change that ends one; its rates
-grow more slowly than the fleet. A few nodes watch it, the others wait at one of
-these in the same way. Answers to: 400 nodes that all must hear of a change.
+The store's load grows with the number of watches and with the changes that
+complete them. Only a few nodes watch it, so that its load grows more slowly
+than the fleet; the others long-poll one of these.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-# Any two of these may be gone, or deaf, and a third still brings the news.
+# Changes still arrive if any two watchers fail.
 _MIN_WATCHERS = 3
 # How many nodes wait at one watcher.
 _LISTENERS_PER_WATCHER = 16
 
 
 def list_watchers(names: Iterable[str]) -> list[str]:
-    """Return the nodes that watch the store, the same at every node.
+    """Return the nodes that watch the store; all nodes choose the same.
 
-    They are drawn by the checksum of their names, so that those of one data
-    centre, which are named alike, are not all chosen.
+    They are ordered by the checksum of their names, because nodes of one data
+    centre have similar names and should not all be chosen.
     """
     ranked = sorted(names, key=_rank)
     count = max(_MIN_WATCHERS, len(ranked) // _LISTENERS_PER_WATCHER)
@@ -33,7 +33,7 @@
 def choose_watcher(
     own: str, names: Iterable[str], avoid: Collection[str]
 ) -> str:
-    """Return where a node listens; empty if it watches the store itself.
+    """Return the watcher that a node listens to; empty if it is one itself.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
     names : iterable of str
         All nodes, with or without this one.
     avoid : collection of str
-        Watchers that failed lately.
+        Watchers that failed recently.
     """
     if own in list_watchers({own, *names}):
         return ''
