--- a/samphirerill/fleet/worth.py
+++ b/samphirerill/fleet/worth.py
@@ -1,9 +1,8 @@
-"""What a data centre's pipelines are worth: answers a second, less what is lost.
+"""Predict the goodput of a data centre's pipelines.
 
-Capacity beyond what is asked for is worth nothing; few parts and short streams
-are, as every part that a stream passes through may be lost under it. Answers to:
-a fleet with room to spare, of which a quarter is lost or replaced within half a
-minute.
+Goodput is the rate of answers on time, less the cost of losses. Capacity beyond
+the demand adds almost nothing, whereas few stages and short streams do: every
+stage on a stream's path may be lost while it runs.
 """
 
 from __future__ import annotations
@@ -32,25 +31,24 @@
     from samphirerill.fleet.model import EngineSpec, LayerRange
     from samphirerill.fleet.rates import Pipeline
 
-# On a bad day one replica in four is lost or replaced within half a minute.
+# Losses per replica: a quarter of all replicas lost or replaced in 30 s.
 _LOSS_RATE_PER_S = 0.0083
-# Of the streams on a part that is lost, this share is late if somebody near
-# holds its layers too, and all of them if nobody does.
+# Share of a lost stage's streams that are late if another replica in the data
+# centre holds its layers; without one, all are.
 _LATE_SHARE_IF_COVERED = 0.5
-# Streams that a part is planned to have when times are predicted.
+# Streams per stage for which times are predicted.
 _ASSUMED_STREAMS = 20
-# Answers beyond what is asked for count so much, to tell plans apart that all
-# give enough.
+# Weight of answers beyond the demand, to rank plans that all meet it.
 _SURPLUS_WEIGHT = 0.02
 _MIN_RATE = 0.001
 
 
 @dataclass(slots=True, frozen=True)
 class Aims:
-    """What a plan is made for.
+    """Targets of a plan.
 
-    `pause_ms` is the pause between two events that is still on time; `demand`
-    the streams at a time that each data centre should have room for.
+    `pause_ms` is the longest pause between two events that counts as on time;
+    `demand` is how many concurrent streams each data centre should hold.
     """
 
     pause_ms: float = DEFAULT_PAUSE_MS
@@ -64,18 +62,18 @@
     backups: Sequence[LayerRange],
     aims: Aims,
 ) -> float:
-    """Return the answers a second that are of use and in time.
+    """Return the predicted rate of useful answers on time, per second.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
     pipelines : sequence of Pipeline
-        Those of one data centre.
-    doubles : sequence of LayerRange
-        What replicas hold that no pipeline needs.
+        The pipelines of one data centre.
+    backups : sequence of LayerRange
+        The layers of replicas that no pipeline needs.
     aims : Aims
-        What is asked for.
+        The targets of the plan.
     """
     if not pipelines:
         return 0.0
@@ -95,7 +93,7 @@
 def _predict_answer_s(
     engine: EngineSpec, pipelines: Sequence[Pipeline]
 ) -> float:
-    """Return how long a usual answer takes, on average over pipelines."""
+    """Return how long a usual answer takes, averaged over pipelines."""
     events_ms = [
         predict_event_ms(engine, pipeline, _ASSUMED_STREAMS)
         for pipeline in pipelines
@@ -107,9 +105,10 @@
 def _count_exposed_stages(
     pipelines: Sequence[Pipeline], backups: Sequence[LayerRange]
 ) -> float:
-    """Return the parts whose loss makes streams late, over all pipelines.
+    """Return the stages whose loss makes streams late, over all pipelines.
 
-    Pipelines cover each other: from any layer on, whoever holds it goes on.
+    A stage with a copy elsewhere counts partly. Pipelines back up each other,
+    since paths may switch replicas after any layer.
     """
     held = [
         [stage.layers for stage in pipeline.list_stages()]
