--- a/samphirerill/fleet/zone_state.py
+++ b/samphirerill/fleet/zone_state.py
@@ -1,4 +1,4 @@
-"""One data centre as repairs see it: its pipelines, and what they don't need."""
+"""State of one data centre during planning: its pipelines and spares."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True)
 class Zone:
-    """One data centre: its pipelines, and what they don't need.
+    """The pipelines, spares and planned moves of one data centre.
 
-    `whole` are pipelines that work, or will by `moves`; `broken` those to be
-    made whole.
+    `complete` pipelines work, or will after `moves`; `incomplete` ones are to
+    be repaired.
     """
 
     replicas: list[Replica]
@@ -45,10 +45,12 @@
     settled: Collection[str],
     previous_count: int,
 ) -> Zone:
-    """Tell pipelines that lost a part from replicas that only double.
+    """Return the pipelines and spares of a data centre.
 
-    Newcomers are no reason for another pipeline: the replicas that they
-    replace are about to leave.
+    The number of incomplete pipelines to repair is limited to what a plan of
+    the settled replicas contains, or to the previous number: newcomers give no
+    reason for another pipeline, as the replicas they replace are about to
+    drain.
     """
     chains = extract_chains(engine, replicas)
     complete = [build_pipeline(chain) for chain in chains if not chain.gaps]
@@ -70,7 +72,7 @@
 
 
 def list_used_ids(zone: Zone) -> set[str]:
-    """Return the replicas that pipelines need, whole ones or broken ones."""
+    """Return the replicas that complete or incomplete pipelines need."""
     used = {
         replica.replica_id
         for pipeline in zone.complete
@@ -85,17 +87,17 @@
 
 
 def list_held_ranges(replicas: Sequence[Replica]) -> list[LayerRange]:
-    """Return what replicas hold, without those that hold nothing."""
+    """Return the layer ranges of replicas that hold any."""
     return [item.layers for item in replicas if item.layers is not None]
 
 
 def index_replicas(zone: Zone) -> dict[str, Replica]:
-    """Return the replicas of a data centre by their ids."""
+    """Return the replicas of a data centre by id."""
     return {item.replica_id: item for item in zone.replicas}
 
 
 def _predict_layer_ms(engine: EngineSpec, chain: Chain) -> float:
-    """Return the milliseconds per layer that a chain takes."""
+    """Return the predicted milliseconds per layer of a chain."""
     total_ms = sum(
         predict_stage_ms(
             engine,
