--- a/samphirerill/quarantine/__init__.py
+++ b/samphirerill/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the endpoints that run them: found, and not run any more."""
+"""Detection and quarantine of requests that crash the endpoints running them."""
 
 from samphirerill.quarantine.book import News, Quarantine
 from samphirerill.quarantine.identity import digest_request
--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -1,12 +1,14 @@
-"""Decide which requests end the endpoints that run them.
-
-An endpoint that ends breaks off all that it runs, up to a hundred requests, and
-all of them are sent again; the next endpoint that ends has some of them too. Who saw
-two ends as it began to run is a suspect, and should run where no other suspect
-does. If an endpoint ends with one suspect aboard, that is the one; if it goes on,
-the suspect is none any more. Where endpoints end all the time for other reasons,
-once may be chance, and more is asked for. The decision follows from the evidence
-alone, in whatever order it came: nodes that know the same decide the same.
+"""Decide which requests crash the endpoints that run them.
+
+A crash interrupts up to a hundred requests. All of them are sent again, so the
+next crash affects some of them too. A request that was just starting at two
+crashes is a suspect, and should run where no other suspect does. If an endpoint
+crashes with a single suspect, that is the cause; if the run continues, the
+request is cleared. Where endpoints crash frequently for other reasons, more
+evidence is required.
+
+The decision is a function of the evidence, whatever its order: nodes with the
+same evidence decide the same.
 """
 
 from __future__ import annotations
@@ -22,36 +24,38 @@
 
     from samphirerill.quarantine.records import Death
 
-# A run that has sent events for so long has begun, and its endpoint lives: a request
-# that ends endpoints does so with its first tokens.
+# A run that has sent events for this long has survived: harmful requests crash
+# endpoints with their first tokens.
 BEGINNING_S = 0.5
-# One end may be anybody's; with two, a request runs where it harms few others.
+# One crash is no evidence against any of the interrupted requests.
 SUSPECT_DEATHS = 2
-# The third end decides, if there was no other suspect.
+# Crashes until a request is held, if it was the only suspect at the last.
 _MIN_CRASHES = 3
-# Nobody is aboard so often by chance, whoever else was.
+# A request at this many crashes is held whatever other suspects there were.
 _CERTAIN_CRASHES = 6
-# Ends of this long ago that a request did not see tell how many it may see by
-# chance: with more than a few, it must have been the only suspect more than once.
+# Crashes of other endpoints within this time show how likely a coincidence is;
+# beyond each of the two numbers, the request must have been the only suspect
+# once more.
 _RECENT_S = 10.0
 _FEW_OTHER_ENDPOINTS = 1
 _SEVERAL_OTHER_ENDPOINTS = 5
-# Those that were broken off together are heard of within this time, from all nodes;
-# judged sooner, whoever is heard of first would seem to have been there alone.
+# Reports of one crash arrive from all nodes within this time. Decided earlier,
+# the first request reported would seem to have been the only suspect.
 SETTLE_S = 0.1
-# How long a request is held back after its third end; doubled with each more. Then
-# one run decides: an engine may have been mended.
+# How long a request is held after `_MIN_CRASHES`; doubled with each further
+# one. Then one run decides, as the engine may have been fixed.
 _HOLD_S = 600.0
 _MAX_HOLD_S = 7200.0
-# Evidence outlasts the hold, so that a request that goes on as before is known.
+# Evidence is kept longer than the hold, to recognise a request that still
+# crashes endpoints.
 _RETENTION_FACTOR = 2.0
-# At about 0.5 KB each.
+# A record takes about 0.5 KB.
 MAX_RECORDS = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class News:
-    """A request is held back until `until`, or not any more if that is 0."""
+    """A change of a hold: held until `until`, or released if that is 0."""
 
     request: bytes
     deaths: tuple[Death, ...]
@@ -60,19 +64,19 @@
 
 @dataclass(slots=True, frozen=True)
 class _Hold:
-    """Until when a request is held back, and the ends that decided it."""
+    """Until when a request is held, and the crashes that decided it."""
 
     until: float
     deaths: tuple[Death, ...]
 
 
 class Quarantine:
-    """What is known against requests, by their digests.
+    """Evidence against requests, by their digests, and the resulting holds.
 
     Parameters
     ----------
-    most_records : int
-        The oldest of the least evidence are forgotten beyond that.
+    max_records : int
+        Beyond that, the oldest record with the least evidence is evicted.
     """
 
     __slots__ = ('_held', '_candidates', '_max_records', '_records')
@@ -80,23 +84,23 @@
     def __init__(self, max_records: int = MAX_RECORDS) -> None:
         self._max_records = max_records
         self._records: dict[bytes, Record] = {}
-        # Requests with enough ends, whoever else was there.
+        # Requests with `_MIN_CRASHES`, whether or not they are held.
         self._candidates: set[bytes] = set()
         self._held: dict[bytes, _Hold] = {}
 
     def __len__(self) -> int:
-        """Return of how many requests something is known."""
+        """Return the number of requests with a record."""
         return len(self._records)
 
     def note_death(self, request: bytes, death: Death, now: float) -> bool:
-        """Take an end; return whether it is news.
+        """Record a crash; return whether it is new evidence.
 
         Parameters
         ----------
         request : bytes
-            The digest of a request whose run had just begun there.
+            Digest of a request whose run had just started there.
         death : Death
-            Which endpoint, and when.
+            Which endpoint crashed, and when.
         now : float
             On the loop's clock.
         """
@@ -114,10 +118,10 @@
         return True
 
     def note_survival(self, request: bytes, at: float) -> bool:
-        """A run went on beyond its beginning; return whether that is news.
+        """Record that a run survived its start; return whether that is news.
 
-        Only what is known of a request can be refuted; of others nothing is
-        kept.
+        Only requests with a record can be cleared; nothing is stored for
+        others.
         """
         record = self._records.get(request)
         if record is None or not record.note_survival(at):
@@ -127,10 +131,10 @@
         return True
 
     def judge(self, now: float) -> list[News]:
-        """Decide anew who is held back; return what has changed.
+        """Update all holds from the evidence; return what has changed.
 
-        Ends of the last `SETTLE_S` don't count yet: who else was there may
-        still be on its way.
+        Crashes of the last `SETTLE_S` are ignored, as reports of other requests
+        that were running may still arrive.
         """
         before = self._held
         self._held = {}
@@ -147,19 +151,19 @@
         return list(self._list_changes(before))
 
     def find_held_until(self, request: bytes, now: float) -> float:
-        """Return until when a request is held back; 0 if it may run."""
+        """Return until when a request is held; 0 if it may run."""
         hold = self._held.get(request)
         if hold is None or hold.until <= now:
             return 0.0
         return hold.until
 
     def count_deaths(self, request: bytes) -> int:
-        """Return at how many moments a request saw an endpoint end."""
+        """Return at how many distinct crashes a request was just starting."""
         record = self._records.get(request)
         return 0 if record is None else len(record.list_distinct_crashes())
 
     def list_records(self) -> Iterator[tuple[bytes, Record]]:
-        """Yield what is known, requests that are held back first."""
+        """Yield all records, those of held requests first."""
         for request in self._held:
             yield request, self._records[request]
         for other in reversed(self._records):
@@ -167,11 +171,11 @@
                 yield other, self._records[other]
 
     def get_record(self, request: bytes) -> Record | None:
-        """Return what is known of a request, if anything."""
+        """Return the record of a request, or ``None``."""
         return self._records.get(request)
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to matter."""
+        """Drop expired records."""
         expired = [
             request
             for request, record in self._records.items()
@@ -194,7 +198,7 @@
         )
 
     def _was_only_suspect(self, request: bytes, death: Death) -> bool:
-        """Return whether no other suspect saw an end."""
+        """Return whether no other suspect was just starting at a crash."""
         return not any(
             record.was_suspect(death, SUSPECT_DEATHS)
             for other, record in self._records.items()
@@ -226,10 +230,11 @@
             yield News(request, before[request].deaths, 0.0)
 
     def _evict_record(self) -> None:
-        """Forget the oldest request of the least evidence, if need be.
+        """Evict the oldest record with the least evidence if there are too many.
 
-        Whoever sends many bodies must not push out what is known of others:
-        of a hundred that an endpoint's end breaks off, one is guilty.
+        A client that sends many bodies must not evict the evidence against
+        others: of a hundred requests that a crash interrupts, only one is the
+        cause.
         """
         if len(self._records) < self._max_records:
             return
