--- a/samphirerill/quarantine/identity.py
+++ b/samphirerill/quarantine/identity.py
@@ -1,24 +1,24 @@
-"""What makes two attempts the same request, whatever their ids."""
+"""Identity of a request across its attempts, whatever their ids."""
 
 from __future__ import annotations
 
 from hashlib import blake2b
 
-# Long enough that nobody finds two bodies with one digest.
+# Long enough to be resistant to collisions.
 DIGEST_BYTES = 16
 _LENGTH_BYTES = 8
 
 
 def digest_request(account: str, target: bytes, body: bytes) -> bytes:
-    """Return the identity of a request: whose it is, its path and its body.
+    """Return the digest of a request's client account, path and body.
 
-    Whoever knows the digest can check a guess at the body, so it never goes
-    into a log or a page for operators.
+    A digest allows guesses at the body to be verified, so it must not appear in
+    logs or on operators' pages.
 
     Parameters
     ----------
     account : str
-        The client account, so that none can get another one's request
+        The client account, so that no account can get another one's request
         refused; empty on a public route.
     target : bytes
         The path, with its query.
