--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -1,7 +1,6 @@
-"""How nodes tell each other what they know against requests.
+"""Messages between nodes with evidence against requests.
 
-What comes from another node is checked as a stranger's: bounded in size, and no
-older or newer than evidence can be.
+Received messages are untrusted: sizes and ages are checked.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 _MS_PER_S = 1000
 _MAX_NAME_CHARS = 80
-# Names of endpoints and attempts are cut to this; they are shorter.
+# Names of endpoints and attempts are truncated to this; real ones are shorter.
 _SENT_NAME_CHARS = 40
 _MAX_RECORDS_PER_MESSAGE = 64
 _MAX_AGE_MS = 14_400_000
@@ -29,7 +28,7 @@
 
 
 class CrashMessage(Struct, array_like=True):
-    """One end, with how many milliseconds ago it was."""
+    """One crash; `ago_ms` is its age in milliseconds."""
 
     endpoint: str
     request_id: str
@@ -37,7 +36,10 @@
 
 
 class ToldRecord(Struct, array_like=True):
-    """One request; `survived_ms` is how long ago a run went on, -1 for never."""
+    """Evidence on one request.
+
+    `survived_ms` is how long ago a run last survived its start, -1 for never.
+    """
 
     request: bytes
     deaths: list[CrashMessage]
@@ -45,11 +47,11 @@
 
 
 class UnreadableEvidenceError(Exception):
-    """What another node told is not what it should be."""
+    """A message with evidence is malformed or exceeds the limits."""
 
 
 def build_told(request: bytes, record: Record, now: float) -> ToldRecord:
-    """Return a record as other nodes are told of it."""
+    """Return the message for a record."""
     survived_ms = _NEVER_SURVIVED
     if record.survived_at > 0:
         survived_ms = _to_ms(now - record.survived_at)
@@ -65,12 +67,12 @@
 
 
 def encode_told(messages: list[ToldRecord]) -> bytes:
-    """Return records as bytes."""
+    """Return messages as bytes."""
     return msgpack.encode(messages)
 
 
 def decode_told(text: bytes) -> list[ToldRecord]:
-    """Return the records in a message; raise if it is not what it should be."""
+    """Decode messages; raise ``UnreadableEvidenceError`` if they are invalid."""
     try:
         messages = msgpack.decode(text, type=list[ToldRecord])
     except (DecodeError, ValidationError) as exc:
@@ -80,32 +82,32 @@
 
 
 def check_told(messages: list[ToldRecord]) -> None:
-    """Raise ``UnreadableEvidenceError`` if records are not in bounds."""
+    """Raise ``UnreadableEvidenceError`` if messages exceed the limits."""
     if len(messages) > _MAX_RECORDS_PER_MESSAGE or not all(
         map(_is_valid_record, messages)
     ):
         raise UnreadableEvidenceError(
-            f'got {len(messages)} records, expected {_MAX_RECORDS_PER_MESSAGE} at most, each in '
-            'bounds'
+            f'got {len(messages)} records, expected at most '
+            f'{_MAX_RECORDS_PER_MESSAGE}, each within its limits'
         )
 
 
-def move_back(messages: ToldRecord, by_ms: int) -> ToldRecord:
-    """Return a record as it is so many milliseconds after it was written."""
+def move_back(message: ToldRecord, by_ms: int) -> ToldRecord:
+    """Return a message with all its ages increased by `by_ms`."""
     deaths = [
         CrashMessage(death.endpoint, death.request_id, death.ago_ms + by_ms)
-        for death in messages.deaths
+        for death in message.deaths
     ]
-    survived_ms = messages.survived_ms
+    survived_ms = message.survived_ms
     if survived_ms != _NEVER_SURVIVED:
         survived_ms += by_ms
-    return ToldRecord(messages.request, deaths, survived_ms)
+    return ToldRecord(message.request, deaths, survived_ms)
 
 
 def take_told(
     quarantine: Quarantine, messages: Iterable[ToldRecord], now: float
 ) -> list[bytes]:
-    """Let what another node told count; return the requests with news."""
+    """Apply messages of another node; return the requests that changed."""
     changed = []
     for record in messages:
         changes = [
@@ -128,15 +130,15 @@
     return changed
 
 
-def _is_valid_record(messages: ToldRecord) -> bool:
-    has_digest_size = len(messages.request) == DIGEST_BYTES
-    has_few_crashes = len(messages.deaths) <= MAX_CRASHES
-    is_recent = _NEVER_SURVIVED <= messages.survived_ms <= _MAX_AGE_MS
+def _is_valid_record(message: ToldRecord) -> bool:
+    has_digest_size = len(message.request) == DIGEST_BYTES
+    has_few_crashes = len(message.deaths) <= MAX_CRASHES
+    is_recent = _NEVER_SURVIVED <= message.survived_ms <= _MAX_AGE_MS
     return (
         has_digest_size
         and has_few_crashes
         and is_recent
-        and all(map(_is_valid_crash, messages.deaths))
+        and all(map(_is_valid_crash, message.deaths))
     )
 
 
