--- a/samphirerill/quarantine/records.py
+++ b/samphirerill/quarantine/records.py
@@ -1,4 +1,4 @@
-"""What is known against one request: which endpoints ended as it began there."""
+"""Evidence on one request: which endpoints crashed as its run started there."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Ends so close together have one cause, as when a rack loses power.
+# Crashes this close together count as one, as when a rack loses power.
 _SAME_CAUSE_S = 0.05
-# Two nodes that saw the same endpoint end differ by less.
+# Times that two nodes report for the same crash differ by less.
 _SAME_CRASH_S = 1.0
-# More of them change nothing.
+# Further crashes would not change the decision.
 MAX_CRASHES = 8
 _NEVER = float('-inf')
 _MS_PER_S = 1000
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Death:
-    """An endpoint's process ended as it began to run a request.
+    """The crash of an endpoint's process just as it started to run a request.
 
     Parameters
     ----------
     endpoint : str
-        Which start of which endpoint.
+        Which endpoint, including which of its processes.
     request_id : str
-        The client's name for the attempt; operators find it in the logs.
+        The client's id of the attempt, as it appears in the logs.
     at : float
         When, on the loop's clock.
     """
@@ -39,24 +39,24 @@
     at: float
 
     def is_same_crash(self, other: Death) -> bool:
-        """Return whether both tell of one end of one endpoint."""
+        """Return whether both describe the same crash of one endpoint."""
         is_close = abs(self.at - other.at) < _SAME_CRASH_S
         return self.endpoint == other.endpoint and is_close
 
 
 @dataclass(slots=True)
 class Record:
-    """The ends that one request saw, in order of time.
+    """The crashes that affected one request, ordered by time.
 
-    A run that goes on, or comes to its end, shows that the request harms
-    nobody; ends before `survived_at` count for nothing.
+    A run that continues or completes shows that the request is harmless;
+    crashes before `survived_at` are dropped.
     """
 
     deaths: list[Death] = field(default_factory=list)
     survived_at: float = _NEVER
 
     def add(self, death: Death) -> bool:
-        """Take an end; return whether it counts and was not known."""
+        """Add a crash; return whether it is new and not refuted."""
         if death.at <= self.survived_at or any(
             map(death.is_same_crash, self.deaths)
         ):
@@ -67,14 +67,14 @@
         return True
 
     def note_survival(self, at: float) -> bool:
-        """Forget the ends before a moment; return whether there were any."""
+        """Drop crashes up to a survived run; return whether there were any."""
         self.survived_at = max(self.survived_at, at)
         latest = len(self.deaths)
         self.deaths = [death for death in self.deaths if death.at > at]
         return len(self.deaths) < latest
 
     def list_distinct_crashes(self) -> list[Death]:
-        """Return the ends, one of each moment."""
+        """Return the crashes, one for each group with a common cause."""
         distinct: list[Death] = []
         for death in self.deaths:
             if not distinct or death.at - distinct[-1].at >= _SAME_CAUSE_S:
@@ -82,7 +82,7 @@
         return distinct
 
     def was_suspect(self, death: Death, min_crashes: int) -> bool:
-        """Return whether the request saw an end after enough others."""
+        """Return whether the request was at a crash after enough earlier ones."""
         if len(self.deaths) <= min_crashes:
             return False
         if not any(map(death.is_same_crash, self.deaths)):
@@ -93,14 +93,14 @@
 
 
 def describe_record(record: Record, until: float, now: float) -> dict[str, Any]:
-    """Return a record for operators: by attempts, never by its digest.
+    """Return a record for operators; attempts are named, never the digest.
 
     Parameters
     ----------
     record : Record
-        With one end at the least.
+        With at least one crash.
     until : float
-        Until when the request is held back; 0 if it is not.
+        Until when the request is held; 0 if it is not.
     now : float
         On the loop's clock.
     """
@@ -114,7 +114,7 @@
 def describe_deaths(
     deaths: Iterable[Death], now: float
 ) -> list[dict[str, Any]]:
-    """Return ends for operators, each with how long ago it was."""
+    """Return crashes for operators, each with its age."""
     return [
         {
             'endpoint': death.endpoint,
