--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -92,7 +92,7 @@
         """Return the number of requests with a record."""
         return len(self._records)
 
-    def note_death(self, request: bytes, death: Death, now: float) -> bool:
+    def note_death(self, request: bytes, crash: Death, now: float) -> bool:
         """Record a crash; return whether it is new evidence.
 
         Parameters
@@ -104,14 +104,14 @@
         now : float
             On the loop's clock.
         """
-        if death.at + _RETENTION_FACTOR * _MAX_HOLD_S < now:
+        if crash.at + _RETENTION_FACTOR * _MAX_HOLD_S < now:
             return False
         record = self._records.get(request)
         if record is None:
             self._evict_record()
             record = Record()
             self._records[request] = record
-        if not record.add(death):
+        if not record.add(crash):
             return False
         if len(record.list_distinct_crashes()) >= _MIN_CRASHES:
             self._candidates.add(request)
@@ -141,9 +141,9 @@
         settled = now - SETTLE_S
         for request in self._candidates:
             crashes = [
-                death
-                for death in self._records[request].list_distinct_crashes()
-                if death.at <= settled
+                crash
+                for crash in self._records[request].list_distinct_crashes()
+                if crash.at <= settled
             ]
             if self._is_culprit(request, crashes):
                 until = crashes[-1].at + _find_hold_s(len(crashes))
@@ -190,29 +190,29 @@
         if len(crashes) >= _CERTAIN_CRASHES:
             return True
         sole_suspect_count = sum(
-            self._was_only_suspect(request, death)
-            for death in crashes[SUSPECT_DEATHS:]
+            self._was_only_suspect(request, crash)
+            for crash in crashes[SUSPECT_DEATHS:]
         )
         return sole_suspect_count >= self._count_required(
             request, crashes[-1].at
         )
 
-    def _was_only_suspect(self, request: bytes, death: Death) -> bool:
+    def _was_only_suspect(self, request: bytes, crash: Death) -> bool:
         """Return whether no other suspect was just starting at a crash."""
         return not any(
-            record.was_suspect(death, SUSPECT_DEATHS)
+            record.was_suspect(crash, SUSPECT_DEATHS)
             for other, record in self._records.items()
             if other != request
         )
 
     def _count_required(self, request: bytes, until: float) -> int:
         """Return how often a request must have been the only suspect."""
-        own = {death.endpoint for death in self._records[request].deaths}
+        own = {crash.endpoint for crash in self._records[request].deaths}
         elsewhere = {
-            death.endpoint
+            crash.endpoint
             for record in self._records.values()
-            for death in record.deaths
-            if until - _RECENT_S <= death.at <= until
+            for crash in record.deaths
+            if until - _RECENT_S <= crash.at <= until
         }
         unseen = len(elsewhere - own)
         return (
@@ -230,7 +230,7 @@
             yield News(request, before[request].deaths, 0.0)
 
     def _evict_record(self) -> None:
-        """Evict the oldest record with the least evidence if there are too many.
+        """Evict the oldest record with the least evidence if there is no room.
 
         A client that sends many bodies must not evict the evidence against
         others: of a hundred requests that a crash interrupts, only one is the
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -57,11 +57,11 @@
         survived_ms = _to_ms(now - record.survived_at)
     deaths = [
         CrashMessage(
-            death.endpoint[:_SENT_NAME_CHARS],
-            death.request_id[:_SENT_NAME_CHARS],
-            _to_ms(now - death.at),
+            crash.endpoint[:_SENT_NAME_CHARS],
+            crash.request_id[:_SENT_NAME_CHARS],
+            _to_ms(now - crash.at),
         )
-        for death in record.deaths
+        for crash in record.deaths
     ]
     return ToldRecord(request, deaths, survived_ms)
 
@@ -95,8 +95,8 @@
 def move_back(message: ToldRecord, by_ms: int) -> ToldRecord:
     """Return a message with all its ages increased by `by_ms`."""
     deaths = [
-        CrashMessage(death.endpoint, death.request_id, death.ago_ms + by_ms)
-        for death in message.deaths
+        CrashMessage(crash.endpoint, crash.request_id, crash.ago_ms + by_ms)
+        for crash in message.deaths
     ]
     survived_ms = message.survived_ms
     if survived_ms != _NEVER_SURVIVED:
@@ -114,13 +114,13 @@
             quarantine.note_death(
                 record.request,
                 Death(
-                    death.endpoint,
-                    death.request_id,
-                    now - death.ago_ms / _MS_PER_S,
+                    crash.endpoint,
+                    crash.request_id,
+                    now - crash.ago_ms / _MS_PER_S,
                 ),
                 now,
             )
-            for death in record.deaths
+            for crash in record.deaths
         ]
         if record.survived_ms != _NEVER_SURVIVED:
             at = now - record.survived_ms / _MS_PER_S
@@ -142,11 +142,11 @@
     )
 
 
-def _is_valid_crash(death: CrashMessage) -> bool:
+def _is_valid_crash(crash: CrashMessage) -> bool:
     names_fit = (
-        max(len(death.endpoint), len(death.request_id)) <= _MAX_NAME_CHARS
+        max(len(crash.endpoint), len(crash.request_id)) <= _MAX_NAME_CHARS
     )
-    return names_fit and 0 <= death.ago_ms <= _MAX_AGE_MS
+    return names_fit and 0 <= crash.ago_ms <= _MAX_AGE_MS
 
 
 def _to_ms(seconds: float) -> int:
--- a/samphirerill/quarantine/records.py
+++ b/samphirerill/quarantine/records.py
@@ -55,39 +55,39 @@
     deaths: list[Death] = field(default_factory=list)
     survived_at: float = _NEVER
 
-    def add(self, death: Death) -> bool:
+    def add(self, crash: Death) -> bool:
         """Add a crash; return whether it is new and not refuted."""
-        if death.at <= self.survived_at or any(
-            map(death.is_same_crash, self.deaths)
+        if crash.at <= self.survived_at or any(
+            map(crash.is_same_crash, self.deaths)
         ):
             return False
         if len(self.deaths) == MAX_CRASHES:
             self.deaths.pop(0)
-        insort(self.deaths, death, key=attrgetter('at'))
+        insort(self.deaths, crash, key=attrgetter('at'))
         return True
 
     def note_survival(self, at: float) -> bool:
         """Drop crashes up to a survived run; return whether there were any."""
         self.survived_at = max(self.survived_at, at)
         latest = len(self.deaths)
-        self.deaths = [death for death in self.deaths if death.at > at]
+        self.deaths = [crash for crash in self.deaths if crash.at > at]
         return len(self.deaths) < latest
 
     def list_distinct_crashes(self) -> list[Death]:
         """Return the crashes, one for each group with a common cause."""
         distinct: list[Death] = []
-        for death in self.deaths:
-            if not distinct or death.at - distinct[-1].at >= _SAME_CAUSE_S:
-                distinct.append(death)
+        for crash in self.deaths:
+            if not distinct or crash.at - distinct[-1].at >= _SAME_CAUSE_S:
+                distinct.append(crash)
         return distinct
 
-    def was_suspect(self, death: Death, min_crashes: int) -> bool:
+    def was_suspect(self, crash: Death, min_crashes: int) -> bool:
         """Return whether the request was at a crash after enough earlier ones."""
         if len(self.deaths) <= min_crashes:
             return False
-        if not any(map(death.is_same_crash, self.deaths)):
+        if not any(map(crash.is_same_crash, self.deaths)):
             return False
-        latest = death.at - _SAME_CAUSE_S
+        latest = crash.at - _SAME_CAUSE_S
         earlier = [known.at < latest for known in self.list_distinct_crashes()]
         return sum(earlier) >= min_crashes
 
@@ -117,9 +117,9 @@
     """Return crashes for operators, each with its age."""
     return [
         {
-            'endpoint': death.endpoint,
-            'request': death.request_id,
-            'ago_ms': round((now - death.at) * _MS_PER_S),
+            'endpoint': crash.endpoint,
+            'request': crash.request_id,
+            'ago_ms': round((now - crash.at) * _MS_PER_S),
         }
-        for death in deaths
+        for crash in deaths
     ]
