--- a/samphirerill/tests/fleets.py
+++ b/samphirerill/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets that tests of plans and paths use."""
+"""Fleets for tests of plans and paths."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def build_fleet(zones: dict[str, dict[str, int]]) -> list[Replica]:
-    """Return empty replicas, named by zone, kind and number."""
+    """Return replicas without layers, named by data centre, kind and number."""
     fleet: list[Replica] = []
     for zone, kinds in zones.items():
         for kind, count in kinds.items():
@@ -62,7 +62,7 @@
     kind: str = 'small',
     layers: tuple[int, int] | None = None,
 ) -> Replica:
-    """Return one replica."""
+    """Return a replica that holds `layers`, given as first and end."""
     held = None if layers is None else LayerRange(*layers)
     return Replica(
         replica_id=name,
@@ -78,7 +78,7 @@
 def place(
     replicas: list[Replica], moves: dict[str, LayerRange]
 ) -> list[Replica]:
-    """Return replicas as they are after some moves."""
+    """Return the replicas with the layers that moves assign to them."""
     return [
         replace(item, layers=moves.get(item.replica_id, item.layers))
         for item in replicas
@@ -86,5 +86,5 @@
 
 
 def know(replicas: list[Replica]) -> list[Known]:
-    """Return replicas as a view knows them."""
+    """Return the replicas as entries of a fleet view."""
     return [Known(replica, 1) for replica in replicas]
