--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -1,4 +1,4 @@
-"""Paths, load, pipes and what a node believes of replicas."""
+"""Paths, load, links, retry budgets and the fleet view."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class TestPaths(TestCase):
-    """Every path runs each layer once and in order."""
+    """Paths run each layer once, in order, on replicas with enough memory."""
 
     @given(
         st.lists(
@@ -74,13 +74,8 @@
         names = list_ids(stages)
         self.assertEqual(len(names), len(set(names)))
 
-    def test_the_choice_takes_little_time_at_full_size(self) -> None:
-        """A path took 2,383 ms to choose at 770 replicas, now 16 ms.
-
-        Symptom: first events came tens of milliseconds late in fleets of 98,
-        where a choice took 23 ms. Cause: parts were ended wherever another one
-        began, and every partial path was kept.
-        """
+    def test_search_is_fast_for_large_fleet(self) -> None:
+        """The search must not grow with all combinations of stage boundaries."""
         zones = {
             zone: {'large': 4, 'middle': 16, 'small': 45, 'tiny': 45}
             for zone in 'abcdefg'
@@ -94,12 +89,11 @@
         )
         self.assertLess(process_time() - started_at, 0.1)
 
-    def test_a_first_part_that_stays_comes_only_once(self) -> None:
-        """Symptom: engines can't take an order to move a stream.
+    def test_pinned_first_replica_occurs_once(self) -> None:
+        """A moved stream's first replica must not get a second stage.
 
-        Sequence: a stream's first replica holds more layers than when the
-        stream began; the path for the move names it for both parts. Cause:
-        only the first part's end was fixed.
+        It may hold more layers than its pinned first stage runs, and engines
+        refuse paths that name a replica twice.
         """
         known = know(
             [
@@ -115,12 +109,8 @@
         self.assertEqual(list_ids(stages), names)
         self.assertEqual(stages[0].layers, LayerRange(0, 20))
 
-    def test_memory_is_counted_over_all_nodes(self) -> None:
-        """Symptom: streams are preempted though every node had room.
-
-        Sequence: eight nodes fill one replica, each by its own count. Cause:
-        nodes did not hear each other's requests.
-        """
+    def test_memory_use_of_other_nodes_counts(self) -> None:
+        """Nodes that ignore each other's requests overfill a replica's memory."""
         known = know([build_replica('one', 'a', 'large', (0, 40))])
         known += know([build_replica('two', 'a', 'large', (40, 80))])
         book = LoadBook()
@@ -133,13 +123,8 @@
         book.forget_silent(PEER_TIMEOUT_S + 1)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
 
-    def test_local_paths_go_before_faster_ones_that_cross(self) -> None:
-        """Symptom: pauses of seconds while every mean is 40 ms.
-
-        Sequence: a path through three data centres saves 13 ms an event and is
-        chosen; its prompts hold up all other streams in the pipes. Cause: a
-        crossing cost half a transfer only.
-        """
+    def test_local_path_is_preferred_to_faster_crossing_path(self) -> None:
+        """A crossing costs more than its own transfer: it delays other streams."""
         known = know(
             [
                 build_replica('head', 'a', 'large', (0, 40)),
@@ -153,7 +138,7 @@
         stages = choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
         self.assertNotIn('far', list_ids(stages))
 
-    def test_a_full_pipe_takes_no_new_prompt(self) -> None:
+    def test_full_link_is_not_crossed(self) -> None:
         known = know(
             [
                 build_replica('head', 'a', 'large', (0, 40)),
@@ -168,7 +153,7 @@
         self.assertFalse(choose_path(ENGINE, known, LoadBook(), request, 0))
         self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 5))
 
-    def test_nodes_share_one_estimate_of_a_pipe(self) -> None:
+    def test_nodes_agree_on_link_backlog(self) -> None:
         local = PipeUse()
         other = PipeUse()
         pair = frozenset('ab')
@@ -181,47 +166,43 @@
 
 
 class TestView(TestCase):
-    """What a node believes of replicas."""
+    """State of replicas as announcements and findings arrive."""
 
     def setUp(self) -> None:
         self.view = FleetView()
         self.replica = build_replica('one', layers=(0, 8))
         self.view.announce(self.replica, 10)
 
-    def test_older_news_never_replaces_newer(self) -> None:
+    def test_older_announcement_is_ignored(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
         self.view.announce(leaving, 12)
         self.view.announce(self.replica, 11)
         self.assertEqual(self.view.list_service('llm'), [])
 
-    def test_a_withdrawn_replica_does_not_come_back_by_old_news(self) -> None:
+    def test_old_announcement_does_not_restore_withdrawn_replica(self) -> None:
         self.view.withdraw('one', 13, 0)
         self.view.announce(self.replica, 12)
         self.assertEqual(self.view.known, {})
 
-    def test_lapsed_entries_stay_for_a_moment(self) -> None:
-        """Symptom: nothing is served after the store's return.
+    def test_lapsed_entry_is_kept_for_grace_period(self) -> None:
+        """Entries deleted by an outage of the store return within seconds.
 
-        Sequence: leases lapse in an outage, every entry is deleted, replicas
-        write them again within two seconds. Cause: deletions right after an
-        outage were taken for losses.
+        Replicas must stay usable meanwhile.
         """
         self.view.withdraw('one', 13, LAPSE_GRACE_S)
         self.assertTrue(self.view.list_usable('llm', 1))
         self.assertEqual(self.view.sweep(LAPSE_GRACE_S + 1), ['one'])
         self.assertEqual(self.view.list_usable('llm', 1), [])
 
-    def test_a_leaving_replica_is_not_kept_by_a_lapse(self) -> None:
+    def test_draining_replica_gets_no_grace_period(self) -> None:
         self.view.announce(replace(self.replica, is_leaving=True), 12)
         self.view.withdraw('one', 13, LAPSE_GRACE_S)
         self.assertEqual(self.view.known, {})
 
-    def test_a_refusal_is_no_death(self) -> None:
-        """Symptom: each loss is followed by more, until no pipeline works.
+    def test_refusal_is_not_suspicion(self) -> None:
+        """A replica that refuses while it changes its layers is not dead.
 
-        Sequence: a replica that changes its layers refuses; taken for dead,
-        the commander plans around it and moves the next ones. Cause: refusals
-        counted as losses.
+        Otherwise each move would trigger further moves around it.
         """
         for now in range(4):
             self.view.refuse('one', now)
@@ -229,12 +210,8 @@
         self.assertEqual(self.view.list_usable('llm', 4), [])
         self.view.trust('one')
 
-    def test_parts_that_are_given_up_are_lost(self) -> None:
-        """Symptom: a replica that is moved takes 8 s instead of 1.5.
-
-        Sequence: it gives up layers, and loads others once no stream passes
-        through them; streams go on until they end. Cause: nobody told them.
-        """
+    def test_released_layers_are_lost(self) -> None:
+        """Streams must leave released layers, or the next load is delayed."""
         stage = Stage(self.replica, LayerRange(2, 8))
         self.assertFalse(is_lost(self.view, stage, 0))
         moved = replace(self.replica, layers=LayerRange(4, 8))
@@ -243,50 +220,34 @@
         self.assertGreater(self.view.losses, losses)
         self.assertTrue(is_lost(self.view, stage, 0))
 
-    def test_one_node_alone_takes_nobody_from_the_fleet(self) -> None:
-        """Symptom: 35 living replicas are dead to all nodes within a second.
-
-        Sequence: a node with half a core reads the whole store anew; questions
-        that it asked meanwhile end without an answer; it tells all others, and
-        the commander cuts the layers of all data centres anew. Cause: the word
-        of one node was enough.
-        """
+    def test_report_of_one_other_node_is_not_enough(self) -> None:
+        """A stalled node finds live replicas silent; others must not follow."""
         self.view.suspect('one', 5, 1, witness='slow node')
         self.assertEqual(len(self.view.list_live('llm', 2)), 1)
         self.view.suspect('one', 5, 1)
         self.assertEqual(self.view.list_live('llm', 2), [])
         self.assertEqual(self.view.list_present('llm', 2), [])
 
-    def test_its_own_finding_decides_for_its_own_streams(self) -> None:
+    def test_own_report_suffices_for_own_streams(self) -> None:
         self.view.suspect('one', 5, 1)
         self.assertEqual(self.view.list_live('llm', 2), [])
         self.assertEqual(len(self.view.list_present('llm', 2)), 1)
         self.view.suspect('one', 5, 1, witness='other')
         self.assertEqual(self.view.list_present('llm', 2), [])
 
-    def test_what_others_suspect_is_not_told_again(self) -> None:
-        """Symptom: a thousand datagrams a second reach every node.
-
-        Sequence: a node hears a suspicion, tells it itself, and so on. Cause:
-        what was heard counted as a change of one's own.
-        """
+    def test_reports_of_others_are_not_echoed(self) -> None:
+        """Nodes that echo suspicions flood each other with datagrams."""
         before = self.view.own_version
         self.view.suspect('one', 5, 1, witness='other', votes=SURE_VOTES)
         self.assertEqual(self.view.own_version, before)
         self.assertEqual(self.view.list_live('llm', 2), [])
 
 
-class TestFullPipes(TestCase):
-    """Who may enter a pipe between data centres that others wait in."""
+class TestFullLinks(TestCase):
+    """Admission to links between data centres with a backlog."""
 
-    def test_a_stream_under_way_waits_no_longer_than_its_client(self) -> None:
-        """Symptom: after a loss no stream comes through for five seconds.
-
-        Sequence: no data centre has a whole pipeline; all streams under way
-        go on over the same pipes and are read anew there, one after another,
-        long after their clients have left. Cause: those that had begun were
-        let into a pipe however many waited in it.
-        """
+    def test_urgent_backlog_is_limited(self) -> None:
+        """Without a limit, streams wait on a link after their clients left."""
         pipes = PipeUse()
         pipes.note('a', 'b', 400, 0)
         self.assertFalse(pipes.is_open('a', 'b', 0))
@@ -297,9 +258,9 @@
 
 
 class TestBudget(TestCase):
-    """Repeats that all nodes together may make."""
+    """The retry budget of all nodes together."""
 
-    def test_all_nodes_stay_within_the_share(self) -> None:
+    def test_nodes_together_stay_within_budget(self) -> None:
         nodes = 8
         budgets = [RepeatBudget(0.2, 200, 10) for _ in range(nodes)]
         spent = 0
@@ -310,13 +271,8 @@
         self.assertLessEqual(spent, 0.2 * 40 * nodes + 200)
         self.assertGreater(spent, 50)
 
-    def test_the_last_part_is_kept_for_streams_that_have_begun(self) -> None:
-        """Symptom: sixteen streams are cut at one moment, beside a release.
-
-        Sequence: parts are lost one after the other; refused requests use up
-        the repeats; a stream leaves its path and may not be sent again.
-        Cause: all repeats counted alike, and nobody asked before leaving.
-        """
+    def test_reserve_is_kept_for_urgent_requests(self) -> None:
+        """Retries of refused requests must not use up those for cut streams."""
         budget = RepeatBudget(0, 100, 10)
         new = sum(budget.spend(0, 1) for _ in range(200))
         self.assertFalse(budget.has_left(0, 1, is_urgent=False))
@@ -325,13 +281,8 @@
         self.assertLess(begun, new)
         self.assertLessEqual(new + begun, 100)
 
-    def test_a_stream_takes_what_other_nodes_leave(self) -> None:
-        """Symptom: one replica breaks off; 103 streams of few nodes are cut.
-
-        Sequence: 78 nodes share 340 repeats, four each; a node with seven
-        streams on that replica sends four of them again and cuts the others.
-        Cause: nobody could use what nobody else did.
-        """
+    def test_urgent_request_borrows_unused_shares(self) -> None:
+        """Streams are cut when one node's share is spent and others are unused."""
         nodes = 78
         budget = RepeatBudget(0.2, 340, 10)
         budget.streams = 7
@@ -342,14 +293,14 @@
         self.assertEqual(together, 7)
         self.assertFalse(budget.spend(1, nodes))
 
-    def test_the_whole_is_kept_for_all_streams_under_way(self) -> None:
+    def test_borrowing_leaves_budget_for_all_active_streams(self) -> None:
         budget = RepeatBudget(0.2, 340, 10)
         budget.others.hear('all of b', Use(900, 300, 200), 1)
         spent = sum(budget.spend(1, 78, is_urgent=True) for _ in range(50))
         self.assertLess(spent, 7)
         self.assertFalse(budget.spend(9, 78, is_urgent=True))
 
-    def test_the_window_slides(self) -> None:
+    def test_window_slides(self) -> None:
         budget = RepeatBudget(0, 8, 10)
         spent = sum(budget.spend(0, 1) for _ in range(20))
         self.assertLess(spent, 20)
@@ -357,9 +308,9 @@
 
 
 class TestEndpoints(TestCase):
-    """Choosing among plain endpoints."""
+    """Choice among endpoints without layers."""
 
-    def test_a_failing_endpoint_is_asked_less(self) -> None:
+    def test_failing_endpoint_is_chosen_last(self) -> None:
         view = FleetView()
         for name in ('good', 'bad'):
             view.announce(build_replica(name), 1)
@@ -373,9 +324,9 @@
 
 
 class TestRoutes(TestCase):
-    """Requests find their routes."""
+    """Lookup of routes."""
 
-    def test_the_longest_prefix_wins(self) -> None:
+    def test_longest_prefix_matches(self) -> None:
         table = RouteTable(
             FleetConfiguration(
                 1,
@@ -409,10 +360,10 @@
     )
 
 
-class TestPace(TestCase):
-    """Replicas that say they are slow."""
+class TestSlowness(TestCase):
+    """Replicas that report that they are slow."""
 
-    def test_a_slow_replica_gets_less_work(self) -> None:
+    def test_slow_replica_is_avoided(self) -> None:
         view = FleetView()
         for name in ('slow', 'usual'):
             view.announce(build_replica(name, 'a', 'large', (0, 40)), 1)
