--- a/samphirerill/tests/test_fleet_view.py
+++ b/samphirerill/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""What a node believes of replicas as announcements come and go."""
+"""The fleet view when a replica restarts under another id."""
 
 from __future__ import annotations
 
@@ -10,15 +10,13 @@
 
 
 class TestAddresses(TestCase):
-    """One address, two starts of a replica."""
+    """Two announcements with the same address."""
 
-    def test_a_newcomer_at_an_address_ends_its_predecessor(self) -> None:
-        """Symptom: the same stream is refused six times within 10 ms.
+    def test_new_replica_replaces_previous_at_its_address(self) -> None:
+        """A crashed replica's entry must go when its successor is announced.
 
-        Sequence: an engine crashes and starts again at its address, with
-        nothing loaded; paths go on naming the old one until its announcement
-        lapses. The refusal names the address, so the new one is rested. Cause:
-        both were taken to be there.
+        Otherwise paths name it until its entry expires, and its successor at
+        the same address refuses them.
         """
         view = FleetView()
         old = build_replica('old', layers=(0, 8))
@@ -27,7 +25,7 @@
         self.assertEqual(set(view.known), {'new'})
         self.assertFalse(view.announce(old, 5))
 
-    def test_late_news_of_a_predecessor_ends_nobody(self) -> None:
+    def test_late_announcement_of_predecessor_removes_nothing(self) -> None:
         view = FleetView()
         new = build_replica('new')
         view.announce(new, 9)
