--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -1,4 +1,4 @@
-"""How streams spread over a fleet, and what a loss does to them."""
+"""Distribution of streams over replicas, and the effect of a loss."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
 
-# Many streams hardly slow down a pass.
+# Concurrent streams hardly slow down a pass.
 _ENGINE = replace(ENGINE, per_seq_ms=0.0028, context_per_k_ms=0.0037)
 _TOKENS = 500
 _STREAM_COUNT = 45
@@ -32,8 +32,8 @@
     ]
 
 
-class TestCrowds(TestCase):
-    """Three pipelines, one of them a little faster."""
+class TestStreamDistribution(TestCase):
+    """Three pipelines, one of them slightly faster."""
 
     def setUp(self) -> None:
         self.known = know(
@@ -43,7 +43,7 @@
                 *_build_pipeline('c'),
             ]
         )
-        # Two parts of one pipeline are faster.
+        # Two stages of one pipeline are faster.
         for at, layers in ((-1, (70, 80)), (-2, (60, 70))):
             name = f'c-{layers[0]}'
             self.known[at].replica = build_replica(name, 'c', 'middle', layers)
@@ -51,7 +51,7 @@
     def place_streams(
         self, policy: Policy, data_centres: str = ''
     ) -> tuple[LoadBook, Counter[str]]:
-        """Let all streams choose; return the load and how many began where."""
+        """Choose paths for all streams; return load and first stages per zone."""
         book = LoadBook()
         heads: Counter[str] = Counter()
         for number in range(_STREAM_COUNT):
@@ -64,12 +64,10 @@
             heads[stages[0].replica.data_centre] += 1
         return book, heads
 
-    def test_no_loss_meets_all_streams(self) -> None:
-        """Symptom: after one crash 45 streams pause for 210 to 340 ms.
+    def test_streams_do_not_concentrate_on_one_pipeline(self) -> None:
+        """Streams that share a replica wait for each other when it is lost.
 
-        Sequence: one pipeline is a millisecond faster, so that all streams pass
-        through it; its first replica crashes; they are read elsewhere one after
-        another. Cause: what a loss costs the crowd was no part of the choice.
+        Without a penalty for co-location, a slightly faster pipeline gets all.
         """
         concentrated, _ = self.place_streams(Policy(spread=False))
         spread_out, _ = self.place_streams(Policy())
@@ -84,12 +82,12 @@
             self.predict_pause(concentrated) - _MIN_SAVED_MS,
         )
 
-    def test_heads_are_near(self) -> None:
-        """Two thirds of all events came from another data centre."""
+    def test_first_stage_is_local(self) -> None:
+        """Otherwise most events come from another data centre."""
         _, heads = self.place_streams(Policy(), 'abc')
         self.assertGreater(min(heads.values()), _STREAM_COUNT / 4)
 
-    def test_a_far_head_goes_before_a_path_that_is_much_slower(self) -> None:
+    def test_remote_first_stage_is_used_if_much_faster(self) -> None:
         fast = know(
             [
                 build_replica('far', 'd', 'large', (0, 40)),
