--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -1,4 +1,4 @@
-"""Plans of layers: first ones, repairs and changes to better ones."""
+"""Plans of layers: first plans, repairs and rebalancing."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class PlanCase(TestCase):
-    """Asserts that all plans share."""
+    """Assertions and helpers for all plan tests."""
 
     def assert_sound(self, plan: PlacementPlan | None) -> PlacementPlan:
-        """Every pipeline runs each layer once, nobody holds too much."""
+        """Check that pipelines run each layer once and fit in memory."""
         assert plan is not None
         seen: Counter[str] = Counter()
         for pipeline in plan.pipelines:
@@ -52,7 +52,7 @@
     def settle(
         self, replicas: list[Replica], rounds: int = 10
     ) -> list[Replica]:
-        """Let plans take effect until there is nothing left to do."""
+        """Apply plans until none has moves left."""
         names = {item.replica_id for item in replicas}
         for _ in range(rounds):
             moves = plan_moves(ENGINE, replicas, _AIMS, names)
@@ -61,8 +61,8 @@
             replicas = place(replicas, moves)
         return replicas
 
-    def count_whole(self, replicas: list[Replica]) -> int:
-        """Return how many pipelines there are."""
+    def count_complete(self, replicas: list[Replica]) -> int:
+        """Return the number of complete pipelines."""
         chains = extract_chains(ENGINE, replicas)
         return sum(not chain.gaps for chain in chains)
 
@@ -70,14 +70,14 @@
 class TestFirstPlan(PlanCase):
     """Plans for replicas that hold nothing."""
 
-    def test_pipelines_stay_in_their_data_centres(self) -> None:
+    def test_pipelines_stay_within_data_centres(self) -> None:
         plan = self.assert_sound(
             plan_layers(ENGINE, build_fleet(THREE_ZONES), _AIMS)
         )
         local = [item for item in plan.pipelines if not item.count_crossings()]
         self.assertEqual(len(local), 3)
 
-    def test_serves_fleets_of_other_shapes(self) -> None:
+    def test_other_fleet_compositions_get_a_plan(self) -> None:
         shapes = {
             'one kind only': {'a': {'small': 12}, 'b': {'small': 12}},
             'four data centres': {
@@ -92,7 +92,7 @@
                     plan_layers(ENGINE, build_fleet(zones), _AIMS)
                 )
 
-    def test_crosses_less_through_slow_pipes(self) -> None:
+    def test_slow_links_are_crossed_less(self) -> None:
         slow = replace(ENGINE, pipe_mbps=1_100)
         plan = self.assert_sound(
             plan_layers(slow, build_fleet(THREE_ZONES), _AIMS)
@@ -105,7 +105,7 @@
             plan_layers(ENGINE, build_fleet({'a': {'tiny': 4}}), _AIMS)
         )
 
-    def test_takes_little_time_at_full_size(self) -> None:
+    def test_planning_is_fast_for_large_fleet(self) -> None:
         zones = {
             zone: {'large': 4, 'middle': 16, 'small': 45, 'tiny': 45}
             for zone in 'abcdefg'
@@ -117,15 +117,12 @@
 
 
 class TestLeanPlans(PlanCase):
-    """Plans for a load that is far below what the fleet could carry."""
+    """Plans for a demand far below the fleet's capacity."""
 
-    def test_few_parts_each_with_room_for_what_is_asked(self) -> None:
-        """Symptom: one stream in fourteen loses a part of its path.
+    def test_lean_plan_has_fewer_stages_and_more_backups(self) -> None:
+        """Maximum-rate plans have long paths without backups.
 
-        Sequence: replicas are replaced and crash all day; every path has nine
-        to thirteen parts, and most have no other holder. Cause: plans gave the
-        most answers a second, three times what was asked for, with all
-        replicas that there were.
+        Each stage is a replica whose loss interrupts streams.
         """
         fleet = build_fleet(THREE_ZONES)
         lean = self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
@@ -137,7 +134,7 @@
                 most = count_max_layers(ENGINE, replica, TARGET_REQUESTS)
                 self.assertLessEqual(count, most)
 
-    def test_a_large_demand_gets_all_that_there_is(self) -> None:
+    def test_large_demand_raises_rate(self) -> None:
         fleet = build_fleet(THREE_ZONES)
         large = self.assert_sound(
             plan_layers(ENGINE, fleet, replace(_AIMS, demand=1000))
@@ -157,20 +154,15 @@
 
 
 class TestRepair(PlanCase):
-    """Losses and what is done about them."""
+    """Repairs after losses."""
 
     def setUp(self) -> None:
         fleet = build_fleet(THREE_ZONES)
         self.fleet = self.settle(fleet)
 
-    def test_leaves_working_pipelines_alone(self) -> None:
-        """Symptom: 30 loads within two seconds of one loss.
-
-        Sequence: one replica is lost; all replicas outside whole pipelines
-        are planned anew, then again from the half-ordered state. Cause: the
-        plan did not keep what works.
-        """
-        lost = self._find_part('b', 0)
+    def test_complete_pipelines_are_kept(self) -> None:
+        """One loss must not replan replicas that still work."""
+        lost = self._find_stage('b', 0)
         left = [item for item in self.fleet if item is not lost]
         complete = [
             chain for chain in extract_chains(ENGINE, left) if not chain.gaps
@@ -184,8 +176,8 @@
         moves = plan_moves(ENGINE, left, _AIMS, settled, is_calm=False)
         self.assertFalse(kept & set(moves))
 
-    def test_a_newcomer_takes_the_part_that_is_lost(self) -> None:
-        lost = self._find_part('b', 0)
+    def test_newcomer_takes_lost_stage(self) -> None:
+        lost = self._find_stage('b', 0)
         newcomer = build_replica('new', 'b', 'middle')
         left = [item for item in self.fleet if item is not lost]
         settled = {item.replica_id for item in left}
@@ -194,21 +186,19 @@
         )
         self.assertEqual(moves, {'new': lost.layers})
 
-    def test_serves_on_after_any_three_losses(self) -> None:
+    def test_three_losses_leave_three_pipelines(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
                 lost = set(Random(seed).sample(range(len(self.fleet)), 3))
                 left = [
                     item for at, item in enumerate(self.fleet) if at not in lost
                 ]
-                self.assertGreaterEqual(self.count_whole(self.settle(left)), 3)
-
-    def test_plans_come_to_rest(self) -> None:
-        """Symptom: the same replica is ordered to and fro for 20 seconds.
+                self.assertGreaterEqual(
+                    self.count_complete(self.settle(left)), 3
+                )
 
-        Sequence: a gap is closed from another data centre, is taken for a gap
-        again, and closed again. Cause: moves that change nothing counted.
-        """
+    def test_repairs_converge(self) -> None:
+        """Moves that change nothing must not be ordered over and over."""
         for seed in range(12):
             with self.subTest(seed=seed):
                 lost = set(Random(seed).sample(range(len(self.fleet)), 3))
@@ -220,40 +210,30 @@
                 moves = plan_moves(ENGINE, settled, _AIMS, names)
                 self.assertEqual(moves, {})
 
-    def test_doubled_parts_need_no_load(self) -> None:
-        """Symptom: a pipeline out of work for three seconds after each loss.
-
-        Sequence: a replica is lost; somebody loads its layers. Cause: what no
-        pipeline needed stood in one that crossed data centres, in place of
-        holding the same layers nearby.
-        """
+    def test_stage_with_backup_needs_no_load(self) -> None:
+        """A backup in the data centre keeps the pipeline complete after a loss."""
         for name in ('a-small-0', 'a-small-2', 'c-tiny-0'):
             with self.subTest(name):
                 left = [item for item in self.fleet if item.replica_id != name]
-                self.assertEqual(self.count_whole(left), 3)
-
-    def test_doubles_carry_what_their_pipeline_carries(self) -> None:
-        """Symptom: whole pipelines are cut anew after one loss each.
+                self.assertEqual(self.count_complete(left), 3)
 
-        Sequence: a part is lost; its double takes over, with room for 24
-        requests where the other parts hold 44. Cause: doubles held as many
-        layers as fit beside 15 requests.
-        """
+    def test_backups_have_memory_for_pipeline_load(self) -> None:
+        """A backup with memory for fewer requests would limit its pipeline."""
         for item in self.fleet:
             with self.subTest(item.replica_id):
                 most = count_max_layers(ENGINE, item, TARGET_REQUESTS)
                 self.assertLessEqual(item.held.count, most)
 
-    def test_repairs_stay_in_their_data_centre(self) -> None:
-        lost = self._find_part('a', 0)
+    def test_repairs_stay_within_data_centre(self) -> None:
+        lost = self._find_stage('a', 0)
         left = [item for item in self.fleet if item is not lost]
         settled = {item.replica_id for item in left}
         moves = plan_moves(ENGINE, left, _AIMS, settled, is_calm=False)
         self.assertTrue(moves)
         self.assertTrue(all(name.startswith('a-') for name in moves), moves)
-        self.assertEqual(self.count_whole(place(left, moves)), 3)
+        self.assertEqual(self.count_complete(place(left, moves)), 3)
 
-    def test_a_data_centre_without_a_pipeline_uses_others(self) -> None:
+    def test_data_centre_without_pipeline_uses_remote_spares(self) -> None:
         kept = ('b-small-0', 'b-small-1', 'b-small-2', 'b-small-3')
         left = [
             item
@@ -267,69 +247,59 @@
         ]
         self.assertEqual(len(crossing), 1)
 
-    def test_a_newcomer_that_replaces_the_only_one_loads_at_once(self) -> None:
-        """Symptom: the fastest pipeline is out of work for six seconds.
+    def test_replacement_of_only_replica_of_its_kind_preloads(self) -> None:
+        """A newcomer that can only replace one replica must load at once.
 
-        Sequence: a release starts a new large replica; a second later the
-        old one leaves; only then does the new one begin to load for five
-        seconds. Cause: newcomers were kept free until their part was lost,
-        though there was only one part that it could be.
+        Otherwise the pipeline is out of service from the old replica's drain
+        until the load is done.
         """
         newcomer = build_replica('new', 'a', 'large')
         settled = {item.replica_id for item in self.fleet}
         moves = plan_moves(
             ENGINE, [*self.fleet, newcomer], _AIMS, settled, is_calm=False
         )
-        held = self._find_part('a', 0).layers
+        held = self._find_stage('a', 0).layers
         self.assertEqual(moves, {'new': held})
 
-    def _find_part(self, zone: str, number: int) -> Replica:
-        """Return the replica that holds a part of a zone's pipeline."""
+    def _find_stage(self, zone: str, number: int) -> Replica:
+        """Return the replica that runs a stage of a data centre's pipeline."""
         local = [item for item in self.fleet if item.data_centre == zone]
         chain = extract_chains(ENGINE, local)[0]
         return chain.stages[number].replica
 
 
-class TestStranded(PlanCase):
-    """Data centres in which no pipeline is left, or never was."""
+class TestZoneRebuild(PlanCase):
+    """Data centres without a complete pipeline."""
 
-    def count_by_zone(self, replicas: list[Replica]) -> dict[str, int]:
-        """Return the whole pipelines of each data centre."""
+    def count_by_data_centre(self, replicas: list[Replica]) -> dict[str, int]:
+        """Return the number of complete pipelines in each data centre."""
         return count_whole(ENGINE, replicas)
 
-    def test_a_fleet_that_was_half_known_is_planned_for_whole(self) -> None:
-        """Symptom: 37 replicas serve nearly nothing for a whole day.
+    def test_plan_for_partly_known_fleet_is_extended(self) -> None:
+        """Replicas announced after the first plan must get layers too.
 
-        Sequence: the first plan is made when 16 of them have announced
-        themselves; 13 load parts of a pipeline that crosses data centres; 21
-        more come and stay empty: no data centre has parts enough to be mended,
-        and nobody plans for empty replicas beside some that hold layers.
-        Cause: plans from nothing were made only if no replica held anything.
+        Nothing can be repaired with them, so data centres without a complete
+        pipeline are planned from scratch.
         """
         fleet = build_fleet(THREE_ZONES)
         known = fleet[::3]
         plan = plan_layers(ENGINE, known, _AIMS)
         assert plan is not None
         replicas = self.settle(place(fleet, plan.list_ranges()))
-        complete = self.count_by_zone(replicas)
+        complete = self.count_by_data_centre(replicas)
         self.assertTrue(all(complete.values()), complete)
 
-    def test_a_data_centre_that_came_back_empty_serves_again(self) -> None:
-        """Symptom: a data centre that lost all replicas never serves again.
-
-        Sequence: all of them start anew at one moment, with nothing loaded;
-        the other data centres work. Cause: there was no part of a pipeline
-        left that could have been mended.
-        """
+    def test_data_centre_with_restarted_replicas_recovers(self) -> None:
+        """Replicas that all restarted leave no incomplete pipeline to repair."""
         fleet = self.settle(build_fleet(THREE_ZONES))
         lost = [
             replace(item, layers=None) if item.data_centre == 'b' else item
             for item in fleet
         ]
-        complete = self.count_by_zone(self.settle(lost))
+        complete = self.count_by_data_centre(self.settle(lost))
         self.assertTrue(all(complete.values()), complete)
 
-    def test_what_works_elsewhere_is_not_taken_apart_for_it(self) -> None:
+    def test_rebuild_does_not_move_other_data_centres(self) -> None:
         fleet = self.settle(build_fleet(THREE_ZONES))
         lost = [
             replace(item, layers=None) if item.data_centre == 'b' else item
@@ -344,7 +314,7 @@
 class TestTiming(TestCase):
     """When plans are made."""
 
-    def test_the_same_fleet_is_not_planned_for_ever(self) -> None:
+    def test_plans_for_unchanged_fleet_are_limited(self) -> None:
         timing = PlanTiming()
         plans = 0
         for step in range(100):
@@ -352,12 +322,10 @@
             plans += timing.may_plan('fleet', held)
         self.assertLess(plans, 10)
 
-    def test_who_commands_anew_takes_the_fleet_as_settled(self) -> None:
-        """Symptom: after a change of command no gap is closed for 2.5 s.
+    def test_first_observed_fleet_counts_as_settled(self) -> None:
+        """A new commander must not treat all replicas as newcomers.
 
-        Sequence: the node that commands is killed; the next one sees every
-        replica for the first time. Cause: all of them counted as newcomers,
-        for which no pipeline is wanted.
+        Gaps would stay open, as newcomers justify no pipeline.
         """
         timing = PlanTiming()
         fleet = [build_replica(f'r{at}', layers=(0, 8)) for at in range(3)]
@@ -367,7 +335,7 @@
         timing.observe([*fleet, build_replica('new')], 101.0)
         self.assertEqual(timing.list_settled(101.0), names)
 
-    def test_newcomers_are_kept_free_for_a_while(self) -> None:
+    def test_newcomers_settle_after_delay(self) -> None:
         timing = PlanTiming()
         old = build_replica('old')
         timing.observe([old], 0)
