--- a/samphirerill/tests/test_quarantine.py
+++ b/samphirerill/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What decides that a request ends the endpoints that run it."""
+"""Decisions on requests that crash the endpoints running them."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 def _record_crashes(
     quarantine: Quarantine, request: bytes, *crashes: tuple[str, float]
 ) -> None:
-    """Let a request see endpoints end, each so many seconds from the start."""
+    """Record crashes that a request was at, each at seconds from `_NOW`."""
     for endpoint, after_s in crashes:
-        death = Death(endpoint, f'r-{endpoint}', _NOW + after_s)
-        quarantine.note_death(request, death, _NOW + after_s)
+        crash = Death(endpoint, f'r-{endpoint}', _NOW + after_s)
+        quarantine.note_death(request, crash, _NOW + after_s)
 
 
 def _is_held(quarantine: Quarantine, request: bytes, after_s: float) -> bool:
@@ -41,33 +41,25 @@
 
 
 class TestDecision(TestCase):
-    """Who is held back, and who is not."""
+    """Which requests are held."""
 
     def setUp(self) -> None:
         self.quarantine = Quarantine()
 
-    def test_three_ends_at_different_moments_are_enough(self) -> None:
+    def test_three_distinct_crashes_suffice(self) -> None:
         _record_crashes(self.quarantine, _HARMFUL, ('a', 0), ('b', 1))
         self.assertFalse(_is_held(self.quarantine, _HARMFUL, 2))
         _record_crashes(self.quarantine, _HARMFUL, ('c', 2))
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, 2 + _SETTLED_S))
 
-    def test_ends_of_one_moment_are_one(self) -> None:
-        """Symptom: a body that runs on many replicas is refused to all.
-
-        Sequence: a rack loses power, and with it five replicas on which
-        copies of one body had just begun. Cause: each end counted.
-        """
+    def test_simultaneous_crashes_count_once(self) -> None:
+        """A rack that loses power must not condemn a body that many send."""
         crashes = [(name, number / 1000) for number, name in enumerate('abcde')]
         _record_crashes(self.quarantine, _HARMLESS, *crashes)
         self.assertFalse(_is_held(self.quarantine, _HARMLESS, 1))
 
-    def test_who_shares_all_ends_is_not_held_for_them(self) -> None:
-        """Symptom: a caller's harmless request is refused.
-
-        Sequence: it runs beside the guilty one at three ends, as both are sent
-        again to the same replicas. Cause: ends counted, whoever was there.
-        """
+    def test_shared_crashes_hold_nobody(self) -> None:
+        """A request retried beside a harmful one is at the same crashes."""
         crashes = (('a', 0), ('b', 0.3), ('c', 0.6))
         _record_crashes(self.quarantine, _HARMFUL, *crashes)
         _record_crashes(self.quarantine, _HARMLESS, *crashes)
@@ -76,12 +68,8 @@
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, 2))
         self.assertFalse(_is_held(self.quarantine, _HARMLESS, 2))
 
-    def test_an_end_that_has_not_settled_decides_nothing(self) -> None:
-        """Symptom: whoever is heard of first is held for what others did.
-
-        Sequence: a replica ends with two suspects; the guilty one's node tells
-        a few milliseconds later. Cause: judged before all were heard.
-        """
+    def test_recent_crash_is_not_judged_yet(self) -> None:
+        """Reports of other suspects may still be on their way."""
         _record_crashes(
             self.quarantine, _HARMLESS, ('a', 0), ('b', 0.3), ('c', 0.6)
         )
@@ -91,13 +79,13 @@
         )
         self.assertFalse(_is_held(self.quarantine, _HARMLESS, 1))
 
-    def test_a_run_that_goes_on_refutes_what_was_before(self) -> None:
+    def test_survived_run_refutes_earlier_crashes(self) -> None:
         _record_crashes(self.quarantine, _HARMLESS, ('a', 0), ('b', 1))
         self.assertTrue(self.quarantine.note_survival(_HARMLESS, _NOW + 2))
         _record_crashes(self.quarantine, _HARMLESS, ('c', 3), ('d', 4))
         self.assertFalse(_is_held(self.quarantine, _HARMLESS, 5))
 
-    def test_news_of_an_end_before_such_a_run_counts_for_nothing(self) -> None:
+    def test_late_report_of_refuted_crash_is_ignored(self) -> None:
         _record_crashes(self.quarantine, _HARMLESS, ('a', 0))
         self.quarantine.note_survival(_HARMLESS, _NOW + 2)
         _record_crashes(
@@ -105,8 +93,8 @@
         )
         self.assertEqual(self.quarantine.count_deaths(_HARMLESS), 1)
 
-    def test_a_run_that_goes_on_releases(self) -> None:
-        """A body that many send is on many replicas that end by chance."""
+    def test_survived_run_releases_hold(self) -> None:
+        """A body that many send is often on replicas that crash by chance."""
         _record_crashes(
             self.quarantine, _HARMLESS, ('a', 0), ('b', 1), ('c', 2)
         )
@@ -114,13 +102,8 @@
         self.quarantine.note_survival(_HARMLESS, _NOW + 3.1)
         self.assertFalse(_is_held(self.quarantine, _HARMLESS, 3.2))
 
-    def test_where_all_end_by_turns_more_is_asked_for(self) -> None:
-        """Symptom: requests are refused on days of many losses.
-
-        Sequence: replicas go down and up by turns; now and then a request has
-        just begun at three of them, alone. Cause: three are no proof where
-        an endpoint ends each second.
-        """
+    def test_frequent_crashes_require_more_evidence(self) -> None:
+        """Where an endpoint crashes each second, three may be a coincidence."""
         for number in range(9):
             other_request = digest_request('viti', b'/notes/x', b'%d' % number)
             _record_crashes(
@@ -133,7 +116,7 @@
         _record_crashes(self.quarantine, _HARMLESS, ('d', 3.1), ('e', 4.1))
         self.assertTrue(_is_held(self.quarantine, _HARMLESS, 5))
 
-    def test_the_order_in_which_evidence_comes_changes_nothing(self) -> None:
+    def test_decision_is_independent_of_order(self) -> None:
         evidence = [
             (_HARMFUL, ('a', 0.0)),
             (_HARMFUL, ('b', 0.5)),
@@ -149,14 +132,14 @@
             self.assertFalse(_is_held(quarantine, _HARMLESS, 2))
 
 
-class TestLapse(TestCase):
-    """Nothing is held for ever, and nothing grows for ever."""
+class TestExpiry(TestCase):
+    """Expiry of holds and limits on stored evidence."""
 
     def setUp(self) -> None:
         self.quarantine = Quarantine()
         _record_crashes(self.quarantine, _HARMFUL, ('a', 0), ('b', 1), ('c', 2))
 
-    def test_it_lapses_and_one_more_end_doubles_it(self) -> None:
+    def test_hold_expires_and_doubles_after_next_crash(self) -> None:
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, _HOLD_S))
         later_s = 2 + _HOLD_S + 1
         self.assertFalse(_is_held(self.quarantine, _HARMFUL, later_s))
@@ -164,13 +147,8 @@
         held_s = later_s + 2 * _HOLD_S - 1
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, held_s))
 
-    def test_a_long_hold_is_known_to_a_node_that_starts_late(self) -> None:
-        """Symptom: a node that starts runs what all others hold back.
-
-        Sequence: after six ends a request is held for over an hour; a node
-        starts half an hour later. Cause: evidence was too old to be taken
-        before the hold that it decides was over.
-        """
+    def test_new_node_learns_of_long_hold(self) -> None:
+        """Evidence must be accepted as long as the hold it decides lasts."""
         _record_crashes(self.quarantine, _HARMFUL, ('d', 3), ('e', 4), ('f', 5))
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
@@ -180,11 +158,11 @@
         take_told(newcomer, told, _NOW + later_s)
         self.assertTrue(_is_held(newcomer, _HARMFUL, later_s))
 
-    def test_old_evidence_is_forgotten(self) -> None:
+    def test_old_evidence_is_dropped(self) -> None:
         self.quarantine.forget(_NOW + 3 * _HOLD_S)
         self.assertEqual(len(self.quarantine), 0)
 
-    def test_a_flood_of_bodies_pushes_out_nothing_that_matters(self) -> None:
+    def test_flood_of_bodies_keeps_held_record(self) -> None:
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, 3))
         for number in range(3 * MAX_RECORDS):
             body = digest_request('viti', b'/notes/x', b'%d' % number)
@@ -194,8 +172,8 @@
         self.assertEqual(len(self.quarantine), MAX_RECORDS)
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, 8))
 
-    def test_a_flood_of_suspects_pushes_out_nothing_that_is_held(self) -> None:
-        """Many requests are aboard at four ends; nobody knows which it was."""
+    def test_flood_of_suspects_keeps_held_record(self) -> None:
+        """Many requests at the same crashes must not evict a held one."""
         self.assertTrue(_is_held(self.quarantine, _HARMFUL, 3))
         crashes = [(f'e-{number}', 10 + number) for number in range(4)]
         for number in range(MAX_RECORDS + 5):
@@ -207,9 +185,9 @@
 
 
 class TestIdentity(TestCase):
-    """The same request whatever its id; never another account's."""
+    """Digests are equal for the same request of one account only."""
 
-    def test_account_path_and_body_tell_requests_apart(self) -> None:
+    def test_account_path_and_body_identify_request(self) -> None:
         parts = [
             ('suva', b'/notes/x', b'gown'),
             ('nadi', b'/notes/x', b'gown'),
@@ -224,16 +202,16 @@
 
 
 class TestMessages(TestCase):
-    """What nodes tell each other."""
+    """Messages with evidence between nodes."""
 
     def setUp(self) -> None:
         self.quarantine = Quarantine()
         _record_crashes(self.quarantine, _HARMFUL, ('a', 0), ('b', 1), ('c', 2))
 
-    def test_another_node_decides_the_same(self) -> None:
+    def test_other_node_reaches_same_decision(self) -> None:
         other = Quarantine()
         text = self._encode(_NOW + 3)
-        # Another clock, and the same news twice.
+        # The other node's clock differs, and the message arrives twice.
         for _ in range(2):
             take_told(other, decode_told(text), 5000.0)
         other.judge(5000.0)
@@ -243,12 +221,8 @@
             places=2,
         )
 
-    def test_news_that_goes_round_lengthens_nothing(self) -> None:
-        """Symptom: a request is held back for ever.
-
-        Sequence: two nodes tell each other by turns, each some time on its
-        way. Cause: each took what it was told for a little longer than it was.
-        """
+    def test_circulating_evidence_does_not_extend_hold(self) -> None:
+        """Delays of messages must not add up to make evidence look newer."""
         other = Quarantine()
         for number in range(50):
             now = _NOW + 3 + number
@@ -261,7 +235,7 @@
         until = self.quarantine.find_held_until(_HARMFUL, _NOW + 60)
         self.assertAlmostEqual(until, _NOW + 2 + _HOLD_S, places=2)
 
-    def test_too_much_at_once_is_refused(self) -> None:
+    def test_oversized_message_is_rejected(self) -> None:
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
         told = [build_told(_HARMFUL, record, _NOW)] * 65
@@ -269,14 +243,14 @@
             decode_told(encode_told(told))
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_taken_or_refused(self, text: bytes) -> None:
+    def test_any_bytes_are_accepted_or_rejected(self, text: bytes) -> None:
         try:
             told = decode_told(text)
         except UnreadableEvidenceError:
             return
         take_told(self.quarantine, told, _NOW + 3)
 
-    def test_spoiled_messages_condemn_nobody(self) -> None:
+    def test_corrupted_messages_hold_nobody(self) -> None:
         text = self._encode(_NOW + 3)
         random = Random(1)  # noqa: S311
         for _ in range(2000):
