--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -29,7 +29,7 @@
     count_max_layers,
     predict_rate,
 )
-from samphirerill.fleet.zone_rebuild import rebuild_zone, repair_across_zones
+from samphirerill.fleet.stranded import rebuild_zone, repair_across_zones
 from samphirerill.fleet.zone_state import (
     index_replicas,
     list_held_ranges,
