--- a/samphirerill/fleet/chains.py
+++ b/samphirerill/fleet/chains.py
@@ -80,8 +80,8 @@
     chains = []
     while remaining:
         chain = _find_chain(engine, remaining)
-        held = engine.layers - chain.count_missing()
-        if held < engine.layers * _MIN_COVERAGE:
+        covered = engine.layers - chain.count_missing()
+        if covered < engine.layers * _MIN_COVERAGE:
             break
         chains.append(chain)
         used = {stage.replica.replica_id for stage in chain.stages}
--- a/samphirerill/fleet/doubling.py
+++ b/samphirerill/fleet/doubling.py
@@ -79,11 +79,11 @@
         Replicas that no pipeline needs. One that already is a backup keeps its
         layers.
     """
-    order = sorted(stages, key=_rank_stage)
-    held, free = _split_spares(order, spares)
+    ranked = sorted(stages, key=_rank_stage)
+    held, free = _split_spares(ranked, spares)
     pool = _SparePool(engine, free)
     moves: Moves = {}
-    for stage in order:
+    for stage in ranked:
         for gap in list_uncovered(stage.layers, held):
             assigned = pool.cover(gap)
             held.extend(assigned.values())
@@ -94,15 +94,17 @@
 class _SparePool:
     """Spares that back up nothing, ordered by the layers they can hold."""
 
-    __slots__ = ('_free', '_layer_count', '_limits')
+    __slots__ = ('_free', '_layer_count', '_capacities')
 
     def __init__(self, engine: EngineSpec, spares: Iterable[Replica]) -> None:
         self._layer_count = engine.layers
-        self._limits = {
+        self._capacities = {
             item.replica_id: count_max_layers(engine, item, TARGET_REQUESTS)
             for item in spares
         }
-        self._free = [item for item in spares if self._limits[item.replica_id]]
+        self._free = [
+            item for item in spares if self._capacities[item.replica_id]
+        ]
         self._free.sort(key=self._rank)
 
     def cover(self, gap: LayerRange) -> Moves:
@@ -116,7 +118,7 @@
         while first < gap.end and self._free:
             chosen = self._choose(gap.end - first)
             end = min(
-                first + self._limits[chosen.replica_id], self._layer_count
+                first + self._capacities[chosen.replica_id], self._layer_count
             )
             moves[chosen.replica_id] = LayerRange(first, end)
             self._free.remove(chosen)
@@ -126,12 +128,12 @@
     def _choose(self, layer_count: int) -> Replica:
         """Return the smallest spare that holds so many layers, or the largest."""
         for spare in self._free:
-            if self._limits[spare.replica_id] >= layer_count:
+            if self._capacities[spare.replica_id] >= layer_count:
                 return spare
         return self._free[-1]
 
     def _rank(self, spare: Replica) -> tuple[int, str]:
-        return self._limits[spare.replica_id], spare.replica_id
+        return self._capacities[spare.replica_id], spare.replica_id
 
 
 def list_uncovered(
--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -105,10 +105,10 @@
             return ()
         if self._is_one_zone:
             return (first, *islice(following, count - 1))
-        home = self._nodes[first]
+        first_zone = self._nodes[first]
         skipped: list[str] = []
         for name in following:
-            if self._nodes[name] != home:
+            if self._nodes[name] != first_zone:
                 rest = chain(skipped, following)
                 return (first, name, *islice(rest, count - PROBERS_PER_REPLICA))
             skipped.append(name)
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -150,13 +150,13 @@
     def find(self) -> tuple[Stage, ...]:
         """Return the cheapest complete path, or an empty tuple."""
         boundaries = self._list_boundaries()
-        continuing = self._list_continuing(boundaries)
+        candidates_by_boundary = self._group_candidates(boundaries)
         for candidate in self._candidates:
             if self._can_start(candidate.replica):
                 self._start_path(candidate)
         for boundary in boundaries:
             if boundary in self._best:
-                self._extend(boundary, continuing[boundary])
+                self._extend(boundary, candidates_by_boundary[boundary])
         return _build_stages(self._best.get(self._engine.layers, {}))
 
     def _list_boundaries(self) -> list[int]:
@@ -171,11 +171,11 @@
             if 0 < boundary < self._engine.layers
         )
 
-    def _list_continuing(
+    def _group_candidates(
         self, boundaries: Sequence[int]
     ) -> dict[int, list[_Candidate]]:
         """Return, for each boundary, the candidates that hold the next layer."""
-        continuing: dict[int, list[_Candidate]] = {
+        candidates_by_boundary: dict[int, list[_Candidate]] = {
             boundary: [] for boundary in boundaries
         }
         candidates = [
@@ -188,8 +188,8 @@
             for boundary in boundaries[bisect_left(boundaries, held.first) :]:
                 if boundary >= held.end:
                     break
-                continuing[boundary].append(candidate)
-        return continuing
+                candidates_by_boundary[boundary].append(candidate)
+        return candidates_by_boundary
 
     def _is_pinned_first_stage(self, replica: Replica) -> bool:
         """Return whether a replica's stage ends at `first_end`.
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -57,26 +57,26 @@
     heard_at: float = float('-inf')
     words: dict[str, Word] = field(default_factory=dict)
 
-    def take(self, word: Word, now: float) -> bool:
+    def take(self, report: Word, now: float) -> bool:
         """Add a report; return whether it makes the replica newly suspected.
 
         Reports older than the last sign of life are rejected: nodes that are
         cut off or stalled find live replicas silent, and two of them would
         otherwise confirm their deaths for all nodes.
         """
-        if word.since < self.heard_at:
+        if report.since < self.heard_at:
             return False
-        self.words[word.node] = word
+        self.words[report.node] = report
         is_sure = self.count_votes(now) >= SURE_VOTES
         if is_sure:
-            self.sure_until = max(self.sure_until, word.until)
-        if not is_sure and not word.is_own:
+            self.sure_until = max(self.sure_until, report.until)
+        if not is_sure and not report.is_own:
             return False
-        is_news = self.dead_until <= now
-        self.dead_until = max(self.dead_until, word.until)
-        if word.is_own:
-            self.found_until = max(self.found_until, word.until)
-        return is_news
+        is_newly_suspected = self.dead_until <= now
+        self.dead_until = max(self.dead_until, report.until)
+        if report.is_own:
+            self.found_until = max(self.found_until, report.until)
+        return is_newly_suspected
 
     def hear(self, at: float) -> bool:
         """Record a sign of life; return whether it ends a suspicion.
@@ -87,7 +87,7 @@
         if at <= self.heard_at:
             return False
         self.heard_at = at
-        if any(word.since >= at for word in self.words.values()):
+        if any(report.since >= at for report in self.words.values()):
             return False
         was_dead = bool(self.dead_until)
         self.clear()
@@ -109,13 +109,13 @@
         """
         individual: Counter[str] = Counter()
         aggregated: Counter[str] = Counter()
-        for word in self.words.values():
-            if word.until <= now:
+        for report in self.words.values():
+            if report.until <= now:
                 continue
-            if word.node == name_sum(word.data_centre):
-                aggregated[word.data_centre] = word.votes
+            if report.node == name_sum(report.data_centre):
+                aggregated[report.data_centre] = report.votes
             else:
-                individual[word.data_centre] += word.votes
+                individual[report.data_centre] += report.votes
         return (individual | aggregated).total()
 
     def get_own(self) -> Word | None:
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -169,9 +169,9 @@
     ) -> None:
         """Apply a full list; replicas missing from it are withdrawn."""
         present = set()
-        for replica, written in replicas:
+        for replica, announced_revision in replicas:
             present.add(replica.replica_id)
-            self.announce(replica, written, leaves_at)
+            self.announce(replica, announced_revision, leaves_at)
         for replica_id in set(self.known) - present:
             self.withdraw(replica_id, revision, grace_until, leaves_at)
         self.revision = max(self.revision, revision)
@@ -205,7 +205,7 @@
         since: float | None = None,
         data_centre: str = '',
     ) -> bool:
-        """Record a report that a replica is silent; return whether it is news.
+        """Record a report of silence; return whether it starts a suspicion.
 
         The report of one other node does not make a replica suspected: a node
         that was stalled itself finds live replicas silent, and replanning
@@ -229,23 +229,23 @@
         found = self.known.get(replica_id)
         if found is None:
             return False
-        found_at = now if since is None else since
-        word = Word(found_at, until, votes, witness, data_centre)
+        silent_since = now if since is None else since
+        report = Word(silent_since, until, votes, witness, data_centre)
         votes_before = found.suspicion.count_votes(now)
-        is_news = found.suspicion.take(word, now)
-        self.losses += is_news
+        is_newly_suspected = found.suspicion.take(report, now)
+        self.losses += is_newly_suspected
         votes_after = found.suspicion.count_votes(now)
-        is_first = not votes_before and votes_after > 0
+        is_first_report = not votes_before and votes_after > 0
         # No path uses a draining replica for new work, nor one without layers.
         is_serving = (
             found.replica.layers is not None and replica_id not in self.leaving
         )
-        if is_serving and (is_first or is_news):
+        if is_serving and (is_first_report or is_newly_suspected):
             is_sure = votes_after >= SURE_VOTES
             self.loss_round.note_silence(replica_id, now, is_sure=is_sure)
-        if word.is_own:
-            self.own_version += is_news
-        return is_news
+        if report.is_own:
+            self.own_version += is_newly_suspected
+        return is_newly_suspected
 
     def has_ended(self, replica_id: str) -> bool:
         """Return whether a replica is gone for sure, not only silent."""
@@ -356,13 +356,13 @@
         are removed: paths that named them were refused by the new replica, over
         and over.
         """
-        is_ours = replica.service in self.services or not self.services
+        is_configured = replica.service in self.services or not self.services
         removed = [
             name
             for name, found in self.known.items()
             if found.replica.address == replica.address
             and found.revision < revision
-            and is_ours
+            and is_configured
         ]
         for name in removed:
             self._remove(name, self.known[name].revision)
--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -118,10 +118,10 @@
         return True
 
     def note_survival(self, request: bytes, at: float) -> bool:
-        """Record that a run survived its start; return whether that is news.
+        """Record a survived run; return whether it cleared any crashes.
 
-        Only requests with a record can be cleared; nothing is stored for
-        others.
+        Crashes before it are dropped from the request's record. Nothing is
+        stored for requests without a record.
         """
         record = self._records.get(request)
         if record is None or not record.note_survival(at):
@@ -136,19 +136,19 @@
         Crashes of the last `SETTLE_S` are ignored, as reports of other requests
         that were running may still arrive.
         """
-        before = self._held
+        previous = self._held
         self._held = {}
-        settled = now - SETTLE_S
+        cutoff = now - SETTLE_S
         for request in self._candidates:
             crashes = [
                 crash
                 for crash in self._records[request].list_distinct_crashes()
-                if crash.at <= settled
+                if crash.at <= cutoff
             ]
             if self._is_culprit(request, crashes):
                 until = crashes[-1].at + _find_hold_s(len(crashes))
                 self._held[request] = _Hold(until, tuple(crashes))
-        return list(self._list_changes(before))
+        return list(self._list_changes(previous))
 
     def find_held_until(self, request: bytes, now: float) -> float:
         """Return until when a request is held; 0 if it may run."""
@@ -207,27 +207,29 @@
 
     def _count_required(self, request: bytes, until: float) -> int:
         """Return how often a request must have been the only suspect."""
-        own = {crash.endpoint for crash in self._records[request].deaths}
-        elsewhere = {
+        own_endpoints = {
+            crash.endpoint for crash in self._records[request].deaths
+        }
+        recent_endpoints = {
             crash.endpoint
             for record in self._records.values()
             for crash in record.deaths
             if until - _RECENT_S <= crash.at <= until
         }
-        unseen = len(elsewhere - own)
+        unseen = len(recent_endpoints - own_endpoints)
         return (
             1
             + (unseen > _FEW_OTHER_ENDPOINTS)
             + (unseen > _SEVERAL_OTHER_ENDPOINTS)
         )
 
-    def _list_changes(self, before: dict[bytes, _Hold]) -> Iterator[News]:
+    def _list_changes(self, previous: dict[bytes, _Hold]) -> Iterator[News]:
         for request, hold in self._held.items():
-            known = before.get(request)
-            if known is None or known.until != hold.until:
+            previous_hold = previous.get(request)
+            if previous_hold is None or previous_hold.until != hold.until:
                 yield News(request, hold.deaths, hold.until)
-        for request in before.keys() - self._held.keys():
-            yield News(request, before[request].deaths, 0.0)
+        for request in previous.keys() - self._held.keys():
+            yield News(request, previous[request].deaths, 0.0)
 
     def _evict_record(self) -> None:
         """Evict the oldest record with the least evidence if there is no room.
