--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -70,7 +70,7 @@
         self._ring = [name for _, name in positions]
 
     def list_share(
-        self, node: str, replica_ids: Iterable[str], turn: int = 0
+        self, node: str, replica_ids: Iterable[str], tier: int = 0
     ) -> list[str]:
         """Return the replicas that a node probes.
 
@@ -80,11 +80,11 @@
             The probing node.
         replica_ids : iterable of str
             The replicas to choose from.
-        turn : int
+        tier : int
             0 for the first two probers of a replica; 1 for the next two, who
             replace probers that are lost themselves.
         """
-        start = PROBERS_PER_REPLICA * turn
+        start = PROBERS_PER_REPLICA * tier
         return [
             name
             for name in replica_ids
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -127,12 +127,12 @@
         fleet = build_fleet(THREE_ZONES)
         lean = self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
         max_rate = self.assert_sound(plan_layers(ENGINE, fleet, _MAX_RATE_AIMS))
-        self.assertLess(_count_parts(lean), _count_parts(max_rate))
+        self.assertLess(_count_stages(lean), _count_stages(max_rate))
         self.assertGreater(len(lean.backups), len(max_rate.backups))
         for pipeline in lean.pipelines:
             for replica, count in pipeline.parts:
-                most = count_max_layers(ENGINE, replica, TARGET_REQUESTS)
-                self.assertLessEqual(count, most)
+                max_layers = count_max_layers(ENGINE, replica, TARGET_REQUESTS)
+                self.assertLessEqual(count, max_layers)
 
     def test_large_demand_raises_rate(self) -> None:
         fleet = build_fleet(THREE_ZONES)
@@ -149,7 +149,7 @@
         self.assertGreater(rates[0], rates[1])
 
 
-def _count_parts(plan: PlacementPlan) -> int:
+def _count_stages(plan: PlacementPlan) -> int:
     return sum(len(pipeline.parts) for pipeline in plan.pipelines)
 
 
@@ -221,8 +221,8 @@
         """A backup with memory for fewer requests would limit its pipeline."""
         for item in self.fleet:
             with self.subTest(item.replica_id):
-                most = count_max_layers(ENGINE, item, TARGET_REQUESTS)
-                self.assertLessEqual(item.held.count, most)
+                max_layers = count_max_layers(ENGINE, item, TARGET_REQUESTS)
+                self.assertLessEqual(item.held.count, max_layers)
 
     def test_repairs_stay_within_data_centre(self) -> None:
         lost = self._find_stage('a', 0)
--- a/samphirerill/tests/test_loss_rounds.py
+++ b/samphirerill/tests/test_loss_rounds.py
@@ -43,8 +43,10 @@
         }
         askers = Askers(nodes)
         names = [f'i-{number:010x}' for number in range(30)]
-        most = max(len(askers.list_share(node, names)) for node in nodes)
-        self.assertLessEqual(most, 9)
+        max_assigned = max(
+            len(askers.list_share(node, names)) for node in nodes
+        )
+        self.assertLessEqual(max_assigned, 9)
 
     def test_local_fault_needs_silent_majority(self) -> None:
         self.assertFalse(is_own_fault({'a', 'b', 'c'}, {'d', 'e', 'f'}))
--- a/samphirerill/tests/test_quarantine.py
+++ b/samphirerill/tests/test_quarantine.py
@@ -153,9 +153,9 @@
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
         later_s = 1800.0
-        told = [build_told(_HARMFUL, record, _NOW + later_s)]
+        messages = [build_told(_HARMFUL, record, _NOW + later_s)]
         newcomer = Quarantine()
-        take_told(newcomer, told, _NOW + later_s)
+        take_told(newcomer, messages, _NOW + later_s)
         self.assertTrue(_is_held(newcomer, _HARMFUL, later_s))
 
     def test_old_evidence_is_dropped(self) -> None:
@@ -238,17 +238,17 @@
     def test_oversized_message_is_rejected(self) -> None:
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
-        told = [build_told(_HARMFUL, record, _NOW)] * 65
+        messages = [build_told(_HARMFUL, record, _NOW)] * 65
         with self.assertRaises(UnreadableEvidenceError):
-            decode_told(encode_told(told))
+            decode_told(encode_told(messages))
 
     @given(st.binary(max_size=200))
     def test_any_bytes_are_accepted_or_rejected(self, text: bytes) -> None:
         try:
-            told = decode_told(text)
+            messages = decode_told(text)
         except UnreadableEvidenceError:
             return
-        take_told(self.quarantine, told, _NOW + 3)
+        take_told(self.quarantine, messages, _NOW + 3)
 
     def test_corrupted_messages_hold_nobody(self) -> None:
         text = self._encode(_NOW + 3)
