--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -147,7 +147,7 @@
         self._last_at = float('-inf')
 
     def note_silence(
-        self, replica_id: str, now: float, *, is_sure: bool = False
+        self, replica_id: str, now: float, *, is_confirmed: bool = False
     ) -> None:
         """Record that a replica was newly reported silent or confirmed dead."""
         self.doubted = {
@@ -156,7 +156,7 @@
             if at + _CORRELATION_WINDOW_S > now
         }
         self.doubted[replica_id] = now
-        if not is_sure and len(self.doubted) == 1:
+        if not is_confirmed and len(self.doubted) == 1:
             return
         if now > self._last_at + _EVENT_WINDOW_S:
             self._first_at = now
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -265,13 +265,13 @@
     A stage with memory for fewer than `TARGET_REQUESTS` requests limits its
     pipeline, so such targets are tried only if no other gives a pipeline.
     """
-    usual = engine.usual_prompt + engine.usual_answer / 2
+    mean_tokens = engine.usual_prompt + engine.usual_answer / 2
     preferred: list[float] = []
     fallback: list[float] = []
     requests = float(_MIN_REQUESTS)
     while requests < _MAX_REQUESTS:
         targets = fallback if requests < TARGET_REQUESTS else preferred
-        targets.append(requests * usual)
+        targets.append(requests * mean_tokens)
         requests *= _REQUESTS_STEP_FACTOR
     return preferred, fallback
 
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -67,10 +67,10 @@
         if report.since < self.heard_at:
             return False
         self.words[report.node] = report
-        is_sure = self.count_votes(now) >= SURE_VOTES
-        if is_sure:
+        is_confirmed = self.count_votes(now) >= SURE_VOTES
+        if is_confirmed:
             self.sure_until = max(self.sure_until, report.until)
-        if not is_sure and not report.is_own:
+        if not is_confirmed and not report.is_own:
             return False
         is_newly_suspected = self.dead_until <= now
         self.dead_until = max(self.dead_until, report.until)
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -241,8 +241,10 @@
             found.replica.layers is not None and replica_id not in self.leaving
         )
         if is_serving and (is_first_report or is_newly_suspected):
-            is_sure = votes_after >= SURE_VOTES
-            self.loss_round.note_silence(replica_id, now, is_sure=is_sure)
+            is_confirmed = votes_after >= SURE_VOTES
+            self.loss_round.note_silence(
+                replica_id, now, is_confirmed=is_confirmed
+            )
         if report.is_own:
             self.own_version += is_newly_suspected
         return is_newly_suspected
--- a/samphirerill/tests/test_loss_rounds.py
+++ b/samphirerill/tests/test_loss_rounds.py
@@ -82,9 +82,9 @@
         """
         loss = LossRound()
         loss.note_silence('one', 1.0)
-        loss.note_silence('two', 1.2, is_sure=True)
+        loss.note_silence('two', 1.2, is_confirmed=True)
         self.assertEqual(loss.began_at, 1.2)
-        loss.note_silence('three', 1.9, is_sure=True)
+        loss.note_silence('three', 1.9, is_confirmed=True)
         self.assertEqual(loss.began_at, 1.9)
 
     def test_failure_is_complete_after_quiet_period(self) -> None:
@@ -102,12 +102,12 @@
 
     def test_signs_of_life_before_failure_are_ignored(self) -> None:
         loss = LossRound()
-        loss.note_silence('one', 1.0, is_sure=True)
+        loss.note_silence('one', 1.0, is_confirmed=True)
         loss.note_heard('old', 0.9)
         loss.note_heard('new', 1.1)
         self.assertFalse(loss.has_heard('old'))
         self.assertTrue(loss.has_heard('new'))
-        loss.note_silence('one', 5.0, is_sure=True)
+        loss.note_silence('one', 5.0, is_confirmed=True)
         self.assertFalse(loss.has_heard('new'))
 
     def test_endpoint_without_layers_is_no_failure(self) -> None:
