--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -48,7 +48,8 @@
 # A slower pipeline is dismantled for a faster one only above this ratio of
 # rates.
 _MIN_GAIN = 1.3
-# With so few replicas of its kind, a newcomer must be the replacement of one.
+# With at most this many replicas of its kind in pipelines, a newcomer can be
+# assumed to replace one of them.
 _MAX_HOLDERS_TO_PRELOAD = 2
 Moves = dict[str, LayerRange]
 
@@ -131,7 +132,7 @@
 def _find_moves(
     engine: EngineSpec, zone: Zone, chain: Chain, aims: Aims
 ) -> Moves | None:
-    """Return the moves that complete a pipeline, by the least disruptive way."""
+    """Return the least disruptive moves that complete a pipeline."""
     return (
         fill_gaps(engine, chain, zone.spares)
         or _fill_from_slower(engine, zone, chain)
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -51,9 +51,11 @@
     def place_streams(
         self, policy: Policy, data_centres: str = ''
     ) -> tuple[LoadBook, Counter[str]]:
-        """Choose paths for all streams; return load and first stages per zone."""
+        """Choose paths for all streams; return load, and first stages by data
+        centre.
+        """
         book = LoadBook()
-        heads: Counter[str] = Counter()
+        first_stages: Counter[str] = Counter()
         for number in range(_STREAM_COUNT):
             home = (
                 data_centres[number % len(data_centres)] if data_centres else ''
@@ -61,8 +63,8 @@
             request = PathRequest(_TOKENS, home=home, policy=policy)
             stages = choose_path(_ENGINE, self.known, book, request, _START_S)
             book.take(list_ids(stages), _TOKENS)
-            heads[stages[0].replica.data_centre] += 1
-        return book, heads
+            first_stages[stages[0].replica.data_centre] += 1
+        return book, first_stages
 
     def test_streams_do_not_concentrate_on_one_pipeline(self) -> None:
         """Streams that share a replica wait for each other when it is lost.
@@ -84,8 +86,8 @@
 
     def test_first_stage_is_local(self) -> None:
         """Otherwise most events come from another data centre."""
-        _, heads = self.place_streams(Policy(), 'abc')
-        self.assertGreater(min(heads.values()), _STREAM_COUNT / 4)
+        _, first_stages = self.place_streams(Policy(), 'abc')
+        self.assertGreater(min(first_stages.values()), _STREAM_COUNT / 4)
 
     def test_remote_first_stage_is_used_if_much_faster(self) -> None:
         fast = know(
--- a/samphirerill/tests/test_quarantine.py
+++ b/samphirerill/tests/test_quarantine.py
@@ -126,8 +126,8 @@
         ]
         for order in permutations(evidence):
             quarantine = Quarantine()
-            for request, end in order:
-                _record_crashes(quarantine, request, end)
+            for request, crash in order:
+                _record_crashes(quarantine, request, crash)
             self.assertTrue(_is_held(quarantine, _HARMFUL, 2))
             self.assertFalse(_is_held(quarantine, _HARMLESS, 2))
 
