--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -51,9 +51,7 @@
     def place_streams(
         self, policy: Policy, data_centres: str = ''
     ) -> tuple[LoadBook, Counter[str]]:
-        """Choose paths for all streams; return load, and first stages by data
-        centre.
-        """
+        """Choose paths for all streams; return load and first data centres."""
         book = LoadBook()
         first_stages: Counter[str] = Counter()
         for number in range(_STREAM_COUNT):
