--- a/samphirerill/fleet/budget.py
+++ b/samphirerill/fleet/budget.py
@@ -1,15 +1,14 @@
-"""The share of repeats that all nodes together may make.
-
-Each node keeps to its part of the whole without asking anybody: its own
-requests earn it a fraction of a repeat each, and the slack is divided by the
-number of nodes. When many endpoints fail at once, repeats stay that fraction
-of the load instead of doubling it.
-
-Nodes also tell each other what they use. A request whose run broke off may take
-from what the others leave, as long as the whole would last even if every stream of
-all nodes were sent once more at this moment. Answers to: 78 nodes, each with
-four repeats of its own, where one endpoint lost cut 103 streams of a few nodes
-while 300 repeats were left.
+"""Retry budget that all nodes share without coordination.
+
+Each request earns its node a fraction of a retry, and a fixed reserve is
+divided by the number of nodes. When many endpoints fail at once, retries stay
+below that fraction of the load instead of doubling it.
+
+Nodes also report their usage to each other. A request whose run was interrupted
+may exceed its node's share if the global budget would still cover a retry of
+every active stream on all nodes. Otherwise one lost endpoint could exhaust the
+share of the few nodes whose streams it served while the other nodes' shares
+stay unused.
 """
 
 from __future__ import annotations
@@ -18,71 +17,75 @@
 from dataclasses import dataclass
 from operator import attrgetter
 
-# Kept back from the agreed share: nodes learn of each other with a lag.
-_USE = 0.85
-# A client whose request ran has more to lose than one that was refused.
-_NEW_SHARE = 0.6
+# Headroom, since nodes learn of each other's retries with a delay.
+_USABLE_SHARE = 0.85
+# The rest is reserved for requests that have run: failing one of those costs
+# its client more than a refusal.
+_NON_URGENT_SHARE = 0.6
 
 
-# What another node told of its use is believed for so long.
-_BELIEVED_S = 4.0
+# How long another node's usage report is valid.
+_PEER_REPORT_TTL_S = 4.0
 
 
 @dataclass(slots=True, frozen=True)
 class Use:
-    """Requests and repeats in the window, and streams under way now."""
+    """Requests and retries in the window, and streams active now."""
 
     requests: int = 0
     repeats: int = 0
     streams: int = 0
 
 
-class OthersUse:
-    """What the other nodes told of their use."""
+class PeerUsage:
+    """Retry usage as reported by the other nodes."""
 
-    __slots__ = ('_told',)
+    __slots__ = ('_reports',)
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[float, Use]] = {}
+        self._reports: dict[str, tuple[float, Use]] = {}
 
-    def hear(self, peer: str, use: Use, now: float) -> None:
-        """Replace what a node, or a data centre, told before."""
-        self._told[peer] = (now + _BELIEVED_S, use)
+    def hear(self, peer: str, usage: Use, now: float) -> None:
+        """Replace the last report of a node or of a whole data centre."""
+        self._reports[peer] = (now + _PEER_REPORT_TTL_S, usage)
 
     def forget(self, peer: str) -> None:
-        """Drop what was told under a name: it is told under another now."""
-        self._told.pop(peer, None)
+        """Drop a peer's report: its usage is now reported under another name."""
+        self._reports.pop(peer, None)
 
     def sum_up(self, now: float) -> Use:
-        """Return the use of all that were heard of lately."""
-        lately = [use for until, use in self._told.values() if until > now]
-        return sum_uses(lately)
+        """Return the total usage in all reports that are still valid."""
+        recent = [
+            usage for until, usage in self._reports.values() if until > now
+        ]
+        return sum_usage(recent)
 
 
-def sum_uses(uses: list[Use]) -> Use:
-    """Return what several nodes use together."""
+def sum_usage(usages: list[Use]) -> Use:
+    """Return the sum of several usages."""
     return Use(
-        sum(map(attrgetter('requests'), uses)),
-        sum(map(attrgetter('repeats'), uses)),
-        sum(map(attrgetter('streams'), uses)),
+        sum(map(attrgetter('requests'), usages)),
+        sum(map(attrgetter('repeats'), usages)),
+        sum(map(attrgetter('streams'), usages)),
     )
 
 
 class RepeatBudget:
-    """Repeats of one service within a sliding window.
+    """Retries of one service within a sliding window.
 
     Parameters
     ----------
     ratio, slack : float
-        Repeats allowed for each request, and beyond that, for all nodes.
+        Retries allowed for each request, and a fixed number on top; both for
+        all nodes together.
     window_s : float
         Length of the window in seconds.
     """
 
     __slots__ = (
-        '_first',
+        '_request_times',
         '_ratio',
-        '_repeats',
+        '_retry_times',
         '_slack',
         '_window_s',
         'others',
@@ -90,26 +93,26 @@
     )
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        self.others = OthersUse()
-        # Streams of this node that are under way.
+        self.others = PeerUsage()
+        # Active streams of this node.
         self.streams = 0
-        self._first: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._request_times: deque[float] = deque()
+        self._retry_times: deque[float] = deque()
         self.change(ratio, slack, window_s)
 
     def change(self, ratio: float, slack: float, window_s: float) -> None:
-        """Allow another share from now on."""
-        self._ratio = ratio * _USE
-        self._slack = slack * _USE
+        """Replace the limits."""
+        self._ratio = ratio * _USABLE_SHARE
+        self._slack = slack * _USABLE_SHARE
         self._window_s = window_s
 
     def note_first(self, now: float) -> None:
-        """Count a request's first send."""
-        self._first.append(now)
-        self._forget(now)
+        """Count the first attempt of a request."""
+        self._request_times.append(now)
+        self._drop_expired(now)
 
     def has_left(self, now: float, nodes: int, *, is_urgent: bool) -> bool:
-        """Return whether a repeat is left.
+        """Return whether a retry is available.
 
         Parameters
         ----------
@@ -118,45 +121,50 @@
         nodes : int
             How many nodes share the slack.
         is_urgent : bool
-            The request ran and would fail without the repeat; for these the
-            last part is kept.
+            The request has run and would fail without the retry. Urgent
+            requests may use the whole budget, and what other nodes leave
+            unused.
         """
-        self._forget(now)
-        allowed = self._ratio * len(self._first) + self._slack / max(1, nodes)
+        self._drop_expired(now)
+        allowed = self._ratio * len(self._request_times) + self._slack / max(
+            1, nodes
+        )
         if not is_urgent:
-            allowed *= _NEW_SHARE
-        if len(self._repeats) < allowed:
+            allowed *= _NON_URGENT_SHARE
+        if len(self._retry_times) < allowed:
             return True
-        return is_urgent and self._may_borrow(now)
+        return is_urgent and self._can_borrow(now)
 
     def find_use(self, now: float) -> Use:
-        """Return what this node uses."""
-        self._forget(now)
-        return Use(len(self._first), len(self._repeats), self.streams)
+        """Return this node's usage."""
+        self._drop_expired(now)
+        return Use(
+            len(self._request_times), len(self._retry_times), self.streams
+        )
 
     def spend(self, now: float, nodes: int, *, is_urgent: bool = False) -> bool:
-        """Take one repeat; return whether one was left."""
+        """Consume one retry; return whether one was available."""
         if not self.has_left(now, nodes, is_urgent=is_urgent):
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
 
     def give_back(self) -> None:
-        """A repeat that was taken was not sent after all."""
-        if self._repeats:
-            self._repeats.pop()
+        """Refund a retry that was consumed but not sent."""
+        if self._retry_times:
+            self._retry_times.pop()
 
-    def _may_borrow(self, now: float) -> bool:
-        """Return whether the whole lasts if every stream were sent again."""
+    def _can_borrow(self, now: float) -> bool:
+        """Return whether the global budget covers retrying all active streams."""
         others = self.others.sum_up(now)
         if not others.requests:
             return False
-        use = sum_uses([others, self.find_use(now)])
-        allowed = self._ratio * use.requests + self._slack
-        return use.repeats + use.streams < allowed
+        usage = sum_usage([others, self.find_use(now)])
+        allowed = self._ratio * usage.requests + self._slack
+        return usage.repeats + usage.streams < allowed
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         oldest = now - self._window_s
-        for times in (self._first, self._repeats):
+        for times in (self._request_times, self._retry_times):
             while times and times[0] < oldest:
                 times.popleft()
--- a/samphirerill/fleet/deltas.py
+++ b/samphirerill/fleet/deltas.py
@@ -1,9 +1,9 @@
-"""The difference between two versions of one large text.
+"""Differences between two versions of a large text.
 
-A configuration has some hundred kilobytes, and one version differs from the
-next by some hundred bytes. Who has the version before needs only the difference.
-Texts are compared in pieces that end where a JSON object does; any other text is
-right too, only not smaller.
+A configuration has some hundred kilobytes, and consecutive versions differ by
+some hundred bytes, so a receiver of the previous version needs only the
+difference. Texts are split where JSON objects end; other texts work too, but
+their differences are larger.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 
 
 class DeltaError(Exception):
-    """A difference does not fit the text that it is applied to."""
+    """A difference does not apply to the given text, or is corrupt."""
 
 
 class Run(Struct, array_like=True):
-    """Pieces of the old text that follow each other."""
+    """Consecutive pieces of the old text."""
 
     first: int
     count: int
 
 
 class Delta(Struct, array_like=True):
-    """How to make a new text of an old one.
+    """Instructions that rebuild a new text from an old one.
 
-    `base` and `target` are checksums of the two; `parts` make up the new
-    text: runs of the old one's pieces, and bytes that it does not have.
+    `base` and `target` are the checksums of the two texts. `parts` are
+    concatenated to the new text: runs of pieces of the old one, and literal
+    bytes.
     """
 
     base: bytes
@@ -40,40 +41,47 @@
 
 
 def build_delta(old: bytes, new: bytes) -> Delta:
-    """Return how to make `new` of `old`."""
-    had = _split(old)
-    places = {piece: at for at, piece in reversed(list(enumerate(had)))}
+    """Return the difference that turns `old` into `new`."""
+    old_pieces = _split(old)
+    positions = {
+        piece: position
+        for position, piece in reversed(list(enumerate(old_pieces)))
+    }
     parts: list[Run | bytes] = []
     for piece in _split(new):
         last = parts[-1] if parts else b''
-        if isinstance(last, Run) and _continues(had, last, piece):
+        if isinstance(last, Run) and _extends_run(old_pieces, last, piece):
             last.count += 1
         else:
-            at = places.get(piece)
-            parts.append(piece if at is None else Run(at, 1))
+            position = positions.get(piece)
+            parts.append(piece if position is None else Run(position, 1))
     return Delta(_checksum(old), _checksum(new), parts)
 
 
 def apply_delta(old: bytes, delta: Delta) -> bytes:
-    """Return the new text; raise ``DeltaError`` if `old` is another one."""
+    """Return the new text; raise ``DeltaError`` if `delta` does not fit `old`."""
     if _checksum(old) != delta.base:
-        raise DeltaError('the difference is to another text; read it whole')
-    had = _split(old)
+        raise DeltaError(
+            'delta was built for another base text; fetch the full text'
+        )
+    old_pieces = _split(old)
     chunks = []
     for part in delta.parts:
         if isinstance(part, bytes):
             chunks.append(part)
         else:
-            chunks.extend(had[part.first : part.first + part.count])
+            chunks.extend(old_pieces[part.first : part.first + part.count])
     new = b''.join(chunks)
     if _checksum(new) != delta.target:
-        raise DeltaError('the difference is damaged; read the text whole')
+        raise DeltaError(
+            'delta is corrupt: checksum mismatch; fetch the full text'
+        )
     return new
 
 
-def _continues(had: list[bytes], run: Run, piece: bytes) -> bool:
-    follows = run.first + run.count
-    return follows < len(had) and had[follows] == piece
+def _extends_run(old_pieces: list[bytes], run: Run, piece: bytes) -> bool:
+    next_piece = run.first + run.count
+    return next_piece < len(old_pieces) and old_pieces[next_piece] == piece
 
 
 def _split(text: bytes) -> list[bytes]:
--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -1,7 +1,7 @@
-"""Choose an endpoint of a plain service.
+"""Choose an endpoint of a service without layers.
 
-The one with the least predicted wait gets the request: what it has in hand,
-times how long it takes, raised by how often it fails.
+The endpoint with the least predicted wait is chosen: its requests in flight
+times its latency, increased by its failure rate.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
     from samphirerill.fleet.load import LoadBook
     from samphirerill.fleet.view import FleetView, Known
 
-# An endpoint that fails every request looks this many times as busy.
+# The wait of an endpoint that fails every request is multiplied by 1 plus this.
 _FAILURE_WEIGHT = 12.0
-# Until it has answered, an endpoint is taken to be fast, so that it is tried.
-_LEAST_LATENCY_S = 0.005
+# Also the assumed latency of an endpoint that has not answered yet, so that it
+# is tried.
+_MIN_LATENCY_S = 0.005
 
 
 def choose_endpoint(
@@ -28,26 +29,27 @@
     now: float,
     may_call: Callable[[str], bool] = bool,
 ) -> Known | None:
-    """Return the best endpoint not yet tried, or none.
+    """Return the best endpoint not yet tried, or ``None``.
 
-    `may_call` tells of an endpoint's id whether it would take a call now.
-
-    Endpoints that are avoided are used only if no other is left.
+    Endpoints suspected dead are chosen only if no other is left. `may_call`
+    returns whether an endpoint, given by id, would accept a call now.
     """
-    present = [
+    candidates = [
         found
         for found in view.list_service(service)
         if found.replica.replica_id not in tried
         and may_call(found.replica.replica_id)
     ]
-    fresh = [found for found in present if found.suspicion.dead_until <= now]
-    pool = fresh or present
+    trusted = [
+        found for found in candidates if found.suspicion.dead_until <= now
+    ]
+    pool = trusted or candidates
     if not pool:
         return None
     return min(pool, key=lambda found: _predict_wait(found, book))
 
 
 def _predict_wait(found: Known, book: LoadBook) -> float:
-    busy = 1 + book.requests(found.replica.replica_id)
-    latency_s = max(_LEAST_LATENCY_S, found.latency_s)
-    return busy * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
+    in_flight = 1 + book.requests(found.replica.replica_id)
+    latency_s = max(_MIN_LATENCY_S, found.latency_s)
+    return in_flight * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
--- a/samphirerill/fleet/migration.py
+++ b/samphirerill/fleet/migration.py
@@ -1,9 +1,9 @@
-"""Change over to a better plan, one data centre at a time.
+"""Change to a clearly better placement, one data centre at a time.
 
-After some losses and repairs the parts that are left may add up to far less
-than the same replicas could do if they were cut anew. The change is made only
-for a clear gain, and at once: done a pipeline at a time, each step was mended in
-another way than the next one meant it, and the same replicas loaded for ever.
+After losses and repairs, the pipelines may be far slower than a new placement
+of the same replicas. A change is made only for a clear gain, and in one step:
+when pipelines were changed one by one, repairs undid the steps in between and
+the same replicas loaded layers over and over.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.planner import plan_zone
 from samphirerill.fleet.rates import Pipeline
-from samphirerill.fleet.worth import predict_worth
+from samphirerill.fleet.worth import predict_goodput
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -22,103 +22,106 @@
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.worth import Aims
 
-# A change takes some seconds of a pipeline's work; it must be worth it.
-_GAIN = 1.6
-# What one move takes off a plan's predicted rate when plans are compared.
-_MOVE_COST = 0.004
+# A change takes a pipeline out of service for some seconds.
+_MIN_GAIN = 1.6
+# Reduction of a plan's predicted goodput for each move.
+_MOVE_PENALTY = 0.004
 Moves = dict[str, LayerRange]
 
 
-def plan_migration(
+def plan_rebalance(
     engine: EngineSpec,
-    cards: Sequence[Replica],
-    whole: Sequence[Pipeline],
-    doubles: Sequence[LayerRange],
+    replicas: Sequence[Replica],
+    current: Sequence[Pipeline],
+    backups: Sequence[LayerRange],
     aims: Aims,
 ) -> Moves:
-    """Return the moves to a clearly better plan, if there is one.
+    """Return the moves to a clearly better placement, if there is one.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
-    cards : sequence of Replica
-        Those of one data centre that live and are not leaving.
-    whole : sequence of Pipeline
-        The pipelines that work now.
-    doubles : sequence of LayerRange
-        What replicas hold that no pipeline needs.
+    replicas : sequence of Replica
+        The live replicas of one data centre that are not draining.
+    current : sequence of Pipeline
+        The pipelines that are complete now.
+    backups : sequence of LayerRange
+        The layers of replicas that no pipeline needs.
     aims : Aims
-        What is asked for.
+        The targets of the plan.
     """
-    planned = plan_zone(engine, cards, aims)
-    if planned is None:
+    plan = plan_zone(engine, replicas, aims)
+    if plan is None:
         return {}
-    worth = predict_worth(engine, whole, doubles, aims)
-    moves = assign_parts(planned.pipelines, cards)
-    if planned.worth * (1 - _MOVE_COST * len(moves)) <= worth * _GAIN:
+    goodput = predict_goodput(engine, current, backups, aims)
+    moves = assign_stages(plan.pipelines, replicas)
+    if plan.goodput * (1 - _MOVE_PENALTY * len(moves)) <= goodput * _MIN_GAIN:
         return {}
     return moves
 
 
 def build_pipeline(chain: Chain) -> Pipeline:
-    """Return a whole chain as a pipeline."""
+    """Return a chain without gaps as a pipeline."""
     return Pipeline(
         [(stage.replica, stage.layers.count) for stage in chain.stages]
     )
 
 
-def assign_parts(
-    pipelines: Sequence[Pipeline], cards: Sequence[Replica]
+def assign_stages(
+    pipelines: Sequence[Pipeline], replicas: Sequence[Replica]
 ) -> Moves:
-    """Return the moves that a plan needs.
+    """Return the moves that turn the current placement into a plan.
 
     Parameters
     ----------
     pipelines : sequence of Pipeline
-        What the plan wants.
-    cards : sequence of Replica
-        Those that it was made for.
+        The planned pipelines.
+    replicas : sequence of Replica
+        The replicas that the plan was made for.
 
     Notes
     -----
-    Replicas of one kind are interchangeable: each part goes to the one that
-    holds most of it already.
+    Replicas with the same kind of accelerator are interchangeable: each stage
+    goes to the one that already holds most of its layers.
     """
     free: dict[str, list[Replica]] = {}
-    for card in cards:
-        free.setdefault(card.accelerator, []).append(card)
+    for replica in replicas:
+        free.setdefault(replica.accelerator, []).append(replica)
     moves: Moves = {}
-    for kind, layers in _list_open_parts(pipelines, free):
-        overlaps = [_overlap(item, layers) for item in free[kind]]
-        chosen = free[kind].pop(overlaps.index(max(overlaps)))
+    for accelerator, layers in _list_unassigned_stages(pipelines, free):
+        overlaps = [_count_overlap(item, layers) for item in free[accelerator]]
+        chosen = free[accelerator].pop(overlaps.index(max(overlaps)))
         moves[chosen.replica_id] = layers
     return moves
 
 
-def _list_open_parts(
+def _list_unassigned_stages(
     pipelines: Sequence[Pipeline], free: dict[str, list[Replica]]
 ) -> list[tuple[str, LayerRange]]:
-    """Return the parts that nobody holds yet; who holds one is not free."""
-    parts = []
+    """Return the stages that no replica holds exactly.
+
+    Replicas that hold a planned stage are removed from `free`.
+    """
+    stages = []
     for pipeline in pipelines:
         for stage in pipeline.list_stages():
-            kind = stage.replica.accelerator
-            if not _keep(free[kind], stage.layers):
-                parts.append((kind, stage.layers))
-    return parts
+            accelerator = stage.replica.accelerator
+            if not _take_exact_holder(free[accelerator], stage.layers):
+                stages.append((accelerator, stage.layers))
+    return stages
 
 
-def _keep(free: list[Replica], layers: LayerRange) -> bool:
-    """Take out the replica that holds just these layers, if there is one."""
-    for at, replica in enumerate(free):
+def _take_exact_holder(free: list[Replica], layers: LayerRange) -> bool:
+    """Remove the replica that holds exactly these layers, if there is one."""
+    for index, replica in enumerate(free):
         if replica.layers == layers:
-            free.pop(at)
+            free.pop(index)
             return True
     return False
 
 
-def _overlap(replica: Replica, layers: LayerRange) -> int:
+def _count_overlap(replica: Replica, layers: LayerRange) -> int:
     held = replica.layers
     if held is None:
         return 0
--- a/samphirerill/fleet/moves.py
+++ b/samphirerill/fleet/moves.py
@@ -1,11 +1,10 @@
-"""What it takes to let a stream that lost a part go on.
+"""Predict the pause of a stream that moves to another path.
 
-Answers to: the loss of one replica, when all streams that pass through it move
-at the same moment. Parts that are new to a stream read everything so far, one
-stream after another; where the part before them is in another data centre, the
-activations of all these tokens pass through a pipe first. Through one pipe, 40
-streams that moved together stood still for 570 to 680 ms; read anew over a whole
-path within one data centre they need a third of that.
+When a replica is lost, all its streams move at once. Replicas that are new to a
+stream have to prefill everything so far, one stream after another; where the
+previous stage is in another data centre, the activations of all these tokens
+cross a link first. The link is the bottleneck: prefilling anew on a path within
+one data centre can be faster.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.prediction import (
-    predict_reading_ms,
+    predict_prefill_ms,
     predict_transfer_ms,
 )
 
@@ -28,40 +27,40 @@
     stages: Sequence[Stage],
     held: Collection[str],
     tokens: float,
-    crowd: int,
+    concurrent: int,
 ) -> float:
-    """Return how long a stream stands still until new parts have read it.
+    """Return how long a stream pauses until its new replicas have prefilled it.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
     stages : sequence of Stage
-        The whole path to go on over.
+        The whole new path.
     held : collection of str
-        Replicas that have read the stream already.
+        Replicas that already hold the stream's tokens.
     tokens : float
-        What is to be read.
-    crowd : int
-        How many streams move at the same moment, this one included; on
-        average half of the others go first.
+        How many tokens to prefill.
+    concurrent : int
+        How many streams move at the same time, this one included; on average
+        half of the others go first.
     """
-    steps_ms = [
-        *_list_reading_ms(engine, stages, held, tokens),
+    durations_ms = [
+        *_list_prefill_ms(engine, stages, held, tokens),
         *_list_transfers_ms(engine, stages, held, tokens),
     ]
-    before = max(0, crowd - 1) / 2
-    return sum(steps_ms) + before * max(steps_ms, default=0.0)
+    previous = max(0, concurrent - 1) / 2
+    return sum(durations_ms) + previous * max(durations_ms, default=0.0)
 
 
-def _list_reading_ms(
+def _list_prefill_ms(
     engine: EngineSpec,
     stages: Sequence[Stage],
     held: Collection[str],
     tokens: float,
 ) -> list[float]:
     return [
-        predict_reading_ms(
+        predict_prefill_ms(
             engine,
             engine.accelerators[stage.replica.accelerator],
             stage.layers.count,
@@ -81,7 +80,7 @@
     transfer_ms = predict_transfer_ms(engine, tokens)
     return [
         transfer_ms
-        for before, stage in zip(stages, stages[1:], strict=False)
+        for previous, stage in zip(stages, stages[1:], strict=False)
         if stage.replica.replica_id not in held
-        and stage.replica.data_centre != before.replica.data_centre
+        and stage.replica.data_centre != previous.replica.data_centre
     ]
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -1,9 +1,10 @@
-"""Choose the path of one request over what replicas hold.
+"""Choose the path of one request through the replicas.
 
-A path runs every layer once, in order. From a position, any replica that holds
-the next layer may run up to the end of its part, wherever that part began. Of
-all paths with room, the one with the least predicted time between events is
-chosen; a change of data centre costs what the prompt's transfer holds up.
+A path runs every layer once, in order. From any position, a replica that holds
+the next layer may run all layers up to the end of its range, even if the range
+began earlier. Of all paths with enough memory, the one with the least predicted
+time between events is chosen; a crossing between data centres adds the delay
+that the prompt's transfer causes on the link.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 from samphirerill.fleet.model import LayerRange, Stage, count_tokens
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.prediction import (
-    STAGE_COST_MS,
-    predict_reading_ms,
+    STAGE_OVERHEAD_MS,
+    predict_prefill_ms,
     predict_transfer_ms,
-    predict_visit_ms,
+    predict_stage_ms,
 )
 
 if TYPE_CHECKING:
@@ -29,40 +30,40 @@
     from samphirerill.fleet.pipes import PipeUse
     from samphirerill.fleet.view import Known
 
-# Reports of others are a little late, and answers may be longer than said. The
-# rest is kept for streams that lost their path.
-MEMORY_USE = 0.92
-URGENT_USE = 1.0
-# Engines refuse a path of more parts.
-MOST_STAGES = 32
-# A transfer holds up the next event of every stream behind it, not only of its
-# own: with weight 0.5, paths through three data centres were chosen to save
-# 13 ms an event, and pauses of seconds came of it.
+# Load reports of other nodes lag, and answers may be longer than announced. The
+# rest is reserved for streams that lost their path.
+MAX_MEMORY_USE = 0.92
+MAX_URGENT_MEMORY_USE = 1.0
+# Engines refuse longer paths.
+MAX_STAGES = 32
+# A transfer delays the next event of every stream behind it on the link, not
+# only of its own.
 TRANSFER_WEIGHT = 4.0
-# When a replica is lost, its streams are read elsewhere one after another. Where
-# 45 of them passed through one head, most paused for 210 to 340 ms; 15 need a
-# third of that. For every stream that is there already a replica counts as
-# slower by this share of the time to read a usual prompt.
-CROWD_WEIGHT = 0.02
-# Bytes between data centres are paid for, and a loss should not meet the streams
-# of all data centres: a head elsewhere has to save so much between two events.
-AWAY_MS = 6.0
+# When a replica is lost, its streams are prefilled elsewhere one after another,
+# so streams should not concentrate on few replicas. Each stream already there
+# makes a replica count as slower by this share of the time to prefill a usual
+# prompt.
+COLOCATION_WEIGHT = 0.02
+# Traffic between data centres is paid for, and a failure should not affect the
+# streams of all data centres: a remote first stage has to save this much per
+# event.
+REMOTE_ENTRY_PENALTY_MS = 6.0
 
 
 @dataclass(slots=True)
-class _Partial:
+class _PartialPath:
     """A path up to some layer and its predicted milliseconds per event."""
 
     cost: float
     replica: Replica
     layers: LayerRange
-    before: _Partial | None
+    previous: _PartialPath | None
     stages: int
 
 
 @dataclass(slots=True)
-class _Holder:
-    """A replica with room, and what a layer costs there per event."""
+class _Candidate:
+    """A replica with enough memory, and its cost per layer and event."""
 
     replica: Replica
     layer_ms: float
@@ -70,13 +71,13 @@
 
 @dataclass(slots=True)
 class PathRequest:
-    """What is asked: room for `tokens`, without the replicas of `avoid`.
+    """Requirements of a path: memory for `tokens` without replicas in `avoid`.
 
-    `heads` names the replicas that a path may begin with, if not any;
-    `first_end` is where its first part must end, if not anywhere. Replicas in
-    `held` already hold the tokens. An urgent request, one that has begun, may
-    use the last of the memory, and pipes that are busier. `home` is the data
-    centre of who asks.
+    `heads` limits the replicas that may run the first stage; empty means any.
+    `first_end` is where the first stage must end; 0 means anywhere. Replicas in
+    `held` already hold the tokens. An urgent request, whose stream has begun,
+    may use the reserved memory and links with a longer queue. `home` is the
+    data centre of the requesting node.
     """
 
     tokens: float
@@ -94,174 +95,198 @@
     engine: EngineSpec,
     usable: Sequence[Known],
     book: LoadBook,
-    wanted: PathRequest,
+    request: PathRequest,
     now: float,
 ) -> tuple[Stage, ...]:
-    """Return the stages of the best path with room, or an empty tuple."""
-    holders = [
-        _Holder(found.replica, _weigh_layer(engine, found, book, wanted, now))
+    """Return the stages of the cheapest feasible path, or an empty tuple."""
+    candidates = [
+        _Candidate(
+            found.replica, _score_layer(engine, found, book, request, now)
+        )
         for found in usable
-        if found.replica.replica_id not in wanted.avoid
-        and has_room(engine, found, book, wanted)
+        if found.replica.replica_id not in request.avoid
+        and has_memory(engine, found, book, request)
     ]
-    return _PathSearch(engine, holders, book, wanted, now).find()
+    return _PathSearch(engine, candidates, book, request, now).find()
 
 
 class _PathSearch:
-    """The cheapest partial paths, by where they end and in which data centre.
+    """Search over partial paths, by the layer and data centre where they end.
 
-    Every part runs up to its replica's end, so that no replica comes twice and
-    each is looked at once for each end before it. Ending parts at all places
-    where another one begins, too, saved no time between events and took ten
-    times as long: 23 ms instead of 1 at 98 replicas.
+    Every stage runs up to the end of its replica's range, so that no replica
+    occurs twice. Also ending stages wherever another range begins would
+    multiply the search time without shortening the time between events.
     """
 
     __slots__ = (
         '_best',
         '_book',
         '_engine',
-        '_holders',
+        '_candidates',
         '_now',
         '_transfer_ms',
-        '_wanted',
+        '_request',
     )
 
     def __init__(
         self,
         engine: EngineSpec,
-        holders: Sequence[_Holder],
+        candidates: Sequence[_Candidate],
         book: LoadBook,
-        wanted: PathRequest,
+        request: PathRequest,
         now: float,
     ) -> None:
         self._engine = engine
-        self._holders = holders
+        self._candidates = candidates
         self._book = book
-        self._wanted = wanted
+        self._request = request
         self._now = now
         # For each end, the cheapest partial path in each data centre.
-        self._best: dict[int, dict[str, _Partial]] = {}
-        tokens = wanted.tokens or engine.usual_prompt
+        self._best: dict[int, dict[str, _PartialPath]] = {}
+        tokens = request.tokens or engine.usual_prompt
         self._transfer_ms = predict_transfer_ms(engine, tokens)
         self._transfer_ms *= TRANSFER_WEIGHT
 
     def find(self) -> tuple[Stage, ...]:
-        """Return the cheapest whole path, or an empty tuple."""
-        cuts = self._list_cuts()
-        covering = self._list_covering(cuts)
-        for holder in self._holders:
-            if self._may_begin(holder.replica):
-                self._begin(holder)
-        for cut in cuts:
-            if cut in self._best:
-                self._extend(cut, covering[cut])
-        return _collect(self._best.get(self._engine.layers, {}))
-
-    def _list_cuts(self) -> list[int]:
-        """Return where parts may end short of the last layer, in order."""
-        cuts = {holder.replica.held.end for holder in self._holders}
-        cuts.add(self._wanted.first_end)
-        return sorted(cut for cut in cuts if 0 < cut < self._engine.layers)
-
-    def _list_covering(self, cuts: Sequence[int]) -> dict[int, list[_Holder]]:
-        """Return, for each place to end, who may go on from there."""
-        covering: dict[int, list[_Holder]] = {cut: [] for cut in cuts}
-        holders = [
-            holder
-            for holder in self._holders
-            if not self._is_fixed_head(holder.replica)
+        """Return the cheapest complete path, or an empty tuple."""
+        boundaries = self._list_boundaries()
+        candidates_by_boundary = self._group_candidates(boundaries)
+        for candidate in self._candidates:
+            if self._can_start(candidate.replica):
+                self._start_path(candidate)
+        for boundary in boundaries:
+            if boundary in self._best:
+                self._extend(boundary, candidates_by_boundary[boundary])
+        return _build_stages(self._best.get(self._engine.layers, {}))
+
+    def _list_boundaries(self) -> list[int]:
+        """Return where stages may end before the last layer, in order."""
+        boundaries = {
+            candidate.replica.held.end for candidate in self._candidates
+        }
+        boundaries.add(self._request.first_end)
+        return sorted(
+            boundary
+            for boundary in boundaries
+            if 0 < boundary < self._engine.layers
+        )
+
+    def _group_candidates(
+        self, boundaries: Sequence[int]
+    ) -> dict[int, list[_Candidate]]:
+        """Return, for each boundary, the candidates that hold the next layer."""
+        candidates_by_boundary: dict[int, list[_Candidate]] = {
+            boundary: [] for boundary in boundaries
+        }
+        candidates = [
+            candidate
+            for candidate in self._candidates
+            if not self._is_pinned_first_stage(candidate.replica)
         ]
-        for holder in holders:
-            held = holder.replica.held
-            for cut in cuts[bisect_left(cuts, held.first) :]:
-                if cut >= held.end:
+        for candidate in candidates:
+            held = candidate.replica.held
+            for boundary in boundaries[bisect_left(boundaries, held.first) :]:
+                if boundary >= held.end:
                     break
-                covering[cut].append(holder)
-        return covering
+                candidates_by_boundary[boundary].append(candidate)
+        return candidates_by_boundary
 
-    def _is_fixed_head(self, replica: Replica) -> bool:
-        """Return whether a replica's part ends short of what it holds.
+    def _is_pinned_first_stage(self, replica: Replica) -> bool:
+        """Return whether a replica's stage ends at `first_end`.
 
-        A stream that moves keeps its first part as it was; its replica may
-        hold more by now, but comes only once on a path.
+        A stream that moves keeps its first stage unchanged. Its replica may
+        hold more layers by now, but must not occur on the path again.
         """
-        wanted = self._wanted
-        return bool(wanted.first_end) and replica.replica_id in wanted.heads
+        request = self._request
+        return bool(request.first_end) and replica.replica_id in request.heads
 
-    def _may_begin(self, replica: Replica) -> bool:
-        if self._wanted.heads and replica.replica_id not in self._wanted.heads:
+    def _can_start(self, replica: Replica) -> bool:
+        if (
+            self._request.heads
+            and replica.replica_id not in self._request.heads
+        ):
             return False
         if replica.held.first or not replica.held.end:
             return False
         return self._book.requests(replica.replica_id) < self._engine.slots
 
-    def _begin(self, holder: _Holder) -> None:
-        held = holder.replica.held
-        end = self._wanted.first_end or held.end
+    def _start_path(self, candidate: _Candidate) -> None:
+        held = candidate.replica.held
+        end = self._request.first_end or held.end
         if end <= held.end:
-            away_ms = self._find_away_ms(holder.replica)
-            self._add(None, holder, LayerRange(0, end), away_ms)
-
-    def _find_away_ms(self, head: Replica) -> float:
-        """Return what it costs that events come from another data centre."""
-        wanted = self._wanted
-        is_home = not wanted.home or head.data_centre == wanted.home
-        return 0.0 if is_home or not wanted.policy.near_heads else AWAY_MS
-
-    def _extend(self, cut: int, holders: Sequence[_Holder]) -> None:
-        """Go on from the cheapest partial paths at a cut."""
-        entries: dict[str, tuple[float, _Partial] | None] = {}
-        for holder in holders:
-            zone = holder.replica.data_centre
+            penalty_ms = self._find_remote_entry_ms(candidate.replica)
+            self._add(None, candidate, LayerRange(0, end), penalty_ms)
+
+    def _find_remote_entry_ms(self, replica: Replica) -> float:
+        """Return the penalty for a first stage in another data centre."""
+        request = self._request
+        is_local = not request.home or replica.data_centre == request.home
+        return (
+            0.0
+            if is_local or not request.policy.near_heads
+            else REMOTE_ENTRY_PENALTY_MS
+        )
+
+    def _extend(self, boundary: int, candidates: Sequence[_Candidate]) -> None:
+        """Extend the cheapest partial paths that end at a boundary."""
+        entries: dict[str, tuple[float, _PartialPath] | None] = {}
+        for candidate in candidates:
+            zone = candidate.replica.data_centre
             if zone not in entries:
-                entries[zone] = self._find_entry(cut, zone)
+                entries[zone] = self._find_cheapest_entry(boundary, zone)
             entry = entries[zone]
             if entry is not None:
-                layers = LayerRange(cut, holder.replica.held.end)
-                self._add(entry[1], holder, layers, entry[0])
+                layers = LayerRange(boundary, candidate.replica.held.end)
+                self._add(entry[1], candidate, layers, entry[0])
 
-    def _find_entry(self, cut: int, zone: str) -> tuple[float, _Partial] | None:
-        """Return the cheapest way into a data centre, and its hop's cost."""
+    def _find_cheapest_entry(
+        self, boundary: int, zone: str
+    ) -> tuple[float, _PartialPath] | None:
+        """Return the cost and start of the cheapest way into a data centre."""
         options = []
-        for here, partial in self._best[cut].items():
-            hop_ms = self._find_hop_ms(here, zone)
-            if hop_ms is not None and partial.stages < MOST_STAGES:
+        for origin, partial in self._best[boundary].items():
+            hop_ms = self._find_hop_ms(origin, zone)
+            if hop_ms is not None and partial.stages < MAX_STAGES:
                 options.append((partial.cost + hop_ms, hop_ms, partial))
         if not options:
             return None
-        cheapest = min(options, key=_first)
+        cheapest = min(options, key=_get_first)
         return cheapest[1], cheapest[2]
 
-    def _find_hop_ms(self, here: str, there: str) -> float | None:
-        """Return what the way between data centres costs; none if it's shut."""
-        if here == there:
+    def _find_hop_ms(self, origin: str, destination: str) -> float | None:
+        """Return the cost of a crossing, or ``None`` if the link is full."""
+        if origin == destination:
             return 0.0
-        pipes = self._wanted.pipes
+        pipes = self._request.pipes
         if pipes is None:
             return self._transfer_ms
         if not pipes.is_open(
-            here, there, self._now, is_urgent=self._wanted.is_urgent
+            origin, destination, self._now, is_urgent=self._request.is_urgent
         ):
             return None
-        return self._transfer_ms + pipes.backlog_ms(here, there, self._now)
+        return self._transfer_ms + pipes.backlog_ms(
+            origin, destination, self._now
+        )
 
     def _add(
         self,
-        before: _Partial | None,
-        holder: _Holder,
+        previous: _PartialPath | None,
+        candidate: _Candidate,
         layers: LayerRange,
         hop_ms: float,
     ) -> None:
-        cost = hop_ms + holder.layer_ms * layers.count + STAGE_COST_MS
+        cost = hop_ms + candidate.layer_ms * layers.count + STAGE_OVERHEAD_MS
         count = 1
-        if before is not None:
-            cost += before.cost
-            count += before.stages
-        zone = holder.replica.data_centre
+        if previous is not None:
+            cost += previous.cost
+            count += previous.stages
+        zone = candidate.replica.data_centre
         best = self._best.setdefault(layers.end, {})
         known = best.get(zone)
         if known is None or cost < known.cost:
-            best[zone] = _Partial(cost, holder.replica, layers, before, count)
+            best[zone] = _PartialPath(
+                cost, candidate.replica, layers, previous, count
+            )
 
 
 def predict_gap_ms(
@@ -276,77 +301,77 @@
     for stage in stages:
         found = known.get(stage.replica.replica_id)
         if found is not None:
-            layer_ms = _layer_ms(engine, found, book, now)
+            layer_ms = _predict_layer_ms(engine, found, book, now)
             total += layer_ms * stage.layers.count
     return total
 
 
-def count_capacity(
+def count_token_capacity(
     engine: EngineSpec, found: Known, layers: LayerRange
 ) -> float:
-    """Return how many tokens fit at a replica."""
-    kind = engine.accelerators.get(found.replica.accelerator)
-    if kind is None:
+    """Return how many tokens fit in a replica's memory beside its layers."""
+    accelerator = engine.accelerators.get(found.replica.accelerator)
+    if accelerator is None:
         return 0.0
-    return count_tokens(engine, kind, layers.count)
+    return count_tokens(engine, accelerator, layers.count)
 
 
-def has_room(
-    engine: EngineSpec, found: Known, book: LoadBook, wanted: PathRequest
+def has_memory(
+    engine: EngineSpec, found: Known, book: LoadBook, request: PathRequest
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
     if replica.layers is None:
         return False
-    if replica.replica_id in wanted.held:
+    if replica.replica_id in request.held:
         return True
-    use = URGENT_USE if wanted.is_urgent else MEMORY_USE
-    fits = count_capacity(engine, found, replica.layers) * use
-    return book.tokens(replica.replica_id) + wanted.tokens <= fits
+    max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
+    capacity = count_token_capacity(engine, found, replica.layers) * max_use
+    return book.tokens(replica.replica_id) + request.tokens <= capacity
 
 
-def _layer_ms(
+def _predict_layer_ms(
     engine: EngineSpec, found: Known, book: LoadBook, now: float
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
-    kind = engine.accelerators.get(replica.accelerator)
-    if kind is None:
+    accelerator = engine.accelerators.get(replica.accelerator)
+    if accelerator is None:
         return float('inf')
     running = book.requests(replica.replica_id) + 1
     slowness = found.slowness if found.slow_until > now else 1.0
-    return predict_visit_ms(engine, kind, 1, running, slowness)
+    return predict_stage_ms(engine, accelerator, 1, running, slowness)
 
 
-def _weigh_layer(
+def _score_layer(
     engine: EngineSpec,
     found: Known,
     book: LoadBook,
-    wanted: PathRequest,
+    request: PathRequest,
     now: float,
 ) -> float:
-    """Return what one layer costs a stream that may choose among replicas."""
-    layer_ms = _layer_ms(engine, found, book, now)
-    kind = engine.accelerators.get(found.replica.accelerator)
-    if kind is None or not wanted.policy.spread:
+    """Return the cost of one layer, including the penalty for co-location."""
+    layer_ms = _predict_layer_ms(engine, found, book, now)
+    accelerator = engine.accelerators.get(found.replica.accelerator)
+    if accelerator is None or not request.policy.spread:
         return layer_ms
-    crowd = book.requests(found.replica.replica_id)
-    reading_ms = predict_reading_ms(engine, kind, 1, engine.usual_prompt)
-    return layer_ms + CROWD_WEIGHT * crowd * reading_ms
+    stream_count = book.requests(found.replica.replica_id)
+    prefill_ms = predict_prefill_ms(engine, accelerator, 1, engine.usual_prompt)
+    return layer_ms + COLOCATION_WEIGHT * stream_count * prefill_ms
 
 
-def _collect(ends: dict[str, _Partial]) -> tuple[Stage, ...]:
-    step: _Partial | None = min(ends.values(), key=_cost, default=None)
+def _build_stages(ends: dict[str, _PartialPath]) -> tuple[Stage, ...]:
+    step: _PartialPath | None = min(ends.values(), key=_get_cost, default=None)
     stages: list[Stage] = []
     while step is not None:
         stages.append(Stage(step.replica, step.layers))
-        step = step.before
+        step = step.previous
     return tuple(reversed(stages))
 
 
-def _cost(partial: _Partial) -> float:
+def _get_cost(partial: _PartialPath) -> float:
     return partial.cost
 
 
-def _first(option: tuple[float, float, _Partial]) -> float:
+def _get_first(option: tuple[float, float, _PartialPath]) -> float:
     return option[0]
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -1,14 +1,13 @@
-"""Decide which layers each engine should hold, from nothing.
+"""Plan which layers each replica should hold, from scratch.
 
-A plan is a set of pipelines; each covers every layer once. For a wanted number
-of tokens each accelerator kind has a number of layers that leaves room for
-them. Pipelines are built within one data centre, since a prompt that crosses
-a pipe holds up every other stream's next token there; only data centres that
-can't build one of their own are joined. What is left doubles parts.
+A plan is a set of pipelines; each covers every layer once. A target number of
+tokens determines how many layers each kind of accelerator can hold beside them.
+Pipelines stay within one data centre, since a prompt that crosses a link delays
+every other stream's next token there; only data centres that cannot build a
+pipeline by themselves are combined. Spare replicas become backups.
 
-Of a ladder of wanted tokens the step wins, for each data centre, that is worth
-the most (see `predict_worth`). Answers to: the usual load of a day, and replicas
-that are lost one after another.
+For each data centre, plans are made for several token targets, and the one with
+the highest goodput is chosen (see `predict_goodput`).
 """
 
 from __future__ import annotations
@@ -18,15 +17,15 @@
 from itertools import chain
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.doubling import double_parts, list_parts
+from samphirerill.fleet.doubling import assign_backups, list_rated_stages
 from samphirerill.fleet.model import MB, LayerRange, count_tokens
 from samphirerill.fleet.rates import (
-    WANTED_REQUESTS,
+    TARGET_REQUESTS,
     Pipeline,
-    get_kind,
+    get_accelerator,
     predict_total_rate,
 )
-from samphirerill.fleet.worth import predict_worth
+from samphirerill.fleet.worth import predict_goodput
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -34,33 +33,33 @@
     from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
     from samphirerill.fleet.worth import Aims
 
-# Fewer tokens than this many usual requests a pipeline is not worth building.
-_LEAST_REQUESTS = 8
-_MOST_REQUESTS = 160
-_LADDER = 1.15
-Plan = dict[str, LayerRange]
+# A pipeline with memory for fewer usual requests is not worth building.
+_MIN_REQUESTS = 8
+_MAX_REQUESTS = 160
+_REQUESTS_STEP_FACTOR = 1.15
+LayerAssignments = dict[str, LayerRange]
 
 
 @dataclass(slots=True)
-class Planned:
-    """Pipelines, what is left over, and doubles that the latter may hold.
+class PlacementPlan:
+    """Pipelines, spare replicas, and the layers that spares hold as backups.
 
-    `worth` is the predicted answers a second, less what losses will cost.
+    `goodput` is the predicted rate of answers on time, less the cost of losses.
     """
 
     pipelines: list[Pipeline]
     spares: list[Replica]
-    doubles: Plan
-    worth: float
+    backups: LayerAssignments
+    goodput: float
 
-    def list_ranges(self) -> Plan:
-        """Return the layers of each replica that should hold any."""
+    def list_ranges(self) -> LayerAssignments:
+        """Return the planned layers by replica id."""
         ranges = {
             stage.replica.replica_id: stage.layers
             for pipeline in self.pipelines
             for stage in pipeline.list_stages()
         }
-        ranges.update(self.doubles)
+        ranges.update(self.backups)
         return ranges
 
 
@@ -68,205 +67,216 @@
     engine: EngineSpec,
     replicas: Sequence[Replica],
     aims: Aims,
-) -> Planned | None:
-    """Return the best plan found, or none if no pipeline can be built.
+) -> PlacementPlan | None:
+    """Return the best plan found, or ``None`` if no pipeline can be built.
 
     Parameters
     ----------
     engine : EngineSpec
         The service's figures.
     replicas : sequence of Replica
-        Those that may be ordered, of one service.
+        The replicas of one service that may be assigned layers.
     aims : Aims
-        What is asked for.
+        The targets of the plan.
     """
     plans = []
-    homeless: list[Replica] = []
-    for cards in group_by_zone(replicas).values():
-        planned = plan_zone(engine, cards, aims)
-        if planned is None:
-            homeless.extend(cards)
+    unplaced: list[Replica] = []
+    for zone_replicas in group_by_zone(replicas).values():
+        plan = plan_zone(engine, zone_replicas, aims)
+        if plan is None:
+            unplaced.extend(zone_replicas)
         else:
-            plans.append(planned)
-    joined = _plan_across(engine, homeless, aims)
-    if joined is not None:
-        plans.append(joined)
+            plans.append(plan)
+    cross_zone = _plan_across_zones(engine, unplaced, aims)
+    if cross_zone is not None:
+        plans.append(cross_zone)
     if not plans:
         return None
-    return Planned(
-        [pipeline for planned in plans for pipeline in planned.pipelines],
-        [spare for planned in plans for spare in planned.spares],
-        {
-            key: held
-            for planned in plans
-            for key, held in planned.doubles.items()
-        },
-        sum(planned.worth for planned in plans),
+    return PlacementPlan(
+        [pipeline for plan in plans for pipeline in plan.pipelines],
+        [spare for plan in plans for spare in plan.spares],
+        {key: held for plan in plans for key, held in plan.backups.items()},
+        sum(plan.goodput for plan in plans),
     )
 
 
 def plan_zone(
-    engine: EngineSpec, cards: Sequence[Replica], aims: Aims
-) -> Planned | None:
-    """Return the best plan of one data centre, if it can have any."""
-    for goals in _list_token_goals(engine):
-        plans = [_plan_local(engine, cards, tokens, aims) for tokens in goals]
-        best = _choose(plans)
+    engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
+) -> PlacementPlan | None:
+    """Return the best plan of one data centre, or ``None``."""
+    for targets in _list_token_targets(engine):
+        plans = [
+            _plan_local(engine, replicas, tokens, aims) for tokens in targets
+        ]
+        best = _choose_best(plans)
         if best is not None:
             return best
     return None
 
 
 def group_by_zone(replicas: Iterable[Replica]) -> dict[str, list[Replica]]:
-    """Return the replicas of each data centre, in order of its name."""
+    """Return the replicas of each data centre, ordered by its name."""
     zones: dict[str, list[Replica]] = {}
     for replica in replicas:
         zones.setdefault(replica.data_centre, []).append(replica)
     return dict(sorted(zones.items()))
 
 
-def _choose(plans: list[Planned]) -> Planned | None:
-    best = max(plans, key=lambda planned: planned.worth, default=None)
+def _choose_best(plans: list[PlacementPlan]) -> PlacementPlan | None:
+    best = max(plans, key=lambda plan: plan.goodput, default=None)
     return best if best is not None and best.pipelines else None
 
 
 def _plan_local(
     engine: EngineSpec,
-    cards: Sequence[Replica],
+    replicas: Sequence[Replica],
     tokens: float,
     aims: Aims,
-) -> Planned:
-    """Build pipelines whose parts all have room for so many tokens."""
-    most, free = _list_free(engine, cards, tokens)
+) -> PlacementPlan:
+    """Build pipelines whose stages all have memory for so many tokens."""
+    max_layers, free = _list_candidates(engine, replicas, tokens)
     pipelines = []
-    while taken := _take(engine, free, free, most):
-        pipelines.append(taken)
-    spares = _list_rest(cards, pipelines)
-    parts = list_parts(engine, pipelines, aims.pause_ms)
-    doubles = double_parts(engine, parts, [_empty(item) for item in spares])
-    worth = predict_worth(engine, pipelines, list(doubles.values()), aims)
-    return Planned(pipelines, spares, doubles, worth)
-
-
-def _plan_across(
-    engine: EngineSpec, cards: Sequence[Replica], aims: Aims
-) -> Planned | None:
-    """Join data centres that can't build a pipeline of their own."""
+    while pipeline := _build_pipeline(engine, free, free, max_layers):
+        pipelines.append(pipeline)
+    spares = _list_unused(replicas, pipelines)
+    stages = list_rated_stages(engine, pipelines, aims.pause_ms)
+    backups = assign_backups(
+        engine, stages, [_without_layers(item) for item in spares]
+    )
+    goodput = predict_goodput(engine, pipelines, list(backups.values()), aims)
+    return PlacementPlan(pipelines, spares, backups, goodput)
+
+
+def _plan_across_zones(
+    engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
+) -> PlacementPlan | None:
+    """Build pipelines across data centres that have too few replicas."""
     plans = []
-    for tokens in chain.from_iterable(_list_token_goals(engine)):
-        most, free = _list_free(engine, cards, tokens)
+    for tokens in chain.from_iterable(_list_token_targets(engine)):
+        max_layers, free = _list_candidates(engine, replicas, tokens)
         pipelines = []
-        while taken := _take(engine, free, _order_zones(free, most), most):
-            pipelines.append(taken)
+        while pipeline := _build_pipeline(
+            engine, free, _order_by_zone(free, max_layers), max_layers
+        ):
+            pipelines.append(pipeline)
         rate = predict_total_rate(engine, pipelines, aims.pause_ms)
-        plans.append(Planned(pipelines, _list_rest(cards, pipelines), {}, rate))
-    return _choose(plans)
+        plans.append(
+            PlacementPlan(
+                pipelines, _list_unused(replicas, pipelines), {}, rate
+            )
+        )
+    return _choose_best(plans)
 
 
-def _list_free(
-    engine: EngineSpec, cards: Sequence[Replica], tokens: float
+def _list_candidates(
+    engine: EngineSpec, replicas: Sequence[Replica], tokens: float
 ) -> tuple[dict[str, int], list[Replica]]:
-    """Return the layers each kind may hold, and the cards, fast ones first."""
-    most = {
-        name: _most_layers(engine, accelerator, tokens)
+    """Return each accelerator's most layers, and the replicas, fastest first."""
+    max_layers = {
+        name: _find_max_layers(engine, accelerator, tokens)
         for name, accelerator in engine.accelerators.items()
     }
-    free = [item for item in cards if most.get(item.accelerator)]
-    free.sort(key=partial(_rank, engine, most))
-    return most, free
+    free = [item for item in replicas if max_layers.get(item.accelerator)]
+    free.sort(key=partial(_rank_by_speed, engine, max_layers))
+    return max_layers, free
 
 
-def _order_zones(free: list[Replica], most: dict[str, int]) -> list[Replica]:
-    """Return cards of the data centre with the most layers first."""
+def _order_by_zone(
+    free: list[Replica], max_layers: dict[str, int]
+) -> list[Replica]:
+    """Return replicas, those of the data centre with the most layers first."""
     layers: dict[str, int] = {}
     for replica in free:
         held = layers.get(replica.data_centre, 0)
-        layers[replica.data_centre] = held + most[replica.accelerator]
+        layers[replica.data_centre] = held + max_layers[replica.accelerator]
     order = sorted(layers, key=layers.__getitem__, reverse=True)
     return sorted(free, key=lambda item: order.index(item.data_centre))
 
 
-def _list_rest(
-    cards: Sequence[Replica], pipelines: list[Pipeline]
+def _list_unused(
+    replicas: Sequence[Replica], pipelines: list[Pipeline]
 ) -> list[Replica]:
     used = {
         replica.replica_id
         for pipeline in pipelines
         for replica, _ in pipeline.parts
     }
-    return [item for item in cards if item.replica_id not in used]
+    return [item for item in replicas if item.replica_id not in used]
 
 
-def _take(
+def _build_pipeline(
     engine: EngineSpec,
     free: list[Replica],
     order: Sequence[Replica],
-    most: dict[str, int],
+    max_layers: dict[str, int],
 ) -> Pipeline | None:
-    """Build a pipeline of the first cards that together hold all layers."""
-    needed = []
-    left = engine.layers
-    for card in order:
-        if left <= 0:
+    """Build a pipeline of the first replicas that can hold all layers."""
+    members = []
+    missing = engine.layers
+    for replica in order:
+        if missing <= 0:
             break
-        needed.append(card)
-        left -= most[card.accelerator]
-    if left > 0:
+        members.append(replica)
+        missing -= max_layers[replica.accelerator]
+    if missing > 0:
         return None
-    return _close_pipeline(engine, free, needed, most)
+    return _partition_layers(engine, free, members, max_layers)
 
 
-def _close_pipeline(
+def _partition_layers(
     engine: EngineSpec,
     free: list[Replica],
-    needed: list[Replica],
-    most: dict[str, int],
+    members: list[Replica],
+    max_layers: dict[str, int],
 ) -> Pipeline:
-    """Take cards out of the free ones and cut the layers among them.
+    """Partition the layers among members, and remove these from `free`.
 
-    What they could hold beyond all layers is taken off those whose last layer
-    leaves them the least memory.
+    Surplus layers are taken from the members with the least memory left.
     """
-    for replica in needed:
+    for replica in members:
         free.remove(replica)
-    counts = [most[card.accelerator] for card in needed]
+    counts = [max_layers[member.accelerator] for member in members]
     while sum(counts) > engine.layers:
         ranks = [
-            _rank_room(engine, card, count)
-            for card, count in zip(needed, counts, strict=True)
+            _rank_memory_pressure(engine, member, count)
+            for member, count in zip(members, counts, strict=True)
         ]
         counts[ranks.index(max(ranks))] -= 1
-    parts = list(zip(needed, counts, strict=True))
-    return Pipeline([part for part in parts if part[1] > 0])
+    stages = list(zip(members, counts, strict=True))
+    return Pipeline([part for part in stages if part[1] > 0])
 
 
-def _rank_room(engine: EngineSpec, card: Replica, count: int) -> float:
-    """Rank a card by how little room for tokens its layers leave it."""
+def _rank_memory_pressure(
+    engine: EngineSpec, replica: Replica, count: int
+) -> float:
+    """Rank a replica by how little memory its layers leave for tokens."""
     if count <= 1:
         return -1
-    return 1 / (1 + count_tokens(engine, get_kind(engine, card), count))
+    return 1 / (
+        1 + count_tokens(engine, get_accelerator(engine, replica), count)
+    )
 
 
-def _list_token_goals(
+def _list_token_targets(
     engine: EngineSpec,
 ) -> tuple[list[float], list[float]]:
-    """Return the steps of the ladder: those to try first, and the others.
+    """Return the token targets to try first, and the fallbacks.
 
-    A part with room for fewer requests than others are given room for would
-    hold up its pipeline; it is better than none.
+    A stage with memory for fewer than `TARGET_REQUESTS` requests limits its
+    pipeline, so such targets are tried only if no other gives a pipeline.
     """
-    usual = engine.usual_prompt + engine.usual_answer / 2
-    roomy: list[float] = []
-    narrow: list[float] = []
-    requests = float(_LEAST_REQUESTS)
-    while requests < _MOST_REQUESTS:
-        goals = narrow if requests < WANTED_REQUESTS else roomy
-        goals.append(requests * usual)
-        requests *= _LADDER
-    return roomy, narrow
-
-
-def _most_layers(
+    mean_tokens = engine.usual_prompt + engine.usual_answer / 2
+    preferred: list[float] = []
+    fallback: list[float] = []
+    requests = float(_MIN_REQUESTS)
+    while requests < _MAX_REQUESTS:
+        targets = fallback if requests < TARGET_REQUESTS else preferred
+        targets.append(requests * mean_tokens)
+        requests *= _REQUESTS_STEP_FACTOR
+    return preferred, fallback
+
+
+def _find_max_layers(
     engine: EngineSpec, accelerator: Accelerator, tokens: float
 ) -> int:
     per_layer = engine.layer_mb
@@ -274,13 +284,15 @@
     return min(engine.layers, int(accelerator.size_mb / per_layer))
 
 
-def _rank(
-    engine: EngineSpec, most: dict[str, int], replica: Replica
+def _rank_by_speed(
+    engine: EngineSpec, max_layers: dict[str, int], replica: Replica
 ) -> tuple[float, str]:
-    kind = get_kind(engine, replica)
-    return kind.pace / most[replica.accelerator], replica.replica_id
+    accelerator = get_accelerator(engine, replica)
+    return accelerator.pace / max_layers[
+        replica.accelerator
+    ], replica.replica_id
 
 
-def _empty(replica: Replica) -> Replica:
+def _without_layers(replica: Replica) -> Replica:
     """Return a replica as if it held nothing."""
     return replace(replica, layers=None)
--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -1,12 +1,14 @@
-"""Decide which requests end the endpoints that run them.
-
-An endpoint that ends breaks off all that it runs, up to a hundred requests, and
-all of them are sent again; the next endpoint that ends has some of them too. Who saw
-two ends as it began to run is a suspect, and should run where no other suspect
-does. If an endpoint ends with one suspect aboard, that is the one; if it goes on,
-the suspect is none any more. Where endpoints end all the time for other reasons,
-once may be chance, and more is asked for. The decision follows from the evidence
-alone, in whatever order it came: nodes that know the same decide the same.
+"""Decide which requests crash the endpoints that run them.
+
+A crash interrupts up to a hundred requests. All of them are sent again, so the
+next crash affects some of them too. A request that was just starting at two
+crashes is a suspect, and should run where no other suspect does. If an endpoint
+crashes with a single suspect, that is the cause; if the run continues, the
+request is cleared. Where endpoints crash frequently for other reasons, more
+evidence is required.
+
+The decision is a function of the evidence, whatever its order: nodes with the
+same evidence decide the same.
 """
 
 from __future__ import annotations
@@ -22,36 +24,38 @@
 
     from samphirerill.quarantine.records import Death
 
-# A run that has sent events for so long has begun, and its endpoint lives: a request
-# that ends endpoints does so with its first tokens.
+# A run that has sent events for this long has survived: harmful requests crash
+# endpoints with their first tokens.
 BEGINNING_S = 0.5
-# One end may be anybody's; with two, a request runs where it harms few others.
+# One crash is no evidence against any of the interrupted requests.
 SUSPECT_DEATHS = 2
-# The third end decides, if there was no other suspect.
-_ENOUGH_DEATHS = 3
-# Nobody is aboard so often by chance, whoever else was.
-_BEYOND_DOUBT = 6
-# Ends of this long ago that a request did not see tell how many it may see by
-# chance: with more than a few, it must have been the only suspect more than once.
-_LATELY_S = 10.0
-_FEW_ELSEWHERE = 1
-_SOME_ELSEWHERE = 5
-# Those that were broken off together are heard of within this time, from all nodes;
-# judged sooner, whoever is heard of first would seem to have been there alone.
+# Crashes until a request is held, if it was the only suspect at the last.
+_MIN_CRASHES = 3
+# A request at this many crashes is held whatever other suspects there were.
+_CERTAIN_CRASHES = 6
+# Crashes of other endpoints within this time show how likely a coincidence is;
+# beyond each of the two numbers, the request must have been the only suspect
+# once more.
+_RECENT_S = 10.0
+_FEW_OTHER_ENDPOINTS = 1
+_SEVERAL_OTHER_ENDPOINTS = 5
+# Reports of one crash arrive from all nodes within this time. Decided earlier,
+# the first request reported would seem to have been the only suspect.
 SETTLE_S = 0.1
-# How long a request is held back after its third end; doubled with each more. Then
-# one run decides: an engine may have been mended.
+# How long a request is held after `_MIN_CRASHES`; doubled with each further
+# one. Then one run decides, as the engine may have been fixed.
 _HOLD_S = 600.0
-_MOST_HOLD_S = 7200.0
-# Evidence outlasts the hold, so that a request that goes on as before is known.
-_KEPT = 2.0
-# At about 0.5 KB each.
-MOST_RECORDS = 1024
+_MAX_HOLD_S = 7200.0
+# Evidence is kept longer than the hold, to recognise a request that still
+# crashes endpoints.
+_RETENTION_FACTOR = 2.0
+# A record takes about 0.5 KB.
+MAX_RECORDS = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class News:
-    """A request is held back until `until`, or not any more if that is 0."""
+    """A change of a hold: held until `until`, or released if that is 0."""
 
     request: bytes
     deaths: tuple[Death, ...]
@@ -59,107 +63,107 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Verdict:
-    """Until when a request is held back, and the ends that decided it."""
+class _Hold:
+    """Until when a request is held, and the crashes that decided it."""
 
     until: float
     deaths: tuple[Death, ...]
 
 
 class Quarantine:
-    """What is known against requests, by their digests.
+    """Evidence against requests, by their digests, and the resulting holds.
 
     Parameters
     ----------
-    most_records : int
-        The oldest of the least evidence are forgotten beyond that.
+    max_records : int
+        Beyond that, the oldest record with the least evidence is evicted.
     """
 
-    __slots__ = ('_held', '_heavy', '_most', '_records')
+    __slots__ = ('_held', '_candidates', '_max_records', '_records')
 
-    def __init__(self, most_records: int = MOST_RECORDS) -> None:
-        self._most = most_records
+    def __init__(self, max_records: int = MAX_RECORDS) -> None:
+        self._max_records = max_records
         self._records: dict[bytes, Record] = {}
-        # Requests with enough ends, whoever else was there.
-        self._heavy: set[bytes] = set()
-        self._held: dict[bytes, _Verdict] = {}
+        # Requests with `_MIN_CRASHES`, whether or not they are held.
+        self._candidates: set[bytes] = set()
+        self._held: dict[bytes, _Hold] = {}
 
     def __len__(self) -> int:
-        """Return of how many requests something is known."""
+        """Return the number of requests with a record."""
         return len(self._records)
 
-    def note_death(self, request: bytes, death: Death, now: float) -> bool:
-        """Take an end; return whether it is news.
+    def note_death(self, request: bytes, crash: Death, now: float) -> bool:
+        """Record a crash; return whether it is new evidence.
 
         Parameters
         ----------
         request : bytes
-            The digest of a request whose run had just begun there.
+            Digest of a request whose run had just started there.
         death : Death
-            Which endpoint, and when.
+            Which endpoint crashed, and when.
         now : float
             On the loop's clock.
         """
-        if death.at + _KEPT * _MOST_HOLD_S < now:
+        if crash.at + _RETENTION_FACTOR * _MAX_HOLD_S < now:
             return False
         record = self._records.get(request)
         if record is None:
-            self._make_room()
+            self._evict_record()
             record = Record()
             self._records[request] = record
-        if not record.add(death):
+        if not record.add(crash):
             return False
-        if len(record.list_moments()) >= _ENOUGH_DEATHS:
-            self._heavy.add(request)
+        if len(record.list_distinct_crashes()) >= _MIN_CRASHES:
+            self._candidates.add(request)
         return True
 
     def note_survival(self, request: bytes, at: float) -> bool:
-        """A run went on beyond its beginning; return whether that is news.
+        """Record a survived run; return whether it cleared any crashes.
 
-        Only what is known of a request can be refuted; of others nothing is
-        kept.
+        Crashes before it are dropped from the request's record. Nothing is
+        stored for requests without a record.
         """
         record = self._records.get(request)
         if record is None or not record.note_survival(at):
             return False
-        if len(record.list_moments()) < _ENOUGH_DEATHS:
-            self._heavy.discard(request)
+        if len(record.list_distinct_crashes()) < _MIN_CRASHES:
+            self._candidates.discard(request)
         return True
 
     def judge(self, now: float) -> list[News]:
-        """Decide anew who is held back; return what has changed.
+        """Update all holds from the evidence; return what has changed.
 
-        Ends of the last `SETTLE_S` don't count yet: who else was there may
-        still be on its way.
+        Crashes of the last `SETTLE_S` are ignored, as reports of other requests
+        that were running may still arrive.
         """
-        before = self._held
+        previous = self._held
         self._held = {}
-        settled = now - SETTLE_S
-        for request in self._heavy:
-            moments = [
-                death
-                for death in self._records[request].list_moments()
-                if death.at <= settled
+        cutoff = now - SETTLE_S
+        for request in self._candidates:
+            crashes = [
+                crash
+                for crash in self._records[request].list_distinct_crashes()
+                if crash.at <= cutoff
             ]
-            if self._is_guilty(request, moments):
-                until = moments[-1].at + _find_hold_s(len(moments))
-                self._held[request] = _Verdict(until, tuple(moments))
-        return list(self._list_changes(before))
+            if self._is_culprit(request, crashes):
+                until = crashes[-1].at + _find_hold_s(len(crashes))
+                self._held[request] = _Hold(until, tuple(crashes))
+        return list(self._list_changes(previous))
 
     def find_held_until(self, request: bytes, now: float) -> float:
-        """Return until when a request is held back; 0 if it may run."""
-        verdict = self._held.get(request)
-        if verdict is None or verdict.until <= now:
+        """Return until when a request is held; 0 if it may run."""
+        hold = self._held.get(request)
+        if hold is None or hold.until <= now:
             return 0.0
-        return verdict.until
+        return hold.until
 
     def count_deaths(self, request: bytes) -> int:
-        """Return at how many moments a request saw an endpoint end."""
+        """Return at how many distinct crashes a request was just starting."""
         record = self._records.get(request)
-        return 0 if record is None else len(record.list_moments())
+        return 0 if record is None else len(record.list_distinct_crashes())
 
     def list_records(self) -> Iterator[tuple[bytes, Record]]:
-        """Yield what is known, requests that are held back first."""
+        """Yield all records, those of held requests first."""
         for request in self._held:
             yield request, self._records[request]
         for other in reversed(self._records):
@@ -167,74 +171,83 @@
                 yield other, self._records[other]
 
     def get_record(self, request: bytes) -> Record | None:
-        """Return what is known of a request, if anything."""
+        """Return the record of a request, or ``None``."""
         return self._records.get(request)
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to matter."""
-        old = [
+        """Drop expired records."""
+        expired = [
             request
             for request, record in self._records.items()
-            if _find_kept_until(record) < now
+            if _find_expiry(record) < now
         ]
-        for request in old:
+        for request in expired:
             self._drop(request)
 
-    def _is_guilty(self, request: bytes, moments: list[Death]) -> bool:
-        if len(moments) < _ENOUGH_DEATHS:
+    def _is_culprit(self, request: bytes, crashes: list[Death]) -> bool:
+        if len(crashes) < _MIN_CRASHES:
             return False
-        if len(moments) >= _BEYOND_DOUBT:
+        if len(crashes) >= _CERTAIN_CRASHES:
             return True
-        alone = sum(
-            self._was_alone(request, death)
-            for death in moments[SUSPECT_DEATHS:]
+        sole_suspect_count = sum(
+            self._was_only_suspect(request, crash)
+            for crash in crashes[SUSPECT_DEATHS:]
+        )
+        return sole_suspect_count >= self._count_required(
+            request, crashes[-1].at
         )
-        return alone >= self._count_needed(request, moments[-1].at)
 
-    def _was_alone(self, request: bytes, death: Death) -> bool:
-        """Return whether no other suspect saw an end."""
+    def _was_only_suspect(self, request: bytes, crash: Death) -> bool:
+        """Return whether no other suspect was just starting at a crash."""
         return not any(
-            record.was_suspect(death, SUSPECT_DEATHS)
+            record.was_suspect(crash, SUSPECT_DEATHS)
             for other, record in self._records.items()
             if other != request
         )
 
-    def _count_needed(self, request: bytes, until: float) -> int:
+    def _count_required(self, request: bytes, until: float) -> int:
         """Return how often a request must have been the only suspect."""
-        own = {death.endpoint for death in self._records[request].deaths}
-        elsewhere = {
-            death.endpoint
+        own_endpoints = {
+            crash.endpoint for crash in self._records[request].deaths
+        }
+        recent_endpoints = {
+            crash.endpoint
             for record in self._records.values()
-            for death in record.deaths
-            if until - _LATELY_S <= death.at <= until
+            for crash in record.deaths
+            if until - _RECENT_S <= crash.at <= until
         }
-        missed = len(elsewhere - own)
-        return 1 + (missed > _FEW_ELSEWHERE) + (missed > _SOME_ELSEWHERE)
-
-    def _list_changes(self, before: dict[bytes, _Verdict]) -> Iterator[News]:
-        for request, verdict in self._held.items():
-            known = before.get(request)
-            if known is None or known.until != verdict.until:
-                yield News(request, verdict.deaths, verdict.until)
-        for request in before.keys() - self._held.keys():
-            yield News(request, before[request].deaths, 0.0)
-
-    def _make_room(self) -> None:
-        """Forget the oldest request of the least evidence, if need be.
-
-        Whoever sends many bodies must not push out what is known of others:
-        of a hundred that an endpoint's end breaks off, one is guilty.
+        unseen = len(recent_endpoints - own_endpoints)
+        return (
+            1
+            + (unseen > _FEW_OTHER_ENDPOINTS)
+            + (unseen > _SEVERAL_OTHER_ENDPOINTS)
+        )
+
+    def _list_changes(self, previous: dict[bytes, _Hold]) -> Iterator[News]:
+        for request, hold in self._held.items():
+            previous_hold = previous.get(request)
+            if previous_hold is None or previous_hold.until != hold.until:
+                yield News(request, hold.deaths, hold.until)
+        for request in previous.keys() - self._held.keys():
+            yield News(request, previous[request].deaths, 0.0)
+
+    def _evict_record(self) -> None:
+        """Evict the oldest record with the least evidence if there is no room.
+
+        A client that sends many bodies must not evict the evidence against
+        others: of a hundred requests that a crash interrupts, only one is the
+        cause.
         """
-        if len(self._records) < self._most:
+        if len(self._records) < self._max_records:
             return
-        for most_deaths in range(1, _BEYOND_DOUBT):
-            weak = (
+        for max_crashes in range(1, _CERTAIN_CRASHES):
+            evictable = (
                 request
                 for request, record in self._records.items()
-                if len(record.deaths) <= most_deaths
+                if len(record.deaths) <= max_crashes
                 and request not in self._held
             )
-            found = list(islice(weak, 1))
+            found = list(islice(evictable, 1))
             if found:
                 self._drop(found[0])
                 return
@@ -242,18 +255,18 @@
 
     def _drop(self, request: bytes) -> None:
         self._records.pop(request)
-        self._heavy.discard(request)
+        self._candidates.discard(request)
         self._held.pop(request, None)
 
 
 def _find_hold_s(deaths: int) -> float:
-    doubled = 2 ** (deaths - _ENOUGH_DEATHS)
-    return min(_MOST_HOLD_S, _HOLD_S * doubled)
+    factor = 2 ** (deaths - _MIN_CRASHES)
+    return min(_MAX_HOLD_S, _HOLD_S * factor)
 
 
-def _find_kept_until(record: Record) -> float:
+def _find_expiry(record: Record) -> float:
     """Return until when a record is kept."""
     if not record.deaths:
         return record.survived_at + _HOLD_S
-    hold_s = _find_hold_s(max(_ENOUGH_DEATHS, len(record.deaths)))
-    return record.deaths[-1].at + _KEPT * hold_s
+    hold_s = _find_hold_s(max(_MIN_CRASHES, len(record.deaths)))
+    return record.deaths[-1].at + _RETENTION_FACTOR * hold_s
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -1,7 +1,6 @@
-"""How nodes tell each other what they know against requests.
+"""Messages between nodes with evidence against requests.
 
-What comes from another node is checked as a stranger's: bounded in size, and no
-older or newer than evidence can be.
+Received messages are untrusted: sizes and ages are checked.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from samphirerill.quarantine.identity import DIGEST_BYTES
-from samphirerill.quarantine.records import MOST_DEATHS, Death
+from samphirerill.quarantine.records import MAX_CRASHES, Death
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -20,16 +19,16 @@
     from samphirerill.quarantine.records import Record
 
 _MS_PER_S = 1000
-_MOST_NAME = 80
-# Names of endpoints and attempts are cut to this; they are shorter.
-_KEPT_NAME = 40
-_MOST_TOLD = 64
-_OLDEST_MS = 14_400_000
-_UNSAID = -1
+_MAX_NAME_CHARS = 80
+# Names of endpoints and attempts are truncated to this; real ones are shorter.
+_SENT_NAME_CHARS = 40
+_MAX_RECORDS_PER_MESSAGE = 64
+_MAX_AGE_MS = 14_400_000
+_NEVER_SURVIVED = -1
 
 
-class ToldDeath(Struct, array_like=True):
-    """One end, with how many milliseconds ago it was."""
+class CrashMessage(Struct, array_like=True):
+    """One crash; `ago_ms` is its age in milliseconds."""
 
     endpoint: str
     request_id: str
@@ -37,105 +36,117 @@
 
 
 class ToldRecord(Struct, array_like=True):
-    """One request; `survived_ms` is how long ago a run went on, -1 for never."""
+    """Evidence on one request.
+
+    `survived_ms` is how long ago a run last survived its start, -1 for never.
+    """
 
     request: bytes
-    deaths: list[ToldDeath]
-    survived_ms: int = _UNSAID
+    deaths: list[CrashMessage]
+    survived_ms: int = _NEVER_SURVIVED
 
 
 class UnreadableEvidenceError(Exception):
-    """What another node told is not what it should be."""
+    """A message with evidence is malformed or exceeds the limits."""
 
 
 def build_told(request: bytes, record: Record, now: float) -> ToldRecord:
-    """Return a record as other nodes are told of it."""
-    survived_ms = _UNSAID
+    """Return the message for a record."""
+    survived_ms = _NEVER_SURVIVED
     if record.survived_at > 0:
         survived_ms = _to_ms(now - record.survived_at)
     deaths = [
-        ToldDeath(
-            death.endpoint[:_KEPT_NAME],
-            death.request_id[:_KEPT_NAME],
-            _to_ms(now - death.at),
+        CrashMessage(
+            crash.endpoint[:_SENT_NAME_CHARS],
+            crash.request_id[:_SENT_NAME_CHARS],
+            _to_ms(now - crash.at),
         )
-        for death in record.deaths
+        for crash in record.deaths
     ]
     return ToldRecord(request, deaths, survived_ms)
 
 
-def encode_told(told: list[ToldRecord]) -> bytes:
-    """Return records as bytes."""
-    return msgpack.encode(told)
+def encode_told(messages: list[ToldRecord]) -> bytes:
+    """Return messages as bytes."""
+    return msgpack.encode(messages)
 
 
 def decode_told(text: bytes) -> list[ToldRecord]:
-    """Return the records in a message; raise if it is not what it should be."""
+    """Decode messages; raise ``UnreadableEvidenceError`` if they are invalid."""
     try:
-        told = msgpack.decode(text, type=list[ToldRecord])
+        messages = msgpack.decode(text, type=list[ToldRecord])
     except (DecodeError, ValidationError) as exc:
         raise UnreadableEvidenceError(str(exc)) from exc
-    check_told(told)
-    return told
+    check_told(messages)
+    return messages
 
 
-def check_told(told: list[ToldRecord]) -> None:
-    """Raise ``UnreadableEvidenceError`` if records are not in bounds."""
-    if len(told) > _MOST_TOLD or not all(map(_is_sound, told)):
+def check_told(messages: list[ToldRecord]) -> None:
+    """Raise ``UnreadableEvidenceError`` if messages exceed the limits."""
+    if len(messages) > _MAX_RECORDS_PER_MESSAGE or not all(
+        map(_is_valid_record, messages)
+    ):
         raise UnreadableEvidenceError(
-            f'got {len(told)} records, expected {_MOST_TOLD} at most, each in '
-            'bounds'
+            f'got {len(messages)} records, expected at most '
+            f'{_MAX_RECORDS_PER_MESSAGE}, each within its limits'
         )
 
 
-def move_back(told: ToldRecord, by_ms: int) -> ToldRecord:
-    """Return a record as it is so many milliseconds after it was written."""
+def move_back(message: ToldRecord, by_ms: int) -> ToldRecord:
+    """Return a message with all its ages increased by `by_ms`."""
     deaths = [
-        ToldDeath(death.endpoint, death.request_id, death.ago_ms + by_ms)
-        for death in told.deaths
+        CrashMessage(crash.endpoint, crash.request_id, crash.ago_ms + by_ms)
+        for crash in message.deaths
     ]
-    survived_ms = told.survived_ms
-    if survived_ms != _UNSAID:
+    survived_ms = message.survived_ms
+    if survived_ms != _NEVER_SURVIVED:
         survived_ms += by_ms
-    return ToldRecord(told.request, deaths, survived_ms)
+    return ToldRecord(message.request, deaths, survived_ms)
 
 
 def take_told(
-    quarantine: Quarantine, told: Iterable[ToldRecord], now: float
+    quarantine: Quarantine, messages: Iterable[ToldRecord], now: float
 ) -> list[bytes]:
-    """Let what another node told count; return the requests with news."""
-    fresh = []
-    for record in told:
-        news = [
+    """Apply messages of another node; return the requests that changed."""
+    changed = []
+    for record in messages:
+        changes = [
             quarantine.note_death(
                 record.request,
                 Death(
-                    death.endpoint,
-                    death.request_id,
-                    now - death.ago_ms / _MS_PER_S,
+                    crash.endpoint,
+                    crash.request_id,
+                    now - crash.ago_ms / _MS_PER_S,
                 ),
                 now,
             )
-            for death in record.deaths
+            for crash in record.deaths
         ]
-        if record.survived_ms != _UNSAID:
+        if record.survived_ms != _NEVER_SURVIVED:
             at = now - record.survived_ms / _MS_PER_S
-            news.append(quarantine.note_survival(record.request, at))
-        if any(news):
-            fresh.append(record.request)
-    return fresh
-
-
-def _is_sound(told: ToldRecord) -> bool:
-    has_size = len(told.request) == DIGEST_BYTES
-    is_short = len(told.deaths) <= MOST_DEATHS
-    in_time = _UNSAID <= told.survived_ms <= _OLDEST_MS
-    return has_size and is_short and in_time and all(map(_is_real, told.deaths))
-
-
-def _is_real(death: ToldDeath) -> bool:
-    names_fit = max(len(death.endpoint), len(death.request_id)) <= _MOST_NAME
-    return names_fit and 0 <= death.ago_ms <= _OLDEST_MS
+            changes.append(quarantine.note_survival(record.request, at))
+        if any(changes):
+            changed.append(record.request)
+    return changed
+
+
+def _is_valid_record(message: ToldRecord) -> bool:
+    has_digest_size = len(message.request) == DIGEST_BYTES
+    has_few_crashes = len(message.deaths) <= MAX_CRASHES
+    is_recent = _NEVER_SURVIVED <= message.survived_ms <= _MAX_AGE_MS
+    return (
+        has_digest_size
+        and has_few_crashes
+        and is_recent
+        and all(map(_is_valid_crash, message.deaths))
+    )
+
+
+def _is_valid_crash(crash: CrashMessage) -> bool:
+    names_fit = (
+        max(len(crash.endpoint), len(crash.request_id)) <= _MAX_NAME_CHARS
+    )
+    return names_fit and 0 <= crash.ago_ms <= _MAX_AGE_MS
 
 
 def _to_ms(seconds: float) -> int:
