--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -24,14 +24,14 @@
     from collections.abc import Iterable, Mapping
     from typing import TypeVar
 
-    from samphirerill.relay.post import Post
+    from samphirerill.relay.post import DatagramSender
     from samphirerill.relay.state import EdgeState
 
     Said = TypeVar('Said')
 
 _LOG = get_logger('alarms')
 # No other datagram begins so: its first byte is no message of the encoding.
-MARK = b'\xc1A'
+TYPE_PREFIX = b'\xc1A'
 # Words that are older were held up on their way; the sender has told anew.
 _OLDEST_MS = 1000
 # No node avoids a replica for longer by the word of another.
@@ -69,19 +69,19 @@
     def __init__(self, state: EdgeState) -> None:
         self._state = state
         self._loop = asyncio.get_running_loop()
-        self._post: Post | None = None
+        self._datagram_sender: DatagramSender | None = None
         self._number = 0
         self._dead: set[str] = set()
         self._arrivals = Arrivals()
 
-    def begin(self, post: Post) -> None:
+    def bind(self, datagram_sender: DatagramSender) -> None:
         """Tell by these ways from now on."""
-        self._post = post
+        self._datagram_sender = datagram_sender
 
     def list_nodes(self) -> Mapping[str, str]:
         """Return the data centres of all nodes, by name, with this one."""
-        if self._post is not None:
-            return self._post.list_nodes()
+        if self._datagram_sender is not None:
+            return self._datagram_sender.list_nodes()
         settings = self._state.settings
         return {settings.name: settings.data_centre}
 
@@ -99,25 +99,25 @@
         heard : mapping of str to float
             When each was last known to work.
         """
-        if heard and self._post is not None:
-            self._post.send_to_all(self._encode({}, heard))
+        if heard and self._datagram_sender is not None:
+            self._datagram_sender.send_to_all(self._encode({}, heard))
 
     def report_heard(self, node: str, heard: Mapping[str, float]) -> None:
         """Tell one node who has answered."""
-        if heard and node and self._post is not None:
-            self._post.send_to_node(node, self._encode({}, heard))
+        if heard and node and self._datagram_sender is not None:
+            self._datagram_sender.send_to_node(node, self._encode({}, heard))
 
-    def take(self, data: bytes, sender: str) -> None:
+    def handle_datagram(self, data: bytes, sender: str) -> None:
         """Take an alarm of another node."""
         try:
-            alarm = msgpack.decode(data[len(MARK) :], type=Alarm)
+            alarm = msgpack.decode(data[len(TYPE_PREFIX) :], type=Alarm)
         except (DecodeError, ValidationError) as exc:
             _LOG.warning('alarm is unreadable', extra={'error': str(exc)})
             return
         if alarm.node == self._state.settings.name or self._has_come(alarm):
             return
-        if self._post is not None:
-            self._post.pass_on_from(sender, data)
+        if self._datagram_sender is not None:
+            self._datagram_sender.forward_from(sender, data)
         self._take_heard(alarm)
         self._take_dead(alarm)
         self._state.notify()
@@ -135,9 +135,9 @@
                     word.votes,
                 )
         self._dead.clear()
-        if dead and self._post is not None:
+        if dead and self._datagram_sender is not None:
             self._state.counters['alarms.sent'] += 1
-            self._post.send_to_all(self._encode(dead, {}))
+            self._datagram_sender.send_to_all(self._encode(dead, {}))
 
     def _encode(
         self,
@@ -158,7 +158,7 @@
                 for name, at in heard.items()
             },
         )
-        return MARK + msgpack.encode(alarm)
+        return TYPE_PREFIX + msgpack.encode(alarm)
 
     def _has_come(self, alarm: Alarm) -> bool:
         """Return whether an alarm came before."""
--- a/samphirerill/relay/health/words.py
+++ b/samphirerill/relay/health/words.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.health.alarms import Alarm
-    from samphirerill.relay.messages import Told
+    from samphirerill.relay.messages import NodeStatus
     from samphirerill.relay.state import EdgeState
 
 # An event may have passed the replica so long before it came here.
@@ -20,7 +20,7 @@
 _SAME_S = 0.05
 
 
-def take_words(state: EdgeState, told: Told) -> None:
+def apply_suspicions(state: EdgeState, told: NodeStatus) -> None:
     """Take what a node, or a data centre, says of replicas beside its load.
 
     Parameters
@@ -30,15 +30,15 @@
     told : Told
         What was told.
     """
-    for key, (left_ms, votes) in told.avoided.items():
+    for key, (left_ms, votes) in told.suspected.items():
         name = state.names.get(key)
         if name is not None:
-            ago_ms = told.silent.get(key, 0)
+            ago_ms = told.suspected_ago_ms.get(key, 0)
             take_word(state, name, read_word(told, ago_ms, left_ms, votes))
 
 
 def read_word(
-    said_in: Alarm | Told, ago_ms: int, left_ms: int, votes: int
+    said_in: Alarm | NodeStatus, ago_ms: int, left_ms: int, votes: int
 ) -> Word:
     """Return what a datagram says of a replica, on this node's clock.
 
--- a/samphirerill/relay/hearing.py
+++ b/samphirerill/relay/hearing.py
@@ -1,4 +1,4 @@
-"""Take what other nodes tell by datagram."""
+"""Receive the datagrams of other nodes."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from samphirerill.fleet.gathering import name_sum
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.alarms import MARK
-from samphirerill.relay.health.words import take_words
-from samphirerill.relay.messages import Told, take_told
+from samphirerill.relay.health.alarms import TYPE_PREFIX
+from samphirerill.relay.health.words import apply_suspicions
+from samphirerill.relay.messages import NodeStatus, apply_node_status
 from samphirerill.relay.roster import Peer
 
 if TYPE_CHECKING:
@@ -21,57 +21,57 @@
     from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.news import NewsSource
     from samphirerill.relay.peer_help import PeerHelp
-    from samphirerill.relay.roster import Roster
+    from samphirerill.relay.roster import PeerDirectory
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.telling import Telling
+    from samphirerill.relay.telling import StatusSender
 
 _LOG = get_logger('members')
-_MARK_BYTES = 2
+_TYPE_PREFIX_BYTES = 2
 
 
-class Hearing(asyncio.DatagramProtocol):
-    """The port on which other nodes tell.
+class DatagramReceiver(asyncio.DatagramProtocol):
+    """The UDP port for datagrams between nodes.
 
     Parameters
     ----------
     state : EdgeState
-        Load, replicas and pipes.
-    roster : Roster
+        Updated with the load, replicas and link usage of other nodes.
+    peers : PeerDirectory
         The other nodes.
-    telling : Telling
-        Passes on what other data centres tell.
+    status_sender : StatusSender
+        Forwards aggregates of other data centres.
     news : NewsSource
-        Told what others know.
+        Notified of the replica revisions that other nodes have.
     log : ChangeLog
-        What this node knows.
-    helper : PeerHelp
-        Asks others for what the store does not bring.
+        Store changes that this node has received.
+    peer_sync : PeerHelp
+        Fetches from other nodes what the store does not deliver.
     alarms : Alarms
-        Takes what cannot wait.
+        Handles urgent datagrams.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        roster: Roster,
-        telling: Telling,
+        peers: PeerDirectory,
+        status_sender: StatusSender,
         news: NewsSource,
         log: ChangeLog,
-        helper: PeerHelp,
+        peer_sync: PeerHelp,
         alarms: Alarms,
     ) -> None:
-        self._takers: dict[bytes, Callable[[bytes, str], None]] = {}
-        self.listen_for(MARK, alarms.take)
+        self._handlers: dict[bytes, Callable[[bytes, str], None]] = {}
+        self.add_handler(TYPE_PREFIX, alarms.handle_datagram)
         self._state = state
-        self._roster = roster
-        self._telling = telling
+        self._peers = peers
+        self._status_sender = status_sender
         self._news = news
         self._log = log
-        self._help = helper
+        self._peer_sync = peer_sync
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
-        # Of each sender, its start and its last datagram's number.
-        self._last: dict[str, tuple[int, int]] = {}
+        # The process run and sequence number of the latest status, by sender.
+        self._latest: dict[str, tuple[int, int]] = {}
 
     async def start(self) -> None:
         """Open the port."""
@@ -85,77 +85,89 @@
         if self._transport is not None:
             self._transport.close()
 
-    def listen_for(
-        self, mark: bytes, take: Callable[[bytes, str], None]
+    def add_handler(
+        self, type_prefix: bytes, handle: Callable[[bytes, str], None]
     ) -> None:
-        """Let something else take the datagrams that begin with a mark."""
-        self._takers[mark] = take
+        """Pass datagrams with a type prefix to another component."""
+        self._handlers[type_prefix] = handle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Let others be told through the same port."""
-        # The loop's own class does not say that it is one for datagrams.
+        """Send through the same port."""
+        # The event loop passes a subclass that does not declare this type.
         self._transport = cast('asyncio.DatagramTransport', transport)
-        self._telling.begin(self._transport)
+        self._status_sender.bind(self._transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take what another node tells."""
-        taker = self._takers.get(data[:_MARK_BYTES])
-        if taker is not None:
-            taker(data, f'{addr[0]}:{addr[1]}')
+        """Dispatch a datagram of another node."""
+        handler = self._handlers.get(data[:_TYPE_PREFIX_BYTES])
+        if handler is not None:
+            handler(data, f'{addr[0]}:{addr[1]}')
             return
         try:
-            told = msgpack.decode(data, type=Told)
+            status = msgpack.decode(data, type=NodeStatus)
         except (DecodeError, ValidationError) as exc:
-            _LOG.warning('datagram is unreadable', extra={'error': str(exc)})
+            _LOG.warning(
+                'cannot decode status datagram', extra={'error': str(exc)}
+            )
             return
-        if told.node == self._state.settings.name or self._is_old(told):
+        if status.node == self._state.settings.name or self._is_outdated(
+            status
+        ):
             return
         sender = f'{addr[0]}:{addr[1]}'
-        if told.node == name_sum(told.data_centre):
-            self._take_sum(told, data, sender)
+        if status.node == name_sum(status.data_centre):
+            self._handle_aggregate(status, data, sender)
         else:
-            self._take_one(told, sender)
+            self._handle_node_status(status, sender)
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram did not arrive; the next one says the same."""
+        """Count an undelivered datagram; the next status replaces it."""
         self._state.counters['datagrams.refused'] += 1
 
-    def _is_old(self, told: Told) -> bool:
-        """Return whether later news came before; datagrams may overtake."""
-        last = self._last.get(told.node, (0, 0))
-        if told.started == last[0] and told.number <= last[1]:
+    def _is_outdated(self, status: NodeStatus) -> bool:
+        """Return whether a later status arrived first."""
+        latest = self._latest.get(status.node, (0, 0))
+        if status.started == latest[0] and status.sequence <= latest[1]:
             return True
-        self._last[told.node] = (told.started, told.number)
+        self._latest[status.node] = (status.started, status.sequence)
         return False
 
-    def _take_one(self, told: Told, sender: str) -> None:
-        peer = self._roster.get(told.node)
+    def _handle_node_status(self, status: NodeStatus, sender: str) -> None:
+        peer = self._peers.get(status.node)
         if peer is None:
             port = self._state.settings.peers.rpartition(':')[2]
             host = sender.rpartition(':')[0]
             peer = Peer(
-                sender, f'{host}:{port}', told.data_centre, announced=False
+                sender, f'{host}:{port}', status.data_centre, announced=False
             )
-            self._roster.add(told.node, peer)
-        peer.heard_at = self._loop.time()
-        peer.told = told
-        if told.data_centre != self._state.settings.data_centre:
-            self._state.forget_told(name_sum(told.data_centre))
-        self._take(told)
-        self._help.consider(peer.peers, told.version, told.revision)
-
-    def _take_sum(self, told: Told, data: bytes, sender: str) -> None:
-        """Take another data centre's sum; pass it on if it came from there."""
-        if told.data_centre == self._state.settings.data_centre:
+            self._peers.add(status.node, peer)
+        peer.last_seen_at = self._loop.time()
+        peer.status = status
+        if status.data_centre != self._state.settings.data_centre:
+            self._state.forget_told(name_sum(status.data_centre))
+        self._apply_status(status)
+        self._peer_sync.consider(
+            peer.http_address, status.version, status.revision
+        )
+
+    def _handle_aggregate(
+        self, status: NodeStatus, data: bytes, sender: str
+    ) -> None:
+        """Apply another data centre's aggregate, and forward it.
+
+        One that a node of this data centre has forwarded is not forwarded
+        again.
+        """
+        if status.data_centre == self._state.settings.data_centre:
             return
-        if sender not in self._roster.list_near(self._loop.time()):
-            self._telling.pass_on(data)
-        for name in self._roster.list_names(told.data_centre):
+        if sender not in self._peers.list_local_addresses(self._loop.time()):
+            self._status_sender.forward(data)
+        for name in self._peers.list_nodes_in(status.data_centre):
             self._state.forget_told(name)
-        self._take(told)
+        self._apply_status(status)
 
-    def _take(self, told: Told) -> None:
-        take_told(self._state, told, self._loop.time())
-        take_words(self._state, told)
+    def _apply_status(self, status: NodeStatus) -> None:
+        apply_node_status(self._state, status, self._loop.time())
+        apply_suspicions(self._state, status)
         self._state.notify()
-        self._news.note_others(told.revision, self._log.revision)
+        self._news.note_others(status.revision, self._log.revision)
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -1,7 +1,7 @@
-"""What nodes tell each other by datagram.
+"""Datagrams that nodes send each other about load and failed replicas.
 
-Replicas are named by the checksum of their id: at 40 replicas a datagram stays
-under half a kilobyte.
+Replicas are identified by the checksum of their id, which keeps a datagram for
+40 replicas under half a kilobyte.
 """
 
 from __future__ import annotations
@@ -22,47 +22,53 @@
     from samphirerill.fleet.view import FleetView
     from samphirerill.relay.state import EdgeState
 
-_TOKENS_UNIT = 16
+_TOKENS_PER_UNIT = 16
 
 
-class Announced(Struct):
-    """What a node writes into the store: addresses, ``IP:PORT``."""
+class NodeAnnouncement(Struct):
+    """A node's entry in the store; addresses are ``IP:PORT``."""
 
     exchange: str
     peers: str
     data_centre: str = ''
 
 
-class Told(Struct, array_like=True):
-    """A datagram.
+class NodeStatus(Struct, array_like=True):
+    """Periodic status datagram of a node, or of a whole data centre.
 
-    `number` grows with each of one start of a node. `version` and `revision`
-    are what it knows of the configuration and the replicas. `held` maps
-    replicas to its requests there and their tokens, in units of 16; `avoided`
-    to how many more milliseconds it takes them for dead, and how many votes that
-    is; `silent` to how many milliseconds ago they were found silent. `pipes`
-    holds milliseconds of transfer through each pipe since the node started. A
-    sum of a data centre's nodes is told in the same form; `nodes` is how many.
-    `uses` maps services to requests and repeats in the window of their budget,
-    and streams under way.
+    `started` identifies the process run of the sending node, and `sequence`
+    increases with each datagram of that run. `version` and `revision` are the
+    sender's configuration version and replica revision.
+
+    `load` maps replicas to the sender's running requests there and their
+    tokens, in units of 16. `suspected` maps replicas that the sender suspects
+    to have failed to the milliseconds until the suspicion expires and its
+    votes; `suspected_ago_ms` gives how many milliseconds ago each was found
+    unresponsive. `pipes` holds the milliseconds of transfer over each link
+    between data centres since the node started. `budget_usage` maps services to
+    requests and retries in the window of their retry budget, and to running
+    streams.
+
+    An aggregate of all nodes of a data centre has the same form, with their
+    number in `node_count`.
     """
 
     node: str
     started: int
-    number: int
+    sequence: int
     version: int
     revision: int
-    held: dict[int, tuple[int, int]]
-    avoided: dict[int, tuple[int, int]]
+    load: dict[int, tuple[int, int]]
+    suspected: dict[int, tuple[int, int]]
     pipes: list[tuple[str, str, int]]
     data_centre: str = ''
-    nodes: int = 1
-    uses: dict[str, tuple[int, int, int]] = {}
-    silent: dict[int, int] = {}
+    node_count: int = 1
+    budget_usage: dict[str, tuple[int, int, int]] = {}
+    suspected_ago_ms: dict[int, int] = {}
 
 
 class ReplicaNames:
-    """Replica ids by their checksums, made anew when replicas change."""
+    """Looks up replica ids by checksum; rebuilt when replicas change."""
 
     __slots__ = ('_names', '_version', '_view')
 
@@ -72,7 +78,7 @@
         self._version = -1
 
     def get(self, key: int) -> str | None:
-        """Return the id of a replica that is known here."""
+        """Return the id of a replica, or none if it is unknown here."""
         if self._version != self._view.ids_version:
             self._names = {
                 checksum_name(name): name for name in self._view.known
@@ -81,83 +87,95 @@
         return self._names.get(key)
 
 
-class ToldWords:
-    """What is said of silent replicas, as `Told` holds it."""
+class EncodedSuspicions:
+    """Suspicions of replica failures in the form of `NodeStatus`."""
 
-    __slots__ = ('avoided', 'silent')
+    __slots__ = ('suspected', 'suspected_ago_ms')
 
     def __init__(self) -> None:
-        self.avoided: dict[int, tuple[int, int]] = {}
-        self.silent: dict[int, int] = {}
+        self.suspected: dict[int, tuple[int, int]] = {}
+        self.suspected_ago_ms: dict[int, int] = {}
 
 
-def list_words(state: EdgeState, data_centre: str = '') -> ToldWords:
-    """Return what this node itself says of silent replicas.
+def encode_suspicions(
+    state: EdgeState, data_centre: str = ''
+) -> EncodedSuspicions:
+    """Return the current failure suspicions of this node.
 
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        State of this node.
     data_centre : str
-        If given, what the other nodes there say counts too. What they told is
-        dated by when it was found, so that it is not told as new again.
+        If given, the suspicions reported by other nodes of this data centre
+        are included. They keep the time at which they arose, so that a
+        forwarded suspicion does not look like a new one.
     """
     now = asyncio.get_running_loop().time()
-    told = ToldWords()
+    encoded = EncodedSuspicions()
     for name, found in state.view.known.items():
-        words = [
-            word
-            for word in found.suspicion.words.values()
-            if word.until > now and _is_from(word, data_centre)
+        reports = [
+            report
+            for report in found.suspicion.words.values()
+            if report.until > now and _is_from_data_centre(report, data_centre)
         ]
-        if words:
+        if reports:
             key = checksum_name(name)
-            until = max(word.until for word in words)
-            votes = sum(word.votes for word in words)
-            since = max(word.since for word in words)
-            told.avoided[key] = (int((until - now) * MS_PER_S), votes)
-            told.silent[key] = max(0, int((now - since) * MS_PER_S))
-    return told
-
-
-def _is_from(word: Word, data_centre: str) -> bool:
-    return word.is_own or (
-        bool(data_centre) and word.data_centre == data_centre
+            until = max(report.until for report in reports)
+            votes = sum(report.votes for report in reports)
+            since = max(report.since for report in reports)
+            encoded.suspected[key] = (int((until - now) * MS_PER_S), votes)
+            encoded.suspected_ago_ms[key] = max(
+                0, int((now - since) * MS_PER_S)
+            )
+    return encoded
+
+
+def _is_from_data_centre(report: Word, data_centre: str) -> bool:
+    return report.is_own or (
+        bool(data_centre) and report.data_centre == data_centre
     )
 
 
-def build_told(state: EdgeState, number: int, now: float) -> Told:
-    """Return what this node has to tell."""
-    held = {
-        checksum_name(name): (part.requests, int(part.tokens) // _TOKENS_UNIT)
+def build_node_status(
+    state: EdgeState, sequence: int, now: float
+) -> NodeStatus:
+    """Return the status datagram of this node."""
+    load = {
+        checksum_name(name): (
+            part.requests,
+            int(part.tokens) // _TOKENS_PER_UNIT,
+        )
         for name, part in state.book.own().items()
     }
-    words = list_words(state)
-    return Told(
+    suspicions = encode_suspicions(state)
+    return NodeStatus(
         node=state.settings.name,
         started=state.start_number,
-        number=number,
+        sequence=sequence,
         version=state.version,
         revision=state.view.revision,
-        held=held,
-        avoided=words.avoided,
-        pipes=list_pipes(state.pipes.sent),
+        load=load,
+        suspected=suspicions.suspected,
+        pipes=encode_link_usage(state.pipes.sent),
         data_centre=state.settings.data_centre,
-        uses=_list_uses(state, now),
-        silent=words.silent,
+        budget_usage=_encode_budget_usage(state, now),
+        suspected_ago_ms=suspicions.suspected_ago_ms,
     )
 
 
-def _list_uses(state: EdgeState, now: float) -> dict[str, tuple[int, int, int]]:
-    uses = {}
+def _encode_budget_usage(
+    state: EdgeState, now: float
+) -> dict[str, tuple[int, int, int]]:
+    budget_usage = {}
     for service, budget in state.budgets.items():
-        use = budget.find_use(now)
-        uses[service] = (use.requests, use.repeats, use.streams)
-    return uses
+        usage = budget.find_use(now)
+        budget_usage[service] = (usage.requests, usage.repeats, usage.streams)
+    return budget_usage
 
 
-def list_pipes(sent: dict[Pair, float]) -> list[tuple[str, str, int]]:
-    """Return milliseconds sent through each pipe as messages hold them."""
+def encode_link_usage(sent: dict[Pair, float]) -> list[tuple[str, str, int]]:
+    """Return the transfer time over each link, in milliseconds."""
     pipes = []
     for pair, sent_ms in sent.items():
         one, other = sorted(pair)
@@ -165,32 +183,34 @@
     return pipes
 
 
-def take_told(state: EdgeState, told: Told, now: float) -> None:
-    """Let what another node tells count here."""
-    state.book.hear(told.node, _read_held(state.names, told), now, told.nodes)
-    _take_pipes(state, told, now)
-    for service, counts in told.uses.items():
+def apply_node_status(state: EdgeState, status: NodeStatus, now: float) -> None:
+    """Apply another node's status to the state of this node."""
+    state.book.hear(
+        status.node, _decode_load(state.names, status), now, status.node_count
+    )
+    _apply_link_usage(state, status, now)
+    for service, counts in status.budget_usage.items():
         budget = state.get_budget(service)
-        budget.others.hear(told.node, Use(*counts), now)
+        budget.others.hear(status.node, Use(*counts), now)
 
 
-def _take_pipes(state: EdgeState, told: Told, now: float) -> None:
-    node = f'{told.node}/{told.started}'
-    is_near = told.data_centre == state.settings.data_centre
-    for one, other, sent_ms in told.pipes:
+def _apply_link_usage(state: EdgeState, status: NodeStatus, now: float) -> None:
+    node = f'{status.node}/{status.started}'
+    is_near = status.data_centre == state.settings.data_centre
+    for one, other, sent_ms in status.pipes:
         pair = frozenset((one, other))
         state.pipes.hear(node, pair, sent_ms, now, is_near=is_near)
 
 
-def _read_held(names: ReplicaNames, told: Told) -> dict[str, Held]:
-    held = {}
-    for key, (count, units) in told.held.items():
+def _decode_load(names: ReplicaNames, status: NodeStatus) -> dict[str, Held]:
+    load = {}
+    for key, (count, units) in status.load.items():
         name = names.get(key)
         if name is not None:
-            held[name] = Held(count, units * _TOKENS_UNIT)
-    return held
+            load[name] = Held(count, units * _TOKENS_PER_UNIT)
+    return load
 
 
 def checksum_name(name: str) -> int:
-    """Return the number that stands for a replica's id or a key in messages."""
+    """Return the checksum that identifies a replica or key in messages."""
     return zlib.crc32(name.encode())
--- a/samphirerill/relay/post.py
+++ b/samphirerill/relay/post.py
@@ -1,4 +1,4 @@
-"""Datagrams that are sent at once to all nodes: how they go, and which have come."""
+"""Interfaces for broadcasting datagrams between nodes, and deduplication."""
 
 from __future__ import annotations
 
@@ -8,61 +8,64 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Datagrams of one sender that are known to have come; two nodes pass on each, and
-# one that is passed on may come after a later one that came straight.
-_MOST_SEEN = 32
+# Recent datagrams remembered for each sender. Two nodes forward each datagram,
+# and a forwarded one may arrive after later ones that came directly.
+_MAX_SEEN = 32
 
 
-class Post(Protocol):
+class DatagramSender(Protocol):
     """Sends datagrams to other nodes."""
 
     def send_to_all(self, data: bytes) -> None:
-        """Send to every other node; in a large fleet some pass it on."""
+        """Send to every other node.
+
+        In a large fleet a few nodes of each other data centre forward it there.
+        """
 
     def send_to_node(self, name: str, data: bytes) -> None:
         """Send to one node, if its address is known."""
 
-    def pass_on_from(self, sender: str, data: bytes) -> None:
-        """Pass on at home what came from another data centre."""
+    def forward_from(self, sender: str, data: bytes) -> None:
+        """Forward a datagram from another data centre within this one."""
 
     def list_nodes(self) -> Mapping[str, str]:
-        """Return the data centres of all nodes, by name, with this one."""
+        """Return the data centre of each node by name, this one included."""
 
 
-class Talk(Protocol):
-    """Tells and hears datagrams that begin with its mark."""
+class DatagramHandler(Protocol):
+    """Sends and receives datagrams that begin with its type prefix."""
 
-    mark: bytes
+    type_prefix: bytes
 
-    def begin(self, post: Post) -> None:
-        """Tell by these ways from now on."""
+    def bind(self, datagram_sender: DatagramSender) -> None:
+        """Send through this sender from now on."""
 
-    def take(self, data: bytes, sender: str) -> None:
-        """Take a datagram of another node."""
+    def handle_datagram(self, data: bytes, sender: str) -> None:
+        """Process a datagram of another node."""
 
 
 class Arrivals:
-    """Which datagrams have come: each is taken, and passed on, once."""
+    """Detects duplicates, so that each datagram is processed once."""
 
     __slots__ = ('_seen',)
 
     def __init__(self) -> None:
-        # Of each sender, the numbers of its start and of its latest datagrams.
+        # For each sender, its process run and sequence number per datagram.
         self._seen: dict[str, deque[tuple[int, int]]] = {}
 
     def note(self, node: str, started: int, number: int) -> bool:
-        """Return whether a datagram has not come before.
+        """Record a datagram; return whether it is not a duplicate.
 
         Parameters
         ----------
         node : str
-            Its sender.
+            The sending node.
         started : int
-            Which start of the sender.
+            Identifies the process run of the sender.
         number : int
-            Grows with each datagram of one start.
+            Sequence number within that run.
         """
-        seen = self._seen.setdefault(node, deque(maxlen=_MOST_SEEN))
+        seen = self._seen.setdefault(node, deque(maxlen=_MAX_SEEN))
         key = (started, number)
         if key in seen:
             return False
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/sharing.py
@@ -27,13 +27,13 @@
     from collections.abc import Iterable, Iterator
 
     from samphirerill.quarantine.messages import ToldRecord
-    from samphirerill.relay.post import Post
+    from samphirerill.relay.post import DatagramSender
     from samphirerill.relay.quarantine.keeper import Keeper
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
 # No other datagram begins so: its first byte is no message of the encoding.
-MARK = b'\xc1Q'
+TYPE_PREFIX = b'\xc1Q'
 # News waits for more of the same moment: an end breaks off many requests.
 _GATHER_S = 0.01
 # A datagram of so many records stays within what a network carries whole.
@@ -75,21 +75,21 @@
         Takes what others tell.
     """
 
-    mark = MARK
+    type_prefix = TYPE_PREFIX
 
     def __init__(self, state: EdgeState, keeper: Keeper) -> None:
         self._state = state
         self._keeper = keeper
         self._loop = asyncio.get_running_loop()
-        self._post: Post | None = None
+        self._datagram_sender: DatagramSender | None = None
         self._arrivals = Arrivals()
         self._number = 0
         self._fresh: dict[bytes, None] = {}
         self.trials = Trials()
 
-    def begin(self, post: Post) -> None:
+    def bind(self, datagram_sender: DatagramSender) -> None:
         """Tell by these ways from now on."""
-        self._post = post
+        self._datagram_sender = datagram_sender
 
     def tell(self, requests: Iterable[bytes]) -> None:
         """Tell all nodes soon what is known of some requests."""
@@ -100,13 +100,13 @@
     def tell_trial(self, replica_id: str) -> None:
         """Tell all nodes at once that a suspect is sent to a replica."""
         self._note_trial(replica_id)
-        if self._post is not None:
-            self._post.send_to_all(self._encode([], replica_id))
+        if self._datagram_sender is not None:
+            self._datagram_sender.send_to_all(self._encode([], replica_id))
 
-    def take(self, data: bytes, sender: str) -> None:
+    def handle_datagram(self, data: bytes, sender: str) -> None:
         """Take what another node tells."""
         try:
-            evidence = msgpack.decode(data[len(MARK) :], type=Evidence)
+            evidence = msgpack.decode(data[len(TYPE_PREFIX) :], type=Evidence)
             records = decode_told(evidence.records)
         except (DecodeError, ValidationError, UnreadableEvidenceError) as exc:
             _LOG.warning('evidence is unreadable', extra={'error': str(exc)})
@@ -117,8 +117,8 @@
         )
         if is_own or not is_new:
             return
-        if self._post is not None and evidence.is_news:
-            self._post.pass_on_from(sender, data)
+        if self._datagram_sender is not None and evidence.is_news:
+            self._datagram_sender.forward_from(sender, data)
         self._keeper.take_told(records)
         if evidence.trial:
             self._note_trial(evidence.trial)
@@ -137,24 +137,26 @@
     def _tell_fresh(self) -> None:
         told = list(self._build(self._fresh))[:_MOST_NEWS]
         self._fresh = {}
-        if self._post is None:
+        if self._datagram_sender is None:
             return
         for since in range(0, len(told), _MOST_AT_ONCE):
             batch = told[since : since + _MOST_AT_ONCE]
-            self._post.send_to_all(self._encode(batch))
+            self._datagram_sender.send_to_all(self._encode(batch))
 
     def _tell_few(self) -> None:
-        if self._post is None or not len(self._state.quarantine):
+        if self._datagram_sender is None or not len(self._state.quarantine):
             return
         own = self._state.settings.name
-        others = [name for name in self._post.list_nodes() if name != own]
+        others = [
+            name for name in self._datagram_sender.list_nodes() if name != own
+        ]
         few = min(_PARTNERS, len(others))
         matters = list(islice(self._list_what_matters(), _MOST_AT_ONCE))
         if not matters:
             return
         data = self._encode(list(self._build(matters)), is_news=False)
         for name in self._state.random.sample(others, few):
-            self._post.send_to_node(name, data)
+            self._datagram_sender.send_to_node(name, data)
 
     def _list_what_matters(self) -> Iterator[bytes]:
         """Yield suspects, and others as long as the news may have been lost.
@@ -192,4 +194,4 @@
             trial,
             is_news,
         )
-        return MARK + msgpack.encode(evidence)
+        return TYPE_PREFIX + msgpack.encode(evidence)
--- a/samphirerill/relay/roster.py
+++ b/samphirerill/relay/roster.py
@@ -1,4 +1,4 @@
-"""The other nodes as this one knows them: announced, or heard of."""
+"""The other nodes that this node knows, from announcements or datagrams."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.relay.messages import Announced, Told
+    from samphirerill.relay.messages import NodeAnnouncement, NodeStatus
 
-# A peer not heard of for so long is no longer told.
-_FORGET_S = 20.0
-# One that has not told anything for so long does not sum up any more.
-_FRESH_S = 1.5
+# Peers without an announcement get no datagrams when silent this long.
+_PEER_EXPIRY_S = 20.0
+# Nodes whose last status is older do not count as aggregator.
+_STATUS_MAX_AGE_S = 1.5
 
 
 class Peer:
-    """Another node; `told` is what it told last, at `heard_at`."""
+    """Another node; `status` is its latest status, received at `last_seen_at`."""
 
     __slots__ = (
         'announced',
         'data_centre',
-        'exchange',
-        'heard_at',
-        'peers',
-        'told',
+        'datagram_address',
+        'last_seen_at',
+        'http_address',
+        'status',
     )
 
     def __init__(
         self,
-        exchange: str,
-        peers: str,
+        datagram_address: str,
+        http_address: str,
         data_centre: str,
         *,
         announced: bool,
     ) -> None:
-        self.exchange = exchange
-        self.peers = peers
+        self.datagram_address = datagram_address
+        self.http_address = http_address
         self.data_centre = data_centre
         self.announced = announced
-        self.heard_at = float('-inf')
-        self.told: Told | None = None
+        self.last_seen_at = float('-inf')
+        self.status: NodeStatus | None = None
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether it has told something lately."""
-        return self.heard_at + _FRESH_S > now
+        """Return whether its latest status is recent."""
+        return self.last_seen_at + _STATUS_MAX_AGE_S > now
 
 
-class Roster:
+class PeerDirectory:
     """All other nodes, by name.
 
     Parameters
@@ -66,7 +66,7 @@
 
     def __init__(self, own: str, data_centre: str) -> None:
         self._own = own
-        self._home = data_centre
+        self._data_centre = data_centre
         self._peers: dict[str, Peer] = {}
 
     def get(self, name: str) -> Peer | None:
@@ -74,112 +74,121 @@
         return self._peers.get(name)
 
     def add(self, name: str, peer: Peer) -> None:
-        """Take a node that was not known, or is elsewhere now."""
+        """Add a node, or replace it when its address has changed."""
         self._peers[name] = peer
 
-    def note_announced(self, name: str, found: Announced) -> None:
-        """Take an announcement."""
+    def add_announcement(
+        self, name: str, announcement: NodeAnnouncement
+    ) -> None:
+        """Record a node's announcement in the store."""
         peer = self._peers.get(name)
-        if peer is None or peer.exchange != found.exchange:
+        if peer is None or peer.datagram_address != announcement.exchange:
             peer = Peer(
-                found.exchange,
-                found.peers,
-                found.data_centre,
+                announcement.exchange,
+                announcement.peers,
+                announcement.data_centre,
                 announced=True,
             )
             self._peers[name] = peer
         peer.announced = True
-        peer.data_centre = found.data_centre
+        peer.data_centre = announcement.data_centre
 
-    def note_gone(self, name: str) -> None:
-        """A node has left, or its lease has lapsed."""
+    def remove_announcement(self, name: str) -> None:
+        """Record that a node was shut down, or its lease expired."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.announced = False
 
-    def forget_announced(self) -> None:
-        """All announcements are read anew."""
+    def clear_announcements(self) -> None:
+        """Mark all nodes as not announced, before a full read."""
         for peer in self._peers.values():
             peer.announced = False
 
     def list_announced(self) -> dict[str, str]:
-        """Return the nodes that are announced, and where they take calls."""
+        """Return the HTTP address of each announced node, by name."""
         return {
-            name: peer.peers
+            name: peer.http_address
             for name, peer in self._peers.items()
             if peer.announced
         }
 
     def is_direct(self, now: float) -> bool:
-        """Return whether each node tells each other one."""
-        return is_direct(len(self._list_live(now)))
+        """Return whether every node sends its status to every other one."""
+        return is_direct(len(self._list_active(now)))
 
-    def is_gatherer(self, now: float) -> bool:
-        """Return whether this node sums up its data centre."""
+    def is_aggregator(self, now: float) -> bool:
+        """Return whether this node aggregates for its data centre."""
         names = [
             name
             for name, peer in self._peers.items()
-            if peer.data_centre == self._home and peer.is_fresh(now)
+            if peer.data_centre == self._data_centre and peer.is_fresh(now)
         ]
         return choose_gatherer([self._own, *names]) == self._own
 
-    def list_near(self, now: float) -> set[str]:
-        """Return the addresses of nodes of the same data centre.
+    def list_local_addresses(self, now: float) -> set[str]:
+        """Return the datagram addresses of nodes of the same data centre.
 
-        Where it is not known which one a node is in, it counts as near.
+        Nodes whose data centre is unknown are included.
         """
         return {
-            peer.exchange
-            for peer in self._list_live(now).values()
-            if peer.data_centre in {'', self._home}
+            peer.datagram_address
+            for peer in self._list_active(now).values()
+            if peer.data_centre in {'', self._data_centre}
         }
 
-    def list_far(self, now: float) -> set[str]:
-        """Return the addresses of all nodes of other data centres."""
-        live = self._list_live(now).values()
-        return {peer.exchange for peer in live} - self.list_near(now)
+    def list_remote_addresses(self, now: float) -> set[str]:
+        """Return the datagram addresses of nodes elsewhere."""
+        active = self._list_active(now).values()
+        return {
+            peer.datagram_address for peer in active
+        } - self.list_local_addresses(now)
 
     def list_receivers(self, now: float) -> set[str]:
-        """Return, for each other data centre, who gets this one's sum."""
-        live = self._list_live(now)
-        zones = {peer.data_centre for peer in live.values()}
-        zones -= {'', self._home}
+        """Return the nodes to which this data centre's aggregate is sent.
+
+        These are a few nodes of each other data centre, by datagram address.
+        """
+        active = self._list_active(now)
+        data_centres = {peer.data_centre for peer in active.values()}
+        data_centres -= {'', self._data_centre}
         return {
-            live[name].exchange
-            for zone in zones
+            active[name].datagram_address
+            for data_centre in data_centres
             for name in list_receivers(
-                name for name, peer in live.items() if peer.data_centre == zone
+                name
+                for name, peer in active.items()
+                if peer.data_centre == data_centre
             )
         }
 
-    def list_told(self, now: float) -> Iterable[Told]:
-        """Return what the nodes of the same data centre told last."""
+    def list_local_statuses(self, now: float) -> Iterable[NodeStatus]:
+        """Return the recent statuses of nodes of this data centre."""
         return [
-            peer.told
+            peer.status
             for peer in self._peers.values()
-            if peer.data_centre == self._home
-            and peer.told is not None
+            if peer.data_centre == self._data_centre
+            and peer.status is not None
             and peer.is_fresh(now)
         ]
 
     def list_data_centres(self, now: float) -> dict[str, str]:
-        """Return where each node is, by name."""
+        """Return the data centre of each active node, by name."""
         return {
             name: peer.data_centre
-            for name, peer in self._list_live(now).items()
+            for name, peer in self._list_active(now).items()
         }
 
-    def list_names(self, data_centre: str) -> list[str]:
-        """Return the nodes of a data centre."""
+    def list_nodes_in(self, data_centre: str) -> list[str]:
+        """Return the names of the nodes of a data centre."""
         return [
             name
             for name, peer in self._peers.items()
             if peer.data_centre == data_centre
         ]
 
-    def _list_live(self, now: float) -> dict[str, Peer]:
+    def _list_active(self, now: float) -> dict[str, Peer]:
         return {
             name: peer
             for name, peer in self._peers.items()
-            if peer.announced or peer.heard_at + _FORGET_S > now
+            if peer.announced or peer.last_seen_at + _PEER_EXPIRY_S > now
         }
--- a/samphirerill/relay/sums.py
+++ b/samphirerill/relay/sums.py
@@ -1,4 +1,4 @@
-"""What the nodes of a data centre have to tell together."""
+"""Aggregate status datagram for all nodes of a data centre."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.gathering import name_sum
-from samphirerill.relay.messages import Told, list_pipes, list_words
+from samphirerill.relay.messages import (
+    NodeStatus,
+    encode_link_usage,
+    encode_suspicions,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -14,50 +18,54 @@
     from samphirerill.relay.state import EdgeState
 
 
-def build_sum(state: EdgeState, own: Told, near: Iterable[Told]) -> Told:
-    """Return one datagram in place of those of all nodes here.
+def build_aggregate(
+    state: EdgeState, own: NodeStatus, near: Iterable[NodeStatus]
+) -> NodeStatus:
+    """Return one status datagram that stands for all nodes of a data centre.
 
     Parameters
     ----------
     state : EdgeState
-        Of the node that sums up.
-    own : Told
-        What it has to tell itself.
-    near : iterable of Told
-        What the others here told last.
+        State of the aggregating node.
+    own : NodeStatus
+        Its own status.
+    near : iterable of NodeStatus
+        The latest status of each other node of the data centre.
     """
-    told = [own, *near]
-    words = list_words(state, own.data_centre)
-    return Told(
+    statuses = [own, *near]
+    suspicions = encode_suspicions(state, own.data_centre)
+    return NodeStatus(
         node=name_sum(own.data_centre),
         started=own.started,
-        number=own.number,
+        sequence=own.sequence,
         version=own.version,
         revision=own.revision,
-        held=_sum_held(told),
-        avoided=words.avoided,
-        pipes=list_pipes(state.pipes.near_sent),
+        load=_sum_load(statuses),
+        suspected=suspicions.suspected,
+        pipes=encode_link_usage(state.pipes.near_sent),
         data_centre=own.data_centre,
-        nodes=len(told),
-        uses=_sum_uses(told),
-        silent=words.silent,
+        node_count=len(statuses),
+        budget_usage=_sum_budget_usage(statuses),
+        suspected_ago_ms=suspicions.suspected_ago_ms,
     )
 
 
-def _sum_uses(told: Iterable[Told]) -> dict[str, tuple[int, int, int]]:
-    uses: dict[str, tuple[int, int, int]] = {}
-    for each in told:
-        for service, counts in each.uses.items():
-            before = uses.get(service, (0, 0, 0))
+def _sum_budget_usage(
+    statuses: Iterable[NodeStatus],
+) -> dict[str, tuple[int, int, int]]:
+    budget_usage: dict[str, tuple[int, int, int]] = {}
+    for status in statuses:
+        for service, counts in status.budget_usage.items():
+            before = budget_usage.get(service, (0, 0, 0))
             requests, repeats, streams = map(add, before, counts)
-            uses[service] = (requests, repeats, streams)
-    return uses
+            budget_usage[service] = (requests, repeats, streams)
+    return budget_usage
 
 
-def _sum_held(told: Iterable[Told]) -> dict[int, tuple[int, int]]:
-    held: dict[int, tuple[int, int]] = {}
-    for each in told:
-        for key, (count, units) in each.held.items():
-            before = held.get(key, (0, 0))
-            held[key] = (before[0] + count, before[1] + units)
-    return held
+def _sum_load(statuses: Iterable[NodeStatus]) -> dict[int, tuple[int, int]]:
+    load: dict[int, tuple[int, int]] = {}
+    for status in statuses:
+        for key, (count, units) in status.load.items():
+            before = load.get(key, (0, 0))
+            load[key] = (before[0] + count, before[1] + units)
+    return load
--- a/samphirerill/relay/telling.py
+++ b/samphirerill/relay/telling.py
@@ -1,8 +1,9 @@
-"""What a node tells others by datagram: load, suspicions, use of pipes.
+"""Send this node's status to the other nodes: load, suspicions, link usage.
 
-In a small fleet each node tells each other one, those of other data centres less
-often. In a large one a node tells its own data centre, and one of each data centre
-tells the others the sum (see `fleet.gathering`).
+In a small fleet every node sends to every other one, less often to those in
+other data centres. In a large fleet a node sends to its own data centre only,
+and one node of each data centre sends an aggregate to the others (see
+`fleet.gathering`).
 """
 
 from __future__ import annotations
@@ -12,140 +13,154 @@
 
 from msgspec import msgpack
 
-from samphirerill.relay.messages import build_told
-from samphirerill.relay.sums import build_sum
+from samphirerill.relay.messages import build_node_status
+from samphirerill.relay.sums import build_aggregate
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from samphirerill.relay.messages import Told
-    from samphirerill.relay.roster import Roster
+    from samphirerill.relay.messages import NodeStatus
+    from samphirerill.relay.roster import PeerDirectory
     from samphirerill.relay.state import EdgeState
 
-# Load is told this soon after a change, and this often without one. In a data
-# centre of 26 nodes a node hears 80 datagrams a second, about 1% of a core.
-_TELL_S = 0.08
-_TELL_PER_NODE_S = 0.012
-_REPEAT_S = 0.4
-_REPEAT_PER_NODE_S = 0.015
-# Other data centres are told this often: bytes between them are paid for, and
-# streams rarely go there.
-_FAR_S = 0.25
+# A status is sent this long after a change, and at this interval without one;
+# both grow with the number of local nodes, which bounds what each has to
+# process.
+_MIN_SEND_DELAY_S = 0.08
+_SEND_DELAY_PER_NODE_S = 0.012
+_MIN_SEND_INTERVAL_S = 0.4
+_SEND_INTERVAL_PER_NODE_S = 0.015
+# Traffic between data centres is billed, and few requests cross them.
+_REMOTE_INTERVAL_S = 0.25
 
 
-class Telling:
-    """Tells the other nodes of this one, or of its data centre.
+class StatusSender:
+    """Sends the status of this node, and datagrams of other components.
 
     Parameters
     ----------
     state : EdgeState
-        Load, replicas and pipes.
-    roster : Roster
+        Source of the status: load, replicas and link usage.
+    peers : PeerDirectory
         The other nodes.
     """
 
-    def __init__(self, state: EdgeState, roster: Roster) -> None:
+    def __init__(self, state: EdgeState, peers: PeerDirectory) -> None:
         self._state = state
-        self._roster = roster
+        self._peers = peers
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
-        self._number = 0
-        self._told = (-1, -1)
-        self._tell_at = 0.0
+        self._sequence = 0
+        self._sent_versions = (-1, -1)
+        self._send_at = 0.0
 
-    def begin(self, transport: asyncio.DatagramTransport) -> None:
-        """Tell by this port from now on."""
+    def bind(self, transport: asyncio.DatagramTransport) -> None:
+        """Send through this transport from now on."""
         self._transport = transport
-        self._state.listen(self._schedule)
+        self._state.listen(self._schedule_send)
 
-    def pass_on(self, data: bytes) -> None:
-        """Pass on to this data centre what another one tells."""
-        self._send(data, self._roster.list_near(self._loop.time()))
+    def forward(self, data: bytes) -> None:
+        """Forward a datagram to this node's data centre."""
+        self._send_to(data, self._peers.list_local_addresses(self._loop.time()))
 
-    def pass_on_from(self, sender: str, data: bytes) -> None:
-        """Pass on what came from a node elsewhere, in a large fleet."""
+    def forward_from(self, sender: str, data: bytes) -> None:
+        """Forward a datagram from another data centre, in a large fleet."""
         now = self._loop.time()
-        near = self._roster.list_near(now)
-        if sender not in near and not self._roster.is_direct(now):
-            self._send(data, near)
+        local = self._peers.list_local_addresses(now)
+        if sender not in local and not self._peers.is_direct(now):
+            self._send_to(data, local)
 
     def send_to_all(self, data: bytes) -> None:
-        """Send to every other node; in a large fleet some pass it on."""
+        """Send to every other node.
+
+        In a large fleet a few nodes of each other data centre receive the
+        datagram and forward it there.
+        """
         now = self._loop.time()
-        roster = self._roster
-        if roster.is_direct(now):
-            far = roster.list_far(now)
+        directory = self._peers
+        if directory.is_direct(now):
+            remote = directory.list_remote_addresses(now)
         else:
-            far = roster.list_receivers(now)
-        self._send(data, roster.list_near(now) | far)
+            remote = directory.list_receivers(now)
+        self._send_to(data, directory.list_local_addresses(now) | remote)
 
     def send_to_node(self, name: str, data: bytes) -> None:
         """Send to one node, if it is known."""
-        peer = self._roster.get(name)
+        peer = self._peers.get(name)
         if peer is not None:
-            self._send(data, (peer.exchange,))
+            self._send_to(data, (peer.datagram_address,))
 
     def list_nodes(self) -> Mapping[str, str]:
-        """Return the data centres of all nodes, by name, with this one."""
+        """Return the data centre of each node by name, this one included."""
         settings = self._state.settings
         return {
-            **self._roster.list_data_centres(self._loop.time()),
+            **self._peers.list_data_centres(self._loop.time()),
             settings.name: settings.data_centre,
         }
 
     async def run(self) -> None:
-        """Keep the others informed."""
+        """Send the status periodically until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._run_near())
-            group.create_task(self._run_far())
+            group.create_task(self._run_local())
+            group.create_task(self._run_remote())
 
-    async def _run_near(self) -> None:
+    async def _run_local(self) -> None:
         while True:
-            self._tell_near()
-            count = len(self._roster.list_near(self._loop.time()))
-            await asyncio.sleep(max(_REPEAT_S, _REPEAT_PER_NODE_S * count))
+            self._send_local()
+            count = len(self._peers.list_local_addresses(self._loop.time()))
+            await asyncio.sleep(
+                max(_MIN_SEND_INTERVAL_S, _SEND_INTERVAL_PER_NODE_S * count)
+            )
 
-    async def _run_far(self) -> None:
+    async def _run_remote(self) -> None:
         while True:
-            await asyncio.sleep(_FAR_S)
-            self._tell_far()
+            await asyncio.sleep(_REMOTE_INTERVAL_S)
+            self._send_remote()
 
-    def _schedule(self) -> None:
-        """Something has changed: tell it soon, and once for many changes."""
-        if self._versions() == self._told or self._tell_at:
+    def _schedule_send(self) -> None:
+        """Schedule one send for all changes within a short delay."""
+        if self._read_versions() == self._sent_versions or self._send_at:
             return
         now = self._loop.time()
-        count = len(self._roster.list_near(now))
-        self._tell_at = now + max(_TELL_S, _TELL_PER_NODE_S * count)
-        self._loop.call_at(self._tell_at, self._tell_near)
-
-    def _tell_near(self) -> None:
-        """Tell the nodes of this data centre."""
-        self._tell_at = 0.0
-        self._told = self._versions()
-        data = msgpack.encode(self._build())
-        near = self._roster.list_near(self._loop.time())
-        self._send(data, near | self._list_seeds(near))
-
-    def _tell_far(self) -> None:
-        """Tell other data centres, all of their nodes or a few."""
+        count = len(self._peers.list_local_addresses(now))
+        self._send_at = now + max(
+            _MIN_SEND_DELAY_S, _SEND_DELAY_PER_NODE_S * count
+        )
+        self._loop.call_at(self._send_at, self._send_local)
+
+    def _send_local(self) -> None:
+        """Send the status to the nodes of this data centre."""
+        self._send_at = 0.0
+        self._sent_versions = self._read_versions()
+        data = msgpack.encode(self._build_status())
+        local = self._peers.list_local_addresses(self._loop.time())
+        self._send_to(data, local | self._list_seed_addresses(local))
+
+    def _send_remote(self) -> None:
+        """Send to other data centres: to all nodes there or to a few."""
         now = self._loop.time()
-        if self._roster.is_direct(now):
-            self._send(
-                msgpack.encode(self._build()), self._roster.list_far(now)
+        if self._peers.is_direct(now):
+            self._send_to(
+                msgpack.encode(self._build_status()),
+                self._peers.list_remote_addresses(now),
+            )
+        elif self._peers.is_aggregator(now):
+            local = self._peers.list_local_statuses(now)
+            aggregate = build_aggregate(
+                self._state, self._build_status(), local
             )
-        elif self._roster.is_gatherer(now):
-            near = self._roster.list_told(now)
-            told = build_sum(self._state, self._build(), near)
-            self._send(msgpack.encode(told), self._roster.list_receivers(now))
-
-    def _build(self) -> Told:
-        self._number += 1
-        return build_told(self._state, self._number, self._loop.time())
-
-    def _send(self, data: bytes, addresses: Iterable[str]) -> None:
-        # The port closes before the tasks that tell have ended; to send then
-        # is a fault of its own, which kept a node from ending.
+            self._send_to(
+                msgpack.encode(aggregate), self._peers.list_receivers(now)
+            )
+
+    def _build_status(self) -> NodeStatus:
+        self._sequence += 1
+        return build_node_status(self._state, self._sequence, self._loop.time())
+
+    def _send_to(self, data: bytes, addresses: Iterable[str]) -> None:
+        # The port closes before the sending tasks are cancelled; sending on it
+        # would raise and replace the cancellation, so that the node does not
+        # exit.
         if self._transport is None or self._transport.is_closing():
             return
         settings = self._state.settings
@@ -155,16 +170,16 @@
                 host, _, port = address.rpartition(':')
                 self._transport.sendto(data, (host, int(port)))
 
-    def _list_seeds(self, known: set[str]) -> set[str]:
-        """Return where nodes may be while few are known."""
+    def _list_seed_addresses(self, known: set[str]) -> set[str]:
+        """Return seed addresses as long as fewer nodes are known."""
         settings = self._state.settings
         if len(known) >= len(settings.seeds):
             return set()
-        # Ports are the same on all nodes.
+        # All nodes use the same datagram port.
         return {
             f'{seed.rpartition(":")[0]}:{settings.exchange_port}'
             for seed in settings.seeds
         }
 
-    def _versions(self) -> tuple[int, int]:
+    def _read_versions(self) -> tuple[int, int]:
         return self._state.book.own_version, self._state.view.own_version
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other by datagrams, in one loop and without sockets."""
+"""Nodes that exchange datagrams in one event loop, without sockets."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.health import Alarms
-from samphirerill.relay.hearing import Hearing
-from samphirerill.relay.messages import Announced
+from samphirerill.relay.hearing import DatagramReceiver
+from samphirerill.relay.messages import NodeAnnouncement
 from samphirerill.relay.news import NewsSource
 from samphirerill.relay.peer_help import PeerHelp
-from samphirerill.relay.roster import Roster
+from samphirerill.relay.roster import PeerDirectory
 from samphirerill.relay.state import EdgeState
-from samphirerill.relay.telling import Telling
+from samphirerill.relay.telling import StatusSender
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,7 +27,7 @@
 
 
 class Network:
-    """Datagrams between nodes; those between data centres are counted."""
+    """Delivers datagrams; counts those between data centres."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
@@ -35,7 +35,7 @@
         self.bytes_crossing = 0
 
     def send(self, sender: str, data: bytes, host: str) -> None:
-        """Deliver soon, as a network does."""
+        """Deliver in the next iteration of the event loop."""
         node = self.nodes.get(host)
         if node is None or sender not in self.nodes:
             return
@@ -43,7 +43,7 @@
             self.crossing[sender] += 1
             self.bytes_crossing += len(data)
         loop = asyncio.get_running_loop()
-        loop.call_soon(node.hearing.datagram_received, data, (sender, PORT))
+        loop.call_soon(node.receiver.datagram_received, data, (sender, PORT))
 
 
 class _Transport:
@@ -61,7 +61,7 @@
 
 
 class Node:
-    """What a node needs to tell and to hear."""
+    """The parts of a node that send and receive datagrams."""
 
     def __init__(self, network: Network, name: str, zone: str) -> None:
         self.name = name
@@ -83,13 +83,13 @@
             ),
             PlatformDialect(),
         )
-        self.roster = Roster(name, zone)
-        self.telling = Telling(self.state, self.roster)
+        self.peers = PeerDirectory(name, zone)
+        self.status_sender = StatusSender(self.state, self.peers)
         self.alarms = Alarms(self.state)
-        self.hearing = Hearing(
+        self.receiver = DatagramReceiver(
             self.state,
-            self.roster,
-            self.telling,
+            self.peers,
+            self.status_sender,
             NewsSource(name),
             ChangeLog(),
             cast('PeerHelp', Mock(spec=PeerHelp)),
@@ -99,13 +99,13 @@
         transport = cast(
             'asyncio.DatagramTransport', _Transport(network, self.host)
         )
-        self.hearing.connection_made(transport)
-        self.alarms.begin(self.telling)
+        self.receiver.connection_made(transport)
+        self.alarms.bind(self.status_sender)
 
-    def meet(self, others: Iterable[Node]) -> None:
-        """Read the others' announcements."""
+    def add_peers(self, others: Iterable[Node]) -> None:
+        """Add the announcements of the other nodes."""
         for other in others:
             if other is not self:
                 address = f'{other.host}:{PORT}'
-                found = Announced(address, f'{other.host}:3', other.zone)
-                self.roster.note_announced(other.name, found)
+                found = NodeAnnouncement(address, f'{other.host}:3', other.zone)
+                self.peers.add_announcement(other.name, found)
--- a/samphirerill/tests/test_alarms.py
+++ b/samphirerill/tests/test_alarms.py
@@ -8,7 +8,7 @@
 
 from msgspec import msgpack
 
-from samphirerill.relay.health.alarms import MARK, Alarm
+from samphirerill.relay.health.alarms import TYPE_PREFIX, Alarm
 from samphirerill.relay.messages import checksum_name
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.peers import Network, Node
@@ -27,13 +27,13 @@
         self.sender = Node(network, 'a-0', 'a')
         self.node = Node(network, 'a-1', 'a')
         for node in network.nodes.values():
-            node.meet(network.nodes.values())
+            node.add_peers(network.nodes.values())
         self.node.state.view.announce(
             build_replica('one', layers=(0, _LAYERS)), 1
         )
         self.now = asyncio.get_running_loop().time()
 
-    def take(
+    def handle_datagram(
         self,
         number: int,
         dead: tuple[int, int, int] | None = None,
@@ -49,7 +49,9 @@
             {} if dead is None else {key: dead},
             {} if heard is None else {key: heard},
         )
-        self.node.alarms.take(MARK + msgpack.encode(alarm), '10.0.0.0:7340')
+        self.node.alarms.handle_datagram(
+            TYPE_PREFIX + msgpack.encode(alarm), '10.0.0.0:7340'
+        )
         view = self.node.state.view
         return view.known['one'].suspicion
 
@@ -60,25 +62,27 @@
         the commander straight who has answered; the second datagram arrives
         first. Cause: what came with a lower number was taken for old.
         """
-        self.take(6, heard=3000)
-        self.assertTrue(self.take(5, dead=(10, 2000, 2)).dead_until)
+        self.handle_datagram(6, heard=3000)
+        self.assertTrue(self.handle_datagram(5, dead=(10, 2000, 2)).dead_until)
 
     async def test_one_that_comes_twice_counts_once(self) -> None:
-        self.take(5, dead=(10, 2000, 2))
+        self.handle_datagram(5, dead=(10, 2000, 2))
         self.node.state.view.trust('one')
-        self.assertFalse(self.take(5, dead=(10, 2000, 2)).dead_until)
+        self.assertFalse(self.handle_datagram(5, dead=(10, 2000, 2)).dead_until)
 
     async def test_what_was_held_up_on_its_way_says_nothing(self) -> None:
-        self.assertFalse(self.take(5, dead=(5000, 2000, 2)).words)
-        self.assertFalse(self.take(6, dead=(-900, 2000, 2)).words)
-        self.take(7, heard=-100_000)
-        self.assertTrue(self.take(8, dead=(0, 2000, 2)).dead_until)
+        self.assertFalse(self.handle_datagram(5, dead=(5000, 2000, 2)).words)
+        self.assertFalse(self.handle_datagram(6, dead=(-900, 2000, 2)).words)
+        self.handle_datagram(7, heard=-100_000)
+        self.assertTrue(self.handle_datagram(8, dead=(0, 2000, 2)).dead_until)
 
     async def test_nobody_is_avoided_for_hours(self) -> None:
-        found = self.take(5, dead=(10, 10**9, 2))
+        found = self.handle_datagram(5, dead=(10, 10**9, 2))
         self.assertLess(found.dead_until, self.now + 9)
 
     async def test_bytes_that_are_no_alarm_are_passed_over(self) -> None:
-        self.node.alarms.take(MARK + b'\x93\x01', '10.0.0.0:7340')
-        self.node.alarms.take(MARK, '10.0.0.0:7340')
-        self.assertFalse(self.take(9, heard=1).words)
+        self.node.alarms.handle_datagram(
+            TYPE_PREFIX + b'\x93\x01', '10.0.0.0:7340'
+        )
+        self.node.alarms.handle_datagram(TYPE_PREFIX, '10.0.0.0:7340')
+        self.assertFalse(self.handle_datagram(9, heard=1).words)
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -97,7 +97,7 @@
         )
 
     def _begin(self, node: Node) -> None:
-        node.meet(self.nodes)
+        node.add_peers(self.nodes)
         node.state.random.seed(node.name)
         for replica in self.replicas:
             node.state.view.announce(replica, 1)
@@ -107,7 +107,7 @@
             node.state, examiner, node.alarms, lambda: self.nodes[0].name
         )
         self.tasks.append(asyncio.create_task(survey.run()))
-        self.tasks.append(asyncio.create_task(node.telling.run()))
+        self.tasks.append(asyncio.create_task(node.status_sender.run()))
 
 
 def _count_questions(replicas: int) -> int:
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -42,7 +42,7 @@
         for number in range(count):
             self.add(number)
         for node in self.nodes:
-            node.meet(self.nodes)
+            node.add_peers(self.nodes)
 
     def add(self, number: int) -> Node:
         """Start a node."""
@@ -50,8 +50,8 @@
         node = Node(self.network, f'{zone}-{number}', zone)
         keeper = Keeper(node.state)
         sharing = Sharing(node.state, keeper)
-        sharing.begin(node.telling)
-        node.hearing.listen_for(sharing.mark, sharing.take)
+        sharing.bind(node.status_sender)
+        node.receiver.add_handler(sharing.type_prefix, sharing.handle_datagram)
         self.keepers[node.name] = keeper
         self.sharings[node.name] = sharing
         self.tasks.append(asyncio.create_task(sharing.run()))
@@ -156,7 +156,7 @@
         await asyncio.sleep(_KNOWN_S)
         newcomer = fleet.add(24)
         for node in fleet.nodes:
-            node.meet(fleet.nodes)
+            node.add_peers(fleet.nodes)
         await asyncio.sleep(_CAUGHT_UP_S)
         self.assertEqual(fleet.count_knowing(), 25, newcomer.name)
         fleet.end()
@@ -165,8 +165,8 @@
         fleet = _Telling(3)
         node = fleet.nodes[0]
         for text in (b'', b'\x95', b'\x94\xa1n\x01\x01\xc4\x00', b'x' * 999):
-            datagram = fleet.sharings[node.name].mark + text
-            node.hearing.datagram_received(datagram, ('10.0.1.1', 1))
+            datagram = fleet.sharings[node.name].type_prefix + text
+            node.receiver.datagram_received(datagram, ('10.0.1.1', 1))
         self.assertEqual(len(node.state.quarantine), 0)
         fleet.end()
 
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -32,12 +32,14 @@
                 Node(network, f'{zone}-{number}', zone)
         nodes = list(network.nodes.values())
         for node in nodes:
-            node.meet(nodes)
+            node.add_peers(nodes)
             node.state.view.announce(build_replica('one', layers=(0, 80)), 1)
             node.state.get_budget(_SERVICE).streams = _STREAMS
             for _ in range(_STREAMS):
                 node.state.book.take(('one',), 160)
-        tasks = [asyncio.create_task(node.telling.run()) for node in nodes]
+        tasks = [
+            asyncio.create_task(node.status_sender.run()) for node in nodes
+        ]
         await asyncio.sleep(_ROUNDS_S)
         for task in tasks:
             task.cancel()
@@ -83,8 +85,8 @@
             node for node in network.nodes.values() if node.name == chosen
         )
         now = asyncio.get_running_loop().time()
-        self.assertFalse(node.roster.is_gatherer(now))
-        self.assertTrue(node.roster.is_gatherer(now + 9))
+        self.assertFalse(node.peers.is_aggregator(now))
+        self.assertTrue(node.peers.is_aggregator(now + 9))
 
 
 class TestGathering(TestCase):
@@ -112,9 +114,9 @@
         """
         network = Network()
         nodes = [Node(network, f'n-{at}', 'a') for at in range(2)]
-        nodes[0].meet(nodes)
+        nodes[0].add_peers(nodes)
         transport = Mock(spec=asyncio.DatagramTransport)
         transport.is_closing.return_value = True
-        nodes[0].telling.begin(transport)
-        nodes[0].telling.pass_on(b'told')
+        nodes[0].status_sender.bind(transport)
+        nodes[0].status_sender.forward(b'told')
         transport.sendto.assert_not_called()
