--- a/samphirerill/relay/change_log.py
+++ b/samphirerill/relay/change_log.py
@@ -1,4 +1,4 @@
-"""The latest changes of the store that a node has heard of."""
+"""Log of the latest store changes, from which other nodes are served."""
 
 from __future__ import annotations
 
@@ -20,28 +20,26 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Changes kept, some minutes' worth; who lacks older ones asks the store.
-_MOST_KEPT = 2000
-# A text from this size on is passed on as its difference to the one before. A
-# watcher with a link of 20 Mbit/s, at which 17 nodes waited, passed on a whole
-# configuration of 48 KB: for 0.3 s nothing else got through, replicas seemed
-# silent to it and its streams were cut.
+# Covers some minutes; nodes that lack older changes ask the store.
+_MAX_CHANGES = 2000
+# Larger texts are forwarded as a delta to the previous one, as sending a
+# configuration to all listeners at once would saturate a slow link.
 _LARGE_BYTES = 4096
-# A larger difference is left to the store: 17 of this size take 55 ms on a link of
-# 20 Mbit/s, less than the pause that a stream may make.
-_MOST_PASSED_BYTES = 8192
-# What a watcher tells to who lacks the history: 16 of these take 0.1 s on a link of 20
-# Mbit/s. It holds the checksums of 800 keys and some fifty entries.
-_MOST_PRESENT_BYTES = 16_384
-# Large texts that are kept with their changes; each may have half a megabyte.
-_MOST_LARGE = 8
+# Larger deltas are left to the store. 17 copies of this size take 55 ms on a 20
+# Mbit/s link, less than the accepted pause of a stream.
+_MAX_DELTA_BYTES = 8192
+# A snapshot holds the checksums of some 800 keys and about 50 entries. 16
+# copies take 0.1 s on a 20 Mbit/s link.
+_MAX_SNAPSHOT_BYTES = 16_384
+# Changes with a large text that are kept, up to 0.5 MB each.
+_MAX_LARGE_CHANGES = 8
 
 
-class Row(Struct, array_like=True):
-    """One change as it is passed on.
+class ChangeRow(Struct, array_like=True):
+    """One change in encoded form.
 
-    `text` is ``None`` if the key was deleted, and empty if `delta` tells how
-    to make it of the text before.
+    `text` is ``None`` if the key was deleted, and empty if `delta` is to be
+    applied to the previous text.
     """
 
     key: str
@@ -51,136 +49,138 @@
     delta: Delta | None = None
 
 
-class News(Struct, array_like=True):
-    """All changes up to `revision` after the one that was asked for."""
+class ChangeBatch(Struct, array_like=True):
+    """All changes after the requested revision, up to `revision`."""
 
     revision: int
-    rows: list[Row]
+    rows: list[ChangeRow]
 
 
-class Present(Struct, array_like=True):
-    """What there is at `revision`, for who lacks the history up to it.
+class Snapshot(Struct, array_like=True):
+    """State at `revision`, for nodes that lack the changes before it.
 
-    `rows` are keys that were written after the revision that was asked for,
-    `keys` the checksums of all there are: any other has been deleted.
+    `rows` are the keys written after the requested revision, `keys` the
+    checksums of all existing keys; any other key has been deleted.
     """
 
     revision: int
-    rows: list[Row]
+    rows: list[ChangeRow]
     keys: list[int]
 
 
 class _Change:
-    """One change, and the text that its key had before if that was large."""
+    """One change, and the previous text of its key if that was large."""
 
-    __slots__ = ('_row', 'before', 'event')
+    __slots__ = ('_row', 'previous', 'event')
 
     def __init__(
-        self, event: StoredItem | DeletedKey, before: bytes | None
+        self, event: StoredItem | DeletedKey, previous: bytes | None
     ) -> None:
         self.event = event
-        self.before = before
-        self._row: Row | None = None
+        self.previous = previous
+        self._row: ChangeRow | None = None
 
     @property
     def is_large(self) -> bool:
-        """Return whether the text is too large to be passed on whole."""
+        """Return whether the text is too large to be sent in full."""
         event = self.event
         return isinstance(event, StoredItem) and _is_large(event.text)
 
-    def build_row(self) -> Row | None:
-        """Return what is passed on; none if that would be too large.
+    def build_row(self) -> ChangeRow | None:
+        """Return the encoded form; none if it would be too large.
 
-        It is made once, for all who wait.
+        It is built once for all listeners.
         """
         if self._row is None:
-            self._row = self._build()
+            self._row = self._create_row()
         if self._row.delta is None and self.is_large:
             return None
         return self._row
 
-    def _build(self) -> Row:
+    def _create_row(self) -> ChangeRow:
         event = self.event
         if isinstance(event, DeletedKey):
-            return Row(event.key, event.revision, None, 0)
-        row = Row(event.key, event.revision, event.text, event.lease)
-        if self.is_large and self.before is not None:
-            delta = build_delta(self.before, event.text)
-            if len(msgpack.encode(delta)) <= _MOST_PASSED_BYTES:
+            return ChangeRow(event.key, event.revision, None, 0)
+        row = ChangeRow(event.key, event.revision, event.text, event.lease)
+        if self.is_large and self.previous is not None:
+            delta = build_delta(self.previous, event.text)
+            if len(msgpack.encode(delta)) <= _MAX_DELTA_BYTES:
                 row.text = b''
                 row.delta = delta
         return row
 
 
 class ChangeLog:
-    """The latest changes that a node has heard of, in order.
+    """Latest store changes in order of revision, and the current items.
 
-    It also keeps what there is at present: large texts, as changes of these are
-    told as differences, and all else for who lacks the history.
+    The items are needed to build deltas of large texts, and snapshots for nodes
+    that lack older changes.
     """
 
     def __init__(self) -> None:
         self.revision = 0
-        self._oldest = 0
+        self._compacted_revision = 0
         self._changes: deque[_Change] = deque()
-        self._large = 0
-        self._present: dict[str, StoredItem] = {}
+        self._large_count = 0
+        self._current: dict[str, StoredItem] = {}
         self._changed = asyncio.Event()
 
     def restart(self, revision: int, found: Iterable[StoredItem] = ()) -> None:
-        """Everything was read anew: what came before is not known.
+        """Discard the history after a full read of the store.
 
         Parameters
         ----------
         revision : int
-            Of the reading.
+            Revision of the read.
         found : iterable of StoredItem
-            All keys that there are.
+            All existing keys.
         """
         self._changes.clear()
-        self._large = 0
-        self._present = {item.key: item for item in found}
-        self._oldest = revision
+        self._large_count = 0
+        self._current = {item.key: item for item in found}
+        self._compacted_revision = revision
         self._advance(revision)
 
     def note(self, changes: Changes) -> None:
-        """Keep changes that were heard."""
+        """Append changes."""
         for event in changes.events:
-            before = self._get_large(event.key)
-            self._present.pop(event.key, None)
+            previous = self._get_large_text(event.key)
+            self._current.pop(event.key, None)
             if isinstance(event, StoredItem):
-                self._present[event.key] = event
-            change = _Change(event, before)
-            self._large += change.is_large
+                self._current[event.key] = event
+            change = _Change(event, previous)
+            self._large_count += change.is_large
             self._changes.append(change)
-        while self._has_too_many():
+        while self._is_over_limit():
             dropped = self._changes.popleft()
-            self._large -= dropped.is_large
-            self._oldest = dropped.event.revision
+            self._large_count -= dropped.is_large
+            self._compacted_revision = dropped.event.revision
         self._advance(changes.revision)
 
     def has(self, after: int) -> bool:
-        """Return whether all changes after a revision are known here."""
-        return self._oldest <= after <= self.revision
+        """Return whether all changes after a revision are in the log."""
+        return self._compacted_revision <= after <= self.revision
 
-    def is_too_late_for(self, after: int) -> bool:
-        """Return whether changes after a revision are not known any more."""
-        return after < self._oldest
+    def is_compacted(self, after: int) -> bool:
+        """Return whether changes after a revision have been dropped."""
+        return after < self._compacted_revision
 
-    async def wait(self, after: int, most_s: float) -> None:
-        """Wait a while for changes after a revision, or a new start.
+    async def wait(self, after: int, timeout_s: float) -> None:
+        """Wait for changes after a revision, a reset or a timeout.
 
-        A log that is behind that revision itself catches up meanwhile.
+        A log that has not reached that revision yet may do so meanwhile.
         """
         try:
-            async with asyncio.timeout(most_s):
-                while self._oldest <= after and self.revision <= after:
+            async with asyncio.timeout(timeout_s):
+                while (
+                    self._compacted_revision <= after and self.revision <= after
+                ):
                     await self._changed.wait()
         except TimeoutError:
             return
 
-    def encode_after(self, after: int) -> bytes | None:
-        """Return the changes after a revision; none if they are too large."""
+    def encode_changes(self, after: int) -> bytes | None:
+        """Return the changes after a revision; none if too large."""
         rows = []
         for change in self._changes:
             if change.event.revision <= after:
@@ -189,52 +189,53 @@
             if row is None:
                 return None
             rows.append(row)
-        return msgpack.encode(News(self.revision, rows))
+        return msgpack.encode(ChangeBatch(self.revision, rows))
 
-    def encode_present(self, after: int) -> bytes | None:
-        """Return what there is, as far as it was written after a revision.
+    def encode_snapshot(self, after: int) -> bytes | None:
+        """Return the current items that were written after a revision.
 
-        None if that is too large, or if nothing is known here. When the store
-        drops its history, and when all nodes start, each node read everything
-        from it; of 22 nodes that started together 15 were sent there by
-        watchers whose log began two revisions later than theirs.
+        Return none if that is too large, or if there are no items. It spares
+        the store a full read by each node when nodes start together or the
+        store has dropped its history.
         """
         rows = []
-        for item in self._present.values():
+        for item in self._current.values():
             if item.revision > after:
                 if _is_large(item.text):
                     return None
-                rows.append(Row(item.key, item.revision, item.text, item.lease))
-        if not self._present or after > self.revision:
+                rows.append(
+                    ChangeRow(item.key, item.revision, item.text, item.lease)
+                )
+        if not self._current or after > self.revision:
             return None
         rows.sort(key=_get_revision)
-        keys = [checksum_name(key) for key in self._present]
-        present = msgpack.encode(Present(self.revision, rows, keys))
-        return present if len(present) <= _MOST_PRESENT_BYTES else None
-
-    def decode_present(self, present: Present) -> Changes:
-        """Return what another log has and this one lacks, as changes."""
-        keys = set(present.keys)
-        gone = [
-            DeletedKey(key, present.revision)
-            for key in self._present
+        keys = [checksum_name(key) for key in self._current]
+        snapshot = msgpack.encode(Snapshot(self.revision, rows, keys))
+        return snapshot if len(snapshot) <= _MAX_SNAPSHOT_BYTES else None
+
+    def decode_snapshot(self, snapshot: Snapshot) -> Changes:
+        """Return the changes that lead from this log to a snapshot."""
+        keys = set(snapshot.keys)
+        deleted = [
+            DeletedKey(key, snapshot.revision)
+            for key in self._current
             if checksum_name(key) not in keys
         ]
-        written = list(self._build_events(present.rows))
-        return Changes(present.revision, [*written, *gone])
+        written = list(self._decode_rows(snapshot.rows))
+        return Changes(snapshot.revision, [*written, *deleted])
 
-    def decode(self, news: News) -> Changes:
-        """Return the changes that another log passed on.
+    def decode(self, batch: ChangeBatch) -> Changes:
+        """Return the changes in a batch from another log.
 
         Raises
         ------
         DeltaError
-            One is told as a difference to a text that is not known here.
+            A delta refers to a text that is not known here.
         """
-        return Changes(news.revision, list(self._build_events(news.rows)))
+        return Changes(batch.revision, list(self._decode_rows(batch.rows)))
 
-    def _build_events(
-        self, rows: Iterable[Row]
+    def _decode_rows(
+        self, rows: Iterable[ChangeRow]
     ) -> Iterator[StoredItem | DeletedKey]:
         texts: dict[str, bytes] = {}
         for row in rows:
@@ -244,19 +245,22 @@
                 continue
             text = row.text
             if row.delta is not None:
-                before = texts.get(row.key, self._get_large(row.key))
-                text = _apply(row.key, before, row.delta)
+                previous = texts.get(row.key, self._get_large_text(row.key))
+                text = _apply_change(row.key, previous, row.delta)
             texts[row.key] = text
             yield StoredItem(row.key, row.revision, text, row.lease)
 
-    def _get_large(self, key: str) -> bytes | None:
-        """Return the present text of a key, if it is a large one."""
-        item = self._present.get(key)
+    def _get_large_text(self, key: str) -> bytes | None:
+        """Return the current text of a key, if it is large."""
+        item = self._current.get(key)
         is_large = item is not None and _is_large(item.text)
         return item.text if item is not None and is_large else None
 
-    def _has_too_many(self) -> bool:
-        return len(self._changes) > _MOST_KEPT or self._large > _MOST_LARGE
+    def _is_over_limit(self) -> bool:
+        return (
+            len(self._changes) > _MAX_CHANGES
+            or self._large_count > _MAX_LARGE_CHANGES
+        )
 
     def _advance(self, revision: int) -> None:
         if revision > self.revision:
@@ -265,15 +269,15 @@
             self._changed = asyncio.Event()
 
 
-def _apply(key: str, before: bytes | None, delta: Delta) -> bytes:
-    if before is None:
-        raise DeltaError(f'{key}: got a difference, expected the whole text')
-    return apply_delta(before, delta)
+def _apply_change(key: str, previous: bytes | None, delta: Delta) -> bytes:
+    if previous is None:
+        raise DeltaError(f'{key}: got a delta, but its base text is not known')
+    return apply_delta(previous, delta)
 
 
 def _is_large(text: bytes) -> bool:
     return len(text) >= _LARGE_BYTES
 
 
-def _get_revision(row: Row) -> int:
+def _get_revision(row: ChangeRow) -> int:
     return row.revision
--- a/samphirerill/relay/hearing.py
+++ b/samphirerill/relay/hearing.py
@@ -170,4 +170,4 @@
         apply_node_status(self._state, status, self._loop.time())
         apply_suspicions(self._state, status)
         self._state.notify()
-        self._news.note_others(status.revision, self._log.revision)
+        self._news.note_peer_revision(status.revision, self._log.revision)
--- a/samphirerill/relay/listeners.py
+++ b/samphirerill/relay/listeners.py
@@ -1,4 +1,4 @@
-"""Sockets that listen, and the small pages: readiness and metrics."""
+"""Listening sockets, and a handler for static GET pages such as metrics."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self._pages = pages
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer with the page."""
+        """Respond with the page of the path, or 404."""
         page = self._pages.get(req.target.partition(b'?')[0])
         if page is None:
             conn.answer(_NOT_FOUND, [], b'')
@@ -41,11 +41,11 @@
         conn.answer(status, [], body)
 
     def get_limits(self) -> ClientLimits:
-        """Return what callers of pages may send."""
+        """Return the default limits; pages have no client account."""
         return ClientLimits()
 
     def is_draining(self) -> bool:
-        """Return whether connections should end after their answer."""
+        """Return whether to close connections after their response."""
         return False
 
 
@@ -67,6 +67,6 @@
 
 
 def read_revision(query: bytes) -> int:
-    """Return what a query asks for what comes after; -1 if it names nothing."""
+    """Return the revision in the `after` parameter of a query, or -1."""
     after = parse_qs(query).get(b'after', [b''])[0]
     return int(after) if after.isdigit() else -1
--- a/samphirerill/relay/members.py
+++ b/samphirerill/relay/members.py
@@ -17,7 +17,7 @@
 from samphirerill.relay.leases import give_up_lease
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.messages import NodeAnnouncement
-from samphirerill.relay.news import PeerPages
+from samphirerill.relay.news import PeerRequestHandler
 from samphirerill.relay.peer_help import PeerHelp
 from samphirerill.relay.roster import PeerDirectory
 from samphirerill.relay.telling import StatusSender
@@ -102,7 +102,7 @@
 
     async def start(self) -> None:
         """Open the ports for the other nodes."""
-        pages = PeerPages(
+        pages = PeerRequestHandler(
             self._peer_sync.list_pages(), self._log, self._receives_from_store
         )
         self._server = await listen(
@@ -162,7 +162,7 @@
 
     def _receives_from_store(self) -> bool:
         """Return whether this node receives changes from the store itself."""
-        return self._health.is_up and not self._news.is_turned_away()
+        return self._health.is_up and not self._news.was_refused_by_store()
 
     async def _keep_lease(self) -> None:
         while not self._has_left:
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -1,9 +1,9 @@
-"""Changes of the store, passed on from the nodes that watch it to the others.
+"""Distribution of store changes from the nodes that watch it to the others.
 
-A watcher keeps the latest changes; another node asks it for those after a
-revision and waits, as it would at the store. The answer is incomplete if the
-watcher does not hear the store itself, or no longer has that history: then the
-other node asks the store.
+A few nodes, the watchers, watch the store and keep the latest changes. Other
+nodes long-poll a watcher for the changes after a revision, as they would watch
+the store. If the watcher is not connected to the store, or no longer has the
+changes, they fall back to the store.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from samphirerill.fleet.deltas import DeltaError
 from samphirerill.fleet.watchers import choose_other, choose_watcher
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.change_log import ChangeLog, News, Present
+from samphirerill.relay.change_log import ChangeBatch, ChangeLog, Snapshot
 from samphirerill.relay.errors import (
     BrokenAnswerError,
     DeafWatcherError,
@@ -44,119 +44,115 @@
 _UNAVAILABLE = 503
 _BAD_REQUEST = 400
 _NOT_FOUND = 404
-# The number is that of the form of the answer: while a fleet changes over to
-# another form, who asks for it finds nothing at nodes that tell the other one.
+# The number is the version of the response format: while nodes with different
+# formats run side by side, each gets 404 from the others.
 _PATH = b'/changes/2'
-_PRESENT_PATH = b'/present/1'
-# How long a call waits for news. Shorter than at the store, as it costs nothing
-# there: a watcher that stands still is noticed sooner.
-_WAIT_S = 0.7
-_SLACK_S = 0.3
-# How long a watcher that failed is not asked again; one that has died stays announced
-# for up to twelve seconds.
-_AVOID_S = 6.0
-# A node that has just started asks watchers that fail again sooner: all nodes of a
-# fleet start at once, and watchers are there a second later than others.
-_STARTING_S = 3.0
-_AVOID_STARTING_S = 0.5
-# A watcher that says that it does not hear the store is asked again so soon: it costs
-# the store nothing, and it is the first to know when the store is back.
-_AVOID_DEAF_S = 0.5
-# A node that the store failed, and that others watch for, asks it again after so long,
-# longer each time up to the last; the watchers go on asking. When the store was away
-# for eight seconds each of 22 nodes asked it 16 times. No longer, as all watchers may
-# die meanwhile, and a configuration must be in force within seconds of its return.
-_FIRST_PUT_OFF_S = 2.0
-_MOST_PUT_OFF_S = 2.5
-# Put off together, nodes must not ask together.
-_SPREAD = 0.2
-# A watcher that the store turned away listens at another one for so long. Asking the
-# store twice a second, three such nodes made a third of the calls of 22.
-_TURNED_AWAY_S = 2.0
-# Others may hear the same news earlier: a watcher gathers changes for a quarter of
-# a second, and so does who listens at it. If they still know more after this, a
-# node asks the store itself for a while. With 0.3 s, 78 nodes on a calm day made
-# 1,780 calls to the store, with this 1,200.
-BEHIND_S = 0.7
-_DISTRUST_S = 3.0
-
-
-class PeerPages(PageHandler):
-    """What other nodes may ask this one.
+_SNAPSHOT_PATH = b'/present/1'
+# Shorter than a watch of the store, as it costs the store nothing; an
+# unresponsive watcher is detected sooner.
+_LONG_POLL_S = 0.7
+_RESPONSE_MARGIN_S = 0.3
+# Watchers that failed are avoided this long; a crashed one stays announced for
+# up to 12 s.
+_AVOID_FAILED_S = 6.0
+# During startup, failed watchers are retried sooner: all nodes of a fleet may
+# start together, and watchers become ready last.
+_STARTUP_S = 3.0
+_AVOID_FAILED_AT_STARTUP_S = 0.5
+# Applies to watchers without a connection to the store: asking them costs it
+# nothing, and they are the first to know that it is back.
+_AVOID_DISCONNECTED_S = 0.5
+# Backoff of calls to the store after a failure, while other nodes watch it. It
+# is bounded because all watchers may fail meanwhile, and a new configuration
+# must take effect within seconds.
+_MIN_BACKOFF_S = 2.0
+_MAX_BACKOFF_S = 2.5
+# Prevents nodes from calling the store at the same moment.
+_BACKOFF_JITTER = 0.2
+# A watcher whose calls the store refused uses another watcher this long, rather
+# than calling the store all the time.
+_STORE_REFUSED_S = 2.0
+# Watchers batch changes for 0.25 s, and so do their listeners. A node that
+# stays behind others for longer than this watches the store itself for a while.
+MAX_LAG_S = 0.7
+_DIRECT_WATCH_S = 3.0
+
+
+class PeerRequestHandler(PageHandler):
+    """Serves HTTP requests of other nodes.
 
     Parameters
     ----------
     pages : dict
-        Pages that need no waiting; each takes the query.
+        Further pages; each takes the query.
     log : ChangeLog
-        What is passed on.
-    hears_store : callable
-        Returns whether this node itself hears the store.
+        The changes that are served.
+    receives_from_store : callable
+        Returns whether this node receives changes from the store itself.
     """
 
     def __init__(
         self,
         pages: dict[bytes, Callable[[bytes], Page]],
         log: ChangeLog,
-        hears_store: Callable[[], bool],
+        receives_from_store: Callable[[], bool],
     ) -> None:
         super().__init__({})
-        self._given = pages
+        self._extra_pages = pages
         self._log = log
-        self._hears_store = hears_store
+        self._receives_from_store = receives_from_store
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer with a page, or with news."""
+        """Respond with changes, a snapshot or a page."""
         path, _, query = req.target.partition(b'?')
-        give = self._given.get(path)
+        build_page = self._extra_pages.get(path)
         if path == _PATH:
-            status, body = await self._find_news(query)
-        elif path == _PRESENT_PATH:
-            status, body = self._find_present(query)
-        elif give is None:
+            status, body = await self._serve_changes(query)
+        elif path == _SNAPSHOT_PATH:
+            status, body = self._serve_snapshot(query)
+        elif build_page is None:
             status, body = _NOT_FOUND, b''
         else:
-            status, body = give(query)
+            status, body = build_page(query)
         conn.answer(status, [], body)
 
-    async def _find_news(self, query: bytes) -> Page:
+    async def _serve_changes(self, query: bytes) -> Page:
         after = read_revision(query)
         if after < 0:
             return _BAD_REQUEST, b''
-        if self._hears_store() and not self._log.is_too_late_for(after):
-            await self._log.wait(after, _WAIT_S)
-        if not self._hears_store():
+        if self._receives_from_store() and not self._log.is_compacted(after):
+            await self._log.wait(after, _LONG_POLL_S)
+        if not self._receives_from_store():
             return _UNAVAILABLE, b''
-        # The log may have begun anew during the wait, and then lacks what
-        # changed before. To answer from it made 14 of 69 nodes miss a
-        # configuration, and refuse its routes until another node told them.
+        # The log may have been reset during the wait, and then lacks earlier
+        # changes; a response from it would hide them.
         if not self._log.has(after):
             return _GONE, b''
-        news = self._log.encode_after(after)
-        return (_TOO_LARGE, b'') if news is None else (_OK, news)
+        batch = self._log.encode_changes(after)
+        return (_TOO_LARGE, b'') if batch is None else (_OK, batch)
 
-    def _find_present(self, query: bytes) -> Page:
+    def _serve_snapshot(self, query: bytes) -> Page:
         after = read_revision(query)
         if after < 0:
             return _BAD_REQUEST, b''
-        if not self._hears_store():
+        if not self._receives_from_store():
             return _UNAVAILABLE, b''
-        present = self._log.encode_present(after)
-        return (_GONE, b'') if present is None else (_OK, present)
+        snapshot = self._log.encode_snapshot(after)
+        return (_GONE, b'') if snapshot is None else (_OK, snapshot)
 
 
 class NewsSource:
-    """Where this node hears of changes: the store, or a watcher.
+    """Selects where this node gets store changes: the store or a watcher.
 
     Parameters
     ----------
     own : str
-        The node's name.
+        Name of this node.
 
     Attributes
     ----------
     log : ChangeLog
-        What this node has heard.
+        The changes that this node has received.
     """
 
     def __init__(self, own: str) -> None:
@@ -165,129 +161,136 @@
         self._loop = asyncio.get_running_loop()
         self._peers: Mapping[str, str] = {}
         self._avoid_until: dict[str, float] = {}
-        # The revision at which this node was last behind others, and when.
-        self._late_revision = 0
-        self._late_since = 0.0
-        self._distrust_until = 0.0
-        self._turned_away_until = float('-inf')
+        # The revision at which this node was last behind others, and since
+        # when.
+        self._lagging_revision = 0
+        self._lagging_since = 0.0
+        self._direct_watch_until = 0.0
+        self._store_refused_until = float('-inf')
         self._random = Random(own)
-        self._put_off_s = 0.0
-        self._ask_store_at = float('-inf')
-        self._settled_at = self._loop.time() + _STARTING_S
+        self._backoff_s = 0.0
+        self._store_call_at = float('-inf')
+        self._startup_until = self._loop.time() + _STARTUP_S
 
     def take_peers(self, peers: Mapping[str, str]) -> None:
-        """Take the announced nodes, and where each takes calls."""
+        """Set the announced nodes and their HTTP addresses."""
         self._peers = peers
 
     def note_store(self, *, answers: bool) -> None:
-        """The store has answered this node, or did not, or not well."""
+        """Record whether a call to the store succeeded."""
         if answers:
-            self._put_off_s = 0.0
-            self._ask_store_at = float('-inf')
-            self._turned_away_until = float('-inf')
+            self._backoff_s = 0.0
+            self._store_call_at = float('-inf')
+            self._store_refused_until = float('-inf')
             return
         now = self._loop.time()
-        self._turned_away_until = now + _TURNED_AWAY_S
-        longer_s = max(_FIRST_PUT_OFF_S, 2 * self._put_off_s)
-        self._put_off_s = min(_MOST_PUT_OFF_S, longer_s)
-        spread = 1 + _SPREAD * self._random.random()
-        self._ask_store_at = now + self._put_off_s * spread
+        self._store_refused_until = now + _STORE_REFUSED_S
+        doubled_s = max(_MIN_BACKOFF_S, 2 * self._backoff_s)
+        self._backoff_s = min(_MAX_BACKOFF_S, doubled_s)
+        jitter = 1 + _BACKOFF_JITTER * self._random.random()
+        self._store_call_at = now + self._backoff_s * jitter
 
     def may_ask_store(self) -> bool:
-        """Return whether this node should ask the store itself now.
+        """Return whether this node may call the store now.
 
-        One that watches it for others always may, and one that knows no others.
+        Watchers always may, and so may a node that knows no others.
         """
-        if self._loop.time() >= self._ask_store_at:
+        if self._loop.time() >= self._store_call_at:
             return True
         return not choose_watcher(self._own, self._peers, ())
 
-    def is_turned_away(self) -> bool:
-        """Return whether the store has just failed this node.
+    def was_refused_by_store(self) -> bool:
+        """Return whether a recent call of this node to the store failed.
 
-        What it hears then comes from other nodes; passed on as if it came from
-        the store, two such nodes would tell each other that nothing happens.
+        Changes then come from other nodes. Two such watchers that served each
+        other would both report that nothing changes.
         """
-        return self._loop.time() < self._turned_away_until
+        return self._loop.time() < self._store_refused_until
 
     def is_starting(self) -> bool:
-        """Return whether this node may not know the others yet."""
-        return self._loop.time() < self._settled_at
+        """Return whether this node may not know all other nodes yet."""
+        return self._loop.time() < self._startup_until
 
     def choose(self) -> str:
-        """Return the watcher to listen at; empty for the store itself."""
+        """Return the watcher to poll; empty for the store itself."""
         now = self._loop.time()
-        if now < self._distrust_until:
+        if now < self._direct_watch_until:
             return ''
         avoid = {
             name for name, until in self._avoid_until.items() if until > now
         }
-        if self.is_turned_away():
+        if self.was_refused_by_store():
             return choose_other(self._own, self._peers, avoid)
         return choose_watcher(self._own, self._peers, avoid)
 
-    def note_others(self, known: int, own: int) -> None:
-        """Compare what another node knows with what this one does.
+    def note_peer_revision(self, known: int, own: int) -> None:
+        """Compare the revision of another node with that of this one.
 
-        A watcher may be deaf without noticing; the others then know more, and
-        go on knowing more.
+        If others stay ahead, the watcher of this node is taken to have lost its
+        connection to the store without noticing.
 
         Parameters
         ----------
         known, own : int
-            Revisions of the store that the other node and this one know.
+            Store revisions of the other node and of this one.
         """
         now = self._loop.time()
         if known <= own:
             return
-        if self._late_revision < own:
-            self._late_revision = own
-            self._late_since = now
-        elif now >= self._late_since + BEHIND_S:
-            self._distrust_until = now + _DISTRUST_S
+        if self._lagging_revision < own:
+            self._lagging_revision = own
+            self._lagging_since = now
+        elif now >= self._lagging_since + MAX_LAG_S:
+            self._direct_watch_until = now + _DIRECT_WATCH_S
 
     async def watch(self, watcher: str, after: int) -> Changes:
-        """Wait at a watcher for changes; raise ``EndpointError`` if it fails.
+        """Wait for changes at a watcher; raise ``EndpointError`` on failure.
 
-        One whose changes are only too large to be passed on is asked for the
-        next ones again.
+        A watcher whose changes are merely too large to forward is not avoided
+        afterwards.
         """
         try:
-            return await self._ask(self._peers[watcher], after)
+            return await self._fetch_changes(self._peers[watcher], after)
         except TooLargeError:
             raise
         except DeafWatcherError:
-            self._avoid_until[watcher] = self._loop.time() + _AVOID_DEAF_S
+            self._avoid_until[watcher] = (
+                self._loop.time() + _AVOID_DISCONNECTED_S
+            )
             raise
         except EndpointError:
-            avoid_s = _AVOID_STARTING_S if self.is_starting() else _AVOID_S
+            avoid_s = (
+                _AVOID_FAILED_AT_STARTUP_S
+                if self.is_starting()
+                else _AVOID_FAILED_S
+            )
             self._avoid_until[watcher] = self._loop.time() + avoid_s
             raise
 
-    async def _ask(self, address: str, after: int) -> Changes:
-        deadline = self._loop.time() + _WAIT_S + _SLACK_S
+    async def _fetch_changes(self, address: str, after: int) -> Changes:
+        deadline = self._loop.time() + _LONG_POLL_S + _RESPONSE_MARGIN_S
         path = b'%b?after=%d' % (_PATH, after)
         status, body = await call_once(address, b'GET', path, b'', deadline)
         if status == _GONE:
-            return await self._catch_up(address, after)
+            return await self._fetch_snapshot(address, after)
         if status == _TOO_LARGE:
-            raise TooLargeError(f'{address}: leaves it to the store')
+            raise TooLargeError(f'{address}: changes are too large to forward')
         if status == _UNAVAILABLE:
-            raise DeafWatcherError(f'{address}: does not hear the store')
+            raise DeafWatcherError(f'{address}: is not connected to the store')
         if status != _OK:
             raise BrokenAnswerError(f'{address}: got status {status}')
-        return _decode(address, body, News, self.log.decode)
+        return _decode(address, body, ChangeBatch, self.log.decode)
 
-    async def _catch_up(self, address: str, after: int) -> Changes:
-        """Take what there is at a watcher that lacks the history."""
-        deadline = self._loop.time() + _SLACK_S
-        path = b'%b?after=%d' % (_PRESENT_PATH, after)
+    async def _fetch_snapshot(self, address: str, after: int) -> Changes:
+        """Fetch a snapshot from a watcher that lacks the changes."""
+        deadline = self._loop.time() + _RESPONSE_MARGIN_S
+        path = b'%b?after=%d' % (_SNAPSHOT_PATH, after)
         status, body = await call_once(address, b'GET', path, b'', deadline)
         if status != _OK:
             raise BrokenAnswerError(f'{address}: got status {status}')
-        changes = _decode(address, body, Present, self.log.decode_present)
+        changes = _decode(address, body, Snapshot, self.log.decode_snapshot)
         _LOG.info(
-            'caught up at a watcher',
+            'received a snapshot from a watcher',
             extra={'after': after, 'revision': changes.revision},
         )
         return changes
@@ -299,7 +302,7 @@
     form: type[Form],
     read: Callable[[Form], Changes],
 ) -> Changes:
-    """Return the changes that a watcher's answer tells."""
+    """Return the changes in a watcher's response."""
     try:
         return read(msgpack.decode(body, type=form))
     except (DecodeError, ValidationError, DeltaError) as exc:
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -23,25 +23,25 @@
     from collections.abc import Iterable
 
 PORT = 7340
-ZONES = ('a', 'b', 'c', 'd', 'e')
+DATA_CENTRES = ('a', 'b', 'c', 'd', 'e')
 
 
 class Network:
-    """Delivers datagrams; counts those between data centres."""
+    """Delivers datagrams, and counts those between data centres."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
-        self.crossing: Counter[str] = Counter()
-        self.bytes_crossing = 0
+        self.remote_datagrams: Counter[str] = Counter()
+        self.remote_bytes = 0
 
     def send(self, sender: str, data: bytes, host: str) -> None:
         """Deliver in the next iteration of the event loop."""
         node = self.nodes.get(host)
         if node is None or sender not in self.nodes:
             return
-        if node.zone != self.nodes[sender].zone:
-            self.crossing[sender] += 1
-            self.bytes_crossing += len(data)
+        if node.data_centre != self.nodes[sender].data_centre:
+            self.remote_datagrams[sender] += 1
+            self.remote_bytes += len(data)
         loop = asyncio.get_running_loop()
         loop.call_soon(node.receiver.datagram_received, data, (sender, PORT))
 
@@ -63,14 +63,16 @@
 class Node:
     """The parts of a node that send and receive datagrams."""
 
-    def __init__(self, network: Network, name: str, zone: str) -> None:
+    def __init__(self, network: Network, name: str, data_centre: str) -> None:
         self.name = name
-        self.zone = zone
-        self.host = f'10.0.{ZONES.index(zone)}.{name.rpartition("-")[2]}'
+        self.data_centre = data_centre
+        self.host = (
+            f'10.0.{DATA_CENTRES.index(data_centre)}.{name.rpartition("-")[2]}'
+        )
         self.state = EdgeState(
             EdgeSettings(
                 name=name,
-                data_centre=zone,
+                data_centre=data_centre,
                 host=self.host,
                 callers=f'{self.host}:1',
                 readiness=f'{self.host}:2',
@@ -83,7 +85,7 @@
             ),
             PlatformDialect(),
         )
-        self.peers = PeerDirectory(name, zone)
+        self.peers = PeerDirectory(name, data_centre)
         self.status_sender = StatusSender(self.state, self.peers)
         self.alarms = Alarms(self.state)
         self.receiver = DatagramReceiver(
@@ -107,5 +109,7 @@
         for other in others:
             if other is not self:
                 address = f'{other.host}:{PORT}'
-                found = NodeAnnouncement(address, f'{other.host}:3', other.zone)
+                found = NodeAnnouncement(
+                    address, f'{other.host}:3', other.data_centre
+                )
                 self.peers.add_announcement(other.name, found)
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of load, and over which ways."""
+"""Exchange of status datagrams between nodes."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.peers import Network, Node
 
-_ZONES = ('a', 'b', 'c')
-_ROUNDS_S = 1.4
+_DATA_CENTRES = ('a', 'b', 'c')
+_RUN_S = 1.4
 _STREAMS = 3
 _SERVICE = 'llm'
 
 
-class TestTelling(IsolatedAsyncioTestCase):
-    """A fleet of nodes that all send to the same replica."""
+class TestStatusExchange(IsolatedAsyncioTestCase):
+    """A fleet of nodes that all send requests to the same replica."""
 
-    async def play(self, per_zone: int) -> Network:
-        """Let nodes tell each other for some rounds."""
+    async def exchange_statuses(self, per_data_centre: int) -> Network:
+        """Let nodes exchange some status datagrams."""
         network = Network()
-        for zone in _ZONES:
-            for number in range(per_zone):
-                Node(network, f'{zone}-{number}', zone)
+        for data_centre in _DATA_CENTRES:
+            for number in range(per_data_centre):
+                Node(network, f'{data_centre}-{number}', data_centre)
         nodes = list(network.nodes.values())
         for node in nodes:
             node.add_peers(nodes)
@@ -40,14 +40,14 @@
         tasks = [
             asyncio.create_task(node.status_sender.run()) for node in nodes
         ]
-        await asyncio.sleep(_ROUNDS_S)
+        await asyncio.sleep(_RUN_S)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         return network
 
-    def assert_all_know_all(self, network: Network) -> None:
-        """Every node counts the streams of all nodes, each once."""
+    def assert_load_is_shared(self, network: Network) -> None:
+        """Assert that each node counts the streams of every node once."""
         count = len(network.nodes)
         now = asyncio.get_running_loop().time()
         for node in network.nodes.values():
@@ -58,29 +58,26 @@
             self.assertEqual(others.streams, (count - 1) * _STREAMS)
             self.assertEqual(node.state.count_nodes(), max(8, count))
 
-    async def test_a_small_fleet_tells_each_other(self) -> None:
-        network = await self.play(2)
-        self.assert_all_know_all(network)
+    async def test_a_small_fleet_sends_statuses_directly(self) -> None:
+        network = await self.exchange_statuses(2)
+        self.assert_load_is_shared(network)
 
-    async def test_a_large_fleet_is_told_of_in_sums(self) -> None:
-        """Symptom: 78 nodes send 0.06 GB between data centres on a calm day.
+    async def test_a_large_fleet_sends_aggregates(self) -> None:
+        """Guard against traffic that grows with the square of the node count.
 
-        Sequence: each tells each other one; so that this is not too much they
-        do it once a second, and 139 streams are refused by replicas that had
-        been filled by others meanwhile. Cause: what is told grows with the
-        square of the nodes.
+        Only the aggregators send between data centres.
         """
-        network = await self.play(8)
-        self.assert_all_know_all(network)
-        self.assertEqual(len(network.crossing), len(_ZONES))
+        network = await self.exchange_statuses(8)
+        self.assert_load_is_shared(network)
+        self.assertEqual(len(network.remote_datagrams), len(_DATA_CENTRES))
 
-    async def test_another_node_sums_up_when_the_gatherer_is_gone(self) -> None:
-        network = await self.play(8)
+    async def test_another_node_replaces_a_failed_aggregator(self) -> None:
+        network = await self.exchange_statuses(8)
         names = [f'a-{number}' for number in range(8)]
-        gone = choose_gatherer(names)
-        self.assertIn(f'10.0.0.{gone[2:]}', network.crossing)
-        left = [name for name in names if name != gone]
-        chosen = choose_gatherer(left)
+        failed = choose_gatherer(names)
+        self.assertIn(f'10.0.0.{failed[2:]}', network.remote_datagrams)
+        remaining = [name for name in names if name != failed]
+        chosen = choose_gatherer(remaining)
         node = next(
             node for node in network.nodes.values() if node.name == chosen
         )
@@ -89,28 +86,27 @@
         self.assertTrue(node.peers.is_aggregator(now + 9))
 
 
-class TestGathering(TestCase):
-    """Who sums up."""
+class TestAggregators(TestCase):
+    """Choice of the node that aggregates for a data centre."""
 
-    def test_all_who_know_the_same_choose_the_same(self) -> None:
+    def test_the_choice_does_not_depend_on_order(self) -> None:
         names = [f'node-{number}' for number in range(20)]
         self.assertEqual(choose_gatherer(names), choose_gatherer(names[::-1]))
 
-    def test_sums_begin_where_telling_each_is_too_much(self) -> None:
+    def test_aggregates_are_used_above_a_fleet_size(self) -> None:
         self.assertTrue(is_direct(MOST_DIRECT))
         self.assertFalse(is_direct(MOST_DIRECT + 1))
         self.assertNotEqual(name_sum('a'), name_sum('b'))
 
 
 class TestClosedPort(IsolatedAsyncioTestCase):
-    """A node that ends while it tells."""
+    """A node that shuts down while it sends."""
 
-    async def test_nothing_is_sent_on_a_port_that_is_closed(self) -> None:
-        """Symptom: a node that was told to end is killed.
+    async def test_nothing_is_sent_on_a_closing_port(self) -> None:
+        """Guard against a node that does not exit.
 
-        Sequence: it closes its port; a datagram that was due is sent; the loop
-        of the transport has no socket any more, and the failure takes the place
-        of the cancellation. Cause: the port was not looked at before.
+        Sending on a closed transport raised, and the error replaced the
+        cancellation of the sending task.
         """
         network = Network()
         nodes = [Node(network, f'n-{at}', 'a') for at in range(2)]
@@ -118,5 +114,5 @@
         transport = Mock(spec=asyncio.DatagramTransport)
         transport.is_closing.return_value = True
         nodes[0].status_sender.bind(transport)
-        nodes[0].status_sender.forward(b'told')
+        nodes[0].status_sender.forward(b'status')
         transport.sendto.assert_not_called()
