--- a/samphirerill/relay/quarantine/keeper.py
+++ b/samphirerill/relay/quarantine/keeper.py
@@ -1,4 +1,4 @@
-"""Keep what is known against requests, and carry out what follows from it."""
+"""Collect evidence about requests that crash replicas, and act on it."""
 
 from __future__ import annotations
 
@@ -20,48 +20,51 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
-# Timers may fire a moment early.
-_TICK_S = 0.005
-_LATEST_S = 0.3
+# Timers may fire slightly early.
+_TIMER_MARGIN_S = 0.005
+_MAX_DELAY_S = 0.3
 
 
 class Keeper:
-    """Takes evidence; logs decisions and ends the streams that they concern.
+    """Records evidence, logs changes of the quarantine and ends held streams.
 
     Parameters
     ----------
     state : EdgeState
-        Holds the quarantine, counters and the streams under way.
+        Holds the quarantine, the counters and the running streams.
     """
 
     def __init__(self, state: EdgeState) -> None:
         self._state = state
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        # When to judge at the latest; 0 if nothing has come since.
-        self._judge_at = 0.0
+        # Deadline of the next evaluation; 0 if no evidence is pending.
+        self._evaluate_by = 0.0
 
-    def note_death(self, request: bytes, death: Death) -> None:
-        """Take what this node has seen itself."""
+    def record_crash(self, request: bytes, death: Death) -> None:
+        """Record a crash that this node has observed."""
         self._state.quarantine.note_death(request, death, self._loop.time())
-        self._judge_soon()
+        self._schedule_evaluation()
 
-    def note_survival(self, request: bytes) -> bool:
-        """A run has gone on for long enough; return whether that is news."""
+    def record_survival(self, request: bytes) -> bool:
+        """Record that a run got past its start; return whether that is new."""
         now = self._loop.time()
         is_news = self._state.quarantine.note_survival(request, now)
         if is_news:
             self._state.counters['quarantine.refuted'] += 1
-            self._judge_soon()
+            self._schedule_evaluation()
         return is_news
 
-    def take_told(self, told: Iterable[ToldRecord]) -> None:
-        """Take what another node knows."""
-        if take_told(self._state.quarantine, told, self._loop.time()):
-            self._judge_soon()
+    def apply_records(self, records: Iterable[ToldRecord]) -> None:
+        """Apply the evidence of another node."""
+        if take_told(self._state.quarantine, records, self._loop.time()):
+            self._schedule_evaluation()
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return what is held, for operators: by attempts, never by bodies."""
+        """Return the records for operators.
+
+        They name requests by id and never contain request bodies.
+        """
         now = self._loop.time()
         quarantine = self._state.quarantine
         return [
@@ -72,35 +75,39 @@
             if record.deaths
         ]
 
-    def _judge_soon(self) -> None:
-        """Judge once this evidence has settled, and so has all before it."""
+    def _schedule_evaluation(self) -> None:
+        """Schedule the evaluation after the settling time of evidence."""
         if self._timer is not None:
             self._timer.cancel()
-        # Evidence that keeps coming must not put the judgement off for ever.
-        self._judge_at = self._judge_at or self._loop.time() + _LATEST_S
-        at = min(self._judge_at, self._loop.time() + SETTLE_S + _TICK_S)
-        self._timer = self._loop.call_at(at, self._judge)
-
-    def _judge(self) -> None:
+        # Bounds the delay when evidence keeps arriving.
+        self._evaluate_by = (
+            self._evaluate_by or self._loop.time() + _MAX_DELAY_S
+        )
+        at = min(
+            self._evaluate_by, self._loop.time() + SETTLE_S + _TIMER_MARGIN_S
+        )
+        self._timer = self._loop.call_at(at, self._evaluate)
+
+    def _evaluate(self) -> None:
         self._timer = None
-        self._judge_at = 0.0
-        news = self._state.quarantine.judge(self._loop.time())
-        for decision in news:
-            self._log(decision)
-        if any(decided.until for decided in news):
+        self._evaluate_by = 0.0
+        changes = self._state.quarantine.judge(self._loop.time())
+        for change in changes:
+            self._log_change(change)
+        if any(entry.until for entry in changes):
             for stream in tuple(self._state.streams):
                 stream.check_quarantine()
 
-    def _log(self, news: News) -> None:
+    def _log_change(self, change: News) -> None:
         now = self._loop.time()
-        facts = {
-            'first_request': news.deaths[0].request_id,
-            'deaths': describe_deaths(news.deaths, now),
+        fields = {
+            'first_request': change.deaths[0].request_id,
+            'deaths': describe_deaths(change.deaths, now),
         }
-        if news.until:
+        if change.until:
             self._state.counters['quarantine.held'] += 1
-            left_ms = round((news.until - now) * MS_PER_S)
-            _LOG.warning('request held back', extra={**facts, 'ms': left_ms})
+            left_ms = round((change.until - now) * MS_PER_S)
+            _LOG.warning('request held back', extra={**fields, 'ms': left_ms})
         else:
             self._state.counters['quarantine.released'] += 1
-            _LOG.warning('request released', extra=facts)
+            _LOG.warning('request released', extra=fields)
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/sharing.py
@@ -1,7 +1,7 @@
-"""Tell the other nodes what is known against requests.
+"""Exchange evidence about requests that crash replicas between nodes.
 
-News goes to all nodes at once. Datagrams are lost, nodes start later or were cut
-off; so each node also tells a few others all that matters from time to time.
+New evidence is broadcast at once. As datagrams get lost and nodes start later
+or are cut off, each node also gossips all relevant evidence to a few others.
 """
 
 from __future__ import annotations
@@ -32,47 +32,48 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
-# No other datagram begins so: its first byte is no message of the encoding.
+# No other datagram begins so: 0xc1 is never used in MessagePack.
 TYPE_PREFIX = b'\xc1Q'
-# News waits for more of the same moment: an end breaks off many requests.
-_GATHER_S = 0.01
-# A datagram of so many records stays within what a network carries whole.
-_MOST_AT_ONCE = 10
-# News of one moment; what else broke off then will be seen again if it matters.
-_MOST_NEWS = 40
-# How often a node tells others all that matters, and how many: whoever missed the
-# news hears it within a second or two, at 1 KB a second for each node.
-_EACH_S = 0.7
-_PARTNERS = 2
-# How long the news of a single end is told again.
-_NEWS_S = 5.0
+# Collects the requests of one crash, which fails many at once.
+_BATCH_DELAY_S = 0.01
+# Keeps a datagram below the size at which networks fragment it.
+_MAX_RECORDS = 10
+# Records broadcast at once; further ones are repeated if they recur.
+_MAX_BROADCAST_RECORDS = 40
+# Gossip interval and number of receivers: nodes that missed a broadcast are up
+# to date within two seconds, at about 1 KB/s per node.
+_GOSSIP_INTERVAL_S = 0.7
+_GOSSIP_FANOUT = 2
+# How long the record of a single crash is gossiped.
+_REPEAT_SINGLE_S = 5.0
 
 
 class Evidence(Struct, array_like=True):
-    """A datagram; `number` grows with each of one start of a node.
+    """Datagram with evidence.
 
-    `trial` is the replica to which a suspect is sent at this moment. `is_news`
-    is whether it should reach all nodes: what is told to a few again and again
-    would else be passed on to a whole data centre each time, and fill its links.
+    `sequence` increases with each datagram of one process run, which `started`
+    identifies. `trial` is the replica to which a suspect request is being sent.
+    `is_broadcast` tells whether to forward the datagram to all nodes;
+    forwarding gossip would overload the links.
     """
 
     node: str
     started: int
-    number: int
+    sequence: int
     records: bytes
     trial: str = ''
-    is_news: bool = True
+    is_broadcast: bool = True
 
 
 class Sharing:
-    """Tells evidence and hears it.
+    """Sends and receives evidence.
 
     Parameters
     ----------
     state : EdgeState
         Holds the quarantine.
     keeper : Keeper
-        Takes what others tell.
+        Applies the evidence of other nodes.
     """
 
     type_prefix = TYPE_PREFIX
@@ -83,94 +84,97 @@
         self._loop = asyncio.get_running_loop()
         self._datagram_sender: DatagramSender | None = None
         self._deduplicator = DatagramDeduplicator()
-        self._number = 0
-        self._fresh: dict[bytes, None] = {}
+        self._sequence = 0
+        self._pending: dict[bytes, None] = {}
         self.trials = Trials()
 
     def bind(self, datagram_sender: DatagramSender) -> None:
-        """Tell by these ways from now on."""
+        """Send through this sender from now on."""
         self._datagram_sender = datagram_sender
 
-    def tell(self, requests: Iterable[bytes]) -> None:
-        """Tell all nodes soon what is known of some requests."""
-        if not self._fresh:
-            self._loop.call_later(_GATHER_S, self._tell_fresh)
-        self._fresh.update(dict.fromkeys(requests))
+    def broadcast(self, requests: Iterable[bytes]) -> None:
+        """Send the records of requests to all nodes, with a short delay."""
+        if not self._pending:
+            self._loop.call_later(_BATCH_DELAY_S, self._broadcast_pending)
+        self._pending.update(dict.fromkeys(requests))
 
-    def tell_trial(self, replica_id: str) -> None:
-        """Tell all nodes at once that a suspect is sent to a replica."""
-        self._note_trial(replica_id)
+    def broadcast_trial(self, replica_id: str) -> None:
+        """Tell all nodes that a suspect is being sent to a replica."""
+        self._record_trial(replica_id)
         if self._datagram_sender is not None:
             self._datagram_sender.send_to_all(self._encode([], replica_id))
 
     def handle_datagram(self, data: bytes, sender: str) -> None:
-        """Take what another node tells."""
+        """Apply the evidence of another node."""
         try:
             evidence = msgpack.decode(data[len(TYPE_PREFIX) :], type=Evidence)
             records = decode_told(evidence.records)
         except (DecodeError, ValidationError, UnreadableEvidenceError) as exc:
-            _LOG.warning('evidence is unreadable', extra={'error': str(exc)})
+            _LOG.warning('cannot decode evidence', extra={'error': str(exc)})
             return
         is_own = evidence.node == self._state.settings.name
         is_new = self._deduplicator.record(
-            evidence.node, evidence.started, evidence.number
+            evidence.node, evidence.started, evidence.sequence
         )
         if is_own or not is_new:
             return
-        if self._datagram_sender is not None and evidence.is_news:
+        if self._datagram_sender is not None and evidence.is_broadcast:
             self._datagram_sender.forward_from(sender, data)
-        self._keeper.take_told(records)
+        self._keeper.apply_records(records)
         if evidence.trial:
-            self._note_trial(evidence.trial)
+            self._record_trial(evidence.trial)
 
     async def run(self) -> None:
-        """Keep telling a few others all that matters."""
+        """Gossip relevant evidence to a few nodes until cancelled."""
         while True:
-            await asyncio.sleep(_EACH_S)
+            await asyncio.sleep(_GOSSIP_INTERVAL_S)
             self._state.quarantine.forget(self._loop.time())
-            self._tell_few()
+            self._gossip()
 
-    def _note_trial(self, replica_id: str) -> None:
+    def _record_trial(self, replica_id: str) -> None:
         now = self._loop.time()
         self.trials.begin(replica_id, now + TRIAL_S, now)
 
-    def _tell_fresh(self) -> None:
-        told = list(self._build(self._fresh))[:_MOST_NEWS]
-        self._fresh = {}
+    def _broadcast_pending(self) -> None:
+        records = list(self._build_records(self._pending))[
+            :_MAX_BROADCAST_RECORDS
+        ]
+        self._pending = {}
         if self._datagram_sender is None:
             return
-        for since in range(0, len(told), _MOST_AT_ONCE):
-            batch = told[since : since + _MOST_AT_ONCE]
+        for start in range(0, len(records), _MAX_RECORDS):
+            batch = records[start : start + _MAX_RECORDS]
             self._datagram_sender.send_to_all(self._encode(batch))
 
-    def _tell_few(self) -> None:
+    def _gossip(self) -> None:
         if self._datagram_sender is None or not len(self._state.quarantine):
             return
         own = self._state.settings.name
         others = [
             name for name in self._datagram_sender.list_nodes() if name != own
         ]
-        few = min(_PARTNERS, len(others))
-        matters = list(islice(self._list_what_matters(), _MOST_AT_ONCE))
-        if not matters:
+        fanout = min(_GOSSIP_FANOUT, len(others))
+        relevant = list(islice(self._list_relevant(), _MAX_RECORDS))
+        if not relevant:
             return
-        data = self._encode(list(self._build(matters)), is_news=False)
-        for name in self._state.random.sample(others, few):
+        data = self._encode(
+            list(self._build_records(relevant)), is_broadcast=False
+        )
+        for name in self._state.random.sample(others, fanout):
             self._datagram_sender.send_to_node(name, data)
 
-    def _list_what_matters(self) -> Iterator[bytes]:
-        """Yield suspects, and others as long as the news may have been lost.
+    def _list_relevant(self) -> Iterator[bytes]:
+        """Yield suspects, and requests with a recent crash.
 
-        After each end there are requests that saw just that one; told for as
-        long as they are known, they would cost bytes all day.
+        Other requests with a single crash are too many to be gossiped forever.
         """
-        since = self._loop.time() - _NEWS_S
+        since = self._loop.time() - _REPEAT_SINGLE_S
         for request, record in self._state.quarantine.list_records():
             is_suspect = len(record.deaths) >= SUSPECT_DEATHS
             if record.deaths and (is_suspect or record.deaths[-1].at > since):
                 yield request
 
-    def _build(self, requests: Iterable[bytes]) -> Iterator[ToldRecord]:
+    def _build_records(self, requests: Iterable[bytes]) -> Iterator[ToldRecord]:
         now = self._loop.time()
         for request in requests:
             record = self._state.quarantine.get_record(request)
@@ -182,16 +186,16 @@
         records: list[ToldRecord],
         trial: str = '',
         *,
-        is_news: bool = True,
+        is_broadcast: bool = True,
     ) -> bytes:
-        self._number += 1
+        self._sequence += 1
         self._state.counters['quarantine.told'] += 1
         evidence = Evidence(
             self._state.settings.name,
             self._state.start_number,
-            self._number,
+            self._sequence,
             encode_told(records),
             trial,
-            is_news,
+            is_broadcast,
         )
         return TYPE_PREFIX + msgpack.encode(evidence)
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -1,7 +1,8 @@
-"""Keep requests that are held back in the store, for a fleet that starts anew.
+"""Persist holds in the store, so that they survive a restart of the fleet.
 
-Nodes tell each other what they know; when all are killed at one moment, only the
-store still knows. The commander writes, and every node reads with the other keys.
+A hold is the period in which a request that crashes replicas is rejected. Nodes
+exchange the evidence for holds, but when all nodes are killed at once only the
+store has it. The leader writes the holds; every node reads them.
 """
 
 from __future__ import annotations
@@ -34,37 +35,37 @@
 
 _LOG = get_logger('quarantine')
 PREFIX = 'samphirerill/held/'
-# How often the commander compares what is held with what is stored.
-_EACH_S = 0.25
-# A call to the store that failed is made again after so long.
-_PAUSE_S = 2.0
-_MOST_STORED = 64
-# The store grants leases within these bounds.
-_LEAST_LEASE_S = 1.0
-_MOST_LEASE_S = 600.0
+# Interval at which the leader compares the quarantine with the store.
+_SYNC_INTERVAL_S = 0.25
+# Delay after a failed call to the store.
+_RETRY_DELAY_S = 2.0
+_MAX_STORED = 64
+# Bounds of the lease time that the store accepts.
+_MIN_LEASE_S = 1.0
+_MAX_LEASE_S = 600.0
 _MS_PER_S = 1000
 
 
 class StoredHold(Struct):
-    """What is stored of one request; `written_ms` is a Unix time."""
+    """Stored evidence for one hold; `written_ms` is a Unix time."""
 
     written_ms: int
     record: ToldRecord
 
 
 class StoredHolds:
-    """Follows the stored holds; writes them while this node commands.
+    """Reads the stored holds, and writes them while this node is the leader.
 
     Parameters
     ----------
     state : EdgeState
         Holds the quarantine.
     store : PlatformStore
-        Where holds are written.
+        Where holds are stored.
     keeper : Keeper
-        Takes what is read.
+        Applies the stored evidence.
     leadership : Leadership
-        Says whether this node commands.
+        Whether this node is the leader.
     """
 
     prefix = PREFIX
@@ -84,13 +85,13 @@
         self._stored: dict[str, bytes] = {}
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
-        """Take a whole reading."""
+        """Replace all stored holds by those of a full read."""
         self._stored = {}
         for item in found:
             self.take_item(item)
 
     def take_item(self, item: StoredItem) -> None:
-        """Let what was known when a hold was written count here too."""
+        """Apply the evidence of a stored hold."""
         try:
             hold = json.decode(item.text, type=StoredHold)
             check_told([hold.record])
@@ -99,58 +100,58 @@
             ValidationError,
             UnreadableEvidenceError,
         ) as exc:
-            facts = {'key': item.key, 'error': str(exc)}
-            _LOG.warning('stored hold is unreadable', extra=facts)
+            fields = {'key': item.key, 'error': str(exc)}
+            _LOG.warning('stored hold is unreadable', extra=fields)
             return
         self._stored[item.key] = hold.record.request
-        spent_ms = max(0, _read_clock_ms() - hold.written_ms)
-        self._keeper.take_told([move_back(hold.record, spent_ms)])
+        age_ms = max(0, _read_clock_ms() - hold.written_ms)
+        self._keeper.apply_records([move_back(hold.record, age_ms)])
 
     def take_gone(self, gone: DeletedKey) -> None:
-        """A hold has lapsed, or was refuted."""
+        """Remove a stored hold that was deleted or has expired."""
         self._stored.pop(gone.key, None)
 
     async def run(self) -> None:
-        """Keep the store in step until cancelled."""
+        """Keep the store up to date until cancelled."""
         while True:
-            await asyncio.sleep(_EACH_S)
+            await asyncio.sleep(_SYNC_INTERVAL_S)
             if not len(self._state.quarantine):
                 continue
             if not self._leadership.is_held():
                 continue
             try:
-                await self._step()
+                await self._sync_once()
             except StoreError as exc:
                 _LOG.warning('hold is not stored', extra={'error': str(exc)})
-                await asyncio.sleep(_PAUSE_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
-    async def _step(self) -> None:
-        """Write one hold that is missing, remove one that was refuted."""
-        missing = self._find_missing()
-        if missing is not None:
-            await self._write(missing)
+    async def _sync_once(self) -> None:
+        """Store one missing hold, and remove one that was refuted."""
+        unstored = self._find_unstored()
+        if unstored is not None:
+            await self._write(unstored)
         refuted = self._find_refuted()
         if refuted:
             await self._store.write({}, {}, remove=(refuted,))
             self._stored.pop(refuted, None)
 
-    def _find_missing(self) -> bytes | None:
-        """Return a request that is held and not stored."""
-        if len(self._stored) >= _MOST_STORED:
+    def _find_unstored(self) -> bytes | None:
+        """Return a request whose hold is not stored."""
+        if len(self._stored) >= _MAX_STORED:
             return None
         now = self._loop.time()
         quarantine = self._state.quarantine
         stored = set(self._stored.values())
         for request, _ in quarantine.list_records():
             if not quarantine.find_held_until(request, now):
-                # Those that are held come first.
+                # Records of held requests come first.
                 return None
             if request not in stored:
                 return request
         return None
 
     def _find_refuted(self) -> str:
-        """Return the key of a request that has gone on since; empty if none."""
+        """Return the key of a hold whose request has run since, or empty."""
         for key, request in self._stored.items():
             record = self._state.quarantine.get_record(request)
             if record is not None and not record.deaths:
@@ -158,16 +159,16 @@
         return ''
 
     async def _write(self, request: bytes) -> None:
-        """Write a hold under a key that lapses with it, or is written again."""
+        """Store a hold under a lease that expires with it."""
         quarantine = self._state.quarantine
         record = quarantine.get_record(request)
         now = self._loop.time()
         left_s = quarantine.find_held_until(request, now) - now
-        if record is None or left_s < _LEAST_LEASE_S:
+        if record is None or left_s < _MIN_LEASE_S:
             return
         hold = StoredHold(_read_clock_ms(), build_told(request, record, now))
         key = PREFIX + request.hex()
-        lease = await self._store.grant_lease(min(left_s, _MOST_LEASE_S))
+        lease = await self._store.grant_lease(min(left_s, _MAX_LEASE_S))
         await self._store.write({key: json.encode(hold)}, {}, lease)
         self._stored[key] = request
 
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -1,8 +1,9 @@
-"""See which requests had just begun to run at replicas whose process ended.
+"""Detect which requests had just started on replicas that crashed.
 
-A run that breaks off says little by itself: replicas break answers off and live,
-leave, or fall dark with a rack. It counts against the request only if the process
-at that address has ended, unannounced, and the run had hardly begun.
+A failed run alone is no evidence: replicas break off responses and keep
+running, shut down, or lose power with their rack. It counts against the request
+only if the replica process has terminated unannounced and the run had just
+started.
 """
 
 from __future__ import annotations
@@ -28,22 +29,22 @@
     from samphirerill.relay.task import Task
 
 _LOG = get_logger('quarantine')
-# A replica that does not answer is asked again after these pauses: packets are lost.
-_ASK_AGAIN_S = (0.0, 0.1, 0.3)
-# A run that goes on is noted again after so long.
-_NOTE_AGAIN_S = 0.5
-# What a suspect waits before it is sent again, longer than evidence takes to settle.
-# Those that an end broke off together would follow each other to the next replica;
-# apart, the guilty one is alone there.
-_LEAST_REST_S = 0.15
-_MOST_REST_S = 0.4
-_STEP_S = 0.01
-_MOST_NAMED = 4
+# Delays before each probe of a replica, as packets may be lost.
+_PROBE_DELAYS_S = (0.0, 0.1, 0.3)
+# Interval at which a continuing run is recorded.
+_NOTE_INTERVAL_S = 0.5
+# Random delay before a suspect is retried, longer than the settling time of
+# evidence. Requests that failed in the same crash would otherwise reach the
+# next replica together; apart, the one that crashes it is alone there.
+_MIN_RETRY_DELAY_S = 0.15
+_MAX_RETRY_DELAY_S = 0.4
+_POLL_INTERVAL_S = 0.01
+_MAX_LOGGED = 4
 
 
 @dataclass(slots=True, frozen=True)
-class _Break:
-    """A run that broke off as it began."""
+class _FailedRun:
+    """A run that failed shortly after its start."""
 
     request: bytes
     request_id: str
@@ -51,18 +52,18 @@
 
 
 class Witness:
-    """Tells breaks that count from those that don't.
+    """Attributes replica crashes to the requests that had just started there.
 
     Parameters
     ----------
     state : EdgeState
         Replicas and the quarantine.
     examiner : Examiner
-        Asks replicas whether they have ended.
+        Probes whether replicas have terminated.
     keeper : Keeper
-        Takes what is found.
+        Records the evidence.
     sharing : Sharing
-        Tells it to the other nodes.
+        Sends it to the other nodes.
     """
 
     def __init__(
@@ -77,22 +78,23 @@
         self._keeper = keeper
         self._sharing = sharing
         self._loop = asyncio.get_running_loop()
-        # Of replicas that are asked now, the runs that broke off there.
-        self._broken: dict[str, list[_Break]] = {}
-        self._unclear: Counter[bytes] = Counter()
+        # Failed runs of each replica process that is being probed.
+        self._failed_runs: dict[str, list[_FailedRun]] = {}
+        self._unresolved: Counter[bytes] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def find_held_until(self, task: Task) -> float:
-        """Return until when a request is held back; 0 if it may run."""
+        """Return until when a request is rejected; 0 if it may run."""
         quarantine = self._state.quarantine
         if not len(quarantine):
             return 0.0
         return quarantine.find_held_until(task.identity, self._loop.time())
 
     def explain(self, task: Task) -> str:
-        """Return why a request is held back, for the log.
+        """Return why a request is rejected, for the log.
 
-        By the attempt under which it was seen first, operators find the rest.
+        It names the id of the first request with this content, which operators
+        can look up.
         """
         record = self._state.quarantine.get_record(task.identity)
         if record is None or not record.deaths:
@@ -100,117 +102,123 @@
         return f'it ends replicas, first as {record.deaths[0].request_id}'
 
     def is_suspect(self, task: Task) -> bool:
-        """Return whether a request has seen more than one replica end."""
+        """Return whether more than one replica crashed with a request."""
         quarantine = self._state.quarantine
-        if not len(quarantine) and not self._unclear:
+        if not len(quarantine) and not self._unresolved:
             return False
         known = quarantine.count_deaths(task.identity)
-        return known + self._unclear[task.identity] >= SUSPECT_DEATHS
+        return known + self._unresolved[task.identity] >= SUSPECT_DEATHS
 
     def list_trials(self) -> frozenset[str]:
-        """Return the replicas where a suspect runs now."""
+        """Return the replicas that run a suspect."""
         return self._sharing.trials.list(self._loop.time())
 
     def note_send(self, task: Task, replica: Replica) -> None:
-        """A request is sent; if it is a suspect, none should join it."""
+        """Tell all nodes if the request being sent is a suspect."""
         if self.is_suspect(task):
             self._state.counters['quarantine.trials'] += 1
-            self._sharing.tell_trial(replica.replica_id)
+            self._sharing.broadcast_trial(replica.replica_id)
 
     async def rest(self, task: Task) -> None:
-        """Let a suspect wait before it is sent again.
+        """Delay the retry of a suspect.
 
-        Whether the replica of its last run has ended is asked just now; if it
-        lives, there is nothing to wait for.
+        The replica of the last run is being probed; if it is alive, no delay is
+        needed.
         """
-        until = self._loop.time() + _MOST_REST_S
-        while self._unclear[task.identity] and self.is_suspect(task):
+        until = self._loop.time() + _MAX_RETRY_DELAY_S
+        while self._unresolved[task.identity] and self.is_suspect(task):
             if self._loop.time() >= until:
                 break
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         if self.is_suspect(task):
-            rest_s = self._state.random.uniform(_LEAST_REST_S, _MOST_REST_S)
-            await asyncio.sleep(rest_s)
+            delay_s = self._state.random.uniform(
+                _MIN_RETRY_DELAY_S, _MAX_RETRY_DELAY_S
+            )
+            await asyncio.sleep(delay_s)
 
     def note_break(
         self, task: Task, replica: Replica, run: RunTimes | None = None
     ) -> None:
-        """A run broke off; find out whether its replica has ended.
+        """Probe whether the replica of a failed run has terminated.
 
         Parameters
         ----------
         task : Task
-            What was run.
+            The task that was run.
         replica : Replica
-            To whom it was sent.
+            The replica that it was sent to.
         run : RunTimes, optional
-            How far the run had come; left out if nothing came of it.
+            Progress of the run; omitted if it sent no events.
         """
         if run is not None and run.has_survived:
             self._note_survival(task)
             return
         if self._state.view.is_leaving(replica.replica_id):
             return
-        found = _Break(task.identity, task.request_id, self._loop.time())
-        self._unclear[found.request] += 1
-        name = _name_start(replica)
-        waiting = self._broken.setdefault(name, [])
-        waiting.append(found)
+        failed_run = _FailedRun(
+            task.identity, task.request_id, self._loop.time()
+        )
+        self._unresolved[failed_run.request] += 1
+        process_name = _name_process(replica)
+        waiting = self._failed_runs.setdefault(process_name, [])
+        waiting.append(failed_run)
         if len(waiting) == 1:
-            self._start(self._find_out(replica, name, found.at))
+            self._start_task(
+                self._investigate(replica, process_name, failed_run.at)
+            )
 
     def note_progress(self, task: Task, run: RunTimes) -> None:
-        """Events of a run have come."""
+        """Record that a run has sent events."""
         if not len(self._state.quarantine) or not run.has_survived:
             return
         now = self._loop.time()
         if now >= run.note_at:
-            run.note_at = now + _NOTE_AGAIN_S
+            run.note_at = now + _NOTE_INTERVAL_S
             self._note_survival(task)
 
     def note_whole(self, task: Task) -> None:
-        """A run has come to its end; its replica lives."""
+        """Record that a run has completed, so that its replica is alive."""
         if len(self._state.quarantine):
             self._note_survival(task)
 
     def _note_survival(self, task: Task) -> None:
-        if self._keeper.note_survival(task.identity):
-            self._sharing.tell((task.identity,))
+        if self._keeper.record_survival(task.identity):
+            self._sharing.broadcast((task.identity,))
 
-    async def _find_out(
-        self, replica: Replica, name: str, since: float
+    async def _investigate(
+        self, replica: Replica, process_name: str, since: float
     ) -> None:
         try:
-            has_ended = await self._has_ended(replica, since)
+            has_terminated = await self._has_terminated(replica, since)
         finally:
-            broken = self._broken.pop(name)
-            self._unclear -= Counter(found.request for found in broken)
-        if has_ended:
-            self._note_end(replica, name, broken)
+            failed_runs = self._failed_runs.pop(process_name)
+            self._unresolved -= Counter(run.request for run in failed_runs)
+        if has_terminated:
+            self._record_crash(replica, process_name, failed_runs)
 
-    def _note_end(
-        self, replica: Replica, name: str, broken: list[_Break]
+    def _record_crash(
+        self, replica: Replica, process_name: str, failed_runs: list[_FailedRun]
     ) -> None:
         self._state.counters['quarantine.ends'] += 1
-        named = [run.request_id for run in broken[:_MOST_NAMED]]
+        request_ids = [run.request_id for run in failed_runs[:_MAX_LOGGED]]
         _LOG.info(
             'replica ended under requests',
             extra={
                 'replica': replica.replica_id,
-                'count': len(broken),
-                'requests': named,
+                'count': len(failed_runs),
+                'requests': request_ids,
             },
         )
-        for lost in broken:
-            death = Death(name, lost.request_id, lost.at)
-            self._keeper.note_death(lost.request, death)
-        self._sharing.tell([told.request for told in broken])
+        for run in failed_runs:
+            death = Death(process_name, run.request_id, run.at)
+            self._keeper.record_crash(run.request, death)
+        self._sharing.broadcast([failed.request for failed in failed_runs])
 
-    async def _has_ended(self, replica: Replica, since: float) -> bool:
-        """Return whether a process has ended; one that is silent may live."""
+    async def _has_terminated(self, replica: Replica, since: float) -> bool:
+        """Return whether the process has terminated; silence is no proof."""
         replica_id = replica.replica_id
-        for pause_s in _ASK_AGAIN_S:
-            await asyncio.sleep(pause_s)
+        for delay_s in _PROBE_DELAYS_S:
+            await asyncio.sleep(delay_s)
             if replica_id not in self._state.view.known:
                 return not self._state.view.is_leaving(replica_id)
             if not await self._examiner.ask_after([replica], since):
@@ -219,14 +227,14 @@
                 return True
         return False
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _name_start(replica: Replica) -> str:
-    """Return a name for this start of a replica; some keep their ids."""
+def _name_process(replica: Replica) -> str:
+    """Return a name for a replica process; some restart with the same id."""
     if not replica.started_ms:
         return replica.replica_id
     return f'{replica.replica_id}/{replica.started_ms}'
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -1,4 +1,4 @@
-"""Engines that a marked request ends, as a fault of the engine's makes it."""
+"""Engines that crash when they run a poison request."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     from samphirerill.relay.connection import Headers
     from samphirerill.relay.process import EdgeProcess
 
-MARK = b'this ends whoever runs it'
-# As many nodes share the slack as are taken for granted; each has plenty.
-PLENTY = 4000
-CUT = 0
+POISON = b'this ends whoever runs it'
+# Retry budget that is divided by the assumed number of nodes.
+RETRY_SLACK = 4000
+FAILED = 0
 EVENTS = 20
 OTHER_KEY = 'viti-key'
 _GAP_S = 0.02
-_ENGINES = 6
-_BACK_AFTER_S = 0.4
+_ENGINE_COUNT = 6
+_RESTART_DELAY_S = 0.4
 
 
 def find_ports() -> tuple[int, int]:
@@ -56,10 +56,11 @@
 
 
 class EndingEnginesCase(IsolatedAsyncioTestCase):
-    """Six whole engines; one that ends is back at another address, empty.
+    """Six engines that hold all layers; a crashed one restarts elsewhere.
 
-    `ends` are when engines ended, `sends` when marked requests reached one;
-    `marked` holds the statuses of those that have their answer, by id.
+    `crash_times` are when engines crashed, `poison_sent_at` when poison
+    requests reached an engine; `poison_statuses` maps the ids of completed
+    poison requests to their status.
     """
 
     target = b'/notes/x'
@@ -71,15 +72,15 @@
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.world = PlatformWorld(find_ports())
-        self.ends: list[float] = []
-        self.ended: set[str] = set()
-        self.sends: list[float] = []
-        self.marked: dict[str, int] = {}
+        self.crash_times: list[float] = []
+        self.crashed: set[str] = set()
+        self.poison_sent_at: list[float] = []
+        self.poison_statuses: dict[str, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.addAsyncCleanup(self._stop)
         await self.world.start()
         await self.world.service.put('op/config', self.build_configuration())
-        for _ in range(_ENGINES):
+        for _ in range(_ENGINE_COUNT):
             await self.start_engine()
         self.nodes = [self.world.expect_process()]
         await self.prepare(self.nodes[0])
@@ -91,9 +92,9 @@
         return json.encode(document)
 
     async def start_engine(self) -> None:
-        """Start an engine under an id of its own."""
+        """Start an engine under a new id."""
         name = f'engine-{len(self.world.replicas)}'
-        engine = EndingReplica(name, MARK, self._note_marked, self._end)
+        engine = EndingReplica(name, POISON, self._record_poison, self._crash)
         engine.layers = self.layers or (0, 0)
         engine.gap_s = _GAP_S
         engine.events = self.events
@@ -103,7 +104,7 @@
         await self.world.service.put(f'servers/{name}', entry)
 
     async def announce_leaving(self, name: str) -> None:
-        """Let an engine say that it leaves."""
+        """Let an engine announce that it shuts down."""
         entry = build_entry(
             self.service,
             self.world.addresses[name],
@@ -114,20 +115,20 @@
         await self.world.service.put(f'servers/{name}', entry)
 
     async def add_node(self) -> EdgeProcess:
-        """Start one more node."""
+        """Start another node."""
         node = self.world.start_node()
         self.nodes.append(node)
         await self.prepare(node)
         return node
 
     async def prepare(self, node: EdgeProcess) -> None:
-        """Wait until a node serves, and give it plenty of repeats."""
+        """Wait until a node is ready, and raise its retry budget."""
         await self.world.until_ready(node)
         async with asyncio.timeout(5):
             while not node.state.view.known:
                 await asyncio.sleep(0.01)
         node.state.change_settings(
-            replace(node.state.settings, retry_slack=PLENTY)
+            replace(node.state.settings, retry_slack=RETRY_SLACK)
         )
 
     async def ask(
@@ -137,54 +138,54 @@
         body: bytes,
         key: str = KEY,
     ) -> tuple[int, bytes]:
-        """Send a request; the status is 0 if its answer is cut."""
+        """Send a request; the status is 0 if the response breaks off."""
         headers = build_headers(request_id, key)
         try:
             return await self.world.ask(self.target, headers, body, node)
         except EndpointError as exc:
-            return CUT, str(exc).encode()
+            return FAILED, str(exc).encode()
 
-    async def send_marked(self, node: EdgeProcess, request_id: str) -> None:
-        """Send the request that ends engines."""
-        status, _ = await self.ask(node, request_id, MARK)
-        self.marked[request_id] = status
+    async def send_poison(self, node: EdgeProcess, request_id: str) -> None:
+        """Send the request that crashes engines."""
+        status, _ = await self.ask(node, request_id, POISON)
+        self.poison_statuses[request_id] = status
 
-    def list_reached(self) -> set[str]:
-        """Return the ids of marked requests that reached an engine."""
+    def list_executed(self) -> set[str]:
+        """Return the ids of poison requests that reached an engine."""
         return {
             (req.get(b'x-samphirerill-request-id') or b'').decode()
             for engine in self.world.replicas.values()
             for req in engine.seen
-            if MARK in req.body
+            if POISON in req.body
         }
 
-    def count_late(self, grace_s: float) -> int:
-        """Return the sends later than so long after the third end."""
-        if len(self.ends) < 3:
+    def count_late_sends(self, grace_s: float) -> int:
+        """Return the sends after a grace time from the third crash."""
+        if len(self.crash_times) < 3:
             return 0
-        since = self.ends[2] + grace_s
-        return sum(at > since for at in self.sends)
+        since = self.crash_times[2] + grace_s
+        return sum(at > since for at in self.poison_sent_at)
 
     def list_running(self) -> set[str]:
-        """Return the engines that have not ended."""
-        return self.world.replicas.keys() - self.ended
+        """Return the engines that have not crashed."""
+        return self.world.replicas.keys() - self.crashed
 
     def end_engine(self, name: str) -> None:
-        """End an engine; it is back soon, elsewhere and empty."""
-        self._end(name)
+        """Crash an engine; a new one starts soon after."""
+        self._crash(name)
 
-    def _note_marked(self) -> None:
-        self.sends.append(self.loop.time())
+    def _record_poison(self) -> None:
+        self.poison_sent_at.append(self.loop.time())
 
-    def _end(self, name: str) -> None:
-        self.ends.append(self.loop.time())
-        self.ended.add(name)
-        task = asyncio.create_task(self._come_back())
+    def _crash(self, name: str) -> None:
+        self.crash_times.append(self.loop.time())
+        self.crashed.add(name)
+        task = asyncio.create_task(self._restart())
         self._tasks.add(task)
         self.world.end_replica(name)
 
-    async def _come_back(self) -> None:
-        await asyncio.sleep(_BACK_AFTER_S)
+    async def _restart(self) -> None:
+        await asyncio.sleep(_RESTART_DELAY_S)
         await self.start_engine()
 
     async def _stop(self) -> None:
--- a/samphirerill/tests/test_alarms.py
+++ b/samphirerill/tests/test_alarms.py
@@ -33,13 +33,13 @@
         )
         self.now = asyncio.get_running_loop().time()
 
-    def handle_datagram(
+    def deliver(
         self,
         sequence: int,
         suspected: tuple[int, int, int] | None = None,
         alive: int | None = None,
     ) -> Suspicion:
-        """Let an alarm come; return what is held against the replica."""
+        """Deliver an alarm; return the suspicions about the replica."""
         key = checksum_name('one')
         alarm = Alarm(
             'a-0',
@@ -60,32 +60,22 @@
 
         Alarms to all nodes are forwarded, and may arrive after a direct one.
         """
-        self.handle_datagram(6, alive=3000)
-        self.assertTrue(
-            self.handle_datagram(5, suspected=(10, 2000, 2)).dead_until
-        )
+        self.deliver(6, alive=3000)
+        self.assertTrue(self.deliver(5, suspected=(10, 2000, 2)).dead_until)
 
     async def test_a_duplicate_alarm_is_ignored(self) -> None:
-        self.handle_datagram(5, suspected=(10, 2000, 2))
+        self.deliver(5, suspected=(10, 2000, 2))
         self.node.state.view.trust('one')
-        self.assertFalse(
-            self.handle_datagram(5, suspected=(10, 2000, 2)).dead_until
-        )
+        self.assertFalse(self.deliver(5, suspected=(10, 2000, 2)).dead_until)
 
     async def test_outdated_and_future_entries_are_ignored(self) -> None:
-        self.assertFalse(
-            self.handle_datagram(5, suspected=(5000, 2000, 2)).words
-        )
-        self.assertFalse(
-            self.handle_datagram(6, suspected=(-900, 2000, 2)).words
-        )
-        self.handle_datagram(7, alive=-100_000)
-        self.assertTrue(
-            self.handle_datagram(8, suspected=(0, 2000, 2)).dead_until
-        )
+        self.assertFalse(self.deliver(5, suspected=(5000, 2000, 2)).words)
+        self.assertFalse(self.deliver(6, suspected=(-900, 2000, 2)).words)
+        self.deliver(7, alive=-100_000)
+        self.assertTrue(self.deliver(8, suspected=(0, 2000, 2)).dead_until)
 
     async def test_the_duration_is_bounded(self) -> None:
-        found = self.handle_datagram(5, suspected=(10, 10**9, 2))
+        found = self.deliver(5, suspected=(10, 10**9, 2))
         self.assertLess(found.dead_until, self.now + 9)
 
     async def test_malformed_alarms_are_ignored(self) -> None:
@@ -93,4 +83,4 @@
             TYPE_PREFIX + b'\x93\x01', '10.0.0.0:7340'
         )
         self.node.alarms.handle_datagram(TYPE_PREFIX, '10.0.0.0:7340')
-        self.assertFalse(self.handle_datagram(9, alive=1).words)
+        self.assertFalse(self.deliver(9, alive=1).words)
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -1,20 +1,7 @@
-"""A request that ends each endpoint that runs it is not sent on for long.
+"""A request that crashes replicas is quarantined by all nodes.
 
-Symptom: a request under which three replicas had ended was sent to replicas ten
-times more, and ended nearly all of them; for seconds most streams were refused or
-cut.
-
-Sequence: a stream is sent; its replica ends with all that it runs as the answer
-begins. The node sends the stream again, and the next replica ends. The client comes
-back, under another id, to another node, and again after some seconds.
-
-Cause: what a request did to replicas was known to its own exchange, and forgotten
-with it; each attempt and each node began with nothing. Nothing that nodes told each
-other named a request.
-
-Evidence: on the recorded day each exchange sent twice at the most, and eight of
-them ended 24 replicas, each 0.06 to 0.23 s after the send; with the evidence kept
-and shared, three or four replicas end in all.
+Guards against evidence that is lost with each attempt, as the same request may
+return under another id and at another node.
 """
 
 from __future__ import annotations
@@ -29,7 +16,7 @@
 from samphirerill.relay.pool import call_once
 from samphirerill.tests.ending_engines import (
     EVENTS,
-    MARK,
+    POISON,
     OTHER_KEY,
     EndingEnginesCase,
     build_headers,
@@ -42,101 +29,103 @@
     from samphirerill.relay.process import EdgeProcess
 
 _OK = 200
-_FAILED = 502
-_NOT_RUN = 503
-_RETURNS = 14
-_EACH_S = 0.25
-# From the third end on, all nodes should know the request after this.
-_KNOWN_S = 1.0
-# So many more sends may follow later than that.
-_MOST_LATE = 3
-# A request that is known gets its answer at once, also on a busy machine.
-_AT_ONCE_S = 0.5
-_LONG_RETRY_S = 100.0
-_SETTLED_S = 0.3
-
-
-class ReturningCase(EndingEnginesCase):
-    """The same path, client account and body come again and again."""
+_BAD_GATEWAY = 502
+_UNAVAILABLE = 503
+_ARRIVALS = 14
+_ARRIVAL_INTERVAL_S = 0.25
+# Time after the third crash in which all nodes learn of the request.
+_PROPAGATION_S = 1.0
+# Further sends that are accepted after that time.
+_MAX_LATE_SENDS = 3
+# Generous for slow test machines.
+_IMMEDIATE_S = 0.5
+_MIN_RETRY_AFTER_S = 100.0
+_SETTLING_S = 0.3
+
+
+class RepeatedPoisonCase(EndingEnginesCase):
+    """The same path, client account and body arrive repeatedly."""
 
     rounds = -1
 
-    async def play(
-        self, nodes: Sequence[EdgeProcess], count: int = _RETURNS
+    async def send_repeatedly(
+        self, nodes: Sequence[EdgeProcess], count: int = _ARRIVALS
     ) -> None:
-        """Let the request come to nodes in turn."""
+        """Send the request to nodes in turn."""
         sends = []
         self.rounds += 1
         for number in range(count):
             node = nodes[number % len(nodes)]
             name = f'{self.rounds}-{number}'
-            sends.append(asyncio.create_task(self.send_marked(node, name)))
-            await asyncio.sleep(_EACH_S)
+            sends.append(asyncio.create_task(self.send_poison(node, name)))
+            await asyncio.sleep(_ARRIVAL_INTERVAL_S)
         await asyncio.gather(*sends)
 
-    async def condemn(self) -> None:
-        """Let the request come until it is held back."""
-        await self.play(self.nodes, 4)
-        await asyncio.sleep(_SETTLED_S)
+    async def quarantine_request(self) -> None:
+        """Send the request until it is quarantined."""
+        await self.send_repeatedly(self.nodes, 4)
+        await asyncio.sleep(_SETTLING_S)
 
-    def assert_spared(self) -> None:
-        """The engines were hardly sent the request after the third end."""
-        self.assertGreaterEqual(len(self.ends), 3)
-        self.assertLessEqual(self.count_late(_KNOWN_S), _MOST_LATE)
+    def assert_few_crashes(self) -> None:
+        """Assert that few sends followed the third crash."""
+        self.assertGreaterEqual(len(self.crash_times), 3)
+        self.assertLessEqual(
+            self.count_late_sends(_PROPAGATION_S), _MAX_LATE_SENDS
+        )
 
 
-class TestReturningStream(ReturningCase):
-    """A stream; the engines end with its second event."""
+class TestPoisonStream(RepeatedPoisonCase):
+    """A stream that crashes engines with its second event."""
 
-    async def test_to_one_node(self) -> None:
-        await self.play(self.nodes)
-        self.assert_spared()
+    async def test_one_node(self) -> None:
+        await self.send_repeatedly(self.nodes)
+        self.assert_few_crashes()
 
-    async def test_to_two_nodes_in_turn(self) -> None:
+    async def test_two_nodes_in_turn(self) -> None:
         await self.add_node()
-        await self.play(self.nodes)
-        self.assert_spared()
+        await self.send_repeatedly(self.nodes)
+        self.assert_few_crashes()
 
-    async def test_to_a_node_that_starts_after_the_third_end(self) -> None:
-        await self.play(self.nodes, 4)
+    async def test_a_node_that_starts_after_the_third_crash(self) -> None:
+        await self.send_repeatedly(self.nodes, 4)
         node = await self.add_node()
-        await asyncio.sleep(_KNOWN_S)
-        await self.play([node])
-        self.assert_spared()
+        await asyncio.sleep(_PROPAGATION_S)
+        await self.send_repeatedly([node])
+        self.assert_few_crashes()
 
-    async def test_to_a_node_that_was_killed_and_started(self) -> None:
+    async def test_a_node_that_was_restarted(self) -> None:
         await self.add_node()
-        await self.play(self.nodes, 4)
+        await self.send_repeatedly(self.nodes, 4)
         await self.world.stop_node(self.nodes[0])
         node = await self.add_node()
-        await asyncio.sleep(_KNOWN_S)
-        await self.play([node])
-        self.assert_spared()
+        await asyncio.sleep(_PROPAGATION_S)
+        await self.send_repeatedly([node])
+        self.assert_few_crashes()
 
-    async def test_to_nodes_that_were_all_killed_at_once(self) -> None:
-        """A fleet that loses power isn't ended once more by what it knew."""
+    async def test_a_fleet_that_was_restarted(self) -> None:
+        """Holds survive a restart of all nodes at once."""
         await self.add_node()
-        await self.play(self.nodes, 4)
-        await asyncio.sleep(_KNOWN_S)
+        await self.send_repeatedly(self.nodes, 4)
+        await asyncio.sleep(_PROPAGATION_S)
         for node in self.nodes:
             await self.world.stop_node(node)
-        ended = len(self.ends)
+        crashed = len(self.crash_times)
         started = [await self.add_node(), await self.add_node()]
-        await asyncio.sleep(_SETTLED_S)
-        await self.play(started, 6)
-        self.assertEqual(len(self.ends), ended)
-        self.assert_spared()
+        await asyncio.sleep(_SETTLING_S)
+        await self.send_repeatedly(started, 6)
+        self.assertEqual(len(self.crash_times), crashed)
+        self.assert_few_crashes()
 
-    async def test_while_the_store_is_away(self) -> None:
+    async def test_without_the_store(self) -> None:
         await self.add_node()
         self.world.service.busy = True
-        await self.play(self.nodes)
-        self.assert_spared()
+        await self.send_repeatedly(self.nodes)
+        self.assert_few_crashes()
 
-    async def test_streams_beside_it_are_whole(self) -> None:
-        """Ordinary streams lose engines three or four times, and go on."""
+    async def test_other_streams_complete(self) -> None:
+        """Other streams survive the three or four crashes."""
         await self.add_node()
-        playing = asyncio.create_task(self.play(self.nodes))
+        poison_task = asyncio.create_task(self.send_repeatedly(self.nodes))
         streams = []
         for number in range(30):
             node = self.nodes[number % 2]
@@ -146,66 +135,62 @@
             await asyncio.sleep(0.1)
         for status, body in await asyncio.gather(*streams):
             self.assertEqual((status, body.count(b'id:')), (_OK, EVENTS))
-        await playing
-        self.assert_spared()
+        await poison_task
+        self.assert_few_crashes()
 
 
-class TestAnswers(ReturningCase):
-    """What callers and operators are told."""
+class TestResponses(RepeatedPoisonCase):
+    """Responses to callers and operators."""
 
-    async def test_it_is_refused_at_once_and_told_when_to_come_back(
+    async def test_it_is_rejected_at_once_with_a_retry_time(
         self,
     ) -> None:
-        await self.condemn()
+        await self.quarantine_request()
         began_at = self.loop.time()
-        head = await self.ask_head()
-        self.assertLess(self.loop.time() - began_at, _AT_ONCE_S)
-        self.assertEqual(head.status, _NOT_RUN)
-        self.assert_long_retry(head)
-
-    async def test_what_has_run_is_not_said_not_to_have_run(self) -> None:
-        await self.condemn()
-        reached = self.list_reached()
+        head = await self.fetch_head()
+        self.assertLess(self.loop.time() - began_at, _IMMEDIATE_S)
+        self.assertEqual(head.status, _UNAVAILABLE)
+        self.assert_long_retry_after(head)
+
+    async def test_an_executed_request_is_not_reported_as_not_run(self) -> None:
+        await self.quarantine_request()
+        reached = self.list_executed()
         self.assertTrue(reached)
-        told = {self.marked[name] for name in reached}
-        self.assertNotIn(_NOT_RUN, told)
+        statuses = {self.poison_statuses[name] for name in reached}
+        self.assertNotIn(_UNAVAILABLE, statuses)
 
-    async def test_the_same_body_of_another_account_is_not_refused(
+    async def test_the_same_body_of_another_account_is_accepted(
         self,
     ) -> None:
-        """Nobody can get another client account's request refused."""
-        await self.condemn()
+        """No client account can get requests of another rejected."""
+        await self.quarantine_request()
         for engine in self.world.replicas.values():
             engine.ends_after = EVENTS + 1  # type: ignore[attr-defined]
-        status, _ = await self.ask(self.nodes[0], 'v1', MARK, OTHER_KEY)
+        status, _ = await self.ask(self.nodes[0], 'v1', POISON, OTHER_KEY)
         self.assertEqual(status, _OK)
 
-    async def test_one_that_waits_for_its_turn_gets_its_answer(self) -> None:
-        """Symptom: a request that is known to end replicas is kept waiting.
-
-        Sequence: it came before that was known, and waits for an engine with
-        room. Cause: it was looked at only when its turn had come.
-        """
+    async def test_a_queued_request_is_rejected(self) -> None:
+        """Guard against checking a request only when an engine has room for it."""
         other = await self.add_node()
-        playing = asyncio.create_task(self.play([other], 3))
-        while not self.ends:
+        poison_task = asyncio.create_task(self.send_repeatedly([other], 3))
+        while not self.crash_times:
             await asyncio.sleep(0.01)
         state = self.nodes[0].state
-        state.listen(self.fill_engines)
-        self.fill_engines()
-        head = await self.ask_head()
-        self.assertEqual(head.status, _NOT_RUN)
-        self.assert_long_retry(head)
-        await playing
-
-    def fill_engines(self) -> None:
-        """No engine has room for the first node, not even one that is new."""
+        state.listen(self.occupy_engines)
+        self.occupy_engines()
+        head = await self.fetch_head()
+        self.assertEqual(head.status, _UNAVAILABLE)
+        self.assert_long_retry_after(head)
+        await poison_task
+
+    def occupy_engines(self) -> None:
+        """Leave no room on any engine for the first node."""
         view = self.nodes[0].state.view
         for found in view.known.values():
             found.busy_until = self.loop.time() + 60
 
-    async def test_operators_see_what_is_held_and_until_when(self) -> None:
-        await self.condemn()
+    async def test_operators_see_the_holds(self) -> None:
+        await self.quarantine_request()
         host = self.nodes[0].state.settings.host
         port = self.nodes[0].get_metrics_port()
         until = self.loop.time() + 2
@@ -214,22 +199,22 @@
         )
         self.assertEqual(status, _OK)
         held = json.decode(text)['quarantine'][0]
-        self.assertGreater(held['left_ms'], 1000 * _LONG_RETRY_S)
+        self.assertGreater(held['left_ms'], 1000 * _MIN_RETRY_AFTER_S)
         self.assertGreaterEqual(len(held['deaths']), 3)
         self.assertEqual(held['first_request'], '0-0')
-        self.assertNotIn(MARK, text)
+        self.assertNotIn(POISON, text)
 
-    def assert_long_retry(self, head: Head) -> None:
-        """The caller is told to come back when the hold is over."""
+    def assert_long_retry_after(self, head: Head) -> None:
+        """Assert that the caller may retry after the hold only."""
         retry_s = float(head.get(b'retry-after') or b'0')
-        self.assertGreater(retry_s, _LONG_RETRY_S)
+        self.assertGreater(retry_s, _MIN_RETRY_AFTER_S)
 
-    async def ask_head(self) -> Head:
-        """Send the request once more; return the head of the answer."""
+    async def fetch_head(self) -> Head:
+        """Send the request once more; return the response head."""
         conn: HttpConnection = await self.world.connect(self.nodes[0])
         try:
             conn.send(
-                build_call(b'POST', self.target, build_headers('h1'), MARK)
+                build_call(b'POST', self.target, build_headers('h1'), POISON)
             )
             head = await conn.read(self.loop.time() + 10)
         finally:
@@ -238,61 +223,61 @@
         return head  # type: ignore[return-value]
 
 
-class TestReturningPlainRequest(ReturningCase):
-    """Work that may not be repeated: each arrival ends one endpoint."""
+class TestPoisonPlainRequest(RepeatedPoisonCase):
+    """Requests that must not be retried: each crashes one endpoint."""
 
     target = b'/pickup/x'
     service = 'desk'
     kind = ''
     layers = None
 
-    async def test_to_three_nodes_in_turn(self) -> None:
-        """No node sees it more than once in three arrivals."""
+    async def test_three_nodes_in_turn(self) -> None:
+        """No node gets the request twice in three arrivals."""
         for _ in range(2):
             await self.add_node()
-        await self.play(self.nodes)
-        self.assert_spared()
-        reached = self.list_reached()
-        for name, status in self.marked.items():
-            expected = _FAILED if name in reached else _NOT_RUN
+        await self.send_repeatedly(self.nodes)
+        self.assert_few_crashes()
+        reached = self.list_executed()
+        for name, status in self.poison_statuses.items():
+            expected = _BAD_GATEWAY if name in reached else _UNAVAILABLE
             self.assertEqual(status, expected, name)
 
 
-class TestReturningIdempotentRequest(TestReturningPlainRequest):
-    """Work that may be repeated: an arrival ends two endpoints."""
+class TestPoisonIdempotentRequest(TestPoisonPlainRequest):
+    """Requests that may be retried: each crashes two endpoints."""
 
     def build_configuration(self) -> bytes:
         document = json.decode(super().build_configuration())
         document['routes'][1].update(kind='idempotent', maxAttempts=2)
         return json.encode(document)
 
-    async def test_to_three_nodes_in_turn(self) -> None:
+    async def test_three_nodes_in_turn(self) -> None:
         for _ in range(2):
             await self.add_node()
-        await self.play(self.nodes)
-        self.assert_spared()
+        await self.send_repeatedly(self.nodes)
+        self.assert_few_crashes()
 
 
-class TestNoEvidence(ReturningCase):
-    """Breaks that say nothing against a request."""
+class TestNoEvidence(RepeatedPoisonCase):
+    """Failures that are no evidence against a request."""
 
     body = b'harmless'
 
-    async def test_engines_that_break_off_and_live(self) -> None:
-        """Some engines cut answers short; their processes go on."""
+    async def test_engines_that_break_off_responses(self) -> None:
+        """Some engines break off responses, but their processes go on."""
         for engine in self.world.replicas.values():
             engine.stop_after = 3
         ask = self.ask(self.nodes[0], 'b1', self.body)
         waiting = asyncio.create_task(ask)
-        await asyncio.sleep(_KNOWN_S)
+        await asyncio.sleep(_PROPAGATION_S)
         for whole in self.world.replicas.values():
             whole.stop_after = 0
         status, _ = await waiting
         self.assertEqual(status, _OK)
         self.assert_nothing_held()
 
-    async def test_engines_that_leave_and_end(self) -> None:
-        """They have said that they leave; what they cut is no surprise."""
+    async def test_engines_that_shut_down(self) -> None:
+        """The failure of requests on engines that shut down is expected."""
         streams = [
             asyncio.create_task(
                 self.ask(self.nodes[0], f'l{number}', self.body)
@@ -311,21 +296,21 @@
         await asyncio.gather(*streams)
         self.assert_nothing_held()
 
-    async def test_an_engine_that_only_falls_silent(self) -> None:
-        """Its machine has lost power, or the way to it."""
+    async def test_an_unresponsive_engine(self) -> None:
+        """Its machine or the network has failed."""
         ask = self.ask(self.nodes[0], 's1', self.body)
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(0.1)
         for engine in self.world.replicas.values():
             engine.free.clear()
-        await asyncio.sleep(_SETTLED_S)
+        await asyncio.sleep(_SETTLING_S)
         for silent in self.world.replicas.values():
             silent.free.set()
         await waiting
         self.assert_nothing_held()
 
     def assert_nothing_held(self) -> None:
-        """Nothing is known against the request."""
+        """Assert that there is no evidence against the request."""
         quarantine = self.nodes[0].state.quarantine
         identity = digest_request('suva', self.target, self.body)
         self.assertEqual(quarantine.count_deaths(identity), 0)
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -1,4 +1,4 @@
-"""Requests that are held back stay so when all nodes start anew."""
+"""Holds of quarantined requests survive a restart of all nodes."""
 
 from __future__ import annotations
 
@@ -6,69 +6,69 @@
 
 from samphirerill.quarantine import Death, digest_request
 from samphirerill.relay.quarantine.stored_holds import PREFIX
-from samphirerill.tests.ending_engines import MARK, EndingEnginesCase
+from samphirerill.tests.ending_engines import POISON, EndingEnginesCase
 
-_RETURNS = 4
-_EACH_S = 0.25
-_SOON_S = 1.0
+_ARRIVALS = 4
+_ARRIVAL_INTERVAL_S = 0.25
+_SYNC_S = 1.0
 _ACCOUNT = 'tromsvik'
 _REQUEST = digest_request(_ACCOUNT, b'/notes/long', b'ends them')
-# The hold of so many ends is 40 minutes.
-_LONG_ENDS = 5
+# This many crashes make a hold of 40 minutes.
+_CRASH_COUNT = 5
 
 
 class TestStoredHolds(EndingEnginesCase):
-    """What the commander writes, and what nodes make of it."""
+    """Holds that the leader writes and all nodes read."""
 
-    async def condemn(self) -> None:
-        """Let the request come until it is held back."""
-        for number in range(_RETURNS):
-            await self.send_marked(self.nodes[0], f'r{number}')
-            await asyncio.sleep(_EACH_S)
-        await asyncio.sleep(_SOON_S)
+    async def quarantine_request(self) -> None:
+        """Send the request until it is quarantined."""
+        for number in range(_ARRIVALS):
+            await self.send_poison(self.nodes[0], f'r{number}')
+            await asyncio.sleep(_ARRIVAL_INTERVAL_S)
+        await asyncio.sleep(_SYNC_S)
 
-    async def test_one_key_is_written_and_lapses_with_the_hold(self) -> None:
-        """A hold doesn't stay in the store for good."""
-        await self.condemn()
+    async def test_the_key_expires_with_the_hold(self) -> None:
+        """Guard against holds that stay in the store forever."""
+        await self.quarantine_request()
         self.assertEqual(len(self.list_keys()), 1)
         await self.world.service.end_leases()
         self.assertEqual(self.list_keys(), [])
 
-    async def test_a_hold_longer_than_any_lease_is_stored(self) -> None:
-        """Doubled holds aren't lost because no lease lasts as long."""
+    async def test_a_hold_that_exceeds_the_longest_lease(self) -> None:
+        """Guard against not storing holds longer than any lease."""
         quarantine = self.nodes[0].state.quarantine
-        for number in range(_LONG_ENDS):
-            at = self.loop.time() - _LONG_ENDS + number
+        for number in range(_CRASH_COUNT):
+            at = self.loop.time() - _CRASH_COUNT + number
             death = Death(f'engine-{number}', f'r{number}', at)
             quarantine.note_death(_REQUEST, death, self.loop.time())
         quarantine.judge(self.loop.time())
-        await asyncio.sleep(_SOON_S)
+        await asyncio.sleep(_SYNC_S)
         self.assertEqual(self.list_keys(), [PREFIX + _REQUEST.hex()])
 
-    async def test_a_request_that_goes_on_is_removed(self) -> None:
-        """An engine that was mended isn't refused its work after a restart."""
-        await self.condemn()
+    async def test_a_refuted_hold_is_removed(self) -> None:
+        """Guard against rejecting a request after its cause was fixed."""
+        await self.quarantine_request()
         quarantine = self.nodes[0].state.quarantine
         request = next(iter(quarantine.list_records()))[0]
         quarantine.note_survival(request, self.loop.time())
-        await asyncio.sleep(_SOON_S)
+        await asyncio.sleep(_SYNC_S)
         self.assertEqual(self.list_keys(), [])
 
-    async def test_values_of_others_are_passed_over(self) -> None:
-        """Bytes that nobody can read stop no node from following the store."""
+    async def test_malformed_entries_are_ignored(self) -> None:
+        """Guard against entries that stop nodes from reading the store."""
         await self.world.service.put(f'{PREFIX}00', b'\xff not a hold')
         await self.world.service.put(f'{PREFIX}01', b'{"written_ms": 1}')
         node = await self.add_node()
         self.assertEqual(len(node.state.quarantine), 0)
 
-    async def test_the_key_does_not_tell_the_body(self) -> None:
-        await self.condemn()
-        digest = digest_request(_ACCOUNT, self.target, MARK)
+    async def test_the_key_does_not_reveal_the_body(self) -> None:
+        await self.quarantine_request()
+        digest = digest_request(_ACCOUNT, self.target, POISON)
         for key in self.list_keys():
-            self.assertNotIn(MARK.hex(), key)
+            self.assertNotIn(POISON.hex(), key)
             self.assertEqual(len(key), len(PREFIX) + len(digest.hex()))
 
     def list_keys(self) -> list[str]:
-        """Return the stored holds."""
+        """Return the keys of the stored holds."""
         keys = self.world.service.keys
         return [key for key in keys if key.startswith(PREFIX)]
