--- a/samphirerill/relay/change_log.py
+++ b/samphirerill/relay/change_log.py
@@ -157,7 +157,7 @@
             self._compacted_revision = dropped.event.revision
         self._advance(changes.revision)
 
-    def has(self, after: int) -> bool:
+    def contains(self, after: int) -> bool:
         """Return whether all changes after a revision are in the log."""
         return self._compacted_revision <= after <= self.revision
 
--- a/samphirerill/relay/health/__init__.py
+++ b/samphirerill/relay/health/__init__.py
@@ -1,4 +1,4 @@
-"""Which replicas work: signs of life, questions, and what nodes tell of them."""
+"""Health checks of replicas, and the exchange of their results between nodes."""
 
 from samphirerill.relay.health.alarms import Alarms
 from samphirerill.relay.health.examiner import Diagnosis, Examiner
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -31,7 +31,7 @@
 class Verdict(enum.Enum):
     """Outcome of a probe; values are the reasons in the log."""
 
-    ALIVE = 'lives'
+    ALIVE = 'alive'
     TERMINATED = 'has ended'
     UNRESPONSIVE = 'does not answer'
     INCONCLUSIVE = 'broke off'
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -227,17 +227,21 @@
             and self._next_probe_at.get(name, now) <= now
             and not view.is_leaving(name)
         ]
-        mine = self._select_own(due) if due else []
-        if not mine:
+        own_share = self._select_own(due) if due else []
+        if not own_share:
             return
         self._next_probe_at = {
             name: at for name, at in self._next_probe_at.items() if at > now
         }
         self._next_probe_at.update(
-            dict.fromkeys(mine, now + _REPROBE_INTERVAL_S)
+            dict.fromkeys(own_share, now + _REPROBE_INTERVAL_S)
         )
-        dead = await self._probe(mine)
+        dead = await self._probe(own_share)
         alive = self._examiner.find_alive(now)
         self._alarms.broadcast_alive(
-            {name: alive[name] for name in mine if name in alive.keys() - dead}
+            {
+                name: alive[name]
+                for name in own_share
+                if name in alive.keys() - dead
+            }
         )
--- a/samphirerill/relay/health/words.py
+++ b/samphirerill/relay/health/words.py
@@ -66,7 +66,9 @@
 
 
 def apply_suspicion(state: EdgeState, replica_id: str, suspicion: Word) -> bool:
-    """Apply a suspicion; return whether the replica is dead by it, as news.
+    """Apply another node's suspicion; return whether the replica is now dead.
+
+    Return false if it was dead already.
 
     Parameters
     ----------
@@ -75,7 +77,7 @@
     replica_id : str
         The suspected replica.
     suspicion : Word
-        Another node's suspicion.
+        The suspicion.
     """
     now = asyncio.get_running_loop().time()
     found = state.view.known.get(replica_id)
--- a/samphirerill/relay/hearing.py
+++ b/samphirerill/relay/hearing.py
@@ -93,7 +93,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send through the same port."""
-        # The event loop passes a subclass that does not declare this type.
+        # The event loop's transport is not declared as a datagram transport.
         self._transport = cast('asyncio.DatagramTransport', transport)
         self._status_sender.bind(self._transport)
 
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -100,30 +100,31 @@
 def encode_suspicions(
     state: EdgeState, data_centre: str = ''
 ) -> EncodedSuspicions:
-    """Return the current failure suspicions of this node.
+    """Return the suspicions of this node that have not expired.
 
     Parameters
     ----------
     state : EdgeState
         State of this node.
     data_centre : str
-        If given, the suspicions reported by other nodes of this data centre
-        are included. They keep the time at which they arose, so that a
-        forwarded suspicion does not look like a new one.
+        If given, suspicions reported by other nodes of this data centre are
+        included. They keep the time at which they arose, so that a forwarded
+        suspicion does not look like a new one.
     """
     now = asyncio.get_running_loop().time()
     encoded = EncodedSuspicions()
     for name, found in state.view.known.items():
-        reports = [
-            report
-            for report in found.suspicion.words.values()
-            if report.until > now and _is_from_data_centre(report, data_centre)
+        suspicions = [
+            suspicion
+            for suspicion in found.suspicion.words.values()
+            if suspicion.until > now
+            and _is_from_data_centre(suspicion, data_centre)
         ]
-        if reports:
+        if suspicions:
             key = checksum_name(name)
-            until = max(report.until for report in reports)
-            votes = sum(report.votes for report in reports)
-            since = max(report.since for report in reports)
+            until = max(suspicion.until for suspicion in suspicions)
+            votes = sum(suspicion.votes for suspicion in suspicions)
+            since = max(suspicion.since for suspicion in suspicions)
             encoded.suspected[key] = (int((until - now) * MS_PER_S), votes)
             encoded.suspected_ago_ms[key] = max(
                 0, int((now - since) * MS_PER_S)
@@ -131,9 +132,9 @@
     return encoded
 
 
-def _is_from_data_centre(report: Word, data_centre: str) -> bool:
-    return report.is_own or (
-        bool(data_centre) and report.data_centre == data_centre
+def _is_from_data_centre(suspicion: Word, data_centre: str) -> bool:
+    return suspicion.is_own or (
+        bool(data_centre) and suspicion.data_centre == data_centre
     )
 
 
@@ -143,10 +144,10 @@
     """Return the status datagram of this node."""
     load = {
         checksum_name(name): (
-            part.requests,
-            int(part.tokens) // _TOKENS_PER_UNIT,
+            entry.requests,
+            int(entry.tokens) // _TOKENS_PER_UNIT,
         )
-        for name, part in state.book.own().items()
+        for name, entry in state.book.own().items()
     }
     suspicions = encode_suspicions(state)
     return NodeStatus(
@@ -175,7 +176,7 @@
 
 
 def encode_link_usage(sent: dict[Pair, float]) -> list[tuple[str, str, int]]:
-    """Return the transfer time over each link, in milliseconds."""
+    """Return the transfer time over each link between data centres."""
     pipes = []
     for pair, sent_ms in sent.items():
         one, other = sorted(pair)
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -126,7 +126,7 @@
             return _UNAVAILABLE, b''
         # The log may have been reset during the wait, and then lacks earlier
         # changes; a response from it would hide them.
-        if not self._log.has(after):
+        if not self._log.contains(after):
             return _GONE, b''
         batch = self._log.encode_changes(after)
         return (_TOO_LARGE, b'') if batch is None else (_OK, batch)
--- a/samphirerill/relay/quarantine/__init__.py
+++ b/samphirerill/relay/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Find the requests that end replicas, and tell the other nodes of them."""
+"""Quarantine of requests that crash the replicas that run them."""
 
 from samphirerill.relay.quarantine.keeper import Keeper
 from samphirerill.relay.quarantine.sharing import Sharing
--- a/samphirerill/relay/roster.py
+++ b/samphirerill/relay/roster.py
@@ -15,9 +15,9 @@
 
     from samphirerill.relay.messages import NodeAnnouncement, NodeStatus
 
-# Peers without an announcement get no datagrams when silent this long.
+# Nodes without an announcement expire this long after their last status.
 _PEER_EXPIRY_S = 20.0
-# Nodes whose last status is older do not count as aggregator.
+# Nodes with an older status cannot be the aggregator.
 _STATUS_MAX_AGE_S = 1.5
 
 
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -154,9 +154,9 @@
 
     async def test_an_executed_request_is_not_reported_as_not_run(self) -> None:
         await self.quarantine_request()
-        reached = self.list_executed()
-        self.assertTrue(reached)
-        statuses = {self.poison_statuses[name] for name in reached}
+        executed = self.list_executed()
+        self.assertTrue(executed)
+        statuses = {self.poison_statuses[name] for name in executed}
         self.assertNotIn(_UNAVAILABLE, statuses)
 
     async def test_the_same_body_of_another_account_is_accepted(
@@ -237,9 +237,9 @@
             await self.add_node()
         await self.send_repeatedly(self.nodes)
         self.assert_few_crashes()
-        reached = self.list_executed()
+        executed = self.list_executed()
         for name, status in self.poison_statuses.items():
-            expected = _BAD_GATEWAY if name in reached else _UNAVAILABLE
+            expected = _BAD_GATEWAY if name in executed else _UNAVAILABLE
             self.assertEqual(status, expected, name)
 
 
@@ -270,8 +270,8 @@
         ask = self.ask(self.nodes[0], 'b1', self.body)
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(_PROPAGATION_S)
-        for whole in self.world.replicas.values():
-            whole.stop_after = 0
+        for restored in self.world.replicas.values():
+            restored.stop_after = 0
         status, _ = await waiting
         self.assertEqual(status, _OK)
         self.assert_nothing_held()
@@ -304,8 +304,8 @@
         for engine in self.world.replicas.values():
             engine.free.clear()
         await asyncio.sleep(_SETTLING_S)
-        for silent in self.world.replicas.values():
-            silent.free.set()
+        for resumed in self.world.replicas.values():
+            resumed.free.set()
         await waiting
         self.assert_nothing_held()
 
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -63,8 +63,8 @@
         """Stand in for a probe of a replica."""
         self.probe_count += 1
         loop = asyncio.get_running_loop()
-        is_silent = replica.replica_id in self.dead
-        if is_silent or state.settings.name in self.cut_off:
+        is_dead = replica.replica_id in self.dead
+        if is_dead or state.settings.name in self.cut_off:
             await asyncio.sleep(deadline - loop.time())
             return Probe(loop.time(), Verdict.UNRESPONSIVE)
         await asyncio.sleep(_LATENCY_S)
@@ -162,8 +162,8 @@
             await asyncio.sleep(_DETECTION_S / 2)
             self.assertEqual(fleet.count_agreeing_nodes(), nodes)
             loop = asyncio.get_running_loop()
-            commander = fleet.nodes[0].state.view.loss_round
-            self.assertFalse(commander.is_under_way(loop.time()))
+            leader_loss = fleet.nodes[0].state.view.loss_round
+            self.assertFalse(leader_loss.is_under_way(loop.time()))
             self.assertLessEqual(
                 fleet.probe_count, _count_allowed_probes(replicas)
             )
--- a/samphirerill/tests/test_silence.py
+++ b/samphirerill/tests/test_silence.py
@@ -89,8 +89,8 @@
             for name in ('first', 'shared', 'last')
         )
         other = _build_stream((first, shared), 9.99)
-        silent = (first, shared, last)
-        self.assertEqual(list_unproven([other], silent, 9.98), (last,))
+        stalled = (first, shared, last)
+        self.assertEqual(list_unproven([other], stalled, 9.98), (last,))
 
     def test_old_events_do_not_count(self) -> None:
         stage = Stage(build_replica('one'), LayerRange(0, 80))
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -114,5 +114,5 @@
         transport = Mock(spec=asyncio.DatagramTransport)
         transport.is_closing.return_value = True
         nodes[0].status_sender.bind(transport)
-        nodes[0].status_sender.forward(b'status')
+        nodes[0].status_sender.forward(b'told')
         transport.sendto.assert_not_called()
