--- a/samphirerill/relay/health/__init__.py
+++ b/samphirerill/relay/health/__init__.py
@@ -1,4 +1,4 @@
-"""Health checks of replicas, and the exchange of their results between nodes."""
+"""Health checks of replicas, and the exchange of their results."""
 
 from samphirerill.relay.health.alarms import Alarms
 from samphirerill.relay.health.examiner import Diagnosis, Examiner
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -72,7 +72,7 @@
         state.listen(self._on_state_change)
 
     async def run(self) -> None:
-        """Probe dead replicas before their suspicions expire, until cancelled."""
+        """Probe dead replicas before their suspicions expire."""
         while True:
             await asyncio.sleep(_POLL_INTERVAL_S)
             await self._reprobe_dead()
--- a/samphirerill/relay/roster.py
+++ b/samphirerill/relay/roster.py
@@ -22,7 +22,7 @@
 
 
 class Peer:
-    """Another node; `status` is its latest status, received at `last_seen_at`."""
+    """Another node, with its latest `status` and when it arrived."""
 
     __slots__ = (
         'announced',
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -170,7 +170,7 @@
         self.assertEqual(status, _OK)
 
     async def test_a_queued_request_is_rejected(self) -> None:
-        """Guard against checking a request only when an engine has room for it."""
+        """Guard against checking requests only when an engine has room."""
         other = await self.add_node()
         poison_task = asyncio.create_task(self.send_repeatedly([other], 3))
         while not self.crash_times:
--- a/samphirerill/tests/test_silence.py
+++ b/samphirerill/tests/test_silence.py
@@ -51,7 +51,7 @@
         self.assertEqual(fast.find_silence_s(_PREDICTED_S), LEAST_SILENCE_S)
 
     def test_longer_accepted_pauses_delay_the_probe(self) -> None:
-        """Guard against needless probes for clients that accept longer pauses."""
+        """Guard against needless probes if clients accept longer pauses."""
         times = StreamTimes(Metrics(), 0.0, Policy(), 0.3)
         for step in range(20):
             times.note_event(0.05 + step * _GAP_S)
