--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -1,7 +1,8 @@
-"""Let streams in where a path has room, in order, or refuse them at once.
+"""Admit streams to paths with free capacity, by priority, or reject them.
 
-Requests wait here only while waiting can still bring a timely first event;
-an engine that is too full would preempt the stream of another client instead.
+A request is queued only while waiting can still lead to a first event in time.
+Admitting it to a full engine instead would make the engine preempt the stream
+of another client.
 """
 
 from __future__ import annotations
@@ -22,23 +23,24 @@
     from samphirerill.fleet.paths import PathRequest
     from samphirerill.relay.state import EdgeState
 
-# What a first event takes from the send on: reading a usual prompt through all
-# stages beside other streams.
+# Time from sending a request to its first event: prefill of a usual prompt in
+# all stages, beside other streams.
 _FIRST_EVENT_S = 0.15
-# Smoothing of the time between two admissions of waiting requests.
-_SMOOTHING = 0.2
-# A request is only refused for a long queue when so many are before it.
-_SHORT_QUEUE = 4
-# So many streams that have begun and find no path are passed over each time: to
-# look for a path takes 1 ms at 98 replicas, and is done 80 times a second.
-_MOST_PASSED = 3
+# Smoothing factor for the interval between grants to queued requests.
+_INTERVAL_SMOOTHING = 0.2
+# Queues up to this length never cause a rejection.
+_MIN_REJECTING_QUEUE = 4
+# Started streams without a path that are skipped per pass. Bounds the cost of a
+# pass: a path search is slow with many replicas.
+_MAX_SKIPPED = 3
 
 
 @dataclass(slots=True, eq=False)
 class _Ticket:
-    """A waiting request; lower ranks go first.
+    """A queued request; lower ranks are served first.
 
-    `timely_until` is until when a path still brings a timely first event.
+    `timely_until` is the latest time at which a path still allows the first
+    event to meet its latency objective.
     """
 
     rank: int
@@ -49,25 +51,25 @@
     granted: asyncio.Future[tuple[Stage, ...]]
 
 
-class HopelessError(Exception):
-    """No path will have room in time; `wait_s` is when one might."""
+class NoPathError(Exception):
+    """No path will be free in time; `wait_s` is when to retry."""
 
     def __init__(self, wait_s: float, reason: str) -> None:
         super().__init__(f'no path in time: {reason}')
         self.wait_s = wait_s
 
 
-class OutageError(HopelessError):
-    """Nobody holds some layers; `wait_s` is when somebody should."""
+class OutageError(NoPathError):
+    """No live replica holds some layers; `wait_s` estimates the recovery."""
 
 
 class Admission:
-    """The queue of this node's streams.
+    """The admission queue for the streams of this node.
 
     Parameters
     ----------
     state : EdgeState
-        Replicas and load.
+        The known replicas and their load.
     """
 
     def __init__(self, state: EdgeState) -> None:
@@ -75,18 +77,18 @@
         self._loop = asyncio.get_running_loop()
         self._queue: list[_Ticket] = []
         self._outages: dict[str, Outage] = {}
-        self._gap_s = 0.0
-        self._last_grant = 0.0
-        self._is_pumping = False
-        state.listen(self._schedule)
+        self._grant_interval_s = 0.0
+        self._last_grant_at = 0.0
+        self._is_grant_scheduled = False
+        state.listen(self._schedule_grants)
 
     def count_waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return sum(not ticket.granted.done() for ticket in self._queue)
 
     def predict_wait_s(self) -> float:
-        """Return how long the queue as it is takes to pass."""
-        return self._gap_s * (1 + self.count_waiting())
+        """Return the expected time until the present queue is empty."""
+        return self._grant_interval_s * (1 + self.count_waiting())
 
     async def admit(
         self,
@@ -97,29 +99,29 @@
         deadline: float,
         target: float,
     ) -> tuple[Stage, ...]:
-        """Return a path with room, already counted as taken.
+        """Wait for a path with free capacity and reserve it.
 
         Parameters
         ----------
         service, engine : str, EngineSpec
-            Whose replicas.
+            The service whose replicas may be used, and its engine.
         wanted : PathRequest
-            What the path must offer.
+            The requirements on the path.
         rank : int
-            Its priority, 0 first.
+            The priority; lower values are served first.
         deadline : float
-            Until when it may wait.
+            The latest time to wait until, on the loop's clock.
         target : float
-            When the first event should be there.
+            When the first event is due, on the loop's clock.
 
         Raises
         ------
-        HopelessError
-            None will be free before the deadline.
+        NoPathError
+            No path is expected to be free before the deadline.
         """
-        waiting = self._count_before(rank)
+        waiting = self._count_ahead(rank)
         if not waiting:
-            stages = self._try(service, engine, wanted)
+            stages = self._reserve_path(service, engine, wanted)
             if stages:
                 return stages
         ticket = _Ticket(
@@ -130,27 +132,27 @@
             wanted,
             self._loop.create_future(),
         )
-        self._refuse_hopeless(waiting, ticket, deadline)
+        self._reject_if_queue_too_long(waiting, ticket, deadline)
         if not wanted.is_urgent:
-            self._refuse_in_outage(ticket, deadline)
-        return await self._wait(ticket, deadline)
+            self._reject_during_outage(ticket, deadline)
+        return await self._wait_for_grant(ticket, deadline)
 
     def hold(
         self, engine: EngineSpec, stages: tuple[Stage, ...], tokens: float
     ) -> None:
-        """Count a path that `find` returned as taken."""
+        """Reserve capacity on a path that `find` returned."""
         self._state.book.take(list_ids(stages), tokens)
-        self._note_crossings(engine, stages, tokens)
+        self._record_transfers(engine, stages, tokens)
 
     def release(self, stages: tuple[Stage, ...], tokens: float) -> None:
-        """A stream has ended: its room is free."""
+        """Release the capacity of a path and wake waiting requests."""
         self._state.book.give_back(list_ids(stages), tokens)
         self._state.notify()
 
     def find(
         self, service: str, engine: EngineSpec, wanted: PathRequest
     ) -> tuple[Stage, ...]:
-        """Return a path with room, or none; nothing is taken."""
+        """Return a path with free capacity, or none, without reserving it."""
         now = self._loop.time()
         state = self._state
         wanted.pipes = state.pipes
@@ -159,7 +161,7 @@
         usable = state.view.list_usable(service, now)
         return choose_path(engine, usable, state.book, wanted, now)
 
-    async def _wait(
+    async def _wait_for_grant(
         self, ticket: _Ticket, deadline: float
     ) -> tuple[Stage, ...]:
         self._queue.append(ticket)
@@ -168,18 +170,18 @@
                 return await ticket.granted
         except TimeoutError as exc:
             self._abandon(ticket)
-            raise HopelessError(
-                self.predict_wait_s(), self._explain(ticket)
+            raise NoPathError(
+                self.predict_wait_s(), self._explain_no_path(ticket)
             ) from exc
         except asyncio.CancelledError:
             self._abandon(ticket)
             raise
 
-    def _count_before(self, rank: int) -> int:
-        """Return how many of those that wait go before a newcomer.
+    def _count_ahead(self, rank: int) -> int:
+        """Return the number of queued requests served before a new one.
 
-        Streams that have begun rank before all new ones; counted behind them,
-        they were refused for a queue that was not theirs.
+        Only requests of the same or a better rank count: a stream that has
+        started must not be rejected because of a queue of new streams.
         """
         return sum(
             ticket.rank <= rank and not ticket.granted.done()
@@ -187,25 +189,25 @@
         )
 
     def _abandon(self, ticket: _Ticket) -> None:
-        """Give back what was granted in the moment of giving up."""
+        """Release a path that was granted while the request stopped waiting."""
         granted = ticket.granted
         if granted.done() and not granted.cancelled():
             self.release(granted.result(), ticket.wanted.tokens)
         granted.cancel()
 
-    def _refuse_hopeless(
+    def _reject_if_queue_too_long(
         self, waiting: int, ticket: _Ticket, deadline: float
     ) -> None:
-        """Refuse at once what the queue before it will not let through."""
+        """Reject a request whose deadline the queue would exceed."""
         left_s = deadline - self._loop.time()
-        expected_s = self._gap_s * waiting
-        if waiting > _SHORT_QUEUE and expected_s > left_s:
-            raise HopelessError(expected_s, self._explain(ticket))
+        expected_s = self._grant_interval_s * waiting
+        if waiting > _MIN_REJECTING_QUEUE and expected_s > left_s:
+            raise NoPathError(expected_s, self._explain_no_path(ticket))
 
-    def _refuse_in_outage(self, ticket: _Ticket, deadline: float) -> None:
-        """Refuse at once what no replicas can serve in its time.
+    def _reject_during_outage(self, ticket: _Ticket, deadline: float) -> None:
+        """Reject a request if missing layers will load too late.
 
-        A stream that has begun waits: it can't come back.
+        Not used for streams that have started: the client cannot retry those.
         """
         service, now = ticket.service, self._loop.time()
         outage = self._outages.get(service)
@@ -217,50 +219,54 @@
             return
         wait_s = outage.predict_wait_s(live, now)
         if now + wait_s > deadline:
-            raise OutageError(wait_s, self._explain(ticket))
+            raise OutageError(wait_s, self._explain_no_path(ticket))
 
-    def _explain(self, ticket: _Ticket) -> str:
+    def _explain_no_path(self, ticket: _Ticket) -> str:
         state = self._state
         usable = state.view.list_usable(ticket.service, self._loop.time())
         return explain_no_path(ticket.engine, usable, state.book, ticket.wanted)
 
-    def _schedule(self) -> None:
-        if self._queue and not self._is_pumping:
-            self._is_pumping = True
-            self._loop.call_soon(self._pump)
+    def _schedule_grants(self) -> None:
+        if self._queue and not self._is_grant_scheduled:
+            self._is_grant_scheduled = True
+            self._loop.call_soon(self._grant_queued)
 
-    def _pump(self) -> None:
-        """Grant what there is room for.
+    def _grant_queued(self) -> None:
+        """Grant paths to queued requests while there is capacity.
 
-        Under overload, first come first served would make every stream late
-        by the length of the queue. Those that can still be on time go first,
-        the others when there is room left. One that has begun and finds no
-        path holds up nobody: it may have tried all replicas, and those behind
-        it have not.
+        Requests that can still meet their latency objective are served first,
+        the others with what capacity remains; in plain arrival order, overload
+        would delay every stream by the length of the queue. A started stream
+        without a path does not block the queue, since it may already have
+        excluded every replica.
         """
-        self._is_pumping = False
+        self._is_grant_scheduled = False
         self._queue = [item for item in self._queue if not item.granted.done()]
         now = self._loop.time()
         self._queue.sort(key=lambda item: (item.rank, item.timely_until < now))
-        passed_over = 0
+        skipped = 0
         for ticket in tuple(self._queue):
-            stages = self._try(ticket.service, ticket.engine, ticket.wanted)
+            stages = self._reserve_path(
+                ticket.service, ticket.engine, ticket.wanted
+            )
             if stages:
                 self._queue.remove(ticket)
                 ticket.granted.set_result(stages)
-                self._note_grant()
-            elif not ticket.wanted.is_urgent or passed_over >= _MOST_PASSED:
+                self._record_grant()
+            elif not ticket.wanted.is_urgent or skipped >= _MAX_SKIPPED:
                 return
             else:
-                passed_over += 1
+                skipped += 1
 
-    def _note_grant(self) -> None:
+    def _record_grant(self) -> None:
         now = self._loop.time()
-        gap_s = min(1.0, now - self._last_grant)
-        self._gap_s += _SMOOTHING * (gap_s - self._gap_s)
-        self._last_grant = now
+        interval_s = min(1.0, now - self._last_grant_at)
+        self._grant_interval_s += _INTERVAL_SMOOTHING * (
+            interval_s - self._grant_interval_s
+        )
+        self._last_grant_at = now
 
-    def _try(
+    def _reserve_path(
         self, service: str, engine: EngineSpec, wanted: PathRequest
     ) -> tuple[Stage, ...]:
         stages = self.find(service, engine, wanted)
@@ -268,7 +274,7 @@
             self.hold(engine, stages, wanted.tokens)
         return stages
 
-    def _note_crossings(
+    def _record_transfers(
         self,
         engine: EngineSpec,
         stages: tuple[Stage, ...],
@@ -277,7 +283,7 @@
         now = self._loop.time()
         transfer_ms = predict_transfer_ms(engine, tokens)
         for stage, following in pairwise(stages):
-            here = stage.replica.data_centre
-            there = following.replica.data_centre
-            if here != there:
-                self._state.pipes.note(here, there, transfer_ms, now)
+            source = stage.replica.data_centre
+            destination = following.replica.data_centre
+            if source != destination:
+                self._state.pipes.note(source, destination, transfer_ms, now)
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -19,7 +19,7 @@
 # Replicas that are looked at for a suspect: each look takes a millisecond.
 _MOST_APART = 3
 # A path may begin anywhere.
-NO_HEADS: frozenset[str] = frozenset()
+ANY_HEAD: frozenset[str] = frozenset()
 
 
 class PathFinder:
@@ -138,7 +138,7 @@
             wanted.heads = frozenset((replica_id,))
             if self.find(wanted):
                 return wanted.heads
-        return NO_HEADS
+        return ANY_HEAD
 
     def build_beside(self, head_id: str, lost: Collection[str]) -> PathRequest:
         """Return what a path must offer that begins elsewhere.
@@ -186,7 +186,7 @@
             name for name in self.heads - self.ended if not view.has_ended(name)
         }
         if len(live) < self._task.route.max_attempts:
-            return NO_HEADS
+            return ANY_HEAD
         return frozenset(live)
 
 
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -14,7 +14,7 @@
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.signs import list_unproven
 from samphirerill.relay.orders import order_repath
-from samphirerill.relay.path_finder import NO_HEADS, PathFinder
+from samphirerill.relay.path_finder import ANY_HEAD, PathFinder
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import EngineSpec, Stage
@@ -97,9 +97,9 @@
         deadline: float,
         *,
         is_urgent: bool,
-        heads: frozenset[str] = NO_HEADS,
+        heads: frozenset[str] = ANY_HEAD,
     ) -> None:
-        """Wait for a path with room; raise ``HopelessError`` if none comes.
+        """Wait for a path with room; raise ``NoPathError`` if none comes.
 
         Parameters
         ----------
@@ -131,7 +131,7 @@
             if heads or not taken or self._loop.time() >= last:
                 return heads
             await asyncio.sleep(_APART_STEP_S)
-        return NO_HEADS
+        return ANY_HEAD
 
     async def take_beside(
         self, rank: int, deadline: float
@@ -139,7 +139,7 @@
         """Wait for a path beside the present one.
 
         It begins elsewhere: no replica is sent the same stream twice at a
-        time. Raises ``HopelessError`` if none comes.
+        time. Raises ``NoPathError`` if none comes.
         """
         wanted = self.finder.build_beside(self.head_id, self.list_lost())
         return await self._admit(wanted, rank, deadline)
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.admission import HopelessError, OutageError
+from samphirerill.relay.admission import NoPathError, OutageError
 from samphirerill.relay.answers import (
     filter_headers,
     is_success,
@@ -192,7 +192,7 @@
             return await self._wait(self._find_path())
         except OutageError as exc:
             self._give_up(str(exc), exc.wait_s)
-        except HopelessError as exc:
+        except NoPathError as exc:
             self._give_up(str(exc), max(_REPAIR_S, exc.wait_s))
         return False
 
@@ -292,7 +292,7 @@
         until = self._limits.limit_admission()
         try:
             stages = await self._path.take_beside(_URGENT, until)
-        except HopelessError as exc:
+        except NoPathError as exc:
             self._log('stream stays', reason=str(exc))
             return None
         run = None
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -9,7 +9,7 @@
 from samphirerill.fleet.paths import PathRequest
 from samphirerill.platform.dialect import PlatformDialect
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission, HopelessError, OutageError
+from samphirerill.relay.admission import Admission, NoPathError, OutageError
 from samphirerill.relay.state import EdgeState
 from samphirerill.tests.fleets import ENGINE, build_replica
 
@@ -66,7 +66,7 @@
     async def test_what_waits_too_long_is_refused_with_the_reason(
         self,
     ) -> None:
-        with self.assertRaises(HopelessError) as caught:
+        with self.assertRaises(NoPathError) as caught:
             await self.admit(1e9, _NEW, 0.05)
         self.assertIn('no room in layers', str(caught.exception))
 
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -12,7 +12,7 @@
 from samphirerill.fleet.view import LAPSE_GRACE_S
 from samphirerill.platform.dialect import PlatformDialect
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission, HopelessError
+from samphirerill.relay.admission import Admission, NoPathError
 from samphirerill.relay.connection import HttpConnection
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_guard import StreamGuard
@@ -217,7 +217,7 @@
                 await admission.admit(
                     'llm', ENGINE, wanted, _URGENT, now + 0.4, now + 0.2
                 )
-            except HopelessError:
+            except NoPathError:
                 return False
             return True
 
