--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -46,7 +46,7 @@
         The queue of streams.
     examiner : Examiner
         Asks silent replicas.
-    witness : Witness
+    quarantine : Witness
         Knows which requests end replicas.
     """
 
@@ -55,9 +55,9 @@
         state: EdgeState,
         admission: Admission,
         examiner: Examiner,
-        witness: Witness,
+        quarantine: Witness,
     ) -> None:
-        self._witness = witness
+        self._quarantine = quarantine
         self._state = state
         self._admission = admission
         self._examiner = examiner
@@ -90,7 +90,7 @@
         engine = task.service.engine
         if engine is None or not engine.layers:
             if not self._is_too_late(self._state.requests_until, task):
-                await PlainExchange(self._state, task, self._witness).run()
+                await PlainExchange(self._state, task, self._quarantine).run()
         elif not self._is_too_late(self._state.streams_until, task):
             await StreamExchange(
                 self._state,
@@ -98,7 +98,7 @@
                 engine,
                 self._admission,
                 self._examiner,
-                self._witness,
+                self._quarantine,
             ).run()
 
     def _is_too_late(self, until: float, task: Task) -> bool:
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -1,4 +1,4 @@
-"""Find paths that one stream may go on over."""
+"""Find paths over which one stream can be sent."""
 
 from __future__ import annotations
 
@@ -16,30 +16,32 @@
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.task import Task
 
-# Replicas that are looked at for a suspect: each look takes a millisecond.
-_MOST_APART = 3
-# A path may begin anywhere.
+# Head replicas to try for an isolated run; bounds the path searches.
+_MAX_ISOLATED_CANDIDATES = 3
+# No restriction on the head replica of a path.
 ANY_HEAD: frozenset[str] = frozenset()
 
 
 class PathFinder:
-    """What one stream needs of a path, and which replicas it leaves out.
+    """Searches paths for one stream and tracks the replicas to exclude.
 
-    `avoid` are replicas that failed the stream, `heads` those that it was sent
-    to first, `ended` those of them that broke it off and are announced no more,
-    `failed_sends` how often each brought no event; `tokens` is the memory that it
-    will need.
+    The head replica of a path is the one that holds its first stage: the stream
+    is sent to it, and it forwards to the others. `avoid` are replicas that
+    failed the stream, `used_heads` the head replicas that it was sent to,
+    `departed_heads` those of them that broke it off and are no longer
+    announced, `failed_sends` how often each returned no event; `tokens` is the
+    KV-cache memory that the stream is expected to need.
 
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     task : Task
         The request.
     engine : EngineSpec
-        The service's figures.
+        Performance figures of the service's engine.
     admission : Admission
-        Looks for paths.
+        Searches paths with free capacity.
     """
 
     __slots__ = (
@@ -48,8 +50,8 @@
         '_state',
         '_task',
         'avoid',
-        'ended',
-        'heads',
+        'departed_heads',
+        'used_heads',
         'tokens',
         'failed_sends',
     )
@@ -61,10 +63,10 @@
         engine: EngineSpec,
         admission: Admission,
     ) -> None:
-        self.tokens = _count_tokens(engine, task)
+        self.tokens = _estimate_tokens(engine, task)
         self.avoid: set[str] = set()
-        self.heads: set[str] = set()
-        self.ended: set[str] = set()
+        self.used_heads: set[str] = set()
+        self.departed_heads: set[str] = set()
         self.failed_sends: Counter[str] = Counter()
         self._state = state
         self._task = task
@@ -72,24 +74,24 @@
         self._admission = admission
 
     def find_other(self, lost: Collection[str]) -> tuple[Stage, ...]:
-        """Return a path to be sent again over; empty if there is none."""
+        """Return a path that avoids failed replicas; empty if there is none."""
         wanted = self.build_request(is_urgent=True)
         wanted.avoid = {*self.avoid, *lost}
         return self.find(wanted)
 
-    def find_behind(
+    def find_with_head(
         self, head: Stage, held: frozenset[str], lost: Collection[str]
     ) -> tuple[Stage, ...]:
-        """Return a path that begins as before; empty if there is none.
+        """Return a path with the same first stage; empty if there is none.
 
         Parameters
         ----------
         head : Stage
-            The first part, which stays as it is.
+            The first stage, which is kept.
         held : frozenset of str
-            Replicas that hold the stream's tokens already.
+            Replicas that already hold the stream's KV cache.
         lost : collection of str
-            Replicas that it must not pass through.
+            Replicas to exclude.
         """
         wanted = PathRequest(
             self.tokens,
@@ -102,17 +104,18 @@
         return self.find(wanted)
 
     def build_request(self, *, is_urgent: bool) -> PathRequest:
-        """Return what a path must offer for the stream to be sent over it."""
-        heads = self._limit_heads()
-        # One that failed is better than one more than the route allows.
+        """Return the requirements on a path for the stream."""
+        heads = self._get_allowed_heads()
+        # Retry a head that failed rather than exceed the allowed number.
         avoid = self.avoid - heads
         return PathRequest(self.tokens, avoid, heads, is_urgent=is_urgent)
 
-    def build_resend(self, *, is_urgent: bool) -> PathRequest:
-        """Return what a path must offer, at the heads that failed it least.
+    def build_retry_request(self, *, is_urgent: bool) -> PathRequest:
+        """Return the requirements, limited to the heads that failed least.
 
-        Without the count, a stream whose route allows no other replica goes
-        back to the nearest one, even if only the other one would serve it.
+        Without that order, a stream that may use no further head replica would
+        be sent to the nearest one again and again, even if only the other one
+        can serve it.
         """
         wanted = self.build_request(is_urgent=is_urgent)
         allowed = wanted.heads
@@ -125,43 +128,43 @@
         wanted.heads = allowed
         return wanted
 
-    def find_apart(self, taken: Collection[str]) -> frozenset[str]:
-        """Return a replica to begin at where few others run; none if none is.
+    def find_isolated_head(self, taken: Collection[str]) -> frozenset[str]:
+        """Return a lightly loaded head replica with a path, or an empty set.
 
         Parameters
         ----------
         taken : collection of str
-            Replicas that it must not begin at.
+            Head replicas to exclude.
         """
         wanted = self.build_request(is_urgent=True)
-        for replica_id in self._list_quiet_heads(taken):
+        for replica_id in self._list_least_loaded_heads(taken):
             wanted.heads = frozenset((replica_id,))
             if self.find(wanted):
                 return wanted.heads
         return ANY_HEAD
 
     def build_beside(self, head_id: str, lost: Collection[str]) -> PathRequest:
-        """Return what a path must offer that begins elsewhere.
+        """Return the requirements on a path for a parallel run.
 
         Parameters
         ----------
         head_id : str
-            Where the present path begins.
+            The head replica of the present path, which is excluded.
         lost : collection of str
-            Replicas that the path must not pass through.
+            Other replicas to exclude.
         """
         wanted = self.build_request(is_urgent=True)
         wanted.avoid = {*wanted.avoid, *lost, head_id}
         return wanted
 
     def find(self, wanted: PathRequest) -> tuple[Stage, ...]:
-        """Return a path with room now; empty if there is none."""
+        """Return a path with free capacity; empty if there is none."""
         return self._admission.find(
             self._task.service.name, self._engine, wanted
         )
 
-    def _list_quiet_heads(self, taken: Collection[str]) -> list[str]:
-        """Return the replicas with the first layer and the fewest requests."""
+    def _list_least_loaded_heads(self, taken: Collection[str]) -> list[str]:
+        """Return the head replicas with the fewest requests."""
         usable = self._state.view.list_usable(
             self._task.service.name, asyncio.get_running_loop().time()
         )
@@ -172,32 +175,37 @@
             and found.replica.layers.first == 0
             and found.replica.replica_id not in taken
         ]
-        return sorted(heads, key=self._state.book.requests)[:_MOST_APART]
+        return sorted(heads, key=self._state.book.requests)[
+            :_MAX_ISOLATED_CANDIDATES
+        ]
 
-    def _limit_heads(self) -> frozenset[str]:
-        """Return the replicas that a path must begin with; empty for any.
+    def _get_allowed_heads(self) -> frozenset[str]:
+        """Return the head replicas that are allowed; empty for any.
 
-        A route says to how many replicas a request may be sent; those that
-        are gone don't count. One that is only silent does: where packets are
-        lost it is there, and has run the request.
+        A route limits how many replicas a request may be sent to. Replicas that
+        have ended do not count towards that limit. Unresponsive ones do: after
+        a packet loss they are still running and have executed the request.
         """
         view = self._state.view
         live = {
-            name for name in self.heads - self.ended if not view.has_ended(name)
+            name
+            for name in self.used_heads - self.departed_heads
+            if not view.has_ended(name)
         }
         if len(live) < self._task.route.max_attempts:
             return ANY_HEAD
         return frozenset(live)
 
 
-def _count_tokens(engine: EngineSpec, task: Task) -> float:
-    """Return the memory that a stream will need, in tokens.
+def _estimate_tokens(engine: EngineSpec, task: Task) -> float:
+    """Return the KV-cache size that a stream is expected to need, in tokens.
 
-    Clients name the most tokens that an answer may have, some twice what
-    answers have in the end; to keep room for all of that left a quarter of
-    the memory unused.
+    Clients often set the maximum answer length much higher than what is
+    generated, so the smaller of that and the usual length is reserved.
     """
     facts = task.facts
     usual = engine.usual_answer
-    answer = min(facts.most_tokens or usual, facts.hinted_tokens or usual)
-    return (facts.prompt_tokens or engine.usual_prompt) + answer
+    answer_tokens = min(
+        facts.most_tokens or usual, facts.hinted_tokens or usual
+    )
+    return (facts.prompt_tokens or engine.usual_prompt) + answer_tokens
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -88,14 +88,16 @@
         What this node knows.
     task : Task
         The request.
-    witness : Witness
+    quarantine : Witness
         Knows whether it may run; told of sends that break off.
     """
 
-    def __init__(self, state: EdgeState, task: Task, witness: Witness) -> None:
+    def __init__(
+        self, state: EdgeState, task: Task, quarantine: Witness
+    ) -> None:
         self._state = state
         self._task = task
-        self._witness = witness
+        self._quarantine = quarantine
         self._held_until = 0.0
         self._budget = SendBudget(state, task)
         self._loop = asyncio.get_running_loop()
@@ -120,7 +122,7 @@
                 self._budget.give_back()
             if self._is_final(outcome):
                 break
-            await self._witness.rest(self._task)
+            await self._quarantine.rest(self._task)
         self._finish(outcome)
 
     async def _choose(self) -> Known | None:
@@ -153,7 +155,7 @@
     def _may_send(self) -> bool:
         """Return whether another send is allowed."""
         now = self._loop.time()
-        self._held_until = self._witness.find_held_until(self._task)
+        self._held_until = self._quarantine.find_held_until(self._task)
         if self._held_until or now >= self._task.deadline:
             return False
         if self._sends >= self._task.route.max_attempts:
@@ -221,9 +223,9 @@
             fresh=not self._task.may_repeat,
             most=self._state.count_connections(self._task.service),
         )
-        if self._witness.find_held_until(self._task):
+        if self._quarantine.find_held_until(self._task):
             self._state.pool.give_back(replica, conn)
-            raise HeldBackError(self._witness.explain(self._task))
+            raise HeldBackError(self._quarantine.explain(self._task))
         return conn
 
     async def _call(self, found: Known, conn: HttpConnection) -> _Outcome:
@@ -236,7 +238,7 @@
         if facts.is_not_run and not is_success(head.status):
             return _Outcome(is_not_run=True, reason='endpoint refused')
         self._may_have_run = True
-        self._witness.note_whole(self._task)
+        self._quarantine.note_whole(self._task)
         return _Outcome(head, body)
 
     def _note_error(
@@ -245,7 +247,7 @@
         self._may_have_run = True
         self._has_lost_run = True
         if isinstance(exc, BrokenAnswerError):
-            self._witness.note_break(self._task, found.replica)
+            self._quarantine.note_break(self._task, found.replica)
         is_silent = isinstance(exc, SilentEndpointError)
         if is_silent and self._loop.time() - sent_at >= _SILENT_S:
             self._avoid(found, str(exc))
@@ -305,7 +307,7 @@
         timed_out = now >= self._task.deadline
         reason, retry_s = outcome.reason, _RETRY_S
         if self._held_until:
-            reason = self._witness.explain(self._task)
+            reason = self._quarantine.explain(self._task)
             retry_s = self._held_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -50,7 +50,7 @@
         How far it has come.
     times : StreamTimes
         When its events came.
-    witness : Witness
+    quarantine : Witness
         Knows whether it may run at all.
     """
 
@@ -61,7 +61,7 @@
         '_state',
         '_task',
         '_times',
-        '_witness',
+        '_quarantine',
     )
 
     def __init__(
@@ -70,26 +70,26 @@
         task: Task,
         progress: StreamProgress,
         times: StreamTimes,
-        witness: Witness,
+        quarantine: Witness,
     ) -> None:
         self._state = state
         self._task = task
         self._progress = progress
         self._times = times
-        self._witness = witness
+        self._quarantine = quarantine
         self._loop = asyncio.get_running_loop()
         self._budget = SendBudget(state, task)
 
     def is_held(self) -> bool:
         """Return whether the request ends replicas, and may not run."""
-        return self._witness.find_held_until(self._task) > 0
+        return self._quarantine.find_held_until(self._task) > 0
 
     def take_send(self) -> Obstacle | None:
         """Take a repeat for one more send; return why there is none, if so."""
         now = self._loop.time()
-        held_until = self._witness.find_held_until(self._task)
+        held_until = self._quarantine.find_held_until(self._task)
         if held_until:
-            reason = self._witness.explain(self._task)
+            reason = self._quarantine.explain(self._task)
             return Obstacle(reason, held_until - now)
         over = self._find_end_reason(now)
         if over:
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -80,7 +80,7 @@
         self.finder = PathFinder(state, task, engine, admission)
         self.tokens = self.finder.tokens
         self.avoid = self.finder.avoid
-        self.heads = self.finder.heads
+        self.used_heads = self.finder.used_heads
         self._state = state
         self._task = task
         self._admission = admission
@@ -112,12 +112,12 @@
         heads : frozenset of str
             The replicas that it may begin at; empty for any.
         """
-        wanted = self.finder.build_resend(is_urgent=is_urgent)
+        wanted = self.finder.build_retry_request(is_urgent=is_urgent)
         wanted.heads = wanted.heads or heads
         self.stages = await self._admit(wanted, rank, deadline)
 
-    async def find_apart(
-        self, witness: Witness, until: float
+    async def find_isolated_head(
+        self, quarantine: Witness, until: float
     ) -> frozenset[str]:
         """Return where a suspect may begin; empty for anywhere.
 
@@ -125,9 +125,9 @@
         others run, and no other suspect, or nobody could tell which it was.
         """
         last = min(until, self._loop.time() + _MOST_APART_S) - _APART_STEP_S
-        while witness.is_suspect(self._task):
-            taken = witness.list_trials()
-            heads = self.finder.find_apart(taken)
+        while quarantine.is_suspect(self._task):
+            taken = quarantine.list_trials()
+            heads = self.finder.find_isolated_head(taken)
             if heads or not taken or self._loop.time() >= last:
                 return heads
             await asyncio.sleep(_APART_STEP_S)
@@ -157,7 +157,7 @@
         """Move the stream behind its first replica, if that is the best way."""
         held = frozenset(list_ids(self.stages))
         ending = self._list_ending()
-        stages = self.finder.find_behind(self.stages[0], held, ending)
+        stages = self.finder.find_with_head(self.stages[0], held, ending)
         if not stages:
             return Way.NONE
         if self._is_dearer(stages, held, ending):
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -98,7 +98,7 @@
         Read and kept up to date.
     examiner : Examiner
         Asks replicas that others name as at fault.
-    witness : Witness
+    quarantine : Witness
         Knows whether the stream may run; told of runs that break off.
     """
 
@@ -109,7 +109,7 @@
         '_progress',
         '_state',
         '_task',
-        '_witness',
+        '_quarantine',
     )
 
     def __init__(
@@ -119,10 +119,10 @@
         path: StreamPath,
         progress: StreamProgress,
         examiner: Examiner,
-        witness: Witness,
+        quarantine: Witness,
     ) -> None:
         self._examiner = examiner
-        self._witness = witness
+        self._quarantine = quarantine
         self._state = state
         self._task = task
         self._path = path
@@ -144,7 +144,7 @@
         except ConnectError as exc:
             self._shun(replica.replica_id, str(exc))
         else:
-            if not self._witness.find_held_until(self._task):
+            if not self._quarantine.find_held_until(self._task):
                 return conn
             # It was found to end replicas while the connection was made.
             self._state.pool.give_back(replica, conn)
@@ -167,8 +167,8 @@
         progress = self._progress
         progress.sends += 1
         head_id = stages[0].replica.replica_id
-        is_new_head = head_id not in self._path.heads
-        self._path.heads.add(head_id)
+        is_new_head = head_id not in self._path.used_heads
+        self._path.used_heads.add(head_id)
         waited_s = self._loop.time() - self._task.req.arrived_at
         self._log(
             event,
@@ -180,7 +180,7 @@
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
             waited_ms=round(waited_s * MS_PER_S),
         )
-        self._witness.note_send(self._task, stages[0].replica)
+        self._quarantine.note_send(self._task, stages[0].replica)
         conn.send(self._build_call(stages))
         return is_new_head
 
@@ -205,7 +205,7 @@
         except EndpointError as exc:
             self._note_failed(stages[0].replica.replica_id, str(exc))
             if isinstance(exc, BrokenAnswerError):
-                self._witness.note_break(self._task, stages[0].replica)
+                self._quarantine.note_break(self._task, stages[0].replica)
         finally:
             if head is None:
                 conn.close()
@@ -225,7 +225,7 @@
         """A path refused and ran nothing; avoid who could not do its part."""
         if is_new_head:
             # One that has run the stream before counts as tried all the same.
-            self._path.heads.discard(head_id)
+            self._path.used_heads.discard(head_id)
         found = self._state.view.find_address(at_fault) if at_fault else None
         replica_id = head_id if found is None else found.replica.replica_id
         if found is not None and replica_id != head_id and head.status == _BUSY:
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -80,7 +80,7 @@
         Grants paths.
     examiner : Examiner
         Asks silent replicas.
-    witness : Witness
+    quarantine : Witness
         Told of runs that break off, and of those that go on.
     """
 
@@ -91,11 +91,11 @@
         engine: EngineSpec,
         admission: Admission,
         examiner: Examiner,
-        witness: Witness,
+        quarantine: Witness,
     ) -> None:
         self._state = state
         self._task = task
-        self._witness = witness
+        self._quarantine = quarantine
         self._loop = asyncio.get_running_loop()
         self._admission = admission
         self._path = StreamPath(state, task, engine, admission)
@@ -107,10 +107,10 @@
         )
         self._progress = StreamProgress(task)
         self._sender = StreamSender(
-            state, task, self._path, self._progress, examiner, witness
+            state, task, self._path, self._progress, examiner, quarantine
         )
         self._limits = StreamLimits(
-            state, task, self._progress, self._times, witness
+            state, task, self._progress, self._times, quarantine
         )
         self._ended = False
         self._failure: tuple[Head, bytes] | None = None
@@ -183,8 +183,8 @@
             return
         if rest_s:
             await self._wait(asyncio.sleep(rest_s))
-        if self._witness.is_suspect(self._task):
-            await self._wait(self._witness.rest(self._task))
+        if self._quarantine.is_suspect(self._task):
+            await self._wait(self._quarantine.rest(self._task))
 
     async def _take_path(self) -> bool:
         """Wait for a path; give up and return false if none comes."""
@@ -199,7 +199,7 @@
     async def _find_path(self) -> None:
         has_begun = self._progress.has_begun
         until = self._limits.limit_admission()
-        heads = await self._path.find_apart(self._witness, until)
+        heads = await self._path.find_isolated_head(self._quarantine, until)
         await self._path.take(
             _URGENT if has_begun else self._task.priority,
             until,
@@ -361,7 +361,7 @@
             part = await self._guard.read(conn, silence_s, _read_part)
             if isinstance(part, Whole):
                 if self._run.events:
-                    self._witness.note_whole(self._task)
+                    self._quarantine.note_whole(self._task)
                 caller.write_body(splitter.rest)
                 caller.end_answer()
                 self._ended = True
@@ -376,7 +376,7 @@
             if not self._run.events:
                 self._trust_path()
             self._run.note_events(len(events), self._loop.time())
-            self._witness.note_progress(self._task, self._run)
+            self._quarantine.note_progress(self._task, self._run)
         for event in events:
             if event.number < 0 or event.number > self._progress.last_id:
                 self._progress.last_id = max(
@@ -398,7 +398,7 @@
     def _note_break(self, exc: EndpointError) -> None:
         if isinstance(exc, BrokenAnswerError):
             head = self._path.stages[0].replica
-            self._witness.note_break(self._task, head, self._run)
+            self._quarantine.note_break(self._task, head, self._run)
         if self._succession.has_run:
             self._state.counters['streams.taken_over'] += 1
             return
@@ -415,7 +415,7 @@
         if self._path.head_id not in self._state.view.known:
             # Counted as there for half a minute more, such replicas were all
             # that a stream might be sent to; it was cut with others free.
-            self._path.finder.ended.add(self._path.head_id)
+            self._path.finder.departed_heads.add(self._path.head_id)
         self._state.counters['streams.broken'] += 1
         self._log(
             'stream broke',
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -73,7 +73,7 @@
             ENGINE,
             Admission(self.state),
         )
-        self.path.heads.update(('one', 'two'))
+        self.path.used_heads.update(('one', 'two'))
         self.path.avoid.update(('one', 'two'))
 
     async def test_the_one_that_failed_least_is_sent_the_stream(self) -> None:
