--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.relay.errors import SilentEndpointError
-from samphirerill.relay.stream_path import Way
+from samphirerill.relay.stream_path import MoveResult
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -129,7 +129,7 @@
         """Move off replicas that leave, at a moment of the stream's own."""
         if self._leaving is not None:
             return
-        at = self._path.choose_leaving_time()
+        at = self._path.choose_departure_time()
         if at:
             self._leaving = self._loop.call_at(at, self._leave, conn)
 
@@ -150,7 +150,7 @@
             conn.close()
 
     def _can_go_elsewhere(self) -> bool:
-        return self._may_resend() and self._path.has_other()
+        return self._may_resend() and self._path.has_alternative()
 
     def _start_move(self, conn: HttpConnection) -> None:
         if self._moving is None:
@@ -168,9 +168,9 @@
         finally:
             if self._moving is asyncio.current_task():
                 self._moving = None
-        if way is Way.MOVED or self._conn is not conn:
+        if way is MoveResult.MOVED or self._conn is not conn:
             return
-        must_leave = way is Way.AGAIN or bool(self._path.list_lost())
+        must_leave = way is MoveResult.RESEND or bool(self._path.list_lost())
         if not must_leave or not self._can_go_elsewhere():
             self._plan_leaving(conn)
         elif not self._seek(conn, 'it could not be moved'):
@@ -201,7 +201,9 @@
             return
         if not self._task.may_repeat:
             return
-        culprit = self._path.find_culprit(diagnosis, self._task.request_id)
+        culprit = self._path.find_stalled_replica(
+            diagnosis, self._task.request_id
+        )
         if not culprit:
             self._leave_unexplained(since)
             return
@@ -213,7 +215,7 @@
     async def _move_behind_head(self) -> bool:
         """Move the stream, or wait for the move that is under way."""
         if self._moving is None:
-            return await self._path.move() is Way.MOVED
+            return await self._path.move() is MoveResult.MOVED
         await asyncio.wait((self._moving,))
         return not self._path.list_lost()
 
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -1,4 +1,4 @@
-"""The path of one stream: what it holds, what is lost of it, how it moves."""
+"""The path of one stream: its stages, which have failed, and rerouting."""
 
 from __future__ import annotations
 
@@ -26,46 +26,49 @@
     from samphirerill.relay.task import Task
 
 _LOG = get_logger('streams')
-# Of the time for which a leaving replica still serves a stream, the part that
-# passes before the stream moves: most streams end by themselves in it, and who
-# takes over has loaded the layers. The last moments are kept for the move.
-_STAY = 0.4
-_MOVE_S = 0.15
-# Where streams hurry, all leave at once; one that finds no way tries again.
-_HURRY_S = 0.05
-# An event of another stream proves its path for so long. One that passed a
-# replica just before this died may arrive most of a gap later.
-_PROOF_S = 0.015
-
-# How often a suspect looks for a replica without another one.
-_APART_STEP_S = 0.1
-# Longer than another suspect needs to show what it is; callers wait.
-_MOST_APART_S = 0.7
-# Streams that leave one by one wait for so much fewer others.
-_SPREAD_CROWD = 4
-
-
-class Way(enum.Enum):
-    """How a stream may leave a part: it has moved, or should be sent again."""
+# Share of the time left on a draining replica before a stream may move. Most
+# streams finish within it, and the replacement has loaded the layers by then.
+# The end of that time is reserved for the move itself.
+_MIN_STAY_SHARE = 0.4
+_MOVE_MARGIN_S = 0.15
+# Delay before leaving, and before a retry, without the policy
+# `unhurried_leaving`.
+_UNSPREAD_DELAY_S = 0.05
+# How long an event of another stream proves that its path works. It may arrive
+# most of an event interval after a replica that it passed has failed, so longer
+# is no proof.
+_LIVENESS_PROOF_S = 0.015
+
+# Interval between searches for a replica without another suspect.
+_ISOLATION_POLL_S = 0.1
+# Upper bound on that search: longer than it takes to clear or convict another
+# suspect, short enough for a waiting client.
+_MAX_ISOLATION_WAIT_S = 0.7
+# Streams that leave at spread times overlap with one in this many others.
+_SPREAD_FACTOR = 4
+
+
+class MoveResult(enum.Enum):
+    """Result of moving a stream off a replica."""
 
     MOVED = 'moved'
-    AGAIN = 'send again'
-    NONE = 'no way'
+    RESEND = 'send again'
+    NONE = 'no path'
 
 
 class StreamPath:
-    """Stages that a stream passes through, counted as taken while it does.
+    """The stages that a stream uses, with their capacity reserved.
 
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     task : Task
         The request.
     engine : EngineSpec
-        The service's figures.
+        Performance figures of the service's engine.
     admission : Admission
-        Grants paths.
+        Grants paths with free capacity.
     """
 
     def __init__(
@@ -88,10 +91,10 @@
 
     @property
     def head_id(self) -> str:
-        """Return the replica that the stream is sent to."""
+        """Return the head replica, which the stream is sent to."""
         return self.stages[0].replica.replica_id
 
-    async def take(
+    async def acquire(
         self,
         rank: int,
         deadline: float,
@@ -99,18 +102,20 @@
         is_urgent: bool,
         heads: frozenset[str] = ANY_HEAD,
     ) -> None:
-        """Wait for a path with room; raise ``NoPathError`` if none comes.
+        """Wait for a path with free capacity and reserve it.
+
+        Raises ``NoPathError`` if none is found in time.
 
         Parameters
         ----------
         rank : int
-            Its priority, 0 first.
+            The priority; lower values are served first.
         deadline : float
-            Until when it may wait.
+            The latest time to wait until.
         is_urgent : bool
-            The stream has begun.
+            Whether the stream has started.
         heads : frozenset of str
-            The replicas that it may begin at; empty for any.
+            The head replicas that are allowed; empty for any.
         """
         wanted = self.finder.build_retry_request(is_urgent=is_urgent)
         wanted.heads = wanted.heads or heads
@@ -119,81 +124,85 @@
     async def find_isolated_head(
         self, quarantine: Witness, until: float
     ) -> frozenset[str]:
-        """Return where a suspect may begin; empty for anywhere.
+        """Return the heads for a suspected request; empty for any.
 
-        It may end the replica that it begins at: that should be one where few
-        others run, and no other suspect, or nobody could tell which it was.
+        A request suspected of crashing replicas is sent to a replica with few
+        other requests and no other suspect. If that replica crashes, the cause
+        is then known and few others are affected.
         """
-        last = min(until, self._loop.time() + _MOST_APART_S) - _APART_STEP_S
+        last = (
+            min(until, self._loop.time() + _MAX_ISOLATION_WAIT_S)
+            - _ISOLATION_POLL_S
+        )
         while quarantine.is_suspect(self._task):
             taken = quarantine.list_trials()
             heads = self.finder.find_isolated_head(taken)
             if heads or not taken or self._loop.time() >= last:
                 return heads
-            await asyncio.sleep(_APART_STEP_S)
+            await asyncio.sleep(_ISOLATION_POLL_S)
         return ANY_HEAD
 
-    async def take_beside(
+    async def acquire_parallel(
         self, rank: int, deadline: float
     ) -> tuple[Stage, ...]:
-        """Wait for a path beside the present one.
+        """Reserve a path for a second run while the present one goes on.
 
-        It begins elsewhere: no replica is sent the same stream twice at a
-        time. Raises ``NoPathError`` if none comes.
+        Its head differs, so that no replica runs the same stream twice at a
+        time. Raises ``NoPathError`` if no path is found.
         """
         wanted = self.finder.build_beside(self.head_id, self.list_lost())
         return await self._admit(wanted, rank, deadline)
 
-    def give_back(self) -> None:
-        """The stream does not pass through the path any more."""
+    def release(self) -> None:
+        """Release the capacity of the path."""
         self._admission.release(self.stages, self.tokens)
         self.stages = ()
 
-    def has_other(self) -> bool:
-        """Return whether the stream could go on over other replicas now."""
+    def has_alternative(self) -> bool:
+        """Return whether a path over other replicas has capacity now."""
         return bool(self.finder.find_other(self.list_lost()))
 
-    async def move(self) -> Way:
-        """Move the stream behind its first replica, if that is the best way."""
+    async def move(self) -> MoveResult:
+        """Replace the stages after the head, unless resending is faster."""
         held = frozenset(list_ids(self.stages))
-        ending = self._list_ending()
+        ending = self._list_ending_ids()
         stages = self.finder.find_with_head(self.stages[0], held, ending)
         if not stages:
-            return Way.NONE
-        if self._is_dearer(stages, held, ending):
-            return Way.AGAIN
+            return MoveResult.NONE
+        if self._is_resend_faster(stages, held, ending):
+            return MoveResult.RESEND
         self._admission.hold(self.engine, stages, self.tokens)
-        if await self._change_to(stages):
-            return Way.MOVED
-        return Way.NONE
+        if await self._reroute(stages):
+            return MoveResult.MOVED
+        return MoveResult.NONE
 
-    def choose_leaving_time(self) -> float:
-        """Return when to leave replicas that end; 0 if none does, or too late.
+    def choose_departure_time(self) -> float:
+        """Return when to leave replicas that end; 0 if none does or too late.
 
-        All streams of a replica that moved at once would wait for each other
-        at whoever takes over: 40 contexts are read one after another. Spread
-        over the time that is left, none waits for another. At the end of that
-        time a part that is given up is lost.
+        The replacement rebuilds the KV caches of moved streams one after
+        another, so the streams of a draining replica leave at random times
+        within the time left instead of all at once. Layers that are being
+        dropped are lost at its end.
         """
         now = self._loop.time()
-        ends = self._list_ends(now)
+        ends = self._list_end_times(now)
         if not ends:
             return 0.0
         if not self._state.settings.policy.unhurried_leaving:
-            return now + _HURRY_S
+            return now + _UNSPREAD_DELAY_S
         until = min(ends.values())
-        latest = until - _MOVE_S
+        latest = until - _MOVE_MARGIN_S
         if latest > now and set(ends) != {self.head_id}:
-            since = now + (latest - now) * _STAY
+            since = now + (latest - now) * _MIN_STAY_SHARE
             return self._state.random.uniform(since, latest)
-        over = until + _MOVE_S
-        return over if over > now else 0.0
+        expires_at = until + _MOVE_MARGIN_S
+        return expires_at if expires_at > now else 0.0
 
     def list_unproven(self) -> tuple[Stage, ...]:
-        """Return the parts that nothing tells of that they work."""
+        """Return the stages without recent proof that they work."""
         if not self._state.settings.policy.signs_of_life:
             return self.stages
-        since = self._loop.time() - _PROOF_S
+        since = self._loop.time() - _LIVENESS_PROOF_S
         return list_unproven(self._state.streams, self.stages, since)
 
     def list_lost(self) -> set[str]:
@@ -207,12 +216,14 @@
         }
 
     def is_head_dead(self) -> bool:
-        """Return whether the first replica is gone or taken to be dead."""
+        """Return whether the head replica is gone or considered dead."""
         found = self._state.view.known.get(self.head_id)
         return found is None or found.suspicion.dead_until > self._loop.time()
 
-    def find_culprit(self, diagnosis: Diagnosis, request_id: str) -> str:
-        """Return the replica that the path waits for; empty if none."""
+    def find_stalled_replica(
+        self, diagnosis: Diagnosis, request_id: str
+    ) -> str:
+        """Return the replica that the path waits for; empty if unknown."""
         address = diagnosis.stalled.get(request_id, '')
         for stage in self.stages:
             name = stage.replica.replica_id
@@ -244,51 +255,53 @@
             task.req.arrived_at + task.route.target_s,
         )
 
-    def _list_ends(self, now: float) -> dict[str, float]:
-        """Return until when replicas serve that leave or give up a part.
+    def _list_end_times(self, now: float) -> dict[str, float]:
+        """Return until when replicas that drain or drop layers serve.
 
-        A first replica that leaves finishes what it has begun; a stream can't
-        be moved off it, only sent again.
+        A draining head is left out: it finishes the streams that it runs, and a
+        stream cannot be moved off its head, only resent.
         """
         view = self._state.view
         ends = {}
         for stage in self.stages:
             name = stage.replica.replica_id
             end = find_end(view, stage, now)
-            stays = name == self.head_id and name in view.leaving
-            if 0 < end < float('inf') and not stays:
+            is_draining_head = name == self.head_id and name in view.leaving
+            if 0 < end < float('inf') and not is_draining_head:
                 ends[name] = end
         return ends
 
-    def _list_ending(self) -> set[str]:
-        """Return the replicas that are lost, leave or give up their part."""
-        return self.list_lost() | set(self._list_ends(self._loop.time()))
+    def _list_ending_ids(self) -> set[str]:
+        """Return the replicas that have failed, drain or drop layers."""
+        return self.list_lost() | set(self._list_end_times(self._loop.time()))
 
-    def _is_dearer(
+    def _is_resend_faster(
         self,
         stages: tuple[Stage, ...],
         held: frozenset[str],
         ending: set[str],
     ) -> bool:
-        """Return whether moving takes longer than to be sent again.
+        """Return whether resending to another path is faster than moving.
 
-        Streams of a lost part go on all at once, those of one that leaves one
-        by one, but still so close that a pipe does not keep up.
+        All streams of a failed stage move at the same time. Those of a draining
+        replica are spread out, but still overlap on the network link.
         """
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
         other = self.finder.find_other(ending)
-        crowd = max(self._state.book.requests(name) for name in ending)
+        concurrent = max(self._state.book.requests(name) for name in ending)
         if not self.list_lost():
-            crowd = crowd // _SPREAD_CROWD + 1
+            concurrent = concurrent // _SPREAD_FACTOR + 1
         move_ms = predict_pause_ms(
-            self.engine, stages, held, self.tokens, crowd
+            self.engine, stages, held, self.tokens, concurrent
+        )
+        resend_ms = predict_pause_ms(
+            self.engine, other, (), self.tokens, concurrent
         )
-        again_ms = predict_pause_ms(self.engine, other, (), self.tokens, crowd)
-        return bool(other) and again_ms < move_ms
+        return bool(other) and resend_ms < move_ms
 
-    async def _change_to(self, stages: tuple[Stage, ...]) -> bool:
-        """Order the move; only one of the two paths stays taken."""
+    async def _reroute(self, stages: tuple[Stage, ...]) -> bool:
+        """Tell the head to use new stages; keep one of the two reserved."""
         try:
             moved = await order_repath(
                 self._state, self._task.facts.request_id, stages
@@ -300,22 +313,22 @@
             self._admission.release(stages, self.tokens)
             return False
         self._admission.release(self.stages, self.tokens)
-        left = describe_stages(self.stages)
+        previous = format_path(self.stages)
         self.stages = stages
         self._state.counters['streams.moved'] += 1
         _LOG.info(
             'stream moved',
             extra={
                 'request': self._task.request_id,
-                'path': describe_stages(self.stages),
-                'before': left,
+                'path': format_path(self.stages),
+                'before': previous,
             },
         )
         return True
 
 
-def describe_stages(stages: tuple[Stage, ...]) -> str:
-    """Return a path as logs show it."""
+def format_path(stages: tuple[Stage, ...]) -> str:
+    """Return a path as it is shown in log lines."""
     return ' '.join(
         f'{stage.replica.replica_id}:{stage.layers.first}-{stage.layers.end}'
         for stage in stages
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -19,7 +19,7 @@
     NoConnectionLeftError,
 )
 from samphirerill.relay.stream_call import build_stream_call, read_last_id
-from samphirerill.relay.stream_path import describe_stages
+from samphirerill.relay.stream_path import format_path
 from samphirerill.relay.succession import Run
 
 if TYPE_CHECKING:
@@ -172,7 +172,7 @@
         waited_s = self._loop.time() - self._task.req.arrived_at
         self._log(
             event,
-            path=describe_stages(stages),
+            path=format_path(stages),
             send=progress.sends,
             nodes=1 + self._state.book.count_peers(),
             after_event=progress.last_id,
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -35,7 +35,7 @@
 )
 from samphirerill.relay.stream_guard import StreamGuard
 from samphirerill.relay.stream_limits import StreamLimits
-from samphirerill.relay.stream_path import StreamPath, describe_stages
+from samphirerill.relay.stream_path import StreamPath, format_path
 from samphirerill.relay.stream_sender import StreamProgress, StreamSender
 from samphirerill.relay.stream_times import RunTimes, StreamTimes
 from samphirerill.relay.succession import Run, Succession
@@ -200,7 +200,7 @@
         has_begun = self._progress.has_begun
         until = self._limits.limit_admission()
         heads = await self._path.find_isolated_head(self._quarantine, until)
-        await self._path.take(
+        await self._path.acquire(
             _URGENT if has_begun else self._task.priority,
             until,
             is_urgent=has_begun,
@@ -228,7 +228,7 @@
         try:
             await self._send_once()
         finally:
-            self._path.give_back()
+            self._path.release()
 
     async def _send_once(self) -> None:
         stages = self._path.stages
@@ -250,7 +250,7 @@
             try:
                 await self._carry(run.conn, self._relay(run.conn, run.head))
             finally:
-                self._path.give_back()
+                self._path.release()
 
     async def _carry(
         self, conn: HttpConnection, reading: Coroutine[None, None, None]
@@ -291,7 +291,7 @@
             return None
         until = self._limits.limit_admission()
         try:
-            stages = await self._path.take_beside(_URGENT, until)
+            stages = await self._path.acquire_parallel(_URGENT, until)
         except NoPathError as exc:
             self._log('stream stays', reason=str(exc))
             return None
@@ -419,7 +419,7 @@
         self._state.counters['streams.broken'] += 1
         self._log(
             'stream broke',
-            path=describe_stages(self._path.stages),
+            path=format_path(self._path.stages),
             last_event=self._progress.last_id,
             reason=self._progress.reason,
             **self._run.describe(self._loop.time()),
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -16,7 +16,7 @@
 from samphirerill.relay.connection import HttpConnection
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_guard import StreamGuard
-from samphirerill.relay.stream_path import Way
+from samphirerill.relay.stream_path import MoveResult
 from samphirerill.tests.fleets import ENGINE, build_replica
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
@@ -241,10 +241,10 @@
         """Return the replicas to be left."""
         return {'tail'}
 
-    async def move(self) -> Way:
+    async def move(self) -> MoveResult:
         """Count the moves."""
         self.moves += 1
-        return Way.MOVED
+        return MoveResult.MOVED
 
 
 class _Resumable:
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -93,9 +93,9 @@
     async def choose(self) -> str:
         """Return where the stream would begin now."""
         now = asyncio.get_running_loop().time()
-        await self.path.take(_URGENT, now + _SOON_S, is_urgent=True)
+        await self.path.acquire(_URGENT, now + _SOON_S, is_urgent=True)
         head = self.path.head_id
-        self.path.give_back()
+        self.path.release()
         return head
 
 
