--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -167,7 +167,7 @@
             return True
         if not outcome.was_sent or outcome.is_not_run:
             return False
-        return not self._task.may_repeat
+        return not self._task.is_retryable
 
     async def _send(self, found: Known) -> _Outcome:
         replica = found.replica
@@ -220,7 +220,7 @@
     async def _connect(self, replica: Replica) -> HttpConnection:
         conn = await self._state.pool.take(
             replica,
-            fresh=not self._task.may_repeat,
+            fresh=not self._task.is_retryable,
             most=self._state.count_connections(self._task.service),
         )
         if self._quarantine.find_held_until(self._task):
@@ -275,7 +275,7 @@
         now = self._loop.time()
         task = self._task
         last = self._sends >= task.route.max_attempts
-        if last or not task.may_repeat:
+        if last or not task.is_retryable:
             return task.deadline
         return now + (task.deadline - now) * _FIRST_SHARE
 
--- a/samphirerill/relay/stream_call.py
+++ b/samphirerill/relay/stream_call.py
@@ -51,12 +51,12 @@
     return build_call(task.req.method, task.req.target, headers, task.req.body)
 
 
-def find_patience_s(route: FleetRoute) -> float:
+def get_stall_timeout_s(route: FleetRoute) -> float:
     """Return for how long a stream that has begun may have no event, in s."""
     longest = max(_LEAST_GAP_S, _TARGETS * route.target_s, _GAPS * route.gap_s)
     return longest - _MARGIN_S
 
 
-def read_last_id(text: bytes) -> int:
+def parse_event_id(text: bytes) -> int:
     """Return the number of the event that a client names; -1 for none."""
     return int(text) if text.isdigit() else -1
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -1,8 +1,8 @@
-"""Keep one stream on a path that works.
+"""Watch the path of one stream and leave it when it fails.
 
-While a stream is sent, its path may lose a replica, or fall silent. What is lost
-is left at once; after a silence, all replicas on the path are asked. A stream
-moves behind its first replica if it can, else another run takes over.
+Failed replicas are left at once; after a silence, all replicas of the path are
+probed. A stream keeps its head replica and gets new later stages if possible;
+otherwise it is handed over to another run.
 """
 
 from __future__ import annotations
@@ -25,33 +25,33 @@
 
     Read = TypeVar('Read')
 
-# Asked in vain, the next question waits longer, up to this.
-_MORE_PATIENCE = 1.6
-# A silent path whose replicas all work, as other streams show, is looked at
-# again so soon: the proof may have been a moment too old.
-_LOOK_AGAIN_S = 0.015
-# A path that is silent for so long without a reason is left; clients give up
-# after two seconds.
-_MOST_SILENCE_S = 1.2
+# Factor on the silence limit after each inconclusive probe.
+_SILENCE_BACKOFF = 1.6
+# Interval of checks while other streams prove that all stages work: the proof
+# may be slightly too old.
+_RECHECK_S = 0.015
+# A path is left after a silence of this length even without a known reason;
+# clients give up after two seconds.
+_MAX_SILENCE_S = 1.2
 
 
 class StreamGuard:
-    """Watches over one stream while it is sent.
+    """Watches the path of one stream while it is being served.
 
     Parameters
     ----------
     task : Task
         The request.
     path : StreamPath
-        Where the stream passes through.
+        The path of the stream.
     examiner : Examiner
-        Asks the replicas of silent paths.
-    may_resend : callable
-        Returns whether the stream could be sent again.
-    seek : callable
-        Lets another run take over if the stream has begun, and returns whether
-        it has; takes the connection and the reason. A stream that has not begun
-        loses nothing if it is sent again.
+        Probes the replicas of silent paths.
+    may_retry : callable
+        Returns whether another attempt is allowed.
+    start_handover : callable
+        Starts a handover to another run if the stream has started, and returns
+        whether it has; takes the connection and the reason. A stream that has
+        not started loses nothing if it is sent again instead.
     """
 
     def __init__(
@@ -59,50 +59,50 @@
         task: Task,
         path: StreamPath,
         examiner: Examiner,
-        may_resend: Callable[[], bool],
-        seek: Callable[[HttpConnection, str], bool],
+        may_retry: Callable[[], bool],
+        start_handover: Callable[[HttpConnection, str], bool],
     ) -> None:
         self._task = task
         self._path = path
         self._examiner = examiner
-        self._may_resend = may_resend
-        self._seek = seek
+        self._may_retry = may_retry
+        self._start_handover = start_handover
         self._loop = asyncio.get_running_loop()
         self._conn: HttpConnection | None = None
-        self._moving: asyncio.Task[None] | None = None
-        self._leaving: asyncio.TimerHandle | None = None
+        self._move_task: asyncio.Task[None] | None = None
+        self._departure_timer: asyncio.TimerHandle | None = None
 
-    def begin(self, conn: HttpConnection) -> None:
-        """The stream is sent on a connection."""
+    def start(self, conn: HttpConnection) -> None:
+        """Start watching a stream that was sent on a connection."""
         self._conn = conn
 
-    def end(self) -> None:
-        """The stream is not sent any more."""
+    def stop(self) -> None:
+        """Stop watching and cancel a pending move."""
         self._conn = None
-        if self._moving is not None:
-            self._moving.cancel()
-            # A move that is cancelled before its first step does not forget
-            # itself, and the stream would never move again.
-            self._moving = None
-        if self._leaving is not None:
-            self._leaving.cancel()
-            self._leaving = None
+        if self._move_task is not None:
+            self._move_task.cancel()
+            # A task that is cancelled before its first step does not run its
+            # `finally`; without this, no further move would ever start.
+            self._move_task = None
+        if self._departure_timer is not None:
+            self._departure_timer.cancel()
+            self._departure_timer = None
 
     def check_path(self) -> None:
-        """Leave replicas that are lost, without waiting for a silence.
+        """React to changed replica states without waiting for a silence.
 
-        Those that leave are left while they still serve, but not in a hurry.
+        Failed replicas are left at once, draining ones at a scheduled time.
         """
         conn = self._conn
-        if conn is None or not self._task.may_repeat:
+        if conn is None or not self._task.is_retryable:
             return
         lost = self._path.list_lost()
         if self._path.head_id in lost:
-            self._leave_head(conn)
+            self._leave_failed_head(conn)
         elif lost:
             self._start_move(conn)
         else:
-            self._plan_leaving(conn)
+            self._schedule_departure(conn)
 
     async def read(
         self,
@@ -110,10 +110,10 @@
         silence_s: float,
         read: Callable[[HttpConnection, float], Awaitable[Read]],
     ) -> Read:
-        """Read on; after a silence, ask whether the path still works.
+        """Read the next part; after each silence, check the path.
 
-        Without asking, a stream on a dead stage would wait until the engine
-        itself gives up, seconds later, while other paths are free.
+        Without the check, a stream on a dead stage would wait for seconds until
+        the engine itself gives up, although other paths are free.
         """
         since = self._loop.time()
         while True:
@@ -123,18 +123,18 @@
             except SilentEndpointError:
                 if self._loop.time() >= self._task.deadline:
                     raise
-                silence_s = await self._find_cause(since, silence_s)
+                silence_s = await self._diagnose_silence(since, silence_s)
 
-    def _plan_leaving(self, conn: HttpConnection) -> None:
-        """Move off replicas that leave, at a moment of the stream's own."""
-        if self._leaving is not None:
+    def _schedule_departure(self, conn: HttpConnection) -> None:
+        """Schedule the departure from draining replicas."""
+        if self._departure_timer is not None:
             return
         at = self._path.choose_departure_time()
         if at:
-            self._leaving = self._loop.call_at(at, self._leave, conn)
+            self._departure_timer = self._loop.call_at(at, self._depart, conn)
 
-    def _leave(self, conn: HttpConnection) -> None:
-        self._leaving = None
+    def _depart(self, conn: HttpConnection) -> None:
+        self._departure_timer = None
         if self._conn is not conn:
             return
         if self._path.list_lost():
@@ -142,91 +142,96 @@
         else:
             self._start_move(conn)
 
-    def _leave_head(self, conn: HttpConnection) -> None:
-        """Go on elsewhere if the first replica is gone or gives up its part."""
-        if self._seek(conn, f'{self._path.head_id} is lost'):
+    def _leave_failed_head(self, conn: HttpConnection) -> None:
+        """Leave a head replica that is gone or drops its layers."""
+        if self._start_handover(conn, f'{self._path.head_id} is lost'):
             return
-        if self._path.is_head_dead() or self._can_go_elsewhere():
+        if self._path.is_head_dead() or self._can_resend():
             conn.close()
 
-    def _can_go_elsewhere(self) -> bool:
-        return self._may_resend() and self._path.has_alternative()
+    def _can_resend(self) -> bool:
+        return self._may_retry() and self._path.has_alternative()
 
     def _start_move(self, conn: HttpConnection) -> None:
-        if self._moving is None:
-            self._moving = self._loop.create_task(self._move(conn))
+        if self._move_task is None:
+            self._move_task = self._loop.create_task(self._move_or_resend(conn))
 
-    async def _move(self, conn: HttpConnection) -> None:
-        """Move behind the first replica, or go on over another path.
+    async def _move_or_resend(self, conn: HttpConnection) -> None:
+        """Replace the later stages, or continue over another path.
 
-        A replica that gives up layers loads others only when no stream passes
-        through them any more. As long as it waits, a stream that finds no
-        other way stays, as on one that leaves.
+        A replica that drops layers loads others only once no stream uses them.
+        Until its deadline, a stream without an alternative stays.
         """
         try:
-            way = await self._path.move()
+            outcome = await self._path.move()
         finally:
-            if self._moving is asyncio.current_task():
-                self._moving = None
-        if way is MoveResult.MOVED or self._conn is not conn:
+            if self._move_task is asyncio.current_task():
+                self._move_task = None
+        if outcome is MoveResult.MOVED or self._conn is not conn:
             return
-        must_leave = way is MoveResult.RESEND or bool(self._path.list_lost())
-        if not must_leave or not self._can_go_elsewhere():
-            self._plan_leaving(conn)
-        elif not self._seek(conn, 'it could not be moved'):
+        must_leave = outcome is MoveResult.RESEND or bool(
+            self._path.list_lost()
+        )
+        if not must_leave or not self._can_resend():
+            self._schedule_departure(conn)
+        elif not self._start_handover(conn, 'could not be moved'):
             conn.close()
 
-    async def _find_cause(self, since: float, silence_s: float) -> float:
-        """Ask who is silent; return how long to wait before asking again."""
+    async def _diagnose_silence(self, since: float, silence_s: float) -> float:
+        """Find out why the path is silent; return the next silence limit."""
         unproven = self._path.list_unproven()
-        if not unproven and self._loop.time() - since < _MOST_SILENCE_S:
-            return _LOOK_AGAIN_S
-        await self._examine(since, unproven)
-        return silence_s * _MORE_PATIENCE
+        if not unproven and self._loop.time() - since < _MAX_SILENCE_S:
+            return _RECHECK_S
+        await self._probe_path(since, unproven)
+        return silence_s * _SILENCE_BACKOFF
+
+    async def _probe_path(
+        self, since: float, unproven: tuple[Stage, ...]
+    ) -> None:
+        """Probe the path and leave it if it cannot continue.
 
-    async def _examine(self, since: float, unproven: tuple[Stage, ...]) -> None:
-        """Move the stream if its path can't go on; raise if that fails.
+        Raises ``SilentEndpointError`` if the stream has to be sent again.
 
         Parameters
         ----------
         since : float
             When the silence began.
         unproven : tuple of Stage
-            The parts of the path that may be dead.
+            The stages that may be dead.
         """
         head_id = self._path.head_id
         diagnosis = await self._examiner.examine(unproven)
         if head_id in diagnosis.dead:
-            self._leave_silent(f'{head_id}: does not answer')
+            self._leave_path(f'{head_id}: does not answer')
             return
-        if not self._task.may_repeat:
+        if not self._task.is_retryable:
             return
-        culprit = self._path.find_stalled_replica(
+        stalled_id = self._path.find_stalled_replica(
             diagnosis, self._task.request_id
         )
-        if not culprit:
-            self._leave_unexplained(since)
+        if not stalled_id:
+            self._leave_stalled_path(since)
             return
-        if culprit != head_id and await self._move_behind_head():
+        if stalled_id != head_id and await self._replace_later_stages():
             return
-        if self._can_go_elsewhere():
-            self._leave_silent(f'the path waits for {culprit}')
+        if self._can_resend():
+            self._leave_path(f'path is stalled by {stalled_id}')
 
-    async def _move_behind_head(self) -> bool:
-        """Move the stream, or wait for the move that is under way."""
-        if self._moving is None:
+    async def _replace_later_stages(self) -> bool:
+        """Replace the later stages, or wait for a move in progress."""
+        if self._move_task is None:
             return await self._path.move() is MoveResult.MOVED
-        await asyncio.wait((self._moving,))
+        await asyncio.wait((self._move_task,))
         return not self._path.list_lost()
 
-    def _leave_unexplained(self, since: float) -> None:
-        """Leave a path that is silent for long, though all its parts live."""
+    def _leave_stalled_path(self, since: float) -> None:
+        """Leave a path that is silent for long although all replicas work."""
         waited_s = self._loop.time() - since
-        if waited_s >= _MOST_SILENCE_S and self._can_go_elsewhere():
-            self._leave_silent(f'silent for {waited_s:.1f} s')
+        if waited_s >= _MAX_SILENCE_S and self._can_resend():
+            self._leave_path(f'silent for {waited_s:.1f} s')
 
-    def _leave_silent(self, reason: str) -> None:
-        """Let another run take over; raise if the stream has not begun."""
+    def _leave_path(self, reason: str) -> None:
+        """Start a handover; raise if the stream has not started."""
         conn = self._conn
-        if conn is None or not self._seek(conn, reason):
+        if conn is None or not self._start_handover(conn, reason):
             raise SilentEndpointError(reason)
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.relay.send_budget import SendBudget
-from samphirerill.relay.stream_call import find_patience_s
+from samphirerill.relay.stream_call import get_stall_timeout_s
 
 if TYPE_CHECKING:
     from samphirerill.relay.quarantine import Witness
@@ -121,7 +121,7 @@
         if self._progress.has_begun:
             # A path may break before its first event.
             since = max(self._progress.begun_at, self._times.last_at)
-            until = since + find_patience_s(self._task.route)
+            until = since + get_stall_timeout_s(self._task.route)
         return min(self._task.deadline, until)
 
     def choose_rest_s(self) -> float:
@@ -148,5 +148,5 @@
         if progress.sends >= _MOST_SENDS and not progress.has_begun:
             return f'sent {progress.sends} times'
         if progress.sends and progress.may_have_run:
-            return '' if self._task.may_repeat else 'it may have run'
+            return '' if self._task.is_retryable else 'it may have run'
         return ''
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -18,7 +18,7 @@
     EndpointError,
     NoConnectionLeftError,
 )
-from samphirerill.relay.stream_call import build_stream_call, read_last_id
+from samphirerill.relay.stream_call import build_stream_call, parse_event_id
 from samphirerill.relay.stream_path import format_path
 from samphirerill.relay.succession import Run
 
@@ -58,7 +58,7 @@
     )
 
     def __init__(self, task: Task) -> None:
-        self.last_id = read_last_id(task.facts.resume_after)
+        self.last_id = parse_event_id(task.facts.resume_after)
         self.begun_at = 0.0
         self.sends = 0
         self.fruitless = 0
@@ -134,7 +134,7 @@
         try:
             conn = await self._state.pool.take(
                 replica,
-                fresh=not self._task.may_repeat,
+                fresh=not self._task.is_retryable,
                 most=self._state.count_connections(self._task.service),
             )
         except NoConnectionLeftError as exc:
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -259,7 +259,7 @@
         replica = self._path.stages[0].replica
         self._run = RunTimes(self._loop.time())
         self._conn = conn
-        self._guard.begin(conn)
+        self._guard.start(conn)
         try:
             await reading
         except EndpointError as exc:
@@ -272,11 +272,11 @@
             self._state.pool.give_back(replica, conn)
         finally:
             self._conn = None
-            self._guard.end()
+            self._guard.stop()
 
     def _seek(self, conn: HttpConnection, reason: str) -> bool:
         """Let another run take over; return whether the stream has begun."""
-        if self._progress.has_begun and self._task.may_repeat:
+        if self._progress.has_begun and self._task.is_retryable:
             self._log('stream leaves', reason=reason)
             if must_begin_here(self._path) and self._limits.may_resend():
                 # No replica is sent a stream that it still runs.
@@ -345,7 +345,7 @@
         self._failure = (head, await read_body(conn, self._task.deadline))
         self._progress.reason = f'engine answered {head.status}'
         self._path.avoid.add(self._path.head_id)
-        if not self._task.may_repeat:
+        if not self._task.is_retryable:
             self._give_up('it may have run', 0)
 
     async def _relay(self, conn: HttpConnection, head: Head) -> None:
--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/task.py
@@ -54,7 +54,7 @@
         return '' if self.account is None else self.account.name
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether the request may run more than once."""
         if self.route.repeat is Repeat.STREAM:
             return self.route.is_resumable
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -250,7 +250,7 @@
 class _Resumable:
     """A task that may be sent again."""
 
-    may_repeat = True
+    is_retryable = True
 
 
 class TestMoves(IsolatedAsyncioTestCase):
@@ -272,11 +272,11 @@
             lambda *_: False,
         )
         for _ in range(2):
-            guard.begin(HttpConnection('127.0.0.1:1'))
+            guard.start(HttpConnection('127.0.0.1:1'))
             guard.check_path()
-            guard.end()
+            guard.stop()
             await asyncio.sleep(0)
-        guard.begin(HttpConnection('127.0.0.1:1'))
+        guard.start(HttpConnection('127.0.0.1:1'))
         guard.check_path()
         await asyncio.sleep(0.01)
         self.assertEqual(path.moves, 1)
