--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -36,7 +36,7 @@
     Refusal,
     refuse,
 )
-from samphirerill.relay.send_budget import SendBudget
+from samphirerill.relay.send_budget import AttemptBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -99,7 +99,7 @@
         self._task = task
         self._quarantine = quarantine
         self._held_until = 0.0
-        self._budget = SendBudget(state, task)
+        self._budget = AttemptBudget(state, task)
         self._loop = asyncio.get_running_loop()
         self._tried: set[str] = set()
         self._sends = 0
@@ -113,13 +113,13 @@
         while connects < _MOST_CONNECTS and self._may_send():
             found = await self._choose()
             if found is None:
-                self._budget.give_back()
+                self._budget.refund()
                 break
             outcome = await self._send(found)
             connects += 1
             self._tried.add(found.replica.replica_id)
             if not outcome.was_sent:
-                self._budget.give_back()
+                self._budget.refund()
             if self._is_final(outcome):
                 break
             await self._quarantine.rest(self._task)
@@ -160,7 +160,9 @@
             return False
         if self._sends >= self._task.route.max_attempts:
             return False
-        return self._budget.pay(now, self._sends, is_urgent=self._has_lost_run)
+        return self._budget.reserve(
+            now, self._sends, is_urgent=self._has_lost_run
+        )
 
     def _is_final(self, outcome: _Outcome) -> bool:
         if outcome.head is not None and outcome.head.status < _SERVER_ERROR:
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -9,7 +9,7 @@
     from samphirerill.relay.task import Task
 
 
-class SendBudget:
+class AttemptBudget:
     """Pays for the sends of one request.
 
     A repeat that was taken and not sent is given back. Replicas that end together
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -1,4 +1,4 @@
-"""Whether a stream may be sent, and how long it may wait for that."""
+"""Limits on the attempts of one stream and on its wait for a path."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.send_budget import SendBudget
+from samphirerill.relay.send_budget import AttemptBudget
 from samphirerill.relay.stream_call import get_stall_timeout_s
 
 if TYPE_CHECKING:
@@ -16,42 +16,43 @@
     from samphirerill.relay.stream_times import StreamTimes
     from samphirerill.relay.task import Task
 
-# Clients give a stream up after a gap of two seconds, also before its first
-# event; a request that has waited so long for a path is refused instead.
-_ADMISSION_S = 1.4
-# How often a stream may be sent before it has begun.
-_MOST_SENDS = 6
-# So many sends that brought nothing may follow each other at once; then a stream
-# waits, longer each time. Nodes hear of each other's repeats after 0.4 s; streams
-# that are reset again and again would use up those of all nodes sooner.
-_QUICK_SENDS = 2
-_FIRST_REST_S = 0.1
-_MOST_REST_S = 0.4
+# Clients give up after two seconds without an event, also before the first one;
+# a request that waits longer for a path is rejected instead.
+_MAX_ADMISSION_WAIT_S = 1.4
+# Attempts of a stream that has not started.
+_MAX_ATTEMPTS = 6
+# Attempts without an event that may follow each other without a pause; after
+# that the pause doubles each time. Nodes learn of the retries of other nodes
+# with a delay of 0.4 s, so streams that are reset repeatedly could otherwise
+# use up the shared retry budget.
+_IMMEDIATE_ATTEMPTS = 2
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 0.4
 
 
 @dataclass(slots=True, frozen=True)
-class Obstacle:
-    """Why a stream may not be sent; `wait_s` is when it may, 0 if unknown."""
+class AttemptDenial:
+    """Why an attempt is denied; `wait_s` is when to retry, 0 if unknown."""
 
     reason: str
     wait_s: float = 0.0
 
 
 class StreamLimits:
-    """What one stream may still do.
+    """Decides which further attempts one stream may make.
 
     Parameters
     ----------
     state : EdgeState
-        Budgets and nodes.
+        Retry budgets and the number of nodes.
     task : Task
         The request.
     progress : StreamProgress
-        How far it has come.
+        The progress of the stream.
     times : StreamTimes
-        When its events came.
+        The times of its events.
     quarantine : Witness
-        Knows whether it may run at all.
+        Knows whether the request is quarantined.
     """
 
     __slots__ = (
@@ -78,35 +79,37 @@
         self._times = times
         self._quarantine = quarantine
         self._loop = asyncio.get_running_loop()
-        self._budget = SendBudget(state, task)
+        self._budget = AttemptBudget(state, task)
 
-    def is_held(self) -> bool:
-        """Return whether the request ends replicas, and may not run."""
+    def is_quarantined(self) -> bool:
+        """Return whether the request is quarantined for crashing replicas."""
         return self._quarantine.find_held_until(self._task) > 0
 
-    def take_send(self) -> Obstacle | None:
-        """Take a repeat for one more send; return why there is none, if so."""
+    def acquire_attempt(self) -> AttemptDenial | None:
+        """Reserve one attempt; return why it is denied, or none."""
         now = self._loop.time()
         held_until = self._quarantine.find_held_until(self._task)
         if held_until:
             reason = self._quarantine.explain(self._task)
-            return Obstacle(reason, held_until - now)
-        over = self._find_end_reason(now)
-        if over:
-            return Obstacle(over)
+            return AttemptDenial(reason, held_until - now)
+        denial = self._find_final_denial(now)
+        if denial:
+            return AttemptDenial(denial)
         is_urgent = self._is_urgent()
-        if self._budget.pay(now, self._progress.sends, is_urgent=is_urgent):
+        if self._budget.reserve(
+            now, self._progress.attempts, is_urgent=is_urgent
+        ):
             return None
-        return Obstacle('no repeat is left')
+        return AttemptDenial('no repeat is left')
 
-    def give_back_send(self) -> None:
-        """Nothing was sent after all."""
-        self._budget.give_back()
+    def return_attempt(self) -> None:
+        """Return a reserved attempt for which nothing was sent."""
+        self._budget.refund()
 
-    def may_resend(self) -> bool:
-        """Return whether the stream could be sent again, if it were broken.
+    def may_retry(self) -> bool:
+        """Return whether the budget has a retry for this stream.
 
-        A path that may recover is better than one left for nothing.
+        A path that may recover is kept rather than left without an alternative.
         """
         budget = self._state.get_budget(self._task.service.name)
         return budget.has_left(
@@ -115,38 +118,40 @@
             is_urgent=self._is_urgent(),
         )
 
-    def limit_admission(self) -> float:
-        """Return until when it may wait for a path."""
-        until = self._task.req.arrived_at + _ADMISSION_S
+    def get_admission_deadline(self) -> float:
+        """Return until when the stream may wait for a path."""
+        until = self._task.req.arrived_at + _MAX_ADMISSION_WAIT_S
         if self._progress.has_begun:
-            # A path may break before its first event.
+            # A run may break off before its first event.
             since = max(self._progress.begun_at, self._times.last_at)
             until = since + get_stall_timeout_s(self._task.route)
         return min(self._task.deadline, until)
 
-    def choose_rest_s(self) -> float:
-        """Return how long it waits after a send, if several were in vain."""
-        fruitless = self._progress.note_sent()
-        if fruitless < _QUICK_SENDS:
+    def compute_backoff_s(self) -> float:
+        """Record the end of an attempt; return the pause before the next."""
+        fruitless_attempts = self._progress.record_attempt_end()
+        if fruitless_attempts < _IMMEDIATE_ATTEMPTS:
             return 0.0
-        doubled_s = _FIRST_REST_S * 2 ** (fruitless - _QUICK_SENDS)
-        return min(_MOST_REST_S, doubled_s)
+        doubled_s = _INITIAL_BACKOFF_S * 2 ** (
+            fruitless_attempts - _IMMEDIATE_ATTEMPTS
+        )
+        return min(_MAX_BACKOFF_S, doubled_s)
 
     def _is_urgent(self) -> bool:
-        """Return whether it may use the repeats kept for running streams.
+        """Return whether retries reserved for started streams may be used.
 
-        A stream that was refused can come back later. One whose run broke off
-        ends with a failure, whether or not its first event had come.
+        A client can retry a stream that was rejected. A stream whose run broke
+        off fails for good, whether or not it has returned an event.
         """
-        return self._progress.has_begun or self._progress.has_lost_run
+        return self._progress.has_begun or self._progress.has_broken_run
 
-    def _find_end_reason(self, now: float) -> str:
-        """Return why it may not be sent any more, whatever is left."""
+    def _find_final_denial(self, now: float) -> str:
+        """Return why no further attempt is possible; empty if one is."""
         progress = self._progress
         if now >= self._task.deadline:
             return 'its time is over'
-        if progress.sends >= _MOST_SENDS and not progress.has_begun:
-            return f'sent {progress.sends} times'
-        if progress.sends and progress.may_have_run:
+        if progress.attempts >= _MAX_ATTEMPTS and not progress.has_begun:
+            return f'sent {progress.attempts} times'
+        if progress.attempts and progress.may_have_run:
             return '' if self._task.is_retryable else 'it may have run'
         return ''
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -41,30 +41,30 @@
     """How far a stream has come.
 
     `last_id` is the last event that the client has, `begun_at` when its answer
-    began, `sends` how often it was sent, `fruitless` how many of the latest
-    brought nothing, `has_lost_run` whether a replica broke a run of it off,
+    began, `sends` how often it was sent, `fruitless_attempts` how many of the latest
+    brought nothing, `has_broken_run` whether a replica broke a run of it off,
     `reason` why the last send failed.
     """
 
     __slots__ = (
         '_noted_id',
         'begun_at',
-        'fruitless',
-        'has_lost_run',
+        'fruitless_attempts',
+        'has_broken_run',
         'last_id',
         'may_have_run',
         'reason',
-        'sends',
+        'attempts',
     )
 
     def __init__(self, task: Task) -> None:
         self.last_id = parse_event_id(task.facts.resume_after)
         self.begun_at = 0.0
-        self.sends = 0
-        self.fruitless = 0
+        self.attempts = 0
+        self.fruitless_attempts = 0
         self._noted_id = self.last_id
         self.may_have_run = False
-        self.has_lost_run = False
+        self.has_broken_run = False
         self.reason = ''
 
     @property
@@ -73,14 +73,16 @@
         return self.begun_at > 0
 
     def has_advanced(self) -> bool:
-        """Return whether events have come since `note_sent`."""
+        """Return whether events have come since `record_attempt_end`."""
         return self.last_id > self._noted_id
 
-    def note_sent(self) -> int:
+    def record_attempt_end(self) -> int:
         """A send is over; return how many have brought nothing in a row."""
-        self.fruitless = 0 if self.has_advanced() else self.fruitless + 1
+        self.fruitless_attempts = (
+            0 if self.has_advanced() else self.fruitless_attempts + 1
+        )
         self._noted_id = self.last_id
-        return self.fruitless
+        return self.fruitless_attempts
 
 
 class StreamSender:
@@ -165,7 +167,7 @@
             How the log names it.
         """
         progress = self._progress
-        progress.sends += 1
+        progress.attempts += 1
         head_id = stages[0].replica.replica_id
         is_new_head = head_id not in self._path.used_heads
         self._path.used_heads.add(head_id)
@@ -173,7 +175,7 @@
         self._log(
             event,
             path=format_path(stages),
-            send=progress.sends,
+            send=progress.attempts,
             nodes=1 + self._state.book.count_peers(),
             after_event=progress.last_id,
             tokens=int(self._path.tokens),
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -119,7 +119,7 @@
         self._waiting: asyncio.Timeout | None = None
         self._succession = Succession(self._begin_beside, self._drop_run)
         self._guard = StreamGuard(
-            task, self._path, examiner, self._limits.may_resend, self._seek
+            task, self._path, examiner, self._limits.may_retry, self._seek
         )
 
     @property
@@ -150,7 +150,7 @@
 
         A run that goes on shows the contrary, and is left alone.
         """
-        if self._ended or not self._limits.is_held():
+        if self._ended or not self._limits.is_quarantined():
             return
         if self._waiting is not None:
             self._waiting.reschedule(self._loop.time())
@@ -162,23 +162,23 @@
 
     async def _serve(self) -> None:
         while not self._ended:
-            obstacle = self._limits.take_send()
+            obstacle = self._limits.acquire_attempt()
             if obstacle is not None:
                 self._give_up(obstacle.reason, obstacle.wait_s)
                 return
-            before = self._progress.sends
+            before = self._progress.attempts
             has_path = await self._take_path()
             if has_path:
                 await self._attempt()
-            if self._progress.sends == before:
-                self._limits.give_back_send()
+            if self._progress.attempts == before:
+                self._limits.return_attempt()
             if has_path:
                 await self._follow()
                 await self._rest()
 
     async def _rest(self) -> None:
         """Wait a while if several sends have brought nothing."""
-        rest_s = self._limits.choose_rest_s()
+        rest_s = self._limits.compute_backoff_s()
         if self._ended:
             return
         if rest_s:
@@ -198,7 +198,7 @@
 
     async def _find_path(self) -> None:
         has_begun = self._progress.has_begun
-        until = self._limits.limit_admission()
+        until = self._limits.get_admission_deadline()
         heads = await self._path.find_isolated_head(self._quarantine, until)
         await self._path.acquire(
             _URGENT if has_begun else self._task.priority,
@@ -278,7 +278,7 @@
         """Let another run take over; return whether the stream has begun."""
         if self._progress.has_begun and self._task.is_retryable:
             self._log('stream leaves', reason=reason)
-            if must_begin_here(self._path) and self._limits.may_resend():
+            if must_begin_here(self._path) and self._limits.may_retry():
                 # No replica is sent a stream that it still runs.
                 conn.close()
             else:
@@ -289,7 +289,7 @@
         """Begin another run beside the present one, if somebody takes it."""
         if not may_leave(self._path):
             return None
-        until = self._limits.limit_admission()
+        until = self._limits.get_admission_deadline()
         try:
             stages = await self._path.acquire_parallel(_URGENT, until)
         except NoPathError as exc:
@@ -307,16 +307,16 @@
         self, stages: tuple[Stage, ...], until: float
     ) -> Run | None:
         """Take a repeat and send; none if there is no repeat or no answer."""
-        obstacle = self._limits.take_send()
+        obstacle = self._limits.acquire_attempt()
         if obstacle is not None:
             self._log('stream stays', reason=obstacle.reason)
             return None
-        before = self._progress.sends
+        before = self._progress.attempts
         run = await self._sender.begin(
             stages, max(until, self._loop.time() + _TAKE_OVER_S)
         )
-        if self._progress.sends == before:
-            self._limits.give_back_send()
+        if self._progress.attempts == before:
+            self._limits.return_attempt()
         return run
 
     def _drop_run(self, run: Run) -> None:
@@ -404,7 +404,7 @@
             return
         if exc.may_have_run:
             self._progress.may_have_run = True
-            self._progress.has_lost_run = True
+            self._progress.has_broken_run = True
         self._progress.reason = str(exc)
         self._path.avoid.update(self._path.list_lost(), (self._path.head_id,))
         if not self._progress.has_advanced():
@@ -462,7 +462,7 @@
         self._state.streams.discard(self)
         self._state.get_budget(self._task.service.name).streams -= 1
         facts = self._times.describe(self._loop.time())
-        self._log('stream ended', sends=self._progress.sends, **facts)
+        self._log('stream ended', sends=self._progress.attempts, **facts)
 
     def _log(self, event: str, **facts: object) -> None:
         _LOG.info(event, extra={'request': self._task.request_id, **facts})
