--- a/samphirerill/relay/stream_call.py
+++ b/samphirerill/relay/stream_call.py
@@ -1,4 +1,4 @@
-"""What a stream is sent as, and how long its client waits for it."""
+"""The HTTP request that sends a stream, and the client's stall timeout."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.task import Task
 
-# Clients give a stream up after a gap of two seconds, of four times the objective
-# of the first event or eight times that of the gaps, whichever is longest.
-_LEAST_GAP_S = 2.0
-_TARGETS = 4
-_GAPS = 8
-# Kept for the first event of whoever takes over.
-_MARGIN_S = 0.1
+# Clients give up a stream after two seconds without an event, or after four
+# times the latency objective of the first event or eight times that between
+# events, whichever is longest.
+_MIN_STALL_TIMEOUT_S = 2.0
+_FIRST_EVENT_FACTOR = 4
+_GAP_FACTOR = 8
+# Reserved for the first event of a replacement run.
+_HANDOVER_MARGIN_S = 0.1
 
 
 def build_stream_call(
     state: EdgeState, task: Task, stages: tuple[Stage, ...], resume: bytes
 ) -> bytes:
-    """Return the call that sends a stream over a path.
+    """Return the HTTP request that sends a stream over a path.
 
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     task : Task
         The request.
     stages : tuple of Stage
         The path.
     resume : bytes
-        The last event that the client has of this node; empty for none.
+        The last event that this node has passed on; empty for none.
     """
     attempt = Attempt(
         stages[0].replica,
@@ -52,11 +53,15 @@
 
 
 def get_stall_timeout_s(route: FleetRoute) -> float:
-    """Return for how long a stream that has begun may have no event, in s."""
-    longest = max(_LEAST_GAP_S, _TARGETS * route.target_s, _GAPS * route.gap_s)
-    return longest - _MARGIN_S
+    """Return how long a started stream may be without an event, in s."""
+    longest = max(
+        _MIN_STALL_TIMEOUT_S,
+        _FIRST_EVENT_FACTOR * route.target_s,
+        _GAP_FACTOR * route.gap_s,
+    )
+    return longest - _HANDOVER_MARGIN_S
 
 
 def parse_event_id(text: bytes) -> int:
-    """Return the number of the event that a client names; -1 for none."""
+    """Return the event number that a client names; -1 for none."""
     return int(text) if text.isdigit() else -1
