--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -1,4 +1,4 @@
-"""When the events of one stream came, for metrics and its last log line."""
+"""Event times of one stream, for metrics, logs and silence detection."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
     from samphirerill.fleet.policy import Policy
     from samphirerill.node.metrics import Metrics
 
-_ENOUGH_EVENTS = 5
-# A gap longer than the mean by so many deviations is a silence. On calm days
-# one gap in some hundred is; four deviations would be passed by one in forty.
-_DEVIATIONS = 6
-# Until a stream's own events tell, so many of the gaps that were predicted.
-_PREDICTED_GAPS = 3.0
-# No silence is shorter than this: other streams' prompts cause such pauses.
+_MIN_EVENTS = 5
+# Deviations above the mean gap that count as a silence; fewer would be exceeded
+# by ordinary gaps.
+_SILENCE_DEVIATIONS = 6
+# Multiple of the predicted gap that counts as a silence until the stream has
+# enough events of its own.
+_PREDICTED_GAP_FACTOR = 3.0
+# Lower limit of a silence: prompts of other streams cause gaps of this length.
 LEAST_SILENCE_S = 0.05
-_FIRST_SILENCE_S = 0.09
-# What is left of an accepted pause once a silence is noticed: parts are asked for up
-# to 0.09 s, and the stream is read elsewhere. Where callers accept 300 ms, streams
-# that asked after 50 made 325 questions in ten calm seconds, all of them in vain.
-_AFTER_NOTICE_S = 0.15
+_MIN_INITIAL_SILENCE_S = 0.09
+# Part of an acceptable gap that is needed to recover: probing the stages (up to
+# 0.09 s) and prefilling the stream elsewhere.
+_RECOVERY_S = 0.15
 
 
 class RunTimes:
-    """When one run of a stream was sent, and how far it came.
+    """When one run of a stream was sent, and the events it returned.
 
-    A request that ends its replica does so as it begins to run. By the times of
-    its events, and not by the clock, a node that was held up between an event
-    and the break does not take the one for the other.
+    Requests that crash replicas do so as they start to run. How far a run came
+    is measured by the times of its events and not by the present time, so that
+    a delay of this node does not make a long run look like a short one.
 
-    `sent_at`, `first_at` and `last_at` are points on the loop's clock, the last
-    two of the run's first and latest event; 0 for none yet.
+    `sent_at`, `first_at` and `last_at` are times on the loop's clock, the last
+    two those of the first and latest event; 0 for none yet.
     """
 
     __slots__ = ('events', 'first_at', 'last_at', 'note_at', 'sent_at')
@@ -45,22 +45,22 @@
         self.events = 0
         self.first_at = 0.0
         self.last_at = 0.0
-        # When it is worth while to say again that the run goes on.
+        # When to report again that the run goes on.
         self.note_at = 0.0
 
     @property
     def has_survived(self) -> bool:
-        """Return whether it has gone on for longer than a beginning."""
+        """Return whether the run has lasted longer than the start phase."""
         return self.last_at - self.first_at >= BEGINNING_S
 
-    def note_events(self, count: int, now: float) -> None:
-        """Events of this run have come."""
+    def record_events(self, count: int, now: float) -> None:
+        """Record events of this run."""
         self.events += count
         self.first_at = self.first_at or now
         self.last_at = now
 
     def describe(self, now: float) -> dict[str, Any]:
-        """Return events and milliseconds since it was sent, for a log line."""
+        """Return log fields: events and milliseconds since the run was sent."""
         return {
             'run_events': self.events,
             'run_ms': round((now - self.sent_at) * MS_PER_S),
@@ -68,18 +68,18 @@
 
 
 class StreamTimes:
-    """Points on the loop's clock.
+    """Event times of one stream, on the loop's clock.
 
     Parameters
     ----------
     metrics : Metrics
-        Records the first wait and each pause.
+        Records the time to the first event and each gap.
     arrived_at : float
-        When the request was whole.
+        When the request was complete.
     policy : Policy
-        Whether a silence is measured by the stream's own gaps.
-    pause_s : float
-        The longest pause that is on time; 0 if the route names none.
+        Whether the silence limit follows the stream's own gaps.
+    max_gap_s : float
+        The longest acceptable gap; 0 if the route has no objective.
     """
 
     __slots__ = (
@@ -87,10 +87,10 @@
         '_events',
         '_first_at',
         '_gaps',
-        '_least_s',
+        '_min_silence_s',
         '_metrics',
-        '_most_gap_at',
-        '_most_gap_s',
+        '_max_gap_at',
+        '_max_gap_s',
         '_policy',
         'last_at',
     )
@@ -100,27 +100,27 @@
         metrics: Metrics,
         arrived_at: float,
         policy: Policy,
-        pause_s: float = 0.0,
+        max_gap_s: float = 0.0,
     ) -> None:
         self.last_at = 0.0
-        self._least_s = max(LEAST_SILENCE_S, pause_s - _AFTER_NOTICE_S)
+        self._min_silence_s = max(LEAST_SILENCE_S, max_gap_s - _RECOVERY_S)
         self._metrics = metrics
         self._policy = policy
         self._arrived_at = arrived_at
         self._events = 0
         self._first_at = 0.0
-        self._most_gap_s = 0.0
-        self._most_gap_at = 0.0
+        self._max_gap_s = 0.0
+        self._max_gap_at = 0.0
         self._gaps = Smoothed()
 
     def note_event(self, now: float) -> None:
-        """Events have come and are passed on."""
+        """Record events that are being passed on."""
         self._events += 1
         if self.last_at:
             gap_s = now - self.last_at
-            if gap_s > self._most_gap_s:
-                self._most_gap_s = gap_s
-                self._most_gap_at = now
+            if gap_s > self._max_gap_s:
+                self._max_gap_s = gap_s
+                self._max_gap_at = now
             self._gaps.note(gap_s)
             self._metrics.record('token_gap', 'stream', gap_s)
         else:
@@ -130,28 +130,29 @@
         self.last_at = now
 
     def find_silence_s(self, predicted_s: float) -> float:
-        """Return how long a pause is that should not be waited out.
+        """Return after which time without an event the path is checked.
 
-        Three gaps of 33 ms, as it was before, are 100 ms: with the questions
-        and the reading on another path, streams of a replica that died stood
-        still for 210 to 270 ms. Most gaps differ by 5 ms; what is longer than
-        60 is seldom a pause that ends by itself.
+        The limit is the mean gap plus some deviations, and not a multiple of
+        the mean: gaps vary little, and every silence adds to the time that a
+        stream of a dead replica stands still.
 
         Parameters
         ----------
         predicted_s : float
-            The time between two events, until the stream's own events tell.
+            The predicted gap, used until the stream has enough events.
         """
-        is_new = self._events < _ENOUGH_EVENTS
+        is_new = self._events < _MIN_EVENTS
         if is_new or not self._policy.own_silence:
-            least_s = max(_FIRST_SILENCE_S, self._least_s)
-            return max(least_s, _PREDICTED_GAPS * predicted_s)
-        return max(self._least_s, self._gaps.find_longest(_DEVIATIONS))
+            min_silence_s = max(_MIN_INITIAL_SILENCE_S, self._min_silence_s)
+            return max(min_silence_s, _PREDICTED_GAP_FACTOR * predicted_s)
+        return max(
+            self._min_silence_s, self._gaps.find_longest(_SILENCE_DEVIATIONS)
+        )
 
     def describe(self, now: float) -> dict[str, Any]:
-        """Return counts and milliseconds for a log line.
+        """Return log fields: counts and milliseconds.
 
-        `most_gap_ago_ms` is how long ago the longest pause ended.
+        `most_gap_ago_ms` is the time since the end of the longest gap.
         """
         if not self._events:
             return {'events': 0}
@@ -160,6 +161,6 @@
             'events': self._events,
             'first_ms': round((self._first_at - self._arrived_at) * MS_PER_S),
             'gap_ms': round(spent_s * MS_PER_S / max(1, self._events - 1)),
-            'most_gap_ms': round(self._most_gap_s * MS_PER_S),
-            'most_gap_ago_ms': round((now - self._most_gap_at) * MS_PER_S),
+            'most_gap_ms': round(self._max_gap_s * MS_PER_S),
+            'most_gap_ago_ms': round((now - self._max_gap_at) * MS_PER_S),
         }
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -375,7 +375,7 @@
         if events:
             if not self._run.events:
                 self._trust_path()
-            self._run.note_events(len(events), self._loop.time())
+            self._run.record_events(len(events), self._loop.time())
             self._quarantine.note_progress(self._task, self._run)
         for event in events:
             if event.number < 0 or event.number > self._progress.last_id:
