--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -1,4 +1,4 @@
-"""What the sends of one request take from the budget of repeats."""
+"""Accounting of one request's attempts against the retry budget."""
 
 from __future__ import annotations
 
@@ -10,55 +10,57 @@
 
 
 class AttemptBudget:
-    """Pays for the sends of one request.
+    """Reserves the attempts of one request in the service's retry budget.
 
-    A repeat that was taken and not sent is given back. Replicas that end together
-    refuse connections for a moment, and streams run into several of them; paid
-    for, that left no repeat for the next loss.
+    A retry that was reserved but not sent is refunded. Otherwise a group of
+    failed replicas that refuse connections would use up the retries that the
+    next failure needs.
 
     Parameters
     ----------
     state : EdgeState
-        Budgets and nodes.
+        Retry budgets and the number of nodes.
     task : Task
         The request.
     """
 
-    __slots__ = ('_has_repeat', '_is_counted', '_state', '_task')
+    __slots__ = ('_holds_retry', '_is_counted', '_state', '_task')
 
     def __init__(self, state: EdgeState, task: Task) -> None:
         self._state = state
         self._task = task
         self._is_counted = False
-        self._has_repeat = False
+        self._holds_retry = False
 
-    def pay(self, now: float, sends: int, *, is_urgent: bool = False) -> bool:
-        """Count a first send, or take a repeat; return whether one was left.
+    def reserve(
+        self, now: float, attempts: int, *, is_urgent: bool = False
+    ) -> bool:
+        """Count a first attempt or reserve a retry; return if allowed.
 
         Parameters
         ----------
         now : float
             On the loop's clock.
-        sends : int
-            How often the request has reached a replica.
+        attempts : int
+            How many attempts have reached a replica.
         is_urgent : bool
-            Its answer has begun, or a replica broke its run off.
+            Whether the response has started, or a run broke off.
         """
         budget = self._state.get_budget(self._task.service.name)
-        self._has_repeat = False
-        if sends:
+        self._holds_retry = False
+        if attempts:
             nodes = self._state.count_nodes()
-            self._has_repeat = budget.spend(now, nodes, is_urgent=is_urgent)
-            return self._has_repeat
+            self._holds_retry = budget.spend(now, nodes, is_urgent=is_urgent)
+            return self._holds_retry
         if not self._is_counted:
-            # Counted for each connection that was refused, first sends let a
-            # node take more than its share.
+            # Counted once: counting each refused connection would inflate the
+            # share of this node.
             budget.note_first(now)
         self._is_counted = True
         return True
 
-    def give_back(self) -> None:
-        """Nothing was sent: no path came, or nobody took the connection."""
-        if self._has_repeat:
-            self._has_repeat = False
+    def refund(self) -> None:
+        """Refund a reserved retry for which nothing was sent."""
+        if self._holds_retry:
+            self._holds_retry = False
             self._state.get_budget(self._task.service.name).give_back()
