--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -20,7 +20,7 @@
 )
 from samphirerill.relay.stream_call import build_stream_call, parse_event_id
 from samphirerill.relay.stream_path import format_path
-from samphirerill.relay.succession import Run
+from samphirerill.relay.succession import StreamRun
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica, Stage
@@ -188,7 +188,7 @@
 
     async def begin(
         self, stages: tuple[Stage, ...], deadline: float
-    ) -> Run | None:
+    ) -> StreamRun | None:
         """Send beside the present run; return the new one once it has begun.
 
         Parameters
@@ -211,7 +211,7 @@
         finally:
             if head is None:
                 conn.close()
-        return None if head is None else Run(stages, conn, head)
+        return None if head is None else StreamRun(stages, conn, head)
 
     async def read_head(
         self, conn: HttpConnection, deadline: float
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -38,7 +38,7 @@
 from samphirerill.relay.stream_path import StreamPath, format_path
 from samphirerill.relay.stream_sender import StreamProgress, StreamSender
 from samphirerill.relay.stream_times import RunTimes, StreamTimes
-from samphirerill.relay.succession import Run, Succession
+from samphirerill.relay.succession import Handover, StreamRun
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Coroutine
@@ -117,7 +117,7 @@
         self._run = RunTimes(0.0)
         self._conn: HttpConnection | None = None
         self._waiting: asyncio.Timeout | None = None
-        self._succession = Succession(self._begin_beside, self._drop_run)
+        self._handover = Handover(self._begin_beside, self._drop_run)
         self._guard = StreamGuard(
             task, self._path, examiner, self._limits.may_retry, self._seek
         )
@@ -138,7 +138,7 @@
         try:
             await self._serve()
         finally:
-            self._succession.cancel()
+            self._handover.cancel()
             self._note_end()
 
     def check_path(self) -> None:
@@ -156,7 +156,7 @@
             self._waiting.reschedule(self._loop.time())
         if self._run.has_survived:
             return
-        self._succession.cancel()
+        self._handover.cancel()
         if self._conn is not None:
             self._conn.close()
 
@@ -243,7 +243,7 @@
     async def _follow(self) -> None:
         """Go on over the runs that take over, one after another."""
         while not self._ended:
-            run = await self._succession.settle()
+            run = await self._handover.wait()
             if run is None:
                 return
             self._path.stages = run.stages
@@ -282,10 +282,10 @@
                 # No replica is sent a stream that it still runs.
                 conn.close()
             else:
-                self._succession.seek(conn)
+                self._handover.start(conn)
         return self._progress.has_begun
 
-    async def _begin_beside(self) -> Run | None:
+    async def _begin_beside(self) -> StreamRun | None:
         """Begin another run beside the present one, if somebody takes it."""
         if not may_leave(self._path):
             return None
@@ -305,21 +305,21 @@
 
     async def _send_beside(
         self, stages: tuple[Stage, ...], until: float
-    ) -> Run | None:
+    ) -> StreamRun | None:
         """Take a repeat and send; none if there is no repeat or no answer."""
         obstacle = self._limits.acquire_attempt()
         if obstacle is not None:
             self._log('stream stays', reason=obstacle.reason)
             return None
         before = self._progress.attempts
-        run = await self._sender.begin(
+        run = await self._sender.start_parallel_run(
             stages, max(until, self._loop.time() + _TAKE_OVER_S)
         )
         if self._progress.attempts == before:
             self._limits.return_attempt()
         return run
 
-    def _drop_run(self, run: Run) -> None:
+    def _drop_run(self, run: StreamRun) -> None:
         run.conn.close()
         self._admission.release(run.stages, self._path.tokens)
 
@@ -331,7 +331,7 @@
         )
         if facts.is_not_run:
             await read_body(conn, self._task.deadline)
-            self._sender.note_not_run(
+            self._sender.handle_rejection(
                 self._path.head_id,
                 head,
                 facts.at_fault,
@@ -399,7 +399,7 @@
         if isinstance(exc, BrokenAnswerError):
             head = self._path.stages[0].replica
             self._quarantine.note_break(self._task, head, self._run)
-        if self._succession.has_run:
+        if self._handover.has_replacement:
             self._state.counters['streams.taken_over'] += 1
             return
         if exc.may_have_run:
--- a/samphirerill/relay/succession.py
+++ b/samphirerill/relay/succession.py
@@ -1,9 +1,9 @@
-"""Find a run that takes a stream over, while its present run goes on.
+"""Hand a stream over to another run while its present run goes on.
 
-A stream leaves its path for what this node believes: that a replica is dead, is
-silent, or gives up its part. The belief may be wrong, and whoever should
-take over may be full. A run that was ended first left such streams with none:
-they were closed midway although their replica went on sending.
+A stream leaves its path when this node considers a replica dead, silent or
+about to drop its layers. That view may be wrong, and the replacement may have
+no capacity. The present run is therefore ended only when the other one has
+started; ended first, it could leave the stream without any run.
 """
 
 from __future__ import annotations
@@ -24,93 +24,95 @@
 
 
 @dataclass(slots=True)
-class Run:
-    """A run whose engine has begun to answer; its path is counted as taken."""
+class StreamRun:
+    """A run that has started; the capacity of its path is reserved."""
 
     stages: tuple[Stage, ...]
     conn: HttpConnection
     head: Head
 
 
-class Succession:
-    """The search for the run after the present one.
+class Handover:
+    """The search for a replacement of the present run.
 
     Parameters
     ----------
-    begin : callable
-        Begins another run; returns none if nobody takes the stream now.
-    drop : callable
-        Ends a run that is not needed any more.
+    start_run : callable
+        Starts another run; returns none if no replica accepts it now.
+    discard : callable
+        Ends a run that is no longer needed.
     """
 
     def __init__(
         self,
-        begin: Callable[[], Awaitable[Run | None]],
-        drop: Callable[[Run], None],
+        start_run: Callable[[], Awaitable[StreamRun | None]],
+        discard: Callable[[StreamRun], None],
     ) -> None:
-        self._begin = begin
-        self._drop = drop
-        self._task: asyncio.Task[Run | None] | None = None
+        self._start_run = start_run
+        self._discard = discard
+        self._task: asyncio.Task[StreamRun | None] | None = None
 
     @property
-    def has_run(self) -> bool:
-        """Return whether a run has begun that takes over."""
+    def has_replacement(self) -> bool:
+        """Return whether a replacement run has started."""
         task = self._task
         if task is None or not task.done() or task.cancelled():
             return False
         return task.exception() is None and task.result() is not None
 
-    def seek(self, conn: HttpConnection) -> None:
-        """Begin another run; as soon as it answers, end the present one.
+    def start(self, conn: HttpConnection) -> None:
+        """Start a replacement; end the present run once it responds.
 
         Parameters
         ----------
         conn : HttpConnection
-            Of the present run.
+            The connection of the present run.
         """
-        if self._task is None or (self._task.done() and not self.has_run):
-            self._task = asyncio.create_task(self._seek(conn))
+        if self._task is None or (
+            self._task.done() and not self.has_replacement
+        ):
+            self._task = asyncio.create_task(self._search(conn))
 
-    async def settle(self) -> Run | None:
-        """Return the run that takes over, if one does; wait for the search."""
+    async def wait(self) -> StreamRun | None:
+        """Wait for a search in progress; return the replacement, if any."""
         task = self._task
         if task is None:
             return None
         await asyncio.wait((task,))
         self._task = None
-        return _read_run(task)
+        return _get_result(task)
 
     def cancel(self) -> None:
-        """The stream has ended: no run is needed any more."""
+        """Cancel the search, as the stream has ended."""
         task = self._task
         self._task = None
         if task is None:
             return
         task.cancel()
-        task.add_done_callback(self._drop_late)
+        task.add_done_callback(self._discard_result)
 
-    async def _seek(self, conn: HttpConnection) -> Run | None:
-        run = await self._begin()
+    async def _search(self, conn: HttpConnection) -> StreamRun | None:
+        run = await self._start_run()
         if run is None:
-            # The search may be made again; the present run goes on.
+            # The present run goes on, and another search may be started.
             self._task = None
             return None
         conn.close()
         return run
 
-    def _drop_late(self, task: asyncio.Task[Run | None]) -> None:
-        run = _read_run(task)
+    def _discard_result(self, task: asyncio.Task[StreamRun | None]) -> None:
+        run = _get_result(task)
         if run is not None:
-            self._drop(run)
+            self._discard(run)
 
 
-def _read_run(task: asyncio.Task[Run | None]) -> Run | None:
-    """Return what a search that is over has found."""
+def _get_result(task: asyncio.Task[StreamRun | None]) -> StreamRun | None:
+    """Return the result of a finished search."""
     if task.cancelled():
         return None
     exc = task.exception()
     if exc is not None:
-        # The stream is not lost with it: it is sent again as after any break.
-        _LOG.error('search failed', extra={'error': repr(exc)})
+        # The stream is not lost: it is sent again as after any broken run.
+        _LOG.error('handover failed', extra={'error': repr(exc)})
         return None
     return task.result()
