--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -1,7 +1,7 @@
-"""Send a stream to an engine, and note what becomes of it.
+"""Send a stream to an engine and track the result.
 
-A stream is sent over a path for the first time, again after its run broke, or
-beside a run that goes on.
+A stream is sent over a path for the first time, again after a run broke off, or
+in parallel to a run that goes on.
 """
 
 from __future__ import annotations
@@ -33,21 +33,22 @@
     from samphirerill.relay.task import Task
 
 _LOG = get_logger('streams')
-# Also the status of a path that waits for a part in vain.
-_BUSY = 503
+# Also the status when a path waits for a stage in vain.
+_UNAVAILABLE = 503
 
 
 class StreamProgress:
-    """How far a stream has come.
+    """The progress of one stream.
 
-    `last_id` is the last event that the client has, `begun_at` when its answer
-    began, `sends` how often it was sent, `fruitless_attempts` how many of the latest
-    brought nothing, `has_broken_run` whether a replica broke a run of it off,
-    `reason` why the last send failed.
+    `last_id` is the last event passed on to the client, `begun_at` when its
+    response started, `attempts` how often the stream was sent,
+    `fruitless_attempts` how many of the latest attempts returned no event,
+    `has_broken_run` whether a replica broke off a run, `reason` why the last
+    attempt failed.
     """
 
     __slots__ = (
-        '_noted_id',
+        '_recorded_id',
         'begun_at',
         'fruitless_attempts',
         'has_broken_run',
@@ -62,26 +63,26 @@
         self.begun_at = 0.0
         self.attempts = 0
         self.fruitless_attempts = 0
-        self._noted_id = self.last_id
+        self._recorded_id = self.last_id
         self.may_have_run = False
         self.has_broken_run = False
         self.reason = ''
 
     @property
     def has_begun(self) -> bool:
-        """Return whether the client has the head of its answer."""
+        """Return whether the client has got the head of the response."""
         return self.begun_at > 0
 
     def has_advanced(self) -> bool:
-        """Return whether events have come since `record_attempt_end`."""
-        return self.last_id > self._noted_id
+        """Return whether events have come since the last attempt ended."""
+        return self.last_id > self._recorded_id
 
     def record_attempt_end(self) -> int:
-        """A send is over; return how many have brought nothing in a row."""
+        """Record the end of an attempt; return the failures in a row."""
         self.fruitless_attempts = (
             0 if self.has_advanced() else self.fruitless_attempts + 1
         )
-        self._noted_id = self.last_id
+        self._recorded_id = self.last_id
         return self.fruitless_attempts
 
 
@@ -91,17 +92,17 @@
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     task : Task
         The request.
     path : StreamPath
-        Replicas that were tried, and those to be left out.
+        The path, with the replicas that were used and those to avoid.
     progress : StreamProgress
-        Read and kept up to date.
+        The progress, which is kept up to date.
     examiner : Examiner
-        Asks replicas that others name as at fault.
+        Probes replicas that others report as the cause of a failure.
     quarantine : Witness
-        Knows whether the stream may run; told of runs that break off.
+        Knows whether the request is quarantined; told of runs that break off.
     """
 
     __slots__ = (
@@ -132,7 +133,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def connect(self, replica: Replica) -> HttpConnection | None:
-        """Return a connection; none if the replica can't be used now."""
+        """Return a connection, or none if the replica is unavailable now."""
         try:
             conn = await self._state.pool.take(
                 replica,
@@ -140,31 +141,31 @@
                 most=self._state.count_connections(self._task.service),
             )
         except NoConnectionLeftError as exc:
-            self._put_off(replica.replica_id, str(exc))
+            self._exclude_for_now(replica.replica_id, str(exc))
             if self._progress.has_begun:
                 self._state.view.refuse(replica.replica_id, self._loop.time())
         except ConnectError as exc:
-            self._shun(replica.replica_id, str(exc))
+            self._record_refusal(replica.replica_id, str(exc))
         else:
             if not self._quarantine.find_held_until(self._task):
                 return conn
-            # It was found to end replicas while the connection was made.
+            # The request was quarantined while connecting.
             self._state.pool.give_back(replica, conn)
         return None
 
     def send(
         self, conn: HttpConnection, stages: tuple[Stage, ...], event: str
     ) -> bool:
-        """Send over a path; return whether its first replica is a new one.
+        """Send the stream over a path; return whether its head is new.
 
         Parameters
         ----------
         conn : HttpConnection
-            To the first replica.
+            The connection to the head replica.
         stages : tuple of Stage
             The path.
         event : str
-            How the log names it.
+            The name of the log event.
         """
         progress = self._progress
         progress.attempts += 1
@@ -186,26 +187,28 @@
         conn.send(self._build_call(stages))
         return is_new_head
 
-    async def begin(
+    async def start_parallel_run(
         self, stages: tuple[Stage, ...], deadline: float
     ) -> StreamRun | None:
-        """Send beside the present run; return the new one once it has begun.
+        """Send in parallel to the present run; return the run once started.
 
         Parameters
         ----------
         stages : tuple of Stage
             The path.
         deadline : float
-            Until when its first event must come.
+            The latest time for the first event.
         """
         conn = await self.connect(stages[0].replica)
         if conn is None:
             return None
         head = None
         try:
-            head = await self._open(conn, stages, deadline)
+            head = await self._start_run(conn, stages, deadline)
         except EndpointError as exc:
-            self._note_failed(stages[0].replica.replica_id, str(exc))
+            self._record_parallel_failure(
+                stages[0].replica.replica_id, str(exc)
+            )
             if isinstance(exc, BrokenAnswerError):
                 self._quarantine.note_break(self._task, stages[0].replica)
         finally:
@@ -216,77 +219,83 @@
     async def read_head(
         self, conn: HttpConnection, deadline: float
     ) -> tuple[Head, AnswerFacts]:
-        """Return the head of the answer to this stream."""
+        """Return the head of the response to this stream."""
         return await read_head(
             conn, self._state.dialect, self._task.facts.request_id, deadline
         )
 
-    def note_not_run(
+    def handle_rejection(
         self, head_id: str, head: Head, at_fault: str, *, is_new_head: bool
     ) -> None:
-        """A path refused and ran nothing; avoid who could not do its part."""
+        """Exclude the replica at fault after a path rejected the stream."""
         if is_new_head:
-            # One that has run the stream before counts as tried all the same.
+            # A replica that ran the stream before still counts as used.
             self._path.used_heads.discard(head_id)
         found = self._state.view.find_address(at_fault) if at_fault else None
         replica_id = head_id if found is None else found.replica.replica_id
-        if found is not None and replica_id != head_id and head.status == _BUSY:
+        if (
+            found is not None
+            and replica_id != head_id
+            and head.status == _UNAVAILABLE
+        ):
             self._examiner.check(found.replica)
-        self._shun(replica_id, f'engine refused with {head.status}')
+        self._record_refusal(replica_id, f'engine refused with {head.status}')
 
-    async def _open(
+    async def _start_run(
         self,
         conn: HttpConnection,
         stages: tuple[Stage, ...],
         deadline: float,
     ) -> Head | None:
-        """Return the head of a run that has begun; none if it was refused.
+        """Return the response head of a started run; none if it was rejected.
 
-        It has begun with its first event: an engine that breaks off between
-        its head and that would leave the stream without any run.
+        A run counts as started with its first event: if the engine broke off
+        between the head and that, the stream would be left without any run.
         """
         head_id = stages[0].replica.replica_id
         is_new_head = self.send(conn, stages, 'stream sent beside')
         head, facts = await self.read_head(conn, deadline)
         if facts.is_not_run:
-            self.note_not_run(
+            self.handle_rejection(
                 head_id, head, facts.at_fault, is_new_head=is_new_head
             )
             return None
         if not is_success(head.status):
-            self._note_failed(head_id, f'engine answered {head.status}')
+            self._record_parallel_failure(
+                head_id, f'engine answered {head.status}'
+            )
             return None
         await conn.wait_for_part(deadline)
         return head
 
     def _build_call(self, stages: tuple[Stage, ...]) -> bytes:
-        """Return the call; it resumes after what the client has of ours.
+        """Return the HTTP request, resuming after the last event passed on.
 
-        A stream may break between its head and its first event; there is
-        nothing to go on from then, and the client's own word holds.
+        If no event was passed on yet, the client's own ``Last-Event-ID``
+        applies.
         """
         resume = b''
         if self._progress.has_begun and self._progress.last_id >= 0:
             resume = b'%d' % self._progress.last_id
         return build_stream_call(self._state, self._task, stages, resume)
 
-    def _note_failed(self, replica_id: str, reason: str) -> None:
-        """A run beside the present one failed; others may do better there."""
+    def _record_parallel_failure(self, replica_id: str, reason: str) -> None:
+        """Record that a parallel run failed and exclude the replica."""
         self._path.avoid.add(replica_id)
-        self._log('stream failed beside', replica=replica_id, reason=reason)
+        self._log('parallel run failed', replica=replica_id, reason=reason)
 
-    def _shun(self, replica_id: str, reason: str) -> None:
-        """Ask a replica not again at once."""
-        self._put_off(replica_id, reason)
+    def _record_refusal(self, replica_id: str, reason: str) -> None:
+        """Record that a replica refused; it is not asked again at once."""
+        self._exclude_for_now(replica_id, reason)
         self._state.view.refuse(replica_id, self._loop.time())
         self._state.counters['streams.refused'] += 1
         self._log('engine refused', replica=replica_id, reason=reason)
 
-    def _put_off(self, replica_id: str, reason: str) -> None:
-        """Look for another replica.
+    def _exclude_for_now(self, replica_id: str, reason: str) -> None:
+        """Prefer other replicas for the next attempt.
 
-        A stream that has begun may come back to this one: who was full for a
-        moment is better than an answer that is cut.
+        A started stream may come back to this one: it may only have been full
+        for a moment, and the alternative is to abort the response.
         """
         self._progress.reason = reason
         if not self._progress.has_begun:
