--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -1,8 +1,8 @@
-"""Serve a stream through a path of engines, resuming it where one fails.
+"""Serve a stream over a path of engines, resuming it when one fails.
 
-Events are passed on whole and as they arrive. If the path breaks or falls
-silent, the same answer goes on over another path, after the last event that
-the client has: each event once, in order.
+Complete events are passed on as they arrive. If the path breaks or falls
+silent, the response continues over another path after the last event that the
+client has got: each event once, in order.
 """
 
 from __future__ import annotations
@@ -51,37 +51,37 @@
     from samphirerill.relay.task import Task
 
 _LOG = get_logger('streams')
-# One that has begun is worth more: it goes before any new one.
-_URGENT = -1
-# Reading the prompt through all stages takes up to half a second under load.
-_FIRST_SILENCE_S = 0.22
-# A run that should take a stream over gets so long to begin at the least: reading
-# the prompt takes up to half a second under load.
-_TAKE_OVER_S = 0.7
-# When to come back if nothing better is known.
-_RETRY_S = 0.3
-# Requests are refused for want of room while a pipeline is out of work; a part
-# that is lost is noticed and loaded again in two to four seconds.
-_REPAIR_S = 2.5
+# Admission rank of started streams: ahead of all new ones.
+_STARTED_RANK = -1
+# Silence limit for the response head; prefill in all stages takes up to half a
+# second under load.
+_HEAD_SILENCE_S = 0.22
+# Least time for a replacement run to start, which includes the prefill.
+_MIN_HANDOVER_S = 0.7
+# Retry-After when nothing better is known.
+_DEFAULT_RETRY_S = 0.3
+# Least Retry-After when no path is free: the usual reason is a lost stage,
+# which takes two to four seconds to be detected and loaded elsewhere.
+_MIN_REPAIR_RETRY_S = 2.5
 
 
 class StreamExchange:
-    """One stream.
+    """Serves one stream.
 
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     task : Task
         The request.
     engine : EngineSpec
-        The service's figures.
+        Performance figures of the service's engine.
     admission : Admission
-        Grants paths.
+        Grants paths with free capacity.
     examiner : Examiner
-        Asks silent replicas.
+        Probes silent replicas.
     quarantine : Witness
-        Told of runs that break off, and of those that go on.
+        Told of runs that break off and of runs that go on.
     """
 
     def __init__(
@@ -113,47 +113,52 @@
             state, task, self._progress, self._times, quarantine
         )
         self._ended = False
-        self._failure: tuple[Head, bytes] | None = None
+        self._error_response: tuple[Head, bytes] | None = None
         self._run = RunTimes(0.0)
         self._conn: HttpConnection | None = None
-        self._waiting: asyncio.Timeout | None = None
-        self._handover = Handover(self._begin_beside, self._drop_run)
+        self._wait_scope: asyncio.Timeout | None = None
+        self._handover = Handover(self._start_parallel_run, self._discard_run)
         self._guard = StreamGuard(
-            task, self._path, examiner, self._limits.may_retry, self._seek
+            task,
+            self._path,
+            examiner,
+            self._limits.may_retry,
+            self._start_handover,
         )
 
     @property
     def stages(self) -> tuple[Stage, ...]:
-        """Return the path that it passes through now."""
+        """Return the stages of the present path."""
         return self._path.stages
 
     @property
     def last_event_at(self) -> float:
-        """Return when its last event came; 0 before the first one."""
+        """Return when the last event came; 0 before the first one."""
         return self._times.last_at
 
     async def run(self) -> None:
-        """Answer the request."""
-        self._note_start()
+        """Serve the request."""
+        self._register()
         try:
             await self._serve()
         finally:
             self._handover.cancel()
-            self._note_end()
+            self._unregister()
 
     def check_path(self) -> None:
-        """Leave replicas that are lost, without waiting for a silence."""
+        """React to changed replica states without waiting for a silence."""
         self._guard.check_path()
 
     def check_quarantine(self) -> None:
-        """End at once what may not run any more: it ends replicas.
+        """Stop the stream if its request was quarantined.
 
-        A run that goes on shows the contrary, and is left alone.
+        A run that has outlasted the start phase does not crash its replica, and
+        is left alone.
         """
         if self._ended or not self._limits.is_quarantined():
             return
-        if self._waiting is not None:
-            self._waiting.reschedule(self._loop.time())
+        if self._wait_scope is not None:
+            self._wait_scope.reschedule(self._loop.time())
         if self._run.has_survived:
             return
         self._handover.cancel()
@@ -162,69 +167,71 @@
 
     async def _serve(self) -> None:
         while not self._ended:
-            obstacle = self._limits.acquire_attempt()
-            if obstacle is not None:
-                self._give_up(obstacle.reason, obstacle.wait_s)
+            denial = self._limits.acquire_attempt()
+            if denial is not None:
+                self._fail(denial.reason, denial.wait_s)
                 return
-            before = self._progress.attempts
-            has_path = await self._take_path()
+            attempts_before = self._progress.attempts
+            has_path = await self._wait_for_path()
             if has_path:
-                await self._attempt()
-            if self._progress.attempts == before:
+                await self._run_attempt()
+            if self._progress.attempts == attempts_before:
                 self._limits.return_attempt()
             if has_path:
-                await self._follow()
-                await self._rest()
+                await self._follow_handovers()
+                await self._back_off()
 
-    async def _rest(self) -> None:
-        """Wait a while if several sends have brought nothing."""
-        rest_s = self._limits.compute_backoff_s()
+    async def _back_off(self) -> None:
+        """Pause after several attempts without an event."""
+        backoff_s = self._limits.compute_backoff_s()
         if self._ended:
             return
-        if rest_s:
-            await self._wait(asyncio.sleep(rest_s))
+        if backoff_s:
+            await self._wait_until_quarantined(asyncio.sleep(backoff_s))
         if self._quarantine.is_suspect(self._task):
-            await self._wait(self._quarantine.rest(self._task))
+            await self._wait_until_quarantined(
+                self._quarantine.rest(self._task)
+            )
 
-    async def _take_path(self) -> bool:
-        """Wait for a path; give up and return false if none comes."""
+    async def _wait_for_path(self) -> bool:
+        """Wait for a path; fail the stream and return false if none comes."""
         try:
-            return await self._wait(self._find_path())
+            return await self._wait_until_quarantined(self._acquire_path())
         except OutageError as exc:
-            self._give_up(str(exc), exc.wait_s)
+            self._fail(str(exc), exc.wait_s)
         except NoPathError as exc:
-            self._give_up(str(exc), max(_REPAIR_S, exc.wait_s))
+            self._fail(str(exc), max(_MIN_REPAIR_RETRY_S, exc.wait_s))
         return False
 
-    async def _find_path(self) -> None:
+    async def _acquire_path(self) -> None:
         has_begun = self._progress.has_begun
         until = self._limits.get_admission_deadline()
         heads = await self._path.find_isolated_head(self._quarantine, until)
         await self._path.acquire(
-            _URGENT if has_begun else self._task.priority,
+            _STARTED_RANK if has_begun else self._task.priority,
             until,
             is_urgent=has_begun,
             heads=heads,
         )
 
-    async def _wait(self, work: Awaitable[None]) -> bool:
-        """Wait for something; return false if the stream is held meanwhile.
+    async def _wait_until_quarantined(self, work: Awaitable[None]) -> bool:
+        """Wait for some work; return false if it was cut short.
 
-        Held back, it should get its answer now and not when its turn comes.
+        A stream whose request is quarantined meanwhile is answered at once.
         """
         scope = asyncio.timeout(None)
-        self._waiting = scope
+        self._wait_scope = scope
         try:
             async with scope:
                 await work
         except TimeoutError:
             return False
         finally:
-            self._waiting = None
+            self._wait_scope = None
         return True
 
-    async def _attempt(self) -> None:
-        """Send to the path once and pass on what comes."""
+    async def _run_attempt(self) -> None:
+        """Send the stream over the path once and pass on the response."""
         try:
             await self._send_once()
         finally:
@@ -236,26 +243,26 @@
         if conn is None:
             return
         is_new_head = self._sender.send(conn, stages, 'stream sent')
-        await self._carry(
+        await self._read_run(
             conn, self._read_answer(conn, is_new_head=is_new_head)
         )
 
-    async def _follow(self) -> None:
-        """Go on over the runs that take over, one after another."""
+    async def _follow_handovers(self) -> None:
+        """Continue over replacement runs, one after another."""
         while not self._ended:
             run = await self._handover.wait()
             if run is None:
                 return
             self._path.stages = run.stages
             try:
-                await self._carry(run.conn, self._relay(run.conn, run.head))
+                await self._read_run(run.conn, self._relay(run.conn, run.head))
             finally:
                 self._path.release()
 
-    async def _carry(
+    async def _read_run(
         self, conn: HttpConnection, reading: Coroutine[None, None, None]
     ) -> None:
-        """Let a run be read to its end, under guard."""
+        """Read a run to its end while its path is being watched."""
         replica = self._path.stages[0].replica
         self._run = RunTimes(self._loop.time())
         self._conn = conn
@@ -264,7 +271,7 @@
             await reading
         except EndpointError as exc:
             conn.close()
-            self._note_break(exc)
+            self._handle_break(exc)
         except asyncio.CancelledError:
             conn.close()
             raise
@@ -274,52 +281,53 @@
             self._conn = None
             self._guard.stop()
 
-    def _seek(self, conn: HttpConnection, reason: str) -> bool:
-        """Let another run take over; return whether the stream has begun."""
+    def _start_handover(self, conn: HttpConnection, reason: str) -> bool:
+        """Start a handover; return whether the stream has started."""
         if self._progress.has_begun and self._task.is_retryable:
             self._log('stream leaves', reason=reason)
             if must_begin_here(self._path) and self._limits.may_retry():
-                # No replica is sent a stream that it still runs.
+                # The new run starts at the same head, which must not run the
+                # stream twice at a time.
                 conn.close()
             else:
                 self._handover.start(conn)
         return self._progress.has_begun
 
-    async def _begin_beside(self) -> StreamRun | None:
-        """Begin another run beside the present one, if somebody takes it."""
+    async def _start_parallel_run(self) -> StreamRun | None:
+        """Start a parallel run, if a replica accepts it."""
         if not may_leave(self._path):
             return None
         until = self._limits.get_admission_deadline()
         try:
-            stages = await self._path.acquire_parallel(_URGENT, until)
+            stages = await self._path.acquire_parallel(_STARTED_RANK, until)
         except NoPathError as exc:
             self._log('stream stays', reason=str(exc))
             return None
         run = None
         try:
-            run = await self._send_beside(stages, until)
+            run = await self._send_parallel_run(stages, until)
         finally:
             if run is None:
                 self._admission.release(stages, self._path.tokens)
         return run
 
-    async def _send_beside(
+    async def _send_parallel_run(
         self, stages: tuple[Stage, ...], until: float
     ) -> StreamRun | None:
-        """Take a repeat and send; none if there is no repeat or no answer."""
-        obstacle = self._limits.acquire_attempt()
-        if obstacle is not None:
-            self._log('stream stays', reason=obstacle.reason)
+        """Reserve a retry and send; return none if either fails."""
+        denial = self._limits.acquire_attempt()
+        if denial is not None:
+            self._log('stream stays', reason=denial.reason)
             return None
-        before = self._progress.attempts
+        attempts_before = self._progress.attempts
         run = await self._sender.start_parallel_run(
-            stages, max(until, self._loop.time() + _TAKE_OVER_S)
+            stages, max(until, self._loop.time() + _MIN_HANDOVER_S)
         )
-        if self._progress.attempts == before:
+        if self._progress.attempts == attempts_before:
             self._limits.return_attempt()
         return run
 
-    def _drop_run(self, run: StreamRun) -> None:
+    def _discard_run(self, run: StreamRun) -> None:
         run.conn.close()
         self._admission.release(run.stages, self._path.tokens)
 
@@ -327,7 +335,7 @@
         self, conn: HttpConnection, *, is_new_head: bool
     ) -> None:
         head, facts = await self._guard.read(
-            conn, _FIRST_SILENCE_S, self._sender.read_head
+            conn, _HEAD_SILENCE_S, self._sender.read_head
         )
         if facts.is_not_run:
             await read_body(conn, self._task.deadline)
@@ -342,14 +350,17 @@
         if is_success(head.status):
             await self._relay(conn, head)
             return
-        self._failure = (head, await read_body(conn, self._task.deadline))
+        self._error_response = (
+            head,
+            await read_body(conn, self._task.deadline),
+        )
         self._progress.reason = f'engine answered {head.status}'
         self._path.avoid.add(self._path.head_id)
         if not self._task.is_retryable:
-            self._give_up('it may have run', 0)
+            self._fail('it may have run', 0)
 
     async def _relay(self, conn: HttpConnection, head: Head) -> None:
-        """Pass the events on."""
+        """Pass the events on to the client."""
         caller = self._task.conn
         if not self._progress.has_begun:
             self._progress.begun_at = self._loop.time()
@@ -366,15 +377,15 @@
                 caller.end_answer()
                 self._ended = True
             elif isinstance(part, Part):
-                self._pass_on(splitter, part.body)
+                self._forward_events(splitter, part.body)
                 await caller.drain()
 
-    def _pass_on(self, splitter: EventSplitter, body: bytes) -> None:
+    def _forward_events(self, splitter: EventSplitter, body: bytes) -> None:
         fresh = []
         events = splitter.feed(body)
         if events:
             if not self._run.events:
-                self._trust_path()
+                self._mark_path_working()
             self._run.record_events(len(events), self._loop.time())
             self._quarantine.note_progress(self._task, self._run)
         for event in events:
@@ -387,15 +398,15 @@
             self._times.note_event(self._loop.time())
             self._task.conn.write_body(b''.join(fresh))
 
-    def _trust_path(self) -> None:
-        """The first event has passed through all replicas of the path.
+    def _mark_path_working(self) -> None:
+        """Mark all replicas of the path as working after a first event.
 
-        A head alone proves nothing: some engines begin an answer and break off.
+        A response head alone is no proof: an engine may send it and break off.
         """
         for stage in self._path.stages:
             self._state.view.trust(stage.replica.replica_id)
 
-    def _note_break(self, exc: EndpointError) -> None:
+    def _handle_break(self, exc: EndpointError) -> None:
         if isinstance(exc, BrokenAnswerError):
             head = self._path.stages[0].replica
             self._quarantine.note_break(self._task, head, self._run)
@@ -408,13 +419,13 @@
         self._progress.reason = str(exc)
         self._path.avoid.update(self._path.list_lost(), (self._path.head_id,))
         if not self._progress.has_advanced():
-            # It accepts and breaks off, as one that goes down and up by turns:
-            # none of this node's streams should be sent there at once.
+            # The replica may be restarting repeatedly: no stream of this node
+            # should be sent there at once.
             self._state.view.refuse(self._path.head_id, self._loop.time())
             self._path.finder.failed_sends[self._path.head_id] += 1
         if self._path.head_id not in self._state.view.known:
-            # Counted as there for half a minute more, such replicas were all
-            # that a stream might be sent to; it was cut with others free.
+            # A replica that is no longer announced does not count towards the
+            # number of replicas that the route allows.
             self._path.finder.departed_heads.add(self._path.head_id)
         self._state.counters['streams.broken'] += 1
         self._log(
@@ -425,8 +436,8 @@
             **self._run.describe(self._loop.time()),
         )
 
-    def _give_up(self, obstacle: str, wait_s: float) -> None:
-        """Give the final answer, or cut one that has begun."""
+    def _fail(self, denial: str, wait_s: float) -> None:
+        """Send an error, or abort a response that has started."""
         self._ended = True
         caller = self._task.conn
         if self._progress.has_begun:
@@ -435,30 +446,30 @@
                 'stream cut',
                 last_event=self._progress.last_id,
                 reason=self._progress.reason,
-                obstacle=obstacle,
+                obstacle=denial,
             )
             caller.cut()
-        elif self._failure is None:
-            refusal = self._build_refusal(obstacle, wait_s)
+        elif self._error_response is None:
+            refusal = self._build_refusal(denial, wait_s)
             refuse(self._state, caller, self._task.facts, refusal)
         else:
-            head, body = self._failure
+            head, body = self._error_response
             caller.answer(head.status, filter_headers(head), body)
 
-    def _build_refusal(self, obstacle: str, wait_s: float) -> Refusal:
-        reasons = filter(None, (self._progress.reason, obstacle))
+    def _build_refusal(self, denial: str, wait_s: float) -> Refusal:
+        reasons = filter(None, (self._progress.reason, denial))
         reason = '; '.join(reasons)
         if not self._progress.may_have_run:
-            return Refusal(UNAVAILABLE, reason, wait_s or _RETRY_S)
+            return Refusal(UNAVAILABLE, reason, wait_s or _DEFAULT_RETRY_S)
         if self._loop.time() >= self._task.deadline:
             return Refusal(TIMED_OUT, reason)
         return Refusal(FAILED, reason)
 
-    def _note_start(self) -> None:
+    def _register(self) -> None:
         self._state.streams.add(self)
         self._state.get_budget(self._task.service.name).streams += 1
 
-    def _note_end(self) -> None:
+    def _unregister(self) -> None:
         self._state.streams.discard(self)
         self._state.get_budget(self._task.service.name).streams -= 1
         facts = self._times.describe(self._loop.time())
