--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -70,7 +70,7 @@
 
     @property
     def has_begun(self) -> bool:
-        """Return whether the client has got the head of the response."""
+        """Return whether the client has received the response head."""
         return self.begun_at > 0
 
     def has_advanced(self) -> bool:
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -2,7 +2,8 @@
 
 Complete events are passed on as they arrive. If the path breaks or falls
 silent, the response continues over another path after the last event that the
-client has got: each event once, in order.
+client has received: each event once, in order. A run is one execution of the
+stream by the engines of a path.
 """
 
 from __future__ import annotations
@@ -187,16 +188,16 @@
         if self._ended:
             return
         if backoff_s:
-            await self._wait_until_quarantined(asyncio.sleep(backoff_s))
+            await self._wait_unless_quarantined(asyncio.sleep(backoff_s))
         if self._quarantine.is_suspect(self._task):
-            await self._wait_until_quarantined(
+            await self._wait_unless_quarantined(
                 self._quarantine.rest(self._task)
             )
 
     async def _wait_for_path(self) -> bool:
         """Wait for a path; fail the stream and return false if none comes."""
         try:
-            return await self._wait_until_quarantined(self._acquire_path())
+            return await self._wait_unless_quarantined(self._acquire_path())
         except OutageError as exc:
             self._fail(str(exc), exc.wait_s)
         except NoPathError as exc:
@@ -214,7 +215,7 @@
             heads=heads,
         )
 
-    async def _wait_until_quarantined(self, work: Awaitable[None]) -> bool:
+    async def _wait_unless_quarantined(self, work: Awaitable[None]) -> bool:
         """Wait for some work; return false if it was cut short.
 
         A stream whose request is quarantined meanwhile is answered at once.
