--- a/samphirerill/relay/errors.py
+++ b/samphirerill/relay/errors.py
@@ -1,19 +1,20 @@
-"""Errors of calls to endpoints and of answers that are not whole."""
+"""Errors of calls to endpoints."""
 
 from __future__ import annotations
 
 
 class EndpointError(Exception):
-    """Base: a call to an endpoint did not bring a whole answer.
+    """Base class: a call to an endpoint returned no complete response.
 
-    `may_have_run` is false only if the endpoint surely never got the call.
+    `may_have_run` is false only if the endpoint certainly did not get the
+    request.
     """
 
     may_have_run = True
 
 
 class ConnectError(EndpointError):
-    """No connection came about; nothing was sent."""
+    """No connection could be established; nothing was sent."""
 
     may_have_run = False
 
@@ -23,28 +24,28 @@
 
 
 class UnreachableError(ConnectError):
-    """No answer to the connection came: the VM is gone, or the way to it."""
+    """The connection timed out: the VM is down or cannot be reached."""
 
 
-class NoConnectionLeftError(ConnectError):
-    """This node has its share of the endpoint's connections in use."""
+class ConnectionLimitError(ConnectError):
+    """All connections that this node may open to the endpoint are in use."""
 
 
-class HeldBackError(ConnectError):
-    """The request was found to end endpoints before it was sent."""
+class QuarantinedError(ConnectError):
+    """The request was quarantined before it was sent."""
 
 
 class BrokenAnswerError(EndpointError):
-    """The connection ended, or its bytes were no answer to this call."""
+    """The connection ended early or carried no valid response to the call."""
 
 
 class SilentEndpointError(EndpointError):
-    """No answer came before the deadline."""
+    """No response came before the deadline."""
 
 
 class TooLargeError(EndpointError):
-    """Another node does not pass on a change of this size."""
+    """Another node refuses to relay a change of this size."""
 
 
 class DeafWatcherError(EndpointError):
-    """A node that watches the store for others does not hear it now."""
+    """A node that watches the store for others has lost its watch."""
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -25,8 +25,8 @@
     BrokenAnswerError,
     ConnectError,
     EndpointError,
-    HeldBackError,
-    NoConnectionLeftError,
+    QuarantinedError,
+    ConnectionLimitError,
     SilentEndpointError,
 )
 from samphirerill.relay.refusals import (
@@ -201,7 +201,7 @@
         replica = found.replica
         try:
             conn = await self._connect(replica)
-        except (NoConnectionLeftError, HeldBackError) as exc:
+        except (ConnectionLimitError, QuarantinedError) as exc:
             return _Outcome(is_not_run=True, was_sent=False, reason=str(exc))
         except ConnectError as exc:
             self._avoid(found, str(exc))
@@ -227,7 +227,7 @@
         )
         if self._quarantine.find_held_until(self._task):
             self._state.pool.give_back(replica, conn)
-            raise HeldBackError(self._quarantine.explain(self._task))
+            raise QuarantinedError(self._quarantine.explain(self._task))
         return conn
 
     async def _call(self, found: Known, conn: HttpConnection) -> _Outcome:
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -13,7 +13,7 @@
     Whole,
     build_call,
 )
-from samphirerill.relay.errors import NoConnectionLeftError
+from samphirerill.relay.errors import ConnectionLimitError
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
@@ -130,7 +130,7 @@
             return
         idle = self._idle[replica_id]
         if not idle:
-            raise NoConnectionLeftError(f'{replica_id}: all {most} in use')
+            raise ConnectionLimitError(f'{replica_id}: all {most} in use')
         idle.pop(0).close()
 
     def _count(self, replica_id: str, conn: HttpConnection) -> None:
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -16,7 +16,7 @@
     BrokenAnswerError,
     ConnectError,
     EndpointError,
-    NoConnectionLeftError,
+    ConnectionLimitError,
 )
 from samphirerill.relay.stream_call import build_stream_call, parse_event_id
 from samphirerill.relay.stream_path import format_path
@@ -140,7 +140,7 @@
                 fresh=not self._task.is_retryable,
                 most=self._state.count_connections(self._task.service),
             )
-        except NoConnectionLeftError as exc:
+        except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
             if self._progress.has_begun:
                 self._state.view.refuse(replica.replica_id, self._loop.time())
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -11,7 +11,7 @@
 from samphirerill.relay.connection import build_call
 from samphirerill.relay.errors import (
     NobodyListensError,
-    NoConnectionLeftError,
+    ConnectionLimitError,
 )
 from samphirerill.relay.pool import ConnectionPool, read_answer
 from samphirerill.testing.platform_world import PlatformWorld
@@ -42,7 +42,7 @@
         first = await self.pool.take(self.desk, most=2)
         await self.pool.take(self.desk, most=2)
         self.assertFalse(self.pool.has_left('desk-1', 2))
-        with self.assertRaises(NoConnectionLeftError):
+        with self.assertRaises(ConnectionLimitError):
             await self.pool.take(self.desk, most=2)
         first.close()
         self.assertTrue(self.pool.has_left('desk-1', 2))
