--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/task.py
@@ -1,4 +1,4 @@
-"""One request with all that was found out about it."""
+"""A request with its route, service and client account."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 @dataclass(slots=True)
 class Task:
-    """A request, its route and whose it is.
+    """The context in which one request is served.
 
-    `deadline` is on the loop's clock: the client's own or the route's, the
-    earlier one. `client_deadline` is the client's. `hides_key` is whether
-    clients have keys, which endpoints must not see.
+    `deadline` is the earlier of the client's deadline and the route's timeout,
+    `client_deadline` the client's own; both are on the loop's clock.
+    `hides_key` is whether clients authenticate with API keys, which endpoints
+    must not see.
     """
 
     req: Request
@@ -36,7 +37,7 @@
 
     @property
     def identity(self) -> bytes:
-        """Return what makes this the same request as another attempt."""
+        """Return a digest that all attempts of the same request share."""
         if not self._identity:
             self._identity = digest_request(
                 self.account_name, self.req.target, self.req.body
@@ -45,24 +46,24 @@
 
     @property
     def request_id(self) -> str:
-        """Return the client's name for this attempt."""
+        """Return the request id that the client chose for this attempt."""
         return self.facts.request_id.decode('latin-1')
 
     @property
     def account_name(self) -> str:
-        """Return whose request it is; empty on a public route."""
+        """Return the client account; empty on a public route."""
         return '' if self.account is None else self.account.name
 
     @property
     def is_retryable(self) -> bool:
-        """Return whether the request may run more than once."""
+        """Return whether the request may be executed more than once."""
         if self.route.repeat is Repeat.STREAM:
             return self.route.is_resumable
         return self.route.repeat is Repeat.IDEMPOTENT
 
     @property
     def priority(self) -> int:
-        """Return the rank; the account's own goes before the route's."""
+        """Return the priority; the account's own takes precedence."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
