--- a/samphirerill/relay/refusals.py
+++ b/samphirerill/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Refuse a request: truthfully, at once, and with when to come back."""
+"""Reject a request with an HTTP error of this node."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 FAILED = 502
 UNAVAILABLE = 503
 TIMED_OUT = 504
-# Callers that were refused together must not come back together.
-_SPREAD = 0.5
-_LEAST_RETRY_S = 0.1
+# Random share added to Retry-After, so that clients that were rejected together
+# do not retry together.
+_RETRY_JITTER = 0.5
+_MIN_RETRY_S = 0.1
 
 
 @dataclass(slots=True)
 class Refusal:
-    """An answer of our own.
+    """An error response of this node.
 
-    Status 503 promises that nothing ran; 502 and 504 promise nothing.
-    `retry_s` is when it makes sense to come back.
+    Status 503 guarantees that the request was not executed; 502 and 504 do not.
+    `retry_s` is when a retry makes sense.
     """
 
     status: int
@@ -43,12 +44,12 @@
     facts: RequestFacts,
     refusal: Refusal,
 ) -> None:
-    """Answer with a refusal and log why."""
+    """Send an error response and log the reason."""
     state.counters[f'refused.{refusal.status}'] += 1
     headers: Headers = []
     if refusal.status == UNAVAILABLE:
-        spread = 1 + _SPREAD * state.random.random()
-        retry_s = max(_LEAST_RETRY_S, refusal.retry_s) * spread
+        jitter = 1 + _RETRY_JITTER * state.random.random()
+        retry_s = max(_MIN_RETRY_S, refusal.retry_s) * jitter
         headers.append((b'retry-after', b'%.2f' % retry_s))
     _LOG.info(
         'refused',
