--- a/samphirerill/relay/answers.py
+++ b/samphirerill/relay/answers.py
@@ -1,4 +1,4 @@
-"""Read an endpoint's answer to one send, and know what it means."""
+"""Read and check the response of an endpoint to one attempt."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     from samphirerill.relay.connection import Headers, HttpConnection
     from samphirerill.relay.dialect import AnswerFacts, Dialect
 
-_SUCCESS = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
-# Headers of an answer that concern one connection only, or its framing.
-_HOP = frozenset(
+_SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
+# Hop-by-hop headers, and the length, which this node sets itself.
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -27,38 +27,38 @@
         b'content-length',
     )
 )
-_MOST_FOREIGN = 8
+_MAX_STALE_RESPONSES = 8
 
 
 async def read_head(
     conn: HttpConnection, dialect: Dialect, request_id: bytes, deadline: float
 ) -> tuple[Head, AnswerFacts]:
-    """Return the head of the answer to this request.
+    """Return the head of the response to this request.
 
-    Answers to other requests may come first on a kept connection; their id
-    tells them, and they are dropped.
+    On a reused connection, responses to earlier requests may come first. They
+    are recognised by their request id and discarded.
     """
-    for _ in range(_MOST_FOREIGN):
+    for _ in range(_MAX_STALE_RESPONSES):
         head = await conn.read(deadline)
         if not isinstance(head, Head):
-            raise BrokenAnswerError('got a body, expected a head')
+            raise BrokenAnswerError('expected a response head, got body bytes')
         facts = dialect.read_answer(head)
-        if not _is_foreign(facts, request_id):
+        if not _is_stale(facts, request_id):
             check_success(head, facts)
             return head, facts
         conn.is_reusable = False
         await skip_body(conn, deadline)
-        conn.expect_another()
-    raise BrokenAnswerError('got too many answers to other requests')
+        conn.await_next_response()
+    raise BrokenAnswerError('too many responses to earlier requests')
 
 
 async def skip_body(conn: HttpConnection, deadline: float) -> None:
-    """Read an answer to its end."""
+    """Read a response to its end and discard it."""
     await read_body(conn, deadline)
 
 
 async def read_body(conn: HttpConnection, deadline: float) -> bytes:
-    """Return the rest of an answer."""
+    """Return the rest of a response body."""
     chunks: list[bytes] = []
     while True:
         part = await conn.read(deadline)
@@ -69,27 +69,28 @@
 
 
 def check_success(head: Head, facts: AnswerFacts) -> None:
-    """Refuse a success that bears no signature or is not the own body."""
-    if head.status not in _SUCCESS:
+    """Reject a success without a signature or with an encoded body."""
+    if head.status not in _SUCCESS_STATUSES:
         return
     if not facts.is_signed:
-        raise BrokenAnswerError('got a success without a signature')
+        raise BrokenAnswerError('successful response has no signature')
     if facts.is_encoded:
-        raise BrokenAnswerError('got an encoded body')
+        raise BrokenAnswerError('response body has a content encoding')
 
 
 def is_success(status: int) -> bool:
     """Return whether a status is a success."""
-    return status in _SUCCESS
+    return status in _SUCCESS_STATUSES
 
 
 def filter_headers(head: Head) -> Headers:
-    """Return the headers that are passed on."""
-    return [pair for pair in head.headers if pair[0] not in _HOP]
+    """Return the headers that are passed on to the client."""
+    return [pair for pair in head.headers if pair[0] not in _HOP_BY_HOP_HEADERS]
 
 
-def _is_foreign(facts: AnswerFacts, request_id: bytes) -> bool:
+def _is_stale(facts: AnswerFacts, request_id: bytes) -> bool:
     if facts.request_id:
         return facts.request_id != request_id
-    # Only a refusal may come without an id; anything else is not ours.
+    # Only a rejection may lack a request id; any other response without one
+    # belongs to another request.
     return not facts.is_not_run
--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -165,7 +165,7 @@
         if isinstance(part, Lost):
             raise BrokenAnswerError(f'{self.address}: {part.reason}')
 
-    def expect_another(self) -> None:
+    def await_next_response(self) -> None:
         """Go on reading: the answer just read was to somebody else."""
         self._answering = True
 
