--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to endpoints, by replica."""
+"""Pool of keep-alive connections to endpoints, by replica."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
 
-_IDLE_PER_REPLICA = 16
+_MAX_IDLE_PER_REPLICA = 16
 
 
 class ConnectionPool:
-    """Connections that wait for their next call, newest first.
+    """Keeps idle connections for reuse, newest first.
 
     Parameters
     ----------
@@ -34,18 +34,19 @@
         self._counters = counters
         self._idle: defaultdict[str, list[HttpConnection]] = defaultdict(list)
         self._open: Counter[str] = Counter()
-        # When each replica started that connections are kept to.
-        self._started: dict[str, int] = {}
+        # Start time of the process that the idle connections of a replica lead
+        # to.
+        self._start_times: dict[str, int] = {}
 
     def has_left(self, replica_id: str, most: int) -> bool:
-        """Return whether a call to a replica would find a connection.
+        """Return whether a connection to a replica is available.
 
         Parameters
         ----------
         replica_id : str
-            To whom.
+            The replica.
         most : int
-            The connections that this node may have there; 0 for any number.
+            The limit of this node's connections to it; 0 for none.
         """
         if not most or self._idle.get(replica_id):
             return True
@@ -54,22 +55,22 @@
     async def take(
         self, replica: Replica, *, fresh: bool = False, most: int = 0
     ) -> HttpConnection:
-        """Return an open connection; raise ``ConnectError`` if none comes.
+        """Return an open connection; raise ``ConnectError`` on failure.
 
         Parameters
         ----------
         replica : Replica
-            To whom.
+            The replica to connect to.
         fresh : bool
-            Make a new one. On a kept connection that the endpoint has just
-            closed, a request seems lost although nothing ran; one that may
-            not be repeated could not be sent again.
+            Open a new connection. If the endpoint closes an idle connection
+            just as it is reused, the request seems lost although it was not
+            executed, and one that is not retryable could not be sent again.
         most : int
-            The connections that this node may have there; 0 for any number.
-            An endpoint resets those beyond what it takes from all nodes.
+            The limit of this node's connections to the replica; 0 for none. An
+            endpoint resets connections beyond its limit over all nodes.
         """
         now = asyncio.get_running_loop().time()
-        self._note_start(replica)
+        self._close_outdated(replica)
         idle = self._idle[replica.replica_id]
         while idle and not fresh:
             conn = idle.pop()
@@ -77,27 +78,27 @@
                 self._counters['connections.reused'] += 1
                 return conn
             conn.close()
-        self._make_room(replica.replica_id, most)
+        self._evict_idle(replica.replica_id, most)
         conn = HttpConnection(replica.address)
-        self._count(replica.replica_id, conn)
+        self._track_open(replica.replica_id, conn)
         await conn.open()
         self._counters['connections.made'] += 1
         return conn
 
     def give_back(self, replica: Replica, conn: HttpConnection) -> None:
-        """Keep a connection whose answer was read whole."""
+        """Keep a connection whose response was read completely."""
         now = asyncio.get_running_loop().time()
-        if replica.is_other_start(self._started.get(replica.replica_id, 0)):
+        if replica.is_other_start(self._start_times.get(replica.replica_id, 0)):
             conn.close()
             return
         idle = self._idle[replica.replica_id]
-        if conn.is_usable(now) and len(idle) < _IDLE_PER_REPLICA:
+        if conn.is_usable(now) and len(idle) < _MAX_IDLE_PER_REPLICA:
             idle.append(conn)
         else:
             conn.close()
 
     def sweep(self, present: set[str]) -> None:
-        """Close connections that are too old or whose replica is gone."""
+        """Close idle connections that are expired or whose replica is gone."""
         now = asyncio.get_running_loop().time()
         for replica_id in tuple(self._idle):
             kept = []
@@ -110,22 +111,22 @@
                 self._idle[replica_id] = kept
             else:
                 self._idle.pop(replica_id)
-                self._started.pop(replica_id, None)
+                self._start_times.pop(replica_id, None)
 
-    def _note_start(self, replica: Replica) -> None:
-        """Close what is kept to the start before an endpoint's present one.
+    def _close_outdated(self, replica: Replica) -> None:
+        """Close idle connections to an earlier process of the replica.
 
-        It may have ended behind a cut, without a word to its connections; a
-        call on one of them would wait in vain.
+        That process may have ended behind a network partition without closing
+        them; requests on such a connection would time out.
         """
         name = replica.replica_id
-        if replica.is_other_start(self._started.get(name, 0)):
+        if replica.is_other_start(self._start_times.get(name, 0)):
             for conn in self._idle.pop(name, ()):
                 conn.close()
-        self._started[name] = replica.started_ms
+        self._start_times[name] = replica.started_ms
 
-    def _make_room(self, replica_id: str, most: int) -> None:
-        """Close a waiting connection if there are as many as there may be."""
+    def _evict_idle(self, replica_id: str, most: int) -> None:
+        """Close an idle connection if the limit is reached."""
         if not most or self._open[replica_id] < most:
             return
         idle = self._idle[replica_id]
@@ -133,11 +134,11 @@
             raise ConnectionLimitError(f'{replica_id}: all {most} in use')
         idle.pop(0).close()
 
-    def _count(self, replica_id: str, conn: HttpConnection) -> None:
+    def _track_open(self, replica_id: str, conn: HttpConnection) -> None:
         self._open[replica_id] += 1
-        conn.on_end = partial(self._uncount, replica_id)
+        conn.on_end = partial(self._untrack_open, replica_id)
 
-    def _uncount(self, replica_id: str) -> None:
+    def _untrack_open(self, replica_id: str) -> None:
         self._open[replica_id] -= 1
         if self._open[replica_id] <= 0:
             self._open.pop(replica_id)
@@ -146,7 +147,7 @@
 async def call_once(
     address: str, method: bytes, path: bytes, body: bytes, deadline: float
 ) -> tuple[int, bytes]:
-    """Make one short call on a connection of its own.
+    """Make one short request on a connection of its own.
 
     Returns
     -------
@@ -156,7 +157,7 @@
     Raises
     ------
     EndpointError
-        No whole answer came.
+        No complete response was received.
     """
     conn = HttpConnection(address)
     headers = [(b'host', address.encode())]
@@ -173,7 +174,7 @@
 async def read_answer(
     conn: HttpConnection, deadline: float
 ) -> tuple[int, bytes]:
-    """Read a whole short answer; return its status and body."""
+    """Read a complete short response; return its status and body."""
     status = 0
     chunks: list[bytes] = []
     while True:
