--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -1,7 +1,7 @@
-"""Serve a request to a plain service: whole answers, few repeats.
+"""Serve a request to a plain service, one without streamed responses.
 
-The answer is read whole before a byte of it is passed on, so that one that
-breaks off can be asked for again where the request may be repeated.
+The response is buffered before any of it is passed on, so that a retryable
+request can be sent again if the connection breaks in the middle of it.
 """
 
 from __future__ import annotations
@@ -50,26 +50,28 @@
 
 _LOG = get_logger('plain')
 _SERVER_ERROR = 500
-# The share of the time left that a first send may take if another may follow.
-_FIRST_SHARE = 0.45
-# How long an endpoint that refuses connections or is silent gets no work.
-_AVOID_S = 1.5
-# A shorter silence says more about the route's timeout than the endpoint.
-_SILENT_S = 0.5
-# Connections that fail cost no endpoint any work; so many are tried.
-_MOST_CONNECTS = 4
-_RETRY_S = 0.3
-# While all connections of this node are in use a request waits for one, as long
-# as some answers take, but not long enough to be late by that alone.
+# Share of the remaining time for an attempt that may be followed by another.
+_ATTEMPT_SHARE = 0.45
+# How long an endpoint that refuses connections or does not respond gets no
+# requests.
+_AVOIDANCE_S = 1.5
+# An attempt with a shorter timeout says more about the route's timeout than
+# about the endpoint.
+_MIN_SILENCE_S = 0.5
+# Endpoints to try; a connection that fails costs an endpoint no work.
+_MAX_CONNECTS = 4
+_DEFAULT_RETRY_S = 0.3
+# Maximum wait for a connection while all are in use: as long as some responses
+# take, but too short to make a request late by itself.
 _CONNECTION_WAIT_S = 0.1
-_CONNECTION_STEP_S = 0.005
-# The weight of the newest answer in an endpoint's latency and failures.
+_CONNECTION_POLL_S = 0.005
+# Weight of the newest response in an endpoint's latency and failure rate.
 _SMOOTHING = 0.15
 
 
 @dataclass(slots=True)
 class _Outcome:
-    """What came of one send; `head` if there is an answer to pass on."""
+    """The result of one attempt; `head` is set if there is a response."""
 
     head: Head | None = None
     body: bytes = b''
@@ -80,16 +82,17 @@
 
 
 class PlainExchange:
-    """One request to a plain service.
+    """Serves one request to a plain service.
 
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     task : Task
         The request.
     quarantine : Witness
-        Knows whether it may run; told of sends that break off.
+        Knows whether the request is quarantined; told of attempts that break
+        off.
     """
 
     def __init__(
@@ -102,39 +105,39 @@
         self._budget = AttemptBudget(state, task)
         self._loop = asyncio.get_running_loop()
         self._tried: set[str] = set()
-        self._sends = 0
+        self._attempts = 0
         self._may_have_run = False
-        self._has_lost_run = False
+        self._has_broken_run = False
 
     async def run(self) -> None:
-        """Answer the request."""
+        """Serve the request."""
         outcome = _Outcome(is_not_run=True, reason='no endpoint')
         connects = 0
-        while connects < _MOST_CONNECTS and self._may_send():
-            found = await self._choose()
-            if found is None:
+        while connects < _MAX_CONNECTS and self._may_send():
+            endpoint = await self._wait_for_endpoint()
+            if endpoint is None:
                 self._budget.refund()
                 break
-            outcome = await self._send(found)
+            outcome = await self._send(endpoint)
             connects += 1
-            self._tried.add(found.replica.replica_id)
+            self._tried.add(endpoint.replica.replica_id)
             if not outcome.was_sent:
                 self._budget.refund()
             if self._is_final(outcome):
                 break
             await self._quarantine.rest(self._task)
-        self._finish(outcome)
+        self._respond(outcome)
 
-    async def _choose(self) -> Known | None:
+    async def _wait_for_endpoint(self) -> Known | None:
         """Return an endpoint, waiting while all connections are in use."""
         until = self._loop.time() + _CONNECTION_WAIT_S
         while True:
-            found = self._find_endpoint(self._has_connection)
-            if found is not None or self._loop.time() >= until:
-                return found
+            endpoint = self._find_endpoint(self._has_connection)
+            if endpoint is not None or self._loop.time() >= until:
+                return endpoint
             if self._find_endpoint() is None:
                 return None
-            await asyncio.sleep(_CONNECTION_STEP_S)
+            await asyncio.sleep(_CONNECTION_POLL_S)
 
     def _find_endpoint(
         self, may_call: Callable[[str], bool] = bool
@@ -153,15 +156,15 @@
         return self._state.pool.has_left(replica_id, most)
 
     def _may_send(self) -> bool:
-        """Return whether another send is allowed."""
+        """Return whether another attempt is allowed, and reserve it."""
         now = self._loop.time()
         self._held_until = self._quarantine.find_held_until(self._task)
         if self._held_until or now >= self._task.deadline:
             return False
-        if self._sends >= self._task.route.max_attempts:
+        if self._attempts >= self._task.route.max_attempts:
             return False
         return self._budget.reserve(
-            now, self._sends, is_urgent=self._has_lost_run
+            now, self._attempts, is_urgent=self._has_broken_run
         )
 
     def _is_final(self, outcome: _Outcome) -> bool:
@@ -171,48 +174,48 @@
             return False
         return not self._task.is_retryable
 
-    async def _send(self, found: Known) -> _Outcome:
-        replica = found.replica
-        held = (replica.replica_id,)
-        self._state.book.take(held, 0)
+    async def _send(self, endpoint: Known) -> _Outcome:
+        replica = endpoint.replica
+        held_ids = (replica.replica_id,)
+        self._state.book.take(held_ids, 0)
         started_at = self._loop.time()
         try:
-            outcome = await self._exchange(found)
+            outcome = await self._exchange(endpoint)
         finally:
-            self._state.book.give_back(held, 0)
+            self._state.book.give_back(held_ids, 0)
             self._state.notify()
-        took_s = self._loop.time() - started_at
-        self._note(found, outcome, took_s)
+        duration_s = self._loop.time() - started_at
+        self._record_outcome(endpoint, outcome, duration_s)
         _LOG.info(
             'request sent',
             extra={
                 'request': self._task.request_id,
-                'endpoint': found.replica.replica_id,
-                'send': self._sends,
+                'endpoint': endpoint.replica.replica_id,
+                'send': self._attempts,
                 'status': 0 if outcome.head is None else outcome.head.status,
                 'not_run': outcome.is_not_run,
                 'reason': outcome.reason,
-                'took_ms': round(took_s * MS_PER_S),
+                'took_ms': round(duration_s * MS_PER_S),
             },
         )
         return outcome
 
-    async def _exchange(self, found: Known) -> _Outcome:
-        replica = found.replica
+    async def _exchange(self, endpoint: Known) -> _Outcome:
+        replica = endpoint.replica
         try:
             conn = await self._connect(replica)
         except (ConnectionLimitError, QuarantinedError) as exc:
             return _Outcome(is_not_run=True, was_sent=False, reason=str(exc))
         except ConnectError as exc:
-            self._avoid(found, str(exc))
+            self._avoid(endpoint, str(exc))
             return _Outcome(is_not_run=True, was_sent=False, reason=str(exc))
-        self._sends += 1
+        self._attempts += 1
         sent_at = self._loop.time()
         try:
-            outcome = await self._call(found, conn)
+            outcome = await self._call(endpoint, conn)
         except EndpointError as exc:
             conn.close()
-            return self._note_error(found, exc, sent_at)
+            return self._handle_error(endpoint, exc, sent_at)
         except asyncio.CancelledError:
             conn.close()
             raise
@@ -230,9 +233,9 @@
             raise QuarantinedError(self._quarantine.explain(self._task))
         return conn
 
-    async def _call(self, found: Known, conn: HttpConnection) -> _Outcome:
-        deadline = self._limit_send()
-        conn.send(self._build_call(found))
+    async def _call(self, endpoint: Known, conn: HttpConnection) -> _Outcome:
+        deadline = self._get_attempt_deadline()
+        conn.send(self._build_call(endpoint))
         head, facts = await read_head(
             conn, self._state.dialect, self._task.facts.request_id, deadline
         )
@@ -243,23 +246,23 @@
         self._quarantine.note_whole(self._task)
         return _Outcome(head, body)
 
-    def _note_error(
-        self, found: Known, exc: EndpointError, sent_at: float
+    def _handle_error(
+        self, endpoint: Known, exc: EndpointError, sent_at: float
     ) -> _Outcome:
         self._may_have_run = True
-        self._has_lost_run = True
+        self._has_broken_run = True
         if isinstance(exc, BrokenAnswerError):
-            self._quarantine.note_break(self._task, found.replica)
+            self._quarantine.note_break(self._task, endpoint.replica)
         is_silent = isinstance(exc, SilentEndpointError)
-        if is_silent and self._loop.time() - sent_at >= _SILENT_S:
-            self._avoid(found, str(exc))
+        if is_silent and self._loop.time() - sent_at >= _MIN_SILENCE_S:
+            self._avoid(endpoint, str(exc))
         return _Outcome(timed_out=is_silent, reason=str(exc))
 
-    def _build_call(self, found: Known) -> bytes:
+    def _build_call(self, endpoint: Known) -> bytes:
         task = self._task
-        left_s = task.client_deadline - self._loop.time()
+        remaining_s = task.client_deadline - self._loop.time()
         attempt = Attempt(
-            found.replica, task.account_name, left_s, task.hides_key
+            endpoint.replica, task.account_name, remaining_s, task.hides_key
         )
         headers = self._state.dialect.build_headers(
             task.req, task.facts, attempt
@@ -268,37 +271,40 @@
             task.req.method, task.req.target, headers, task.req.body
         )
 
-    def _limit_send(self) -> float:
-        """Return until when this send may take.
+    def _get_attempt_deadline(self) -> float:
+        """Return the deadline of this attempt.
 
-        A silent endpoint would use up all the time of a request that another
-        one could still answer.
+        It leaves time for another attempt if the endpoint does not respond.
         """
         now = self._loop.time()
         task = self._task
-        last = self._sends >= task.route.max_attempts
+        last = self._attempts >= task.route.max_attempts
         if last or not task.is_retryable:
             return task.deadline
-        return now + (task.deadline - now) * _FIRST_SHARE
+        return now + (task.deadline - now) * _ATTEMPT_SHARE
 
-    def _avoid(self, found: Known, reason: str) -> None:
+    def _avoid(self, endpoint: Known, reason: str) -> None:
         now = self._loop.time()
-        replica_id = found.replica.replica_id
-        if self._state.view.suspect(replica_id, now + _AVOID_S, now):
+        replica_id = endpoint.replica.replica_id
+        if self._state.view.suspect(replica_id, now + _AVOIDANCE_S, now):
             _LOG.info(
                 'endpoint avoided',
                 extra={'replica': replica_id, 'reason': reason},
             )
 
-    def _note(self, found: Known, outcome: _Outcome, took_s: float) -> None:
+    def _record_outcome(
+        self, endpoint: Known, outcome: _Outcome, duration_s: float
+    ) -> None:
         failed = outcome.head is None or outcome.head.status >= _SERVER_ERROR
         if outcome.was_sent:
-            found.failures += _SMOOTHING * (float(failed) - found.failures)
+            endpoint.failures += _SMOOTHING * (
+                float(failed) - endpoint.failures
+            )
         if not failed:
-            found.latency_s += _SMOOTHING * (took_s - found.latency_s)
-            self._state.view.trust(found.replica.replica_id)
+            endpoint.latency_s += _SMOOTHING * (duration_s - endpoint.latency_s)
+            self._state.view.trust(endpoint.replica.replica_id)
 
-    def _finish(self, outcome: _Outcome) -> None:
+    def _respond(self, outcome: _Outcome) -> None:
         conn = self._task.conn
         facts = self._task.facts
         head = outcome.head
@@ -307,12 +313,14 @@
             return
         now = self._loop.time()
         timed_out = now >= self._task.deadline
-        reason, retry_s = outcome.reason, _RETRY_S
+        reason, retry_s = outcome.reason, _DEFAULT_RETRY_S
         if self._held_until:
             reason = self._quarantine.explain(self._task)
             retry_s = self._held_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
-            late = outcome.timed_out or timed_out
-            refusal = Refusal(TIMED_OUT if late else FAILED, outcome.reason)
+            is_timeout = outcome.timed_out or timed_out
+            refusal = Refusal(
+                TIMED_OUT if is_timeout else FAILED, outcome.reason
+            )
         refuse(self._state, conn, facts, refusal)
