--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -1,4 +1,4 @@
-"""Answer one request: find its route, its account and the way to serve it."""
+"""Route one request: find its service and account, and serve it."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
     Parameters
     ----------
     state : EdgeState
-        What this node knows.
+        Shared state of this node.
     admission : Admission
-        The queue of streams.
+        The admission queue for streams.
     examiner : Examiner
-        Asks silent replicas.
+        Probes silent replicas.
     quarantine : Witness
-        Knows which requests end replicas.
+        Detects requests that crash replicas.
     """
 
     def __init__(
@@ -64,34 +64,34 @@
         self._loop = asyncio.get_running_loop()
 
     def get_limits(self) -> ClientLimits:
-        """Return what clients may send."""
+        """Return the limits on client requests."""
         return self._state.get_limits()
 
     def is_draining(self) -> bool:
-        """Return whether connections should end after their answer."""
+        """Return whether connections should close after their response."""
         return self._state.is_draining
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer one request."""
+        """Serve one request."""
         facts = self._state.dialect.read_request(req)
         self._state.counters['requests'] += 1
-        found = self._resolve(req, facts, conn)
-        if isinstance(found, Refusal):
-            refuse(self._state, conn, facts, found)
+        resolved = self._resolve(req, facts, conn)
+        if isinstance(resolved, Refusal):
+            refuse(self._state, conn, facts, resolved)
             return
-        await self._serve(found)
+        await self._serve(resolved)
         self._state.metrics.record(
             'answer',
-            found.route.repeat.value,
+            resolved.route.repeat.value,
             self._loop.time() - req.arrived_at,
         )
 
     async def _serve(self, task: Task) -> None:
         engine = task.service.engine
         if engine is None or not engine.layers:
-            if not self._is_too_late(self._state.requests_until, task):
+            if not self._reject_if_ending(self._state.requests_until, task):
                 await PlainExchange(self._state, task, self._quarantine).run()
-        elif not self._is_too_late(self._state.streams_until, task):
+        elif not self._reject_if_ending(self._state.streams_until, task):
             await StreamExchange(
                 self._state,
                 task,
@@ -101,8 +101,8 @@
                 self._quarantine,
             ).run()
 
-    def _is_too_late(self, until: float, task: Task) -> bool:
-        """Refuse what would outlast this node; return whether it would."""
+    def _reject_if_ending(self, until: float, task: Task) -> bool:
+        """Reject a request if this node ends soon; return whether it did."""
         if self._loop.time() < until:
             return False
         refusal = Refusal(UNAVAILABLE, 'the node ends')
@@ -114,7 +114,7 @@
     ) -> Task | Refusal:
         state = self._state
         if state.cfg is None or state.routes is None:
-            # Nobody may be told "not found" on no evidence.
+            # Without a configuration, 404 would be unfounded.
             return Refusal(UNAVAILABLE, 'no configuration yet', 1.0)
         host = (req.get(b'host') or b'').decode('latin-1')
         route = state.routes.find(host, req.target.decode('latin-1'))
@@ -139,8 +139,8 @@
         service: Service,
         account: ClientAccount | None,
     ) -> Task:
-        own_s = route.timeout_s
-        client_s = facts.deadline_s or own_s
+        route_timeout_s = route.timeout_s
+        client_timeout_s = facts.deadline_s or route_timeout_s
         return Task(
             req,
             facts,
@@ -148,7 +148,7 @@
             route,
             service,
             account,
-            deadline=req.arrived_at + min(own_s, client_s),
-            client_deadline=req.arrived_at + client_s,
+            deadline=req.arrived_at + min(route_timeout_s, client_timeout_s),
+            client_deadline=req.arrived_at + client_timeout_s,
             hides_key=self._state.cfg is None or self._state.cfg.needs_keys,
         )
