--- a/samphirerill/relay/server.py
+++ b/samphirerill/relay/server.py
@@ -1,8 +1,8 @@
-"""The callers' side: HTTP/1.1 requests in, answers out, on the loop.
+"""HTTP/1.1 server for client connections, on the asyncio loop.
 
 A connection serves one request at a time. Whatever bytes a client sends, it
-gets a well-formed answer or a close; what two parties could read in two ways
-is refused, so that no request hides inside another.
+gets a well-formed response or a close. Requests that two parsers could read
+differently are rejected, which prevents request smuggling.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 _MAX_PIPELINED = 8
 _MAX_HEADERS = 100
 _MAX_TARGET_BYTES = 8192
-_HIGH_WATER = 131_072
-# A slow reader gets this long to take some of what waits for it.
-_SLOW_READER_S = 10.0
-# A client that was refused may still be sending; closing at once would reset
-# the connection and take the refusal with it.
+_HIGH_WATER_BYTES = 131_072
+# How long a slow client may take to read some of the buffered response.
+_SLOW_CLIENT_TIMEOUT_S = 10.0
+# Lingering close: a client may still be sending, and closing at once would
+# reset the connection before it reads the error response.
 _LINGER_S = 0.5
-# How a body is framed, and a head that says so to a parser.
-_FRAMING = frozenset((b'content-length', b'transfer-encoding'))
-_FRAME_HEAD = b'POST / HTTP/1.1'
-_SINGLE = frozenset((b'host', b'content-length', b'transfer-encoding'))
+# Headers that frame a body, and a request line to replay them to a parser.
+_FRAMING_HEADERS = frozenset((b'content-length', b'transfer-encoding'))
+_REPLAY_REQUEST_LINE = b'POST / HTTP/1.1'
+_UNIQUE_HEADERS = frozenset((b'host', b'content-length', b'transfer-encoding'))
 _REASONS = {
     status.value: status.phrase.encode('latin-1') for status in HTTPStatus
 }
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request as it was read; header names are in lower case."""
+    """One parsed request; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -58,7 +58,7 @@
     chunks: list[bytes] = field(default_factory=list)
 
     def get(self, name: bytes) -> bytes | None:
-        """Return a header's first value."""
+        """Return the first value of a header."""
         for known, text in self.headers:
             if known == name:
                 return text
@@ -66,49 +66,50 @@
 
 
 class RequestHandler(Protocol):
-    """What answers requests; cancelled if the client leaves."""
+    """Serves requests; cancelled if the client disconnects."""
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer one request."""
+        """Serve one request."""
 
     def get_limits(self) -> ClientLimits:
-        """Return what clients may send."""
+        """Return the limits on client requests."""
 
     def is_draining(self) -> bool:
-        """Return whether connections should end after their answer."""
+        """Return whether connections should close after their response."""
 
 
 class CallerConnection(asyncio.Protocol):
-    """One client's connection.
+    """The connection of one client.
 
     Parameters
     ----------
     handler : RequestHandler
-        Answers the requests.
+        Serves the requests.
     connections : set
-        Holds every open connection; this one adds and removes itself.
+        All open connections; this one adds and removes itself.
     """
 
     def __init__(
         self, handler: RequestHandler, connections: set[CallerConnection]
     ) -> None:
         self.is_busy = False
-        self.has_answered = False
+        self.response_started = False
         self._handler = handler
         self._connections = connections
         self._loop = asyncio.get_running_loop()
         self._transport: Any = None
         self._parser = HttpRequestParser(self)
         self._limits = handler.get_limits()
-        self._waiting: deque[Request] = deque()
+        self._queue: deque[Request] = deque()
         self._current: Request | None = None
-        # A request that offers another protocol: stopped at, and read on.
-        self._offering: Request | None = None
-        self._replayed: Request | None = None
+        # A request that offers a protocol upgrade, before and after the parser
+        # is replaced.
+        self._upgrade_request: Request | None = None
+        self._replayed_request: Request | None = None
         self._target: list[bytes] = []
         self._headers: Headers = []
         self._header_bytes = 0
-        self._refused = 0
+        self._reject_status = 0
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._writable: asyncio.Future[None] | None = None
@@ -119,27 +120,27 @@
 
     @property
     def has_work(self) -> bool:
-        """Return whether a request is served, or its answer on its way.
+        """Return whether a request is in progress or its response unsent.
 
-        What is written may wait here for a client with a slow link; to end
-        then cut such answers in the middle.
+        A response may still be buffered for a client with a slow link; closing
+        the connection would truncate it.
         """
         return self.is_busy or self._transport.get_write_buffer_size() > 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start waiting for the first request."""
         self._transport = transport
-        self._transport.set_write_buffer_limits(high=_HIGH_WATER)
+        self._transport.set_write_buffer_limits(high=_HIGH_WATER_BYTES)
         sock = transport.get_extra_info('socket')
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._connections.add(self)
-        self._arm(self._limits.idle_timeout_s)
+        self._start_timer(self._limits.idle_timeout_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client has left: whatever runs for it ends now."""
+        """Cancel the request in progress, as the client has disconnected."""
         self._connections.discard(self)
-        self._disarm()
+        self._stop_timer()
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         if self._task is not None:
@@ -152,56 +153,56 @@
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade as exc:
-            self._pass_over_offer(data[exc.args[0] :])
+            self._ignore_upgrade(data[exc.args[0] :])
         except HttpParserError:
-            self._refuse(self._refused or HTTPStatus.BAD_REQUEST)
+            self._reject(self._reject_status or HTTPStatus.BAD_REQUEST)
 
     def eof_received(self) -> bool:
-        """A client that closes its side has left."""
+        """Treat a half-closed connection as disconnected."""
         return False
 
     def pause_writing(self) -> None:
-        """The client reads slowly."""
+        """Stop writing: the client reads slowly."""
         self._writable = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """The client has caught up."""
+        """Continue writing: the write buffer has drained."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
     def on_message_begin(self) -> None:
-        """Parser: a request starts."""
-        if self._replayed is not None:
+        """Parser callback: a request starts."""
+        if self._replayed_request is not None:
             return
         self._target = []
         self._headers = []
         self._header_bytes = 0
         self._in_message = True
         if not self.is_busy:
-            self._arm(self._limits.header_timeout_s)
+            self._start_timer(self._limits.header_timeout_s)
 
     def on_url(self, url: bytes) -> None:
-        """Parser: (a part of) the target."""
-        if self._replayed is not None:
+        """Parser callback: a part of the request target."""
+        if self._replayed_request is not None:
             return
         self._target.append(url)
         self._count_header(len(url), _MAX_TARGET_BYTES)
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Parser: one header."""
-        if self._replayed is not None:
+        """Parser callback: one header."""
+        if self._replayed_request is not None:
             return
         self._headers.append((name.lower(), text.strip()))
         self._count_header(len(name) + len(text), self._limits.max_header_bytes)
         if len(self._headers) > _MAX_HEADERS:
-            self._give_up(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._abort_parsing(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """Parser: the head is whole."""
-        if self._replayed is not None:
-            self._current = self._replayed
-            self._replayed = None
+        """Parser callback: the request head is complete."""
+        if self._replayed_request is not None:
+            self._current = self._replayed_request
+            self._replayed_request = None
             return
         req = Request(
             self._parser.get_method(),
@@ -210,30 +211,30 @@
             self._loop.time(),
             keeps_alive=self._parser.should_keep_alive(),
         )
-        problem = _find_problem(req, self._limits)
-        if problem:
-            self._give_up(problem)
+        status = _validate_head(req, self._limits)
+        if status:
+            self._abort_parsing(status)
         if (req.get(b'expect') or b'').lower() == b'100-continue':
             self._transport.write(b'HTTP/1.1 100 Continue\r\n\r\n')
         self._current = req
         if self._parser.should_upgrade():
-            self._offering = req
+            self._upgrade_request = req
         if not self.is_busy:
-            self._arm(self._limits.idle_timeout_s)
+            self._start_timer(self._limits.idle_timeout_s)
 
     def on_body(self, body: bytes) -> None:
-        """Parser: bytes of the body."""
+        """Parser callback: bytes of the body."""
         req = self._current
         if req is None:
             return
         req.chunks.append(body)
         if sum(map(len, req.chunks)) > self._limits.max_body_bytes:
-            self._give_up(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._abort_parsing(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        """Parser: the request is whole."""
-        if self._offering is not None:
-            # The parser is about to stop; the body comes by the next one.
+        """Parser callback: the request is complete."""
+        if self._upgrade_request is not None:
+            # The parser stops here; its replacement reads the body.
             return
         req = self._current
         self._current = None
@@ -243,19 +244,19 @@
         req.body = b''.join(req.chunks)
         req.chunks = []
         req.arrived_at = self._loop.time()
-        self._waiting.append(req)
-        if len(self._waiting) > _MAX_PIPELINED:
-            self._give_up(HTTPStatus.BAD_REQUEST)
+        self._queue.append(req)
+        if len(self._queue) > _MAX_PIPELINED:
+            self._abort_parsing(HTTPStatus.BAD_REQUEST)
         self._start_next()
 
     def start_answer(
         self, status: int, headers: Headers, length: int | None
     ) -> None:
-        """Write the head of an answer; `length` is ``None`` for chunks."""
-        self.has_answered = True
+        """Write a response head; `length` is ``None`` for chunked encoding."""
+        self.response_started = True
         self._chunked = length is None
-        if self._handler.is_draining() and not self._waiting:
-            # Requests that were read already are answered before the close.
+        if self._handler.is_draining() and not self._queue:
+            # Requests that were already read are served before the close.
             self._keeps_alive = False
         lines = [b'HTTP/1.1 %d %b' % (status, _REASONS.get(status, b'Other'))]
         lines.extend(b'%b: %b' % pair for pair in headers)
@@ -271,7 +272,7 @@
         self._write(b'\r\n'.join((*lines, b'', b'')))
 
     def write_body(self, body: bytes) -> None:
-        """Write bytes of the answer's body."""
+        """Write bytes of the response body."""
         if not body:
             return
         if self._chunked:
@@ -279,28 +280,28 @@
         self._write(body)
 
     def end_answer(self) -> None:
-        """The answer is whole."""
+        """Complete the response."""
         if self._chunked:
             self._write(b'0\r\n\r\n')
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         self.start_answer(status, headers, len(body))
         self._write(body)
 
     def cut(self) -> None:
-        """End the connection so that no client takes the answer for whole."""
+        """Abort the connection so that the response is seen as incomplete."""
         self._keeps_alive = False
         if self._transport is not None:
             self._transport.abort()
 
     def end(self) -> None:
-        """End the connection with the node.
+        """Close the connection because the node ends.
 
-        Who has no answer yet is told that its request may have run; an answer
-        that has begun can only be cut.
+        A client without a response gets status 502, as its request may have
+        been executed; a response that has started is aborted.
         """
-        if not self.is_busy or self.has_answered:
+        if not self.is_busy or self.response_started:
             self.cut()
             return
         self._keeps_alive = False
@@ -308,72 +309,77 @@
         self._close()
 
     def close_idle(self) -> None:
-        """Close if nothing is under way and nothing was begun."""
+        """Close the connection if no request is in progress or being read."""
         if not self.is_busy and not self._in_message:
             self._close()
 
     async def drain(self) -> None:
-        """Wait until a slow client has taken some of its answer."""
+        """Wait until a slow client has read some of its response."""
         if self._writable is None:
             return
         try:
-            async with asyncio.timeout(_SLOW_READER_S):
+            async with asyncio.timeout(_SLOW_CLIENT_TIMEOUT_S):
                 await self._writable
         except TimeoutError:
             _LOG.info(
-                'client does not read', extra={'waited_s': _SLOW_READER_S}
+                'client reads too slowly',
+                extra={'waited_s': _SLOW_CLIENT_TIMEOUT_S},
             )
             self.cut()
 
-    def _pass_over_offer(self, following: bytes) -> None:
-        """Read on after the head of a request that offers another protocol.
+    def _ignore_upgrade(self, remaining: bytes) -> None:
+        """Ignore an offer to upgrade the protocol and read on.
 
-        The offer may be passed over, but the parser stops at it; unheeded,
-        that closed the connection without an answer. A new parser is told how
-        the body is framed, so that its bytes are read as the body: taken for
-        the next request, they would hide one inside another.
+        The parser stops at the head of such a request. A new parser gets the
+        framing headers again, so that the body is read as a body and not as
+        another request.
         """
-        req = self._offering
-        self._offering = None
+        req = self._upgrade_request
+        self._upgrade_request = None
         if req is None:
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
             return
         framing = [
-            b'%b: %b' % pair for pair in req.headers if pair[0] in _FRAMING
+            b'%b: %b' % pair
+            for pair in req.headers
+            if pair[0] in _FRAMING_HEADERS
         ]
         self._parser = HttpRequestParser(self)
-        self._replayed = req
-        self._parser.feed_data(b'\r\n'.join((_FRAME_HEAD, *framing, b'', b'')))
-        if following:
-            self.data_received(following)
+        self._replayed_request = req
+        self._parser.feed_data(
+            b'\r\n'.join((_REPLAY_REQUEST_LINE, *framing, b'', b''))
+        )
+        if remaining:
+            self.data_received(remaining)
 
     def _start_next(self) -> None:
-        if self.is_busy or not self._waiting or self._closing:
+        if self.is_busy or not self._queue or self._closing:
             return
         self.is_busy = True
-        self._disarm()
-        req = self._waiting.popleft()
+        self._stop_timer()
+        req = self._queue.popleft()
         self._keeps_alive = req.keeps_alive
-        self.has_answered = False
+        self.response_started = False
         self._task = self._loop.create_task(self._serve(req))
 
     async def _serve(self, req: Request) -> None:
         try:
             await self._handler.handle(req, self)
         except Exception as exc:  # noqa: BLE001
-            # One request's fault must neither hang its client nor end others.
+            # An error in one request must neither hang its client nor affect
+            # others.
             _LOG.error('request failed', extra={'error': repr(exc)})
-            self._end_failed()
+            self._respond_failed()
         self.is_busy = False
         self._task = None
         if not self._keeps_alive:
             self._close()
             return
-        self._arm(self._limits.idle_timeout_s)
+        self._start_timer(self._limits.idle_timeout_s)
         self._start_next()
 
-    def _end_failed(self) -> None:
-        if self.has_answered:
+    def _respond_failed(self) -> None:
+        if self.response_started:
             self.cut()
         else:
             self._keeps_alive = False
@@ -382,15 +388,15 @@
     def _count_header(self, size: int, most: int) -> None:
         self._header_bytes += size
         if self._header_bytes > most:
-            self._give_up(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._abort_parsing(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
-    def _give_up(self, status: int) -> None:
-        """Stop the parser; `data_received` answers."""
-        self._refused = self._refused or status
+    def _abort_parsing(self, status: int) -> None:
+        """Stop the parser; `data_received` sends the error response."""
+        self._reject_status = self._reject_status or status
         raise ValueError(status)
 
-    def _refuse(self, status: int) -> None:
-        """Answer a request that is not one, after those before it."""
+    def _reject(self, status: int) -> None:
+        """Reject a malformed request, after the requests before it."""
         self._closing = True
         if self.is_busy or self._transport.is_closing():
             self._keeps_alive = False
@@ -405,10 +411,10 @@
 
     def _close(self) -> None:
         self._closing = True
-        self._disarm()
+        self._stop_timer()
         if self._transport is None or self._transport.is_closing():
             return
-        if self._transport.can_write_eof() and self._refused:
+        if self._transport.can_write_eof() and self._reject_status:
             self._transport.write_eof()
             self._timer = self._loop.call_later(
                 _LINGER_S, self._transport.close
@@ -416,25 +422,25 @@
         else:
             self._transport.close()
 
-    def _arm(self, after_s: float) -> None:
-        self._disarm()
+    def _start_timer(self, after_s: float) -> None:
+        self._stop_timer()
         self._timer = self._loop.call_later(after_s, self._on_timer)
 
-    def _disarm(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _on_timer(self) -> None:
-        """Nothing arrived for too long."""
+        """Handle an idle or header timeout."""
         if self._in_message:
-            self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+            self._reject(HTTPStatus.REQUEST_TIMEOUT)
         else:
             self._close()
 
 
-def _find_problem(req: Request, limits: ClientLimits) -> int:
-    """Return the status to refuse a head with, or 0."""
+def _validate_head(req: Request, limits: ClientLimits) -> int:
+    """Return the status to reject a request head with, or 0."""
     length = req.get(b'content-length') or b'0'
     if _is_ambiguous(req) or not length.isdigit():
         return HTTPStatus.BAD_REQUEST
@@ -448,8 +454,8 @@
 
 
 def _is_ambiguous(req: Request) -> bool:
-    """Return whether two parties could read the head in two ways."""
-    names = [name for name, _ in req.headers if name in _SINGLE]
+    """Return whether two parsers could read the head differently."""
+    names = [name for name, _ in req.headers if name in _UNIQUE_HEADERS]
     if len(names) != len(set(names)) or b'host' not in names:
         return True
     return b'content-length' in names and b'transfer-encoding' in names
