--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -68,19 +68,19 @@
         for replica in self.world.replicas.values():
             replica.gap_s = GAP_S / EVENTS
         for target in (b'/notes/x', b'/pickup/x'):
-            status, _ = await self.try_ask(target)
+            status, _ = await self.request(target)
             self.assertEqual(status, OK)
         for replica in self.world.replicas.values():
             replica.resets = 1
-        self.assert_whole(await self.try_ask(b'/notes/x'))
-        status, _ = await self.try_ask(b'/pickup/x')
+        self.assert_whole(await self.request(b'/notes/x'))
+        status, _ = await self.request(b'/pickup/x')
         self.assertEqual(status, 502)
 
     async def test_one_that_may_not_resume_is_answered_too(self) -> None:
         await self.configure(build_configuration(8, resumable=False))
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].resets = 1
-        status, _ = await self.try_ask(b'/notes/x')
+        status, _ = await self.request(b'/notes/x')
         self.assertEqual(status, 502)
 
 
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -117,7 +117,7 @@
         self.world.replicas[other].gap_s = GAP_S / 2
         beside = self.start(b'/notes/x')
         await self.until(lambda: self.world.replicas[other].seen)
-        await self.give_up(head)
+        await self.drop_layers(head)
         answers = await asyncio.gather(waiting, beside)
         for answer in answers:
             self.assert_whole(answer)
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -13,7 +13,7 @@
 from samphirerill.tests.two_engines import (
     EVENTS,
     LEAVING_MS,
-    PLENTY,
+    AMPLE_RETRIES,
     TwoEnginesCase,
     build_headers,
     wait_until,
@@ -98,7 +98,7 @@
         """
         waiting, head, other = await self.start_stream()
         self.world.replicas[other].cut_after_head = True
-        await self.give_up(head)
+        await self.drop_layers(head)
         self.assert_whole(await waiting)
 
     async def test_repeats_are_taken_only_for_sends(self) -> None:
@@ -135,7 +135,7 @@
         self.world.replicas[head].free.clear()
         await asyncio.sleep(0.5)
         new = asyncio.create_task(
-            self.try_call(b'/notes/x', build_headers('r2'))
+            self.request_with(b'/notes/x', build_headers('r2'))
         )
         await asyncio.sleep(0.4)
         book.give_back([other], _MUCH)
@@ -166,7 +166,9 @@
         )
         await wait_until(lambda: state.version == 8)
         state.change_settings(
-            replace(state.settings, retry_slack=PLENTY, leaving_ms=LEAVING_MS)
+            replace(
+                state.settings, retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS
+            )
         )
         head = self.world.replicas['head']
         for replica in self.world.replicas.values():
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -14,7 +14,7 @@
     GAP_S,
     LEAVING_MS,
     OK,
-    PLENTY,
+    AMPLE_RETRIES,
     SETTLE_S,
     TwoEnginesCase,
     build_headers,
@@ -79,7 +79,7 @@
         """
         waiting, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
-        await self.give_up(head)
+        await self.drop_layers(head)
         self.assert_whole(await waiting)
 
     async def test_streams_that_leave_together_with_one_repeat_left(
@@ -102,7 +102,7 @@
         self.world.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
         await self.until(lambda: 'engine-3' in view.known)
-        await self.give_up('engine-1')
+        await self.drop_layers('engine-1')
         for answer in await asyncio.gather(*streams):
             self.assert_whole(answer)
 
@@ -179,12 +179,12 @@
         headers = build_headers('r1')
         headers[_TOKENS] = (b'x-samphirerill-token-count', b'20000,80')
         streams = [
-            asyncio.create_task(self.try_call(b'/notes/x', headers))
+            asyncio.create_task(self.request_with(b'/notes/x', headers))
             for _ in range(3)
         ]
         await self.until(lambda: len(self.sent()) == len(streams))
         sent = self.sent()
-        await self.give_up(max(sent, key=sent.count))
+        await self.drop_layers(max(sent, key=sent.count))
         for status, body in await asyncio.gather(*streams):
             self.assertEqual(status, OK, body)
             self.assertEqual(body, self.expect(events))
@@ -212,7 +212,7 @@
         view = process.state.view
         settings = process.state.settings
         process.state.change_settings(
-            replace(settings, retry_slack=PLENTY, leaving_ms=LEAVING_MS)
+            replace(settings, retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS)
         )
         await self.announce('tail-2', 'draining')
         await wait_until(lambda: view.is_leaving('tail-2'))
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -1,4 +1,4 @@
-"""A node between two engines and a plain service, for requests that must end well."""
+"""Test case: one node in front of two engines and a plain service."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 EVENTS = 50
 PATIENCE_S = 5.0
 SETTLE_S = 0.1
-PLENTY = 80
-# From a replica's word that it gives up layers until its streams leave.
+AMPLE_RETRIES = 80
+# From the announcement that a replica drops layers until its streams leave.
 LEAVING_MS = 320
-_CUT = 0
-_STEP_S = 0.005
+_NO_RESPONSE = 0
+_POLL_S = 0.005
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until a condition holds."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_POLL_S)
 
 
 def build_headers(request_id: str) -> Headers:
@@ -48,18 +48,18 @@
 
 
 class TwoEnginesCase(EdgeCase):
-    """The world of two whole engines and a plain service, with long streams."""
+    """Two engines that hold all layers and serve long streams."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.process = await self.world.until_ready()
-        self.change(retry_slack=PLENTY, leaving_ms=LEAVING_MS)
+        self.change(retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS)
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].events = EVENTS
             self.world.replicas[name].gap_s = GAP_S
 
     def change(self, **changes: float) -> None:
-        """Put other settings in force."""
+        """Change settings of the node."""
         state = self.process.state
         state.change_settings(replace(state.settings, **changes))
 
@@ -69,18 +69,18 @@
         version = json.decode(text)['version']
         async with asyncio.timeout(PATIENCE_S):
             while self.process.state.version != version:
-                await asyncio.sleep(_STEP_S)
+                await asyncio.sleep(_POLL_S)
 
-    async def try_ask(
+    async def request(
         self, target: bytes, request_id: str = 'r1'
     ) -> tuple[int, bytes]:
-        """Ask, also a node that ends; the status is 0 if no answer comes."""
-        return await self.try_call(target, build_headers(request_id))
+        """Send a request; the status is 0 if no complete response comes."""
+        return await self.request_with(target, build_headers(request_id))
 
-    async def try_call(
+    async def request_with(
         self, target: bytes, headers: Headers
     ) -> tuple[int, bytes]:
-        """Ask with other headers."""
+        """Send a request with the given headers."""
         conn = HttpConnection(f'127.0.0.1:{self.process.get_port()}')
         try:
             await conn.open()
@@ -88,18 +88,18 @@
             until = asyncio.get_running_loop().time() + PATIENCE_S
             return await read_answer(conn, until)
         except EndpointError as exc:
-            return _CUT, str(exc).encode()
+            return _NO_RESPONSE, str(exc).encode()
         finally:
             conn.close()
 
     def start(self, target: bytes) -> asyncio.Task[tuple[int, bytes]]:
-        """Send one request."""
-        return asyncio.create_task(self.try_ask(target))
+        """Send a request in the background."""
+        return asyncio.create_task(self.request(target))
 
     async def start_stream(
         self,
     ) -> tuple[asyncio.Task[tuple[int, bytes]], str, str]:
-        """Send a stream; return it, its head and the other engine."""
+        """Send a stream; return its task, its engine and the other engine."""
         waiting = self.start(b'/notes/x')
         await self.until(self.sent)
         head = self.sent()[0]
@@ -112,17 +112,17 @@
         await wait_until(condition)
 
     def suspect(self, name: str, for_s: float = 0.3) -> None:
-        """Take a replica for dead for a moment, as a silence makes a node."""
+        """Mark a replica as dead for a while, as after a silence."""
         now = asyncio.get_running_loop().time()
         self.process.state.view.suspect(name, now + for_s, now)
         self.process.state.notify()
 
-    async def give_up(self, name: str) -> None:
-        """Let an engine say that it gives up its last layers."""
+    async def drop_layers(self, name: str) -> None:
+        """Announce that an engine drops its last layers."""
         await self.announce(name, layers=(0, 40))
 
     def assert_whole(self, answer: tuple[int, bytes]) -> None:
-        """Every event came once, in order."""
+        """Check that every event came once, in order."""
         status, body = answer
         self.assertEqual(status, OK, body)
         self.assertEqual(body, self.expect(EVENTS))
