--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""A whole node on a platform of stand-ins."""
+"""Tests of a complete node against stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class EdgeCase(IsolatedAsyncioTestCase):
-    """A world with two engines, each whole, and a plain service."""
+    """Two engines that hold all layers, and a plain service."""
 
     async def asyncSetUp(self) -> None:
         self.world = PlatformWorld()
@@ -54,14 +54,14 @@
         layers: tuple[int, int] | None = None,
         state: str = 'ready',
     ) -> None:
-        """Let a replica write its announcement."""
+        """Write a replica's announcement to the store."""
         entry = build_entry(
             service, self.world.addresses[name], kind, layers, state
         )
         await self.world.service.put(f'servers/{name}', entry)
 
-    async def add_third(self) -> EdgeProcess:
-        """Add an engine that is whole, and repeats enough for any test."""
+    async def add_third_engine(self) -> EdgeProcess:
+        """Add a third engine and enough retries for any test."""
         process = await self.world.until_ready()
         await self.world.add('engine-3')
         self.world.replicas['engine-3'].layers = (0, 80)
@@ -74,17 +74,17 @@
     async def stream(
         self, headers: list[tuple[bytes, bytes]] = _HEADERS
     ) -> bytes:
-        """Return the whole body of one stream."""
+        """Return the complete body of one stream."""
         status, body = await self.world.ask(b'/notes/x', headers)
         self.assertEqual(status, _OK)
         return body
 
     def expect(self, count: int) -> bytes:
-        """Return the events that a whole stream has."""
+        """Return the events of a complete stream."""
         return ''.join(map(_EVENT.format, range(1, count + 1))).encode()
 
     def sent(self) -> list[str]:
-        """Return which engines got a stream."""
+        """Return the engines that got a stream, once for each request."""
         return [
             name
             for name, replica in self.world.replicas.items()
@@ -94,9 +94,9 @@
 
 
 class TestServing(EdgeCase):
-    """Calm requests."""
+    """Requests without failures."""
 
-    async def test_streams_and_plain_answers_arrive_whole(self) -> None:
+    async def test_streams_and_plain_responses_are_complete(self) -> None:
         self.assertEqual(await self.stream(), self.expect(5))
         status, body = await self.world.ask(b'/pickup/x', _HEADERS, b'gown')
         self.assertEqual((status, body), (_OK, b'plain gown'))
@@ -104,7 +104,7 @@
         self.assertIsNone(seen.get(b'authorization'))
         self.assertEqual(seen.get(b'x-samphirerill-tenant'), b'suva')
 
-    async def test_refusals_tell_why(self) -> None:
+    async def test_rejections_have_the_right_status(self) -> None:
         expected = {
             b'/nowhere/': (_HEADERS, 404),
             b'/notes/y': ([_HOST, _ID], 401),
@@ -116,7 +116,7 @@
                 self.assertEqual(got, status)
         self.assertEqual(self.sent(), [])
 
-    async def test_a_node_without_a_configuration_denies_nobody(self) -> None:
+    async def test_node_without_configuration_answers_503(self) -> None:
         process = await self.world.until_ready()
         process.state.cfg = None
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
@@ -127,7 +127,7 @@
         conn.close()
         self.assertEqual(status, 503)
 
-    async def test_the_clients_leaving_is_passed_on(self) -> None:
+    async def test_client_disconnect_cancels_the_run(self) -> None:
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].gap_s = 1.0
         conn = await self.world.connect()
@@ -140,49 +140,46 @@
 
 
 class TestResuming(EdgeCase):
-    """Streams that lose their path."""
+    """Streams whose path breaks."""
 
     async def test_each_event_comes_once_after_a_break(self) -> None:
-        """Symptom: a piece is missing or comes twice.
+        """Events were lost or repeated after a break within an event.
 
-        Sequence: an engine stops in the middle of an event; the stream goes on
-        at another one. Cause: half an event was passed on, or the last id was
-        not kept.
+        A partial event was passed on, or the last event id was not kept.
         """
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].stop_after = 2
-        waiting = asyncio.create_task(self.stream())
+        stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.005)
         first = self.sent()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
         self.world.replicas[other].stop_after = 0
-        self.assertEqual(await waiting, self.expect(5))
+        self.assertEqual(await stream, self.expect(5))
         resumed = self.world.replicas[other].seen[0]
         self.assertEqual(resumed.get(b'last-event-id'), b'2')
 
-    async def test_before_the_first_event_there_is_nothing_to_resume(
+    async def test_break_before_first_event_sends_no_last_event_id(
         self,
     ) -> None:
-        """Symptom: a stream begins with an event 0 that no answer has.
+        """A stream broken before its first event began with an event 0.
 
-        Sequence: an engine sends the head of its answer and breaks off; the
-        stream goes on elsewhere. Cause: the last event was said to be -1.
+        It was resumed after event -1.
         """
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].silent_after = 0
             self.world.replicas[name].cut_after_head = True
-        waiting = asyncio.create_task(self.stream())
+        stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.005)
         first = self.sent()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
         self.world.replicas[other].cut_after_head = False
-        self.assertEqual(await waiting, self.expect(5))
+        self.assertEqual(await stream, self.expect(5))
         resumed = self.world.replicas[other].seen[0]
         self.assertIsNone(resumed.get(b'last-event-id'))
 
-    async def test_a_stream_that_may_not_resume_is_cut(self) -> None:
+    async def test_stream_that_is_not_resumable_is_aborted(self) -> None:
         await self.world.service.put(
             'op/config', build_configuration(8, resumable=False)
         )
@@ -195,13 +192,12 @@
             await self.stream()
         self.assertEqual(len(self.sent()), 1)
 
-    async def test_no_more_replicas_are_tried_than_the_route_allows(
+    async def test_no_more_replicas_are_used_than_the_route_allows(
         self,
     ) -> None:
-        """Symptom: one request ran on three replicas of two.
+        """A request ran on three replicas where two are allowed.
 
-        Sequence: a path breaks, then the next one. Cause: replicas that only
-        broke a connection did not count.
+        Replicas that broke off the connection did not count.
         """
         await self.world.add('engine-3')
         await self.announce('engine-3', layers=(0, 80))
@@ -212,16 +208,14 @@
             await self.stream()
         self.assertLessEqual(len(set(self.sent())), 2)
 
-    async def test_one_that_ran_before_counts_though_it_refuses_now(
+    async def test_replica_that_ran_and_then_rejects_counts_as_used(
         self,
     ) -> None:
-        """Symptom: one attempt runs on three replicas where two are allowed.
+        """A request ran on three replicas where two are allowed.
 
-        Sequence: the first replica breaks off, then the second; the first is
-        asked again and refuses; the stream is sent to a third. Cause: who
-        refuses ran nothing, and was forgotten as one that had been tried.
+        A later rejection made a replica that had run it count as unused.
         """
-        await self.add_third()
+        await self.add_third_engine()
         for name in ('engine-1', 'engine-2', 'engine-3'):
             self.world.replicas[name].stop_after = 2
             self.world.replicas[name].most_runs = 1
@@ -229,35 +223,33 @@
             await self.stream()
         self.assertEqual(len(set(self.sent())), 2)
 
-    async def test_a_silent_replica_counts_as_tried(self) -> None:
-        """Symptom: one attempt runs on three replicas where two are allowed.
+    async def test_unresponsive_replica_counts_as_used(self) -> None:
+        """A request ran on three replicas where two are allowed.
 
-        Sequence: packets are lost; the first replica is taken for dead, the
-        second breaks off; the stream is sent to a third. Cause: replicas that
-        were only silent did not count.
+        Unresponsive replicas did not count.
         """
-        process = await self.add_third()
+        process = await self.add_third_engine()
         now = asyncio.get_running_loop().time()
         for replica in self.world.replicas.values():
             replica.stop_after = 2
-        waiting = asyncio.create_task(self.stream())
+        stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.005)
         process.state.view.suspect(self.sent()[0], now + 9, now)
         with self.assertRaises(BrokenAnswerError):
-            await waiting
+            await stream
         self.assertLessEqual(len(set(self.sent())), 2)
 
-    async def test_a_refusal_moves_on_to_another_replica(self) -> None:
+    async def test_rejection_is_retried_on_another_replica(self) -> None:
         self.world.replicas['engine-1'].refuses = True
         for _ in range(3):
             self.assertEqual(await self.stream(), self.expect(5))
 
 
 class TestPlain(EdgeCase):
-    """Requests that may run once only."""
+    """Requests that may be executed only once."""
 
-    async def test_a_failure_is_passed_on_and_not_repeated(self) -> None:
+    async def test_server_error_is_passed_on_and_not_retried(self) -> None:
         await self.world.add('desk-2')
         await self.announce('desk-2', 'desk', kind='')
         await self.world.until_known(4)
@@ -270,7 +262,7 @@
         ]
         self.assertEqual(sum(runs), 1)
 
-    async def test_not_run_is_said_with_when_to_come_back(self) -> None:
+    async def test_rejection_is_answered_503_with_retry_after(self) -> None:
         self.world.replicas['desk-1'].refuses = True
         conn = await self.world.connect()
         conn.send(build_call(b'POST', b'/pickup/x', _HEADERS, b''))
@@ -281,10 +273,10 @@
         self.assertIsNotNone(head.get(b'retry-after'))
 
 
-class TestFollowing(EdgeCase):
-    """What the store says, and when it does not."""
+class TestStoreUpdates(EdgeCase):
+    """Updates from the store, and the loss of the store."""
 
-    async def test_a_leaving_replica_gets_no_new_work(self) -> None:
+    async def test_draining_replica_gets_no_new_requests(self) -> None:
         await self.announce('engine-1', layers=(0, 80), state='draining')
         process = await self.world.until_ready()
         while not process.state.view.is_leaving('engine-1'):
@@ -293,14 +285,14 @@
             await self.stream()
         self.assertEqual(set(self.sent()), {'engine-2'})
 
-    async def test_an_older_configuration_is_never_in_force(self) -> None:
+    async def test_older_configuration_is_ignored(self) -> None:
         process = await self.world.until_ready()
         await self.world.service.put('op/config', build_configuration(9))
         await self.world.service.put('op/config', build_configuration(8))
         await asyncio.sleep(0.2)
         self.assertEqual(process.state.version, 9)
 
-    async def test_a_dropped_history_is_read_anew(self) -> None:
+    async def test_state_is_read_again_after_lost_history(self) -> None:
         process = await self.world.until_ready()
         self.world.service.deaf = True
         await self.world.service.put('op/config', build_configuration(9))
@@ -310,13 +302,11 @@
             while process.state.version != 9:
                 await asyncio.sleep(0.02)
 
-    async def test_a_replica_that_left_in_a_gap_is_given_up(self) -> None:
-        """Symptom: for 25 s two of three streams are refused by an engine.
+    async def test_replica_removed_in_a_watch_gap_is_dropped(self) -> None:
+        """Requests were still sent to a crashed engine.
 
-        Sequence: an engine crashes; the store drops its history together with
-        the removal of that engine's entry; the whole is read anew without it.
-        Cause: the entry was kept for as many seconds as it should be kept
-        milliseconds, as one that may only have lapsed.
+        Its entry was removed during a gap of the watch, and kept for seconds
+        instead of milliseconds.
         """
         process = await self.world.until_ready()
         self.world.service.deaf = True
@@ -330,31 +320,33 @@
             while 'engine-1' in process.state.view.known:
                 await asyncio.sleep(0.05)
 
-    async def test_serves_on_while_the_store_is_away(self) -> None:
+    async def test_requests_are_served_while_the_store_is_unavailable(
+        self,
+    ) -> None:
         self.world.service.busy = True
         await asyncio.sleep(0.3)
         self.assertEqual(await self.stream(), self.expect(5))
 
-    async def test_unreadable_entries_are_survived(self) -> None:
+    async def test_unreadable_entries_are_ignored(self) -> None:
         await self.world.service.put('servers/odd', b'{"service": 5')
         await self.world.service.put('op/config', b'nonsense')
         await asyncio.sleep(0.1)
         self.assertEqual(await self.stream(), self.expect(5))
 
 
-class TestEnding(EdgeCase):
-    """A graceful end."""
+class TestShutdown(EdgeCase):
+    """Graceful shutdown."""
 
-    async def test_nothing_is_cut(self) -> None:
+    async def test_drain_completes_streams_and_closes_connections(self) -> None:
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].gap_s = 0.2
-        waiting = asyncio.create_task(self.stream())
+        stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.01)
         process = await self.world.until_ready()
         process.begin_drain()
         self.assertFalse(process.is_ready())
-        self.assertEqual(await waiting, self.expect(5))
+        self.assertEqual(await stream, self.expect(5))
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
         await conn.open()
         conn.send(build_call(b'POST', b'/pickup/x', _HEADERS, b''))
