--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -1,4 +1,4 @@
-"""A stream whose run has broken goes on as soon as somebody takes it."""
+"""Tests that a broken stream is resumed as soon as a replica accepts it."""
 
 from __future__ import annotations
 
@@ -33,52 +33,47 @@
     from samphirerill.relay.task import Task
     from samphirerill.testing.platform_replicas import StandInReplica
 
-_URGENT = -1
+_STARTED_RANK = -1
 
 
-class TestGoingOn(TwoEnginesCase):
-    """A stream that has to be sent again takes what comes free in time."""
+class TestResending(TwoEnginesCase):
+    """Streams that are resent use capacity that becomes free in time."""
 
-    async def test_a_break_after_the_head_waits_for_room(self) -> None:
-        """Symptom: a stream that has begun is cut in the moment of a break.
+    async def test_break_after_the_head_waits_for_capacity(self) -> None:
+        """A stream was aborted when its run broke off before the first event.
 
-        Sequence: the head of an answer has come, but no event; the replica
-        breaks off; the other one is free 0.2 s later. Cause: the time to wait
-        was counted from the last event, and none had come.
+        The time to wait for a path was counted from an event that had not come.
         """
         for replica in self.list_engines():
             replica.cut_after_head = True
             replica.gap_s = 2 * SETTLE_S
-        waiting, _, other = await self.start_stream()
+        stream, _, other = await self.start_stream()
         self.world.replicas[other].cut_after_head = False
         self.world.replicas[other].gap_s = GAP_S
         now = asyncio.get_running_loop().time()
         self.process.state.view.refuse(other, now)
-        self.assert_whole(await waiting)
+        self.assert_whole(await stream)
 
-    async def test_one_that_refused_for_a_moment_is_asked_again(self) -> None:
-        """Symptom: a stream is cut though its second replica has room.
+    async def test_replica_that_rejected_briefly_is_asked_again(self) -> None:
+        """A stream was aborted though its second replica had capacity again.
 
-        Sequence: the first replica breaks off; the second is full for 0.2 s.
-        Cause: who refused once was never asked again for the same stream.
+        A replica that had rejected a stream once was never asked again.
         """
         for replica in self.list_engines():
             replica.stop_after = 10
-        waiting, _, other = await self.start_stream()
+        stream, _, other = await self.start_stream()
         replica = self.world.replicas[other]
         replica.stop_after = 0
         replica.refuses = True
         await self.until(lambda: replica.seen)
         await asyncio.sleep(2 * SETTLE_S)
         replica.refuses = False
-        self.assert_whole(await waiting)
+        self.assert_whole(await stream)
 
-    async def test_many_that_refuse_for_a_moment_are_not_the_end(self) -> None:
-        """Symptom: a stream is cut within milliseconds, with time left.
+    async def test_rejections_do_not_count_as_attempts(self) -> None:
+        """A stream was aborted after several replicas rejected it in a row.
 
-        Sequence: a replica breaks off; one after another, five refuse at once
-        and run nothing; more are there, and in 0.2 s all have room. Cause:
-        refusals counted as sends, and after six sends a stream was cut.
+        Rejections counted as attempts, of which a stream has six.
         """
         for number in range(3, 8):
             name = f'engine-{number}'
@@ -87,7 +82,7 @@
             replica.gap_s = GAP_S
             await self.announce(name, layers=(0, 80))
         await self.world.until_known(8)
-        waiting, head, _ = await self.start_stream()
+        stream, head, _ = await self.start_stream()
         others = [
             replica
             for name, replica in self.world.replicas.items()
@@ -100,78 +95,68 @@
         await asyncio.sleep(2 * SETTLE_S)
         for replica in others:
             replica.refuses = False
-        self.assert_whole(await waiting)
+        self.assert_whole(await stream)
 
-    async def test_a_connection_that_comes_free_is_waited_for(self) -> None:
-        """Symptom: beside planned work, streams are closed midway.
+    async def test_free_connection_is_waited_for(self) -> None:
+        """Streams were aborted while all connections were in use.
 
-        Sequence: a head gives up layers; its stream is closed, to be sent
-        again; this node's one connection to the other engine is in use for
-        some more moments. Cause: connections were not looked at before the
-        run was ended, and an engine without a free one was given up for good.
+        The run was ended before a connection was available, and the engine
+        without one was excluded for good.
         """
         document = json.decode(build_configuration(8))
         document['services'][0]['maxConnections'] = 8
         await self.configure(json.encode(document))
-        waiting, head, other = await self.start_stream()
+        stream, head, other = await self.start_stream()
         self.world.replicas[other].gap_s = GAP_S / 2
-        beside = self.start(b'/notes/x')
+        second_stream = self.start(b'/notes/x')
         await self.until(lambda: self.world.replicas[other].seen)
         await self.drop_layers(head)
-        answers = await asyncio.gather(waiting, beside)
+        answers = await asyncio.gather(stream, second_stream)
         for answer in answers:
             self.assert_whole(answer)
 
-    async def test_a_stream_waits_as_long_as_its_client(self) -> None:
-        """Symptom: a stream is cut though its client would wait on.
+    async def test_stream_waits_as_long_as_its_client(self) -> None:
+        """Streams were aborted although their clients would have waited longer.
 
-        Sequence: a route's streams may take long, so that clients wait for
-        several seconds; a replica breaks off; the other one is free 2.1 s
-        later. Cause: every stream was cut after 1.9 s.
+        The time to wait for a path did not follow the route's latency
+        objective.
         """
         await self.configure(build_configuration(8, sloMs=1500))
         events = 20
         for replica in self.list_engines():
             replica.gap_s = GAP_S / 2
             replica.events = events
-        waiting, head, other = await self.start_stream()
+        stream, head, other = await self.start_stream()
         self.world.replicas[head].stop_after = events // 2
         self.suspect(other, 2.1)
-        self.assertEqual(await waiting, (OK, self.expect(events)))
+        self.assertEqual(await stream, (OK, self.expect(events)))
 
-    async def test_heads_that_have_ended_are_not_waited_for(self) -> None:
-        """Symptom: streams are cut two seconds after a release, with room.
+    async def test_ended_heads_do_not_count_as_used(self) -> None:
+        """Streams were aborted after a rollout with capacity to spare.
 
-        Sequence: a route allows two replicas; one after the other leaves
-        without a word, breaks the stream off and is announced no more; a third
-        has come. Cause: replicas that were withdrawn counted as there for half
-        a minute, and the stream might be sent to nobody else. Evidence: one
-        node sent no stream for 1.85 s behind such a one, and cut seven.
+        Replicas that were no longer announced still counted towards the number
+        that the route allows.
         """
         await self.configure(build_configuration(8, maxAttempts=2))
-        # Entries that go right after a start may only have lapsed.
+        # Entries that are removed right after the start may only have lapsed.
         await asyncio.sleep(LAPSE_GRACE_S)
         await self.world.add('engine-3', events=EVENTS)
         self.world.replicas['engine-3'].layers = (0, 80)
-        waiting, head, other = await self.start_stream()
+        stream, head, other = await self.start_stream()
         self.world.replicas[head].stop_after = 20
         self.world.replicas[other].stop_after = 35
         await self.withdraw(head)
         await self.withdraw(other)
         await self.announce('engine-3', layers=(0, 80))
-        self.assert_whole(await waiting)
+        self.assert_whole(await stream)
         self.assertEqual(self.sent(), [head, other, 'engine-3'])
 
-    async def test_one_that_resets_is_not_asked_without_pause(self) -> None:
-        """Symptom: repeats of all nodes are used up within 0.2 s.
+    async def test_retries_on_resetting_replica_back_off(self) -> None:
+        """The retries of all nodes were used up by one replica.
 
-        Sequence: replicas crash; their streams go on at one that goes down
-        and up by turns: it accepts each and resets it; as a route allows two
-        replicas, they are sent there again and again. Cause: a reset made
-        nobody wait, and nodes hear of each other's repeats too late to stop.
-        Evidence: 581 repeats in 0.2 s; 95 of 144 streams sent five each.
+        It reset streams, which were resent to it without a pause.
         """
-        waiting, head, other = await self.start_stream()
+        stream, head, other = await self.start_stream()
         self.world.replicas[other].resets = 100
         self.world.replicas[head].stop_after = 10
         await self.until(lambda: self.world.replicas[other].seen)
@@ -179,11 +164,11 @@
         self.assertLessEqual(len(self.world.replicas[other].seen), 2)
         await asyncio.sleep(2 * SETTLE_S)
         self.world.replicas[other].resets = 0
-        self.assert_whole(await waiting)
+        self.assert_whole(await stream)
         self.assertLessEqual(len(self.world.replicas[other].seen), 5)
 
     async def withdraw(self, name: str) -> None:
-        """Let an engine that has got the stream be announced no more."""
+        """Remove the announcement of an engine that has got the stream."""
         await self.until(lambda: name in self.sent())
         await self.world.service.delete(f'servers/{name}')
         view = self.process.state.view
@@ -195,14 +180,12 @@
 
 
 class TestQueue(IsolatedAsyncioTestCase):
-    """One stream that finds no path must not hold up the others."""
+    """A queued stream without a path does not block the others."""
 
-    async def test_streams_with_a_path_pass_one_without(self) -> None:
-        """Symptom: streams that had begun are cut though there is room.
+    async def test_streams_with_a_path_overtake_one_without(self) -> None:
+        """Started streams were aborted although there was capacity for them.
 
-        Sequence: a stream to be resumed has tried all replicas and waits; the
-        next ones have paths, but wait behind it until their time is over.
-        Cause: the queue stopped at the first one that found no path.
+        The queue stopped at the first stream without a path.
         """
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
         state = EdgeState(settings, PlatformDialect())
@@ -215,7 +198,7 @@
             wanted = PathRequest(100, avoid, is_urgent=True)
             try:
                 await admission.admit(
-                    'llm', ENGINE, wanted, _URGENT, now + 0.4, now + 0.2
+                    'llm', ENGINE, wanted, _STARTED_RANK, now + 0.4, now + 0.2
                 )
             except NoPathError:
                 return False
@@ -230,15 +213,15 @@
         self.assertFalse(await hopeless)
 
 
-class _Path:
-    """A path that has lost its second part."""
+class _PathStub:
+    """A path whose second stage has failed."""
 
     def __init__(self) -> None:
         self.head_id = 'head'
         self.moves = 0
 
     def list_lost(self) -> set[str]:
-        """Return the replicas to be left."""
+        """Return the failed replicas."""
         return {'tail'}
 
     async def move(self) -> MoveResult:
@@ -247,25 +230,24 @@
         return MoveResult.MOVED
 
 
-class _Resumable:
+class _ResumableTask:
     """A task that may be sent again."""
 
     is_retryable = True
 
 
 class TestMoves(IsolatedAsyncioTestCase):
-    """A move that came to nothing must not be the last one."""
+    """A cancelled move does not prevent the next one."""
 
-    async def test_a_move_that_did_not_begin_is_forgotten(self) -> None:
-        """Symptom: a stream stays on a lost part until its replica breaks off.
+    async def test_cancelled_move_can_be_repeated(self) -> None:
+        """A stream stayed on a failed stage until its replica broke off.
 
-        Sequence: a part is lost in the moment in which the connection ends; the
-        stream is sent again; the new path loses a part. Cause: the move was
-        cancelled before its first step, and still counted as under way.
+        A move that was cancelled before its first step still counted as in
+        progress.
         """
-        path = _Path()
+        path = _PathStub()
         guard = StreamGuard(
-            cast('Task', _Resumable()),
+            cast('Task', _ResumableTask()),
             cast('StreamPath', path),
             cast('Examiner', None),
             lambda: True,
