--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -1,4 +1,4 @@
-"""A connection that is refused costs no repeat: nothing arrived anywhere."""
+"""Tests that a refused connection uses no retry, as nothing was sent."""
 
 from __future__ import annotations
 
@@ -11,68 +11,59 @@
 _OK = 200
 _STREAMS = 24
 _EVENTS = 60
-_LOST = 4
-# Eight nodes are taken for granted; this one has an eighth of it.
+_STOPPED_ENGINES = 4
+# Eight nodes are assumed; this one has an eighth of the slack.
 _SLACK = 400
-_BEGUN_S = 0.3
-# No stream has an event when engines end.
-_READING_S = 0.5
-_BETWEEN_S = 2.5
+_STOP_AFTER_S = 0.3
+# Prefill time: no stream has an event when the engines stop.
+_PREFILL_S = 0.5
+_FAILURE_INTERVAL_S = 2.5
 
 
 class TestRefusedConnects(EndingEnginesCase):
-    """Engines end together, twice within the window of the budget.
+    """Engines fail together, twice within the window of the retry budget.
 
-    Symptom: the second time, 15 of 24 streams are cut with "no repeat is left"
-    after one send each.
-
-    Sequence: four of six engines end; their streams go on elsewhere, two to
-    five of them to one of the dead, which refuses the connection; each looks
-    again. 2.5 s later four engines end again.
-
-    Cause: a repeat was taken for each look, also where nothing was sent.
-
-    Evidence: of the 51 repeats of the window 34 had gone to connections that
-    were refused; with eight times the slack all streams were whole.
+    Connections that dead engines refused used up retries, and streams of the
+    second failure were aborted for lack of them.
     """
 
     events = _EVENTS
 
-    async def test_streams_of_a_second_loss_have_repeats_left(self) -> None:
+    async def test_second_failure_has_retries_left(self) -> None:
         state = self.nodes[0].state
         state.change_settings(replace(state.settings, retry_slack=_SLACK))
-        await self.lose_some('first')
-        await asyncio.sleep(_BETWEEN_S)
-        await self.lose_some('second')
+        await self.stop_engines('first')
+        await asyncio.sleep(_FAILURE_INTERVAL_S)
+        await self.stop_engines('second')
 
-    async def test_streams_without_a_first_event_have_repeats_left(
+    async def test_second_failure_during_prefill_has_retries_left(
         self,
     ) -> None:
-        """Streams lost while their prompts are read aren't refused with 502."""
+        """Streams that fail during their prefill are not rejected with 502."""
         state = self.nodes[0].state
         state.change_settings(replace(state.settings, retry_slack=_SLACK))
         for engine in self.world.replicas.values():
-            engine.begins_after_s = _READING_S
-        await self.lose_some('first')
-        await asyncio.sleep(_BETWEEN_S)
+            engine.begins_after_s = _PREFILL_S
+        await self.stop_engines('first')
+        await asyncio.sleep(_FAILURE_INTERVAL_S)
         for engine in self.world.replicas.values():
-            engine.begins_after_s = _READING_S
-        await self.lose_some('second')
+            engine.begins_after_s = _PREFILL_S
+        await self.stop_engines('second')
 
-    async def lose_some(self, name: str) -> None:
-        """Begin streams, end engines; all streams must be whole."""
+    async def stop_engines(self, name: str) -> None:
+        """Start streams and stop engines; all streams must be complete."""
         streams = [
             asyncio.create_task(
                 self.ask(self.nodes[0], f'{name}-{number}', b'%d' % number)
             )
             for number in range(_STREAMS)
         ]
-        await asyncio.sleep(_BEGUN_S)
-        for engine in sorted(self.list_running())[:_LOST]:
+        await asyncio.sleep(_STOP_AFTER_S)
+        for engine in sorted(self.list_running())[:_STOPPED_ENGINES]:
             self.end_engine(engine)
         answers = await asyncio.gather(*streams)
-        whole = [
+        is_complete = [
             status == _OK and body.count(b'id:') == _EVENTS
             for status, body in answers
         ]
-        self.assertEqual(whole.count(False), 0, name)
+        self.assertEqual(is_complete.count(False), 0, name)
