--- a/samphirerill/tests/test_callers_input.py
+++ b/samphirerill/tests/test_callers_input.py
@@ -1,4 +1,4 @@
-"""Whatever bytes a client sends, it gets a well-formed answer or a close."""
+"""Tests that any client input gets a well-formed response or a close."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.server import CallerConnection, Request
 
-_GOOD = b'POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi'
-_PATIENCE_S = 3.0
+_VALID = b'POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi'
+_RESPONSE_TIMEOUT_S = 3.0
 _LIMITS = ClientLimits(
     max_header_bytes=2048,
     max_body_bytes=1024,
@@ -20,8 +20,8 @@
 )
 
 
-class _Echo:
-    """Answers with the body it got."""
+class _EchoHandler:
+    """A handler that responds with the request body."""
 
     def __init__(self) -> None:
         self.bodies: list[bytes] = []
@@ -38,12 +38,14 @@
 
 
 class InputCase(IsolatedAsyncioTestCase):
-    """A server that echoes."""
+    """A server that echoes request bodies."""
 
     async def asyncSetUp(self) -> None:
-        self.echo = _Echo()
+        self.handler = _EchoHandler()
         self.connections: set[CallerConnection] = set()
-        self.server = await listen('127.0.0.1:0', self.echo, self.connections)
+        self.server = await listen(
+            '127.0.0.1:0', self.handler, self.connections
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def asyncTearDown(self) -> None:
@@ -53,13 +55,13 @@
         await asyncio.sleep(0)
 
     async def exchange(self, raw: bytes, *, ends: bool = False) -> bytes:
-        """Send bytes and return all that comes until the close."""
+        """Send bytes; return everything received until the close."""
         reader, writer = await asyncio.open_connection('127.0.0.1', self.port)
         writer.write(raw)
         if ends:
             writer.write_eof()
         try:
-            async with asyncio.timeout(_PATIENCE_S):
+            async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
                 return await reader.read()
         except ConnectionError:
             return b''
@@ -67,12 +69,12 @@
             writer.close()
 
 
-class TestRefusals(InputCase):
-    """What is no request, or could be read in two ways."""
+class TestMalformedRequests(InputCase):
+    """Malformed requests and attempts at request smuggling."""
 
-    async def test_bad_heads_are_refused(self) -> None:
+    async def test_malformed_requests_are_rejected(self) -> None:
         heads = {
-            'no request': (b'hello\r\n\r\n', 400),
+            'not HTTP': (b'hello\r\n\r\n', 400),
             'no host': (b'GET / HTTP/1.1\r\n\r\n', 400),
             'two hosts': (b'GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n', 400),
             'two lengths': (
@@ -80,12 +82,12 @@
                 b'Content-Length: 2\r\n\r\nab',
                 400,
             ),
-            'length and coding': (
+            'length and transfer encoding': (
                 b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n'
                 b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
                 400,
             ),
-            'another host in the target': (
+            'absolute target': (
                 b'GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n',
                 400,
             ),
@@ -118,37 +120,37 @@
                 self.assertTrue(
                     answer.startswith(b'HTTP/1.1 %d' % status), answer[:80]
                 )
-        self.assertEqual(self.echo.bodies, [])
+        self.assertEqual(self.handler.bodies, [])
 
-    async def test_a_slow_head_is_timed_out(self) -> None:
+    async def test_slow_request_head_times_out(self) -> None:
         answer = await self.exchange(b'GET / HTT')
         self.assertTrue(answer.startswith(b'HTTP/1.1 408'), answer)
 
-    async def test_no_request_hides_in_another(self) -> None:
+    async def test_body_is_not_parsed_as_a_request(self) -> None:
         inner = b'POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n'
         raw = b'POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b'
         await self.exchange(raw % (len(inner), inner))
-        self.assertEqual(self.echo.bodies, [inner])
+        self.assertEqual(self.handler.bodies, [inner])
 
-    async def test_requests_in_one_packet_are_answered_in_turn(self) -> None:
-        answer = await self.exchange(_GOOD * 3)
+    async def test_pipelined_requests_are_answered_in_order(self) -> None:
+        answer = await self.exchange(_VALID * 3)
         self.assertEqual(answer.count(b'HTTP/1.1 200'), 3)
 
-    async def test_random_damage_never_hangs_nor_fails(self) -> None:
+    async def test_corrupted_requests_neither_hang_nor_fail(self) -> None:
         random = Random(7)
-        raws = [_damage(random) for _ in range(150)]
+        inputs = [_corrupt(random) for _ in range(150)]
         answers = await asyncio.gather(
-            *(self.exchange(raw, ends=True) for raw in raws)
+            *(self.exchange(raw, ends=True) for raw in inputs)
         )
-        for raw, answer in zip(raws, answers, strict=True):
+        for raw, answer in zip(inputs, answers, strict=True):
             with self.subTest(raw):
                 self.assertNotIn(b'HTTP/1.1 5', answer)
                 self.assertTrue(not answer or answer.startswith(b'HTTP/1.1 '))
 
 
-def _damage(random: Random) -> bytes:
-    """Return a good request with some bytes changed, lost or doubled."""
-    raw = bytearray(_GOOD)
+def _corrupt(random: Random) -> bytes:
+    """Return a valid request with some bytes changed, lost or doubled."""
+    raw = bytearray(_VALID)
     for _ in range(random.randint(1, 4)):
         at = random.randrange(len(raw))
         choice = random.randrange(3)
