--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -11,9 +11,9 @@
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.test_leaving import LeavingCase
 from samphirerill.tests.two_engines import (
+    AMPLE_RETRIES,
     EVENTS,
     LEAVING_MS,
-    AMPLE_RETRIES,
     TwoEnginesCase,
     build_headers,
     wait_until,
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -10,11 +10,11 @@
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.test_leaving import LeavingCase
 from samphirerill.tests.two_engines import (
+    AMPLE_RETRIES,
     EVENTS,
     GAP_S,
     LEAVING_MS,
     OK,
-    AMPLE_RETRIES,
     SETTLE_S,
     TwoEnginesCase,
     build_headers,
