--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -64,7 +64,7 @@
 class TestEndpoints(TwoEnginesCase):
     """Endpoints that reset a connection while a request is written."""
 
-    async def test_reset_is_retried_or_answered_502(self) -> None:
+    async def test_reset_is_retried_or_answered_as_bad_gateway(self) -> None:
         for replica in self.world.replicas.values():
             replica.gap_s = GAP_S / EVENTS
         for target in (b'/notes/x', b'/pickup/x'):
@@ -76,7 +76,7 @@
         status, _ = await self.request(b'/pickup/x')
         self.assertEqual(status, 502)
 
-    async def test_reset_of_a_non_resumable_stream_is_answered_502(
+    async def test_reset_of_non_resumable_stream_is_bad_gateway(
         self,
     ) -> None:
         await self.configure(build_configuration(8, resumable=False))
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -116,7 +116,7 @@
                 self.assertEqual(got, status)
         self.assertEqual(self.sent(), [])
 
-    async def test_node_without_configuration_answers_503(self) -> None:
+    async def test_node_without_configuration_is_unavailable(self) -> None:
         process = await self.world.until_ready()
         process.state.cfg = None
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
@@ -262,7 +262,7 @@
         ]
         self.assertEqual(sum(runs), 1)
 
-    async def test_rejection_is_answered_503_with_retry_after(self) -> None:
+    async def test_rejection_is_unavailable_with_retry_after(self) -> None:
         self.world.replicas['desk-1'].refuses = True
         conn = await self.world.connect()
         conn.send(build_call(b'POST', b'/pickup/x', _HEADERS, b''))
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from samphirerill.relay.task import Task
 
-_MIN_REFUSALS = 2
+_RUNS_PER_ENGINE = 2
 _STARTED_RANK = -1
 _ADMISSION_TIMEOUT_S = 0.2
 
@@ -117,13 +117,14 @@
         stream = self.start(b'/notes/x')
         await self.until(
             lambda: (
-                sum(len(engine.seen) for engine in engines) >= 2 * _MIN_REFUSALS
+                sum(len(engine.seen) for engine in engines)
+                >= 2 * _RUNS_PER_ENGINE
             )
         )
         await asyncio.sleep(3 * GAP_S)
         known = self.process.state.view.known
         refusals = [known[engine.replica_id].refusals for engine in engines]
-        self.assertGreaterEqual(max(refusals), _MIN_REFUSALS)
+        self.assertGreaterEqual(max(refusals), _RUNS_PER_ENGINE)
         for engine in engines:
             engine.cut_after_head = False
         self.assert_whole(await stream)
