--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -121,9 +121,9 @@
     def get_admission_deadline(self) -> float:
         """Return until when the stream may wait for a path."""
         until = self._task.req.arrived_at + _MAX_ADMISSION_WAIT_S
-        if self._progress.has_begun:
+        if self._progress.has_started:
             # A run may break off before its first event.
-            since = max(self._progress.begun_at, self._times.last_at)
+            since = max(self._progress.response_started_at, self._times.last_at)
             until = since + get_stall_timeout_s(self._task.route)
         return min(self._task.deadline, until)
 
@@ -143,14 +143,14 @@
         A client can retry a stream that was rejected. A stream whose run broke
         off fails for good, whether or not it has returned an event.
         """
-        return self._progress.has_begun or self._progress.has_broken_run
+        return self._progress.has_started or self._progress.has_broken_run
 
     def _find_final_denial(self, now: float) -> str:
         """Return why no further attempt is possible; empty if one is."""
         progress = self._progress
         if now >= self._task.deadline:
             return 'its time is over'
-        if progress.attempts >= _MAX_ATTEMPTS and not progress.has_begun:
+        if progress.attempts >= _MAX_ATTEMPTS and not progress.has_started:
             return f'sent {progress.attempts} times'
         if progress.attempts and progress.may_have_run:
             return '' if self._task.is_retryable else 'it may have run'
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -40,7 +40,7 @@
 class StreamProgress:
     """The progress of one stream.
 
-    `last_id` is the last event passed on to the client, `begun_at` when its
+    `last_id` is the last event passed on to the client, `response_started_at` when its
     response started, `attempts` how often the stream was sent,
     `fruitless_attempts` how many of the latest attempts returned no event,
     `has_broken_run` whether a replica broke off a run, `reason` why the last
@@ -49,7 +49,7 @@
 
     __slots__ = (
         '_recorded_id',
-        'begun_at',
+        'response_started_at',
         'fruitless_attempts',
         'has_broken_run',
         'last_id',
@@ -60,7 +60,7 @@
 
     def __init__(self, task: Task) -> None:
         self.last_id = parse_event_id(task.facts.resume_after)
-        self.begun_at = 0.0
+        self.response_started_at = 0.0
         self.attempts = 0
         self.fruitless_attempts = 0
         self._recorded_id = self.last_id
@@ -69,9 +69,9 @@
         self.reason = ''
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Return whether the client has received the response head."""
-        return self.begun_at > 0
+        return self.response_started_at > 0
 
     def has_advanced(self) -> bool:
         """Return whether events have come since the last attempt ended."""
@@ -142,7 +142,7 @@
             )
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
-            if self._progress.has_begun:
+            if self._progress.has_started:
                 self._state.view.refuse(replica.replica_id, self._loop.time())
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
@@ -275,7 +275,7 @@
         applies.
         """
         resume = b''
-        if self._progress.has_begun and self._progress.last_id >= 0:
+        if self._progress.has_started and self._progress.last_id >= 0:
             resume = b'%d' % self._progress.last_id
         return build_stream_call(self._state, self._task, stages, resume)
 
@@ -298,7 +298,7 @@
         for a moment, and the alternative is to abort the response.
         """
         self._progress.reason = reason
-        if not self._progress.has_begun:
+        if not self._progress.has_started:
             self._path.avoid.add(replica_id)
 
     def _log(self, event: str, **facts: object) -> None:
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -205,13 +205,13 @@
         return False
 
     async def _acquire_path(self) -> None:
-        has_begun = self._progress.has_begun
+        has_started = self._progress.has_started
         until = self._limits.get_admission_deadline()
         heads = await self._path.find_isolated_head(self._quarantine, until)
         await self._path.acquire(
-            _STARTED_RANK if has_begun else self._task.priority,
+            _STARTED_RANK if has_started else self._task.priority,
             until,
-            is_urgent=has_begun,
+            is_urgent=has_started,
             heads=heads,
         )
 
@@ -284,7 +284,7 @@
 
     def _start_handover(self, conn: HttpConnection, reason: str) -> bool:
         """Start a handover; return whether the stream has started."""
-        if self._progress.has_begun and self._task.is_retryable:
+        if self._progress.has_started and self._task.is_retryable:
             self._log('stream leaves', reason=reason)
             if must_begin_here(self._path) and self._limits.may_retry():
                 # The new run starts at the same head, which must not run the
@@ -292,7 +292,7 @@
                 conn.close()
             else:
                 self._handover.start(conn)
-        return self._progress.has_begun
+        return self._progress.has_started
 
     async def _start_parallel_run(self) -> StreamRun | None:
         """Start a parallel run, if a replica accepts it."""
@@ -363,8 +363,8 @@
     async def _relay(self, conn: HttpConnection, head: Head) -> None:
         """Pass the events on to the client."""
         caller = self._task.conn
-        if not self._progress.has_begun:
-            self._progress.begun_at = self._loop.time()
+        if not self._progress.has_started:
+            self._progress.response_started_at = self._loop.time()
             caller.start_answer(head.status, filter_headers(head), None)
         splitter = EventSplitter()
         predicted_s = self._path.predict_gap_s(self._path.stages)
@@ -441,7 +441,7 @@
         """Send an error, or abort a response that has started."""
         self._ended = True
         caller = self._task.conn
-        if self._progress.has_begun:
+        if self._progress.has_started:
             self._state.counters['streams.cut'] += 1
             self._log(
                 'stream cut',
