--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -87,7 +87,7 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.calls = 0
+        self.requests_sent = 0
         self.idle_until = 0.0
         self.is_reusable = True
         # Called once, when the connection has ended on this side.
@@ -122,7 +122,7 @@
 
     def send(self, call: bytes) -> None:
         """Send a complete request; its response is read with ``read``."""
-        self.calls += 1
+        self.requests_sent += 1
         self._awaits_response = True
         self._is_head_request = call.startswith(b'HEAD ')
         if self.is_open():
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -73,14 +73,17 @@
         self._engine = engine
         self._admission = admission
 
-    def find_other(self, lost: Collection[str]) -> tuple[Stage, ...]:
+    def find_other(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
         """Return a path that avoids failed replicas; empty if there is none."""
         wanted = self.build_request(is_urgent=True)
-        wanted.avoid = {*self.avoid, *lost}
+        wanted.avoid = {*self.avoid, *failed_ids}
         return self.find(wanted)
 
     def find_with_head(
-        self, head: Stage, held: frozenset[str], lost: Collection[str]
+        self,
+        head: Stage,
+        cached_ids: frozenset[str],
+        failed_ids: Collection[str],
     ) -> tuple[Stage, ...]:
         """Return a path with the same first stage; empty if there is none.
 
@@ -88,17 +91,17 @@
         ----------
         head : Stage
             The first stage, which is kept.
-        held : frozenset of str
+        cached_ids : frozenset of str
             Replicas that already hold the stream's KV cache.
-        lost : collection of str
+        failed_ids : collection of str
             Replicas to exclude.
         """
         wanted = PathRequest(
             self.tokens,
-            {*self.avoid, *lost},
+            {*self.avoid, *failed_ids},
             frozenset((head.replica.replica_id,)),
             first_end=head.layers.end,
-            held=held,
+            held=cached_ids,
             is_urgent=True,
         )
         return self.find(wanted)
@@ -128,33 +131,37 @@
         wanted.heads = allowed
         return wanted
 
-    def find_isolated_head(self, taken: Collection[str]) -> frozenset[str]:
+    def find_isolated_head(
+        self, excluded_ids: Collection[str]
+    ) -> frozenset[str]:
         """Return a lightly loaded head replica with a path, or an empty set.
 
         Parameters
         ----------
-        taken : collection of str
+        excluded_ids : collection of str
             Head replicas to exclude.
         """
         wanted = self.build_request(is_urgent=True)
-        for replica_id in self._list_least_loaded_heads(taken):
+        for replica_id in self._list_least_loaded_heads(excluded_ids):
             wanted.heads = frozenset((replica_id,))
             if self.find(wanted):
                 return wanted.heads
         return ANY_HEAD
 
-    def build_beside(self, head_id: str, lost: Collection[str]) -> PathRequest:
+    def build_beside(
+        self, head_id: str, failed_ids: Collection[str]
+    ) -> PathRequest:
         """Return the requirements on a path for a parallel run.
 
         Parameters
         ----------
         head_id : str
             The head replica of the present path, which is excluded.
-        lost : collection of str
+        failed_ids : collection of str
             Other replicas to exclude.
         """
         wanted = self.build_request(is_urgent=True)
-        wanted.avoid = {*wanted.avoid, *lost, head_id}
+        wanted.avoid = {*wanted.avoid, *failed_ids, head_id}
         return wanted
 
     def find(self, wanted: PathRequest) -> tuple[Stage, ...]:
@@ -163,7 +170,9 @@
             self._task.service.name, self._engine, wanted
         )
 
-    def _list_least_loaded_heads(self, taken: Collection[str]) -> list[str]:
+    def _list_least_loaded_heads(
+        self, excluded_ids: Collection[str]
+    ) -> list[str]:
         """Return the head replicas with the fewest requests."""
         usable = self._state.view.list_usable(
             self._task.service.name, asyncio.get_running_loop().time()
@@ -173,7 +182,7 @@
             for found in usable
             if found.replica.layers is not None
             and found.replica.layers.first == 0
-            and found.replica.replica_id not in taken
+            and found.replica.replica_id not in excluded_ids
         ]
         return sorted(heads, key=self._state.book.requests)[
             :_MAX_ISOLATED_CANDIDATES
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -101,7 +101,7 @@
         self._state = state
         self._task = task
         self._quarantine = quarantine
-        self._held_until = 0.0
+        self._quarantined_until = 0.0
         self._budget = AttemptBudget(state, task)
         self._loop = asyncio.get_running_loop()
         self._tried: set[str] = set()
@@ -158,8 +158,8 @@
     def _may_send(self) -> bool:
         """Return whether another attempt is allowed, and reserve it."""
         now = self._loop.time()
-        self._held_until = self._quarantine.find_held_until(self._task)
-        if self._held_until or now >= self._task.deadline:
+        self._quarantined_until = self._quarantine.find_held_until(self._task)
+        if self._quarantined_until or now >= self._task.deadline:
             return False
         if self._attempts >= self._task.route.max_attempts:
             return False
@@ -176,13 +176,13 @@
 
     async def _send(self, endpoint: Known) -> _Outcome:
         replica = endpoint.replica
-        held_ids = (replica.replica_id,)
-        self._state.book.take(held_ids, 0)
+        reserved_ids = (replica.replica_id,)
+        self._state.book.take(reserved_ids, 0)
         started_at = self._loop.time()
         try:
             outcome = await self._exchange(endpoint)
         finally:
-            self._state.book.give_back(held_ids, 0)
+            self._state.book.give_back(reserved_ids, 0)
             self._state.notify()
         duration_s = self._loop.time() - started_at
         self._record_outcome(endpoint, outcome, duration_s)
@@ -314,9 +314,9 @@
         now = self._loop.time()
         timed_out = now >= self._task.deadline
         reason, retry_s = outcome.reason, _DEFAULT_RETRY_S
-        if self._held_until:
+        if self._quarantined_until:
             reason = self._quarantine.explain(self._task)
-            retry_s = self._held_until - now
+            retry_s = self._quarantined_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
             is_timeout = outcome.timed_out or timed_out
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -88,10 +88,10 @@
     def acquire_attempt(self) -> AttemptDenial | None:
         """Reserve one attempt; return why it is denied, or none."""
         now = self._loop.time()
-        held_until = self._quarantine.find_held_until(self._task)
-        if held_until:
+        quarantined_until = self._quarantine.find_held_until(self._task)
+        if quarantined_until:
             reason = self._quarantine.explain(self._task)
-            return AttemptDenial(reason, held_until - now)
+            return AttemptDenial(reason, quarantined_until - now)
         denial = self._find_final_denial(now)
         if denial:
             return AttemptDenial(denial)
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -135,9 +135,9 @@
             - _ISOLATION_POLL_S
         )
         while quarantine.is_suspect(self._task):
-            taken = quarantine.list_trials()
-            heads = self.finder.find_isolated_head(taken)
-            if heads or not taken or self._loop.time() >= last:
+            excluded_ids = quarantine.list_trials()
+            heads = self.finder.find_isolated_head(excluded_ids)
+            if heads or not excluded_ids or self._loop.time() >= last:
                 return heads
             await asyncio.sleep(_ISOLATION_POLL_S)
         return ANY_HEAD
@@ -164,12 +164,12 @@
 
     async def move(self) -> MoveResult:
         """Replace the stages after the head, unless resending is faster."""
-        held = frozenset(list_ids(self.stages))
+        cached_ids = frozenset(list_ids(self.stages))
         ending = self._list_ending_ids()
-        stages = self.finder.find_with_head(self.stages[0], held, ending)
+        stages = self.finder.find_with_head(self.stages[0], cached_ids, ending)
         if not stages:
             return MoveResult.NONE
-        if self._is_resend_faster(stages, held, ending):
+        if self._is_resend_faster(stages, cached_ids, ending):
             return MoveResult.RESEND
         self._admission.hold(self.engine, stages, self.tokens)
         if await self._reroute(stages):
@@ -217,8 +217,8 @@
 
     def is_head_dead(self) -> bool:
         """Return whether the head replica is gone or considered dead."""
-        found = self._state.view.known.get(self.head_id)
-        return found is None or found.suspicion.dead_until > self._loop.time()
+        head = self._state.view.known.get(self.head_id)
+        return head is None or head.suspicion.dead_until > self._loop.time()
 
     def find_stalled_replica(
         self, diagnosis: Diagnosis, request_id: str
@@ -278,7 +278,7 @@
     def _is_resend_faster(
         self,
         stages: tuple[Stage, ...],
-        held: frozenset[str],
+        cached_ids: frozenset[str],
         ending: set[str],
     ) -> bool:
         """Return whether resending to another path is faster than moving.
@@ -293,7 +293,7 @@
         if not self.list_lost():
             concurrent = concurrent // _SPREAD_FACTOR + 1
         move_ms = predict_pause_ms(
-            self.engine, stages, held, self.tokens, concurrent
+            self.engine, stages, cached_ids, self.tokens, concurrent
         )
         resend_ms = predict_pause_ms(
             self.engine, other, (), self.tokens, concurrent
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -231,14 +231,14 @@
         if is_new_head:
             # A replica that ran the stream before still counts as used.
             self._path.used_heads.discard(head_id)
-        found = self._state.view.find_address(at_fault) if at_fault else None
-        replica_id = head_id if found is None else found.replica.replica_id
+        faulty = self._state.view.find_address(at_fault) if at_fault else None
+        replica_id = head_id if faulty is None else faulty.replica.replica_id
         if (
-            found is not None
+            faulty is not None
             and replica_id != head_id
             and head.status == _UNAVAILABLE
         ):
-            self._examiner.check(found.replica)
+            self._examiner.check(faulty.replica)
         self._record_refusal(replica_id, f'engine refused with {head.status}')
 
     async def _start_run(
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -382,7 +382,7 @@
                 await caller.drain()
 
     def _forward_events(self, splitter: EventSplitter, body: bytes) -> None:
-        fresh = []
+        new_events = []
         events = splitter.feed(body)
         if events:
             if not self._run.events:
@@ -394,10 +394,10 @@
                 self._progress.last_id = max(
                     self._progress.last_id, event.number
                 )
-                fresh.append(event.raw)
-        if fresh:
+                new_events.append(event.raw)
+        if new_events:
             self._times.note_event(self._loop.time())
-            self._task.conn.write_body(b''.join(fresh))
+            self._task.conn.write_body(b''.join(new_events))
 
     def _mark_path_working(self) -> None:
         """Mark all replicas of the path as working after a first event.
