--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -40,11 +40,11 @@
 class StreamProgress:
     """The progress of one stream.
 
-    `last_id` is the last event passed on to the client, `response_started_at` when its
-    response started, `attempts` how often the stream was sent,
-    `fruitless_attempts` how many of the latest attempts returned no event,
-    `has_broken_run` whether a replica broke off a run, `reason` why the last
-    attempt failed.
+    `last_id` is the last event passed on to the client, `response_started_at`
+    when the client got the response head, `attempts` how often the stream was
+    sent, `fruitless_attempts` how many of the latest attempts returned no
+    event, `has_broken_run` whether a replica broke off a run, `reason` why the
+    last attempt failed.
     """
 
     __slots__ = (
