--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -45,7 +45,7 @@
     admission : Admission
         The admission queue for streams.
     examiner : Examiner
-        Probes silent replicas.
+        Probes unresponsive replicas.
     quarantine : Witness
         Detects requests that crash replicas.
     """
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -91,8 +91,8 @@
     task : Task
         The request.
     quarantine : Witness
-        Knows whether the request is quarantined; told of attempts that break
-        off.
+        Knows whether the request is quarantined; informed of attempts that
+        break off.
     """
 
     def __init__(
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -1,8 +1,9 @@
 """Watch the path of one stream and leave it when it fails.
 
-Failed replicas are left at once; after a silence, all replicas of the path are
-probed. A stream keeps its head replica and gets new later stages if possible;
-otherwise it is handed over to another run.
+Failed replicas are left at once. After a silence, a gap between events that is
+longer than expected, the replicas of the path are probed. A stream keeps its
+head replica and gets new later stages if possible; otherwise it is handed over
+to another run.
 """
 
 from __future__ import annotations
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -102,7 +102,8 @@
     examiner : Examiner
         Probes replicas that others report as the cause of a failure.
     quarantine : Witness
-        Knows whether the request is quarantined; told of runs that break off.
+        Knows whether the request is quarantined; informed of runs that break
+        off.
     """
 
     __slots__ = (
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -80,9 +80,9 @@
     admission : Admission
         Grants paths with free capacity.
     examiner : Examiner
-        Probes silent replicas.
+        Probes unresponsive replicas.
     quarantine : Witness
-        Told of runs that break off and of runs that go on.
+        Informed of runs that break off and of runs that go on.
     """
 
     def __init__(
@@ -362,10 +362,10 @@
 
     async def _relay(self, conn: HttpConnection, head: Head) -> None:
         """Pass the events on to the client."""
-        caller = self._task.conn
+        client = self._task.conn
         if not self._progress.has_started:
             self._progress.response_started_at = self._loop.time()
-            caller.start_answer(head.status, filter_headers(head), None)
+            client.start_answer(head.status, filter_headers(head), None)
         splitter = EventSplitter()
         predicted_s = self._path.predict_gap_s(self._path.stages)
         while not self._ended:
@@ -374,12 +374,12 @@
             if isinstance(part, Whole):
                 if self._run.events:
                     self._quarantine.note_whole(self._task)
-                caller.write_body(splitter.rest)
-                caller.end_answer()
+                client.write_body(splitter.rest)
+                client.end_answer()
                 self._ended = True
             elif isinstance(part, Part):
                 self._forward_events(splitter, part.body)
-                await caller.drain()
+                await client.drain()
 
     def _forward_events(self, splitter: EventSplitter, body: bytes) -> None:
         new_events = []
@@ -440,7 +440,7 @@
     def _fail(self, denial: str, wait_s: float) -> None:
         """Send an error, or abort a response that has started."""
         self._ended = True
-        caller = self._task.conn
+        client = self._task.conn
         if self._progress.has_started:
             self._state.counters['streams.cut'] += 1
             self._log(
@@ -449,13 +449,13 @@
                 reason=self._progress.reason,
                 obstacle=denial,
             )
-            caller.cut()
+            client.cut()
         elif self._error_response is None:
             refusal = self._build_refusal(denial, wait_s)
-            refuse(self._state, caller, self._task.facts, refusal)
+            refuse(self._state, client, self._task.facts, refusal)
         else:
             head, body = self._error_response
-            caller.answer(head.status, filter_headers(head), body)
+            client.answer(head.status, filter_headers(head), body)
 
     def _build_refusal(self, denial: str, wait_s: float) -> Refusal:
         reasons = filter(None, (self._progress.reason, denial))
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -42,9 +42,9 @@
     async def test_working_head_considered_dead_with_one_attempt(
         self,
     ) -> None:
-        """A stream whose route allows one replica was aborted in the same way.
+        """A stream that may use one replica was aborted when that seemed dead.
 
-        It left a head considered dead although it could go nowhere else.
+        It left the replica although it could go nowhere else.
         """
         await self.configure(build_configuration(8, maxAttempts=1))
         stream, head, _ = await self.start_stream()
@@ -52,9 +52,9 @@
         self.assert_whole(await stream)
 
     async def test_working_head_considered_dead_without_retries(self) -> None:
-        """Streams were aborted in the same way when no retry was left.
+        """Streams were aborted when their working replica seemed dead.
 
-        The retry budget was not checked before the run was ended.
+        The run was ended without checking that a retry was left.
         """
         self.change(retry_slack=0, retry_ratio=0)
         stream, head, _ = await self.start_stream()
@@ -100,7 +100,7 @@
     async def test_announcement_of_draining_head_is_removed(self) -> None:
         """Streams of a draining replica were aborted during a rollout.
 
-        The end of its announcement was taken for the end of the run.
+        The removal of its announcement was mistaken for the end of the run.
         """
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
