--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -20,7 +20,7 @@
 # enough events of its own.
 _PREDICTED_GAP_FACTOR = 3.0
 # Lower limit of a silence: prompts of other streams cause gaps of this length.
-MIN_SILENCE_S = 0.05
+LEAST_SILENCE_S = 0.05
 _MIN_INITIAL_SILENCE_S = 0.09
 # Part of an acceptable gap that is needed to recover: probing the stages (up to
 # 0.09 s) and prefilling the stream elsewhere.
@@ -103,7 +103,7 @@
         max_gap_s: float = 0.0,
     ) -> None:
         self.last_at = 0.0
-        self._min_silence_s = max(MIN_SILENCE_S, max_gap_s - _RECOVERY_S)
+        self._min_silence_s = max(LEAST_SILENCE_S, max_gap_s - _RECOVERY_S)
         self._metrics = metrics
         self._policy = policy
         self._arrived_at = arrived_at
