--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -152,8 +152,8 @@
         )
 
     def _has_connection(self, replica_id: str) -> bool:
-        most = self._state.count_connections(self._task.service)
-        return self._state.pool.has_left(replica_id, most)
+        max_open = self._state.count_connections(self._task.service)
+        return self._state.pool.has_left(replica_id, max_open)
 
     def _may_send(self) -> bool:
         """Return whether another attempt is allowed, and reserve it."""
--- a/samphirerill/relay/server.py
+++ b/samphirerill/relay/server.py
@@ -385,9 +385,9 @@
             self._keeps_alive = False
             self.answer(HTTPStatus.BAD_GATEWAY, [], b'')
 
-    def _count_header(self, size: int, most: int) -> None:
+    def _count_header(self, size: int, limit: int) -> None:
         self._header_bytes += size
-        if self._header_bytes > most:
+        if self._header_bytes > limit:
             self._abort_parsing(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def _abort_parsing(self, status: int) -> None:
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -274,7 +274,7 @@
 
 
 class TestStoreUpdates(EdgeCase):
-    """Updates from the store, and the loss of the store."""
+    """Updates from the store, and requests while it is unavailable."""
 
     async def test_draining_replica_gets_no_new_requests(self) -> None:
         await self.announce('engine-1', layers=(0, 80), state='draining')
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -204,13 +204,13 @@
                 return False
             return True
 
-        hopeless = asyncio.create_task(admit({'one'}))
+        blocked = asyncio.create_task(admit({'one'}))
         await asyncio.sleep(0.01)
         following = asyncio.create_task(admit(set()))
         await asyncio.sleep(0.01)
         state.notify()
         self.assertTrue(await following)
-        self.assertFalse(await hopeless)
+        self.assertFalse(await blocked)
 
 
 class _PathStub:
@@ -230,8 +230,8 @@
         return MoveResult.MOVED
 
 
-class _ResumableTask:
-    """A task that may be sent again."""
+class _RetryableTask:
+    """A retryable task."""
 
     is_retryable = True
 
@@ -247,7 +247,7 @@
         """
         path = _PathStub()
         guard = StreamGuard(
-            cast('Task', _ResumableTask()),
+            cast('Task', _RetryableTask()),
             cast('StreamPath', path),
             cast('Examiner', None),
             lambda: True,
