--- a/samphirerill/edges/bodies.py
+++ b/samphirerill/edges/bodies.py
@@ -1,4 +1,4 @@
-"""Check what callers send, and say what is wrong with it."""
+"""Validate the bodies and timeout headers of completion requests."""
 
 from __future__ import annotations
 
@@ -15,83 +15,97 @@
 from msgspec.json import decode
 
 _MAX_TOKENS = 131_072
-_CHAT_TOKENS = 256
-_COMPLETION_TOKENS = 16
+_DEFAULT_CHAT_TOKENS = 256
+_DEFAULT_COMPLETION_TOKENS = 16
 TokenCount = Annotated[int, Meta(ge=1, le=_MAX_TOKENS)]
 
 
-class BadBodyError(Exception):
-    """A body is not what the interface expects; nothing was run."""
+class InvalidRequestError(Exception):
+    """A request is malformed; it was rejected before anything ran."""
 
 
-class _Turn(Struct):
+class _ChatMessage(Struct):
     role: str
     content: str
 
 
-class _Body(Struct):
+class _CompletionBody(Struct):
     model: str
     prompt: str | None = None
-    messages: Annotated[list[_Turn], Meta(min_length=1)] | None = None
+    messages: Annotated[list[_ChatMessage], Meta(min_length=1)] | None = None
     max_tokens: TokenCount | None = None
     max_completion_tokens: TokenCount | None = None
     stream: bool = False
     choices: Annotated[int, Meta(ge=1, le=1)] = field(default=1, name='n')
 
 
-def read_model_body(payload: bytes, *, is_chat: bool) -> dict[str, Any]:
-    """Return a checked completion or chat body; unknown members stay.
+def parse_completion_body(payload: bytes, *, is_chat: bool) -> dict[str, Any]:
+    """Parse and validate the body of a completion or chat request.
+
+    Unknown members are kept. The token limit is returned in ``max_tokens``,
+    whichever of its two names the caller used.
 
     Parameters
     ----------
     payload : bytes
-        The request's body.
+        The raw request body.
     is_chat : bool
-        Expect ``messages`` rather than ``prompt``.
+        Require ``messages`` instead of ``prompt``.
 
     Raises
     ------
     BadBodyError
-        The body is no UTF-8, no JSON or has a member of a wrong type.
+        The body is not UTF-8 or not JSON, or one of its members is missing,
+        not allowed or of the wrong type.
     """
     try:
         document = decode(payload)
-        body = convert(document, _Body)
+        body = convert(document, _CompletionBody)
     except RecursionError as exc:
-        raise BadBodyError('got a body that is nested too deeply') from exc
+        raise InvalidRequestError(
+            'got a body that is nested too deeply'
+        ) from exc
     except (DecodeError, ValidationError, UnicodeDecodeError) as exc:
-        raise BadBodyError(f'got a body that can not be used: {exc}') from exc
-    wanted, other = (
+        raise InvalidRequestError(
+            f'got a body that can not be used: {exc}'
+        ) from exc
+    required, excluded = (
         ('messages', 'prompt') if is_chat else ('prompt', 'messages')
     )
-    if getattr(body, wanted) is None:
-        raise BadBodyError(f'got no {wanted!r}, expected it in the body')
-    if getattr(body, other) is not None:
-        raise BadBodyError(f'got {other!r} too, expected only {wanted!r}')
-    default = _CHAT_TOKENS if is_chat else _COMPLETION_TOKENS
+    if getattr(body, required) is None:
+        raise InvalidRequestError(
+            f'got no {required!r}, expected it in the body'
+        )
+    if getattr(body, excluded) is not None:
+        raise InvalidRequestError(
+            f'got {excluded!r} too, expected only {required!r}'
+        )
+    default_tokens = (
+        _DEFAULT_CHAT_TOKENS if is_chat else _DEFAULT_COMPLETION_TOKENS
+    )
     document.pop('max_completion_tokens', None)
     document['max_tokens'] = (
-        body.max_completion_tokens or body.max_tokens or default
+        body.max_completion_tokens or body.max_tokens or default_tokens
     )
     return document
 
 
-def read_timeout(text: str) -> float:
-    """Return a caller's ``Request-Timeout`` in seconds; 0 if none is set.
+def parse_request_timeout(header: str) -> float:
+    """Parse a ``Request-Timeout`` header into seconds; 0 if it is empty.
 
     Raises
     ------
     BadBodyError
-        The header is no positive number.
+        The header is not a positive, finite number.
     """
-    if not text:
+    if not header:
         return 0
     try:
-        timeout_s = float(text)
+        timeout_s = float(header)
     except ValueError:
         timeout_s = -1
     if not 0 < timeout_s < float('inf'):
-        raise BadBodyError(
-            f'got Request-Timeout {text!r}, expected seconds above 0'
+        raise InvalidRequestError(
+            f'got Request-Timeout {header!r}, expected seconds above 0'
         )
     return timeout_s
--- a/samphirerill/edges/callers.py
+++ b/samphirerill/edges/callers.py
@@ -1,7 +1,8 @@
-"""The callers' interface: completions, chat and plain services.
+"""The HTTP API for callers: completions, chat and plain services.
 
-Threads read and check one request each and hand it, with its connection, to
-the loop. Nothing here decides anything about accounts, routes or endpoints.
+Each server thread reads and validates one request at a time and hands it,
+with its connection, to the event loop. Authentication, routing and the choice
+of endpoints happen there, not in this module.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from samphirerill.backends.service import drop_hop_by_hop
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.edges.bodies import (
-    BadBodyError,
-    read_model_body,
-    read_timeout,
+    InvalidRequestError,
+    parse_completion_body,
+    parse_request_timeout,
 )
 from samphirerill.edges.handoff import TAKERS
 from samphirerill.edges.serving import (
@@ -30,13 +31,13 @@
     import socket
     from collections.abc import Callable
 
-    Taker = Callable[[CallerRequest, socket.socket], None]
+    RequestHandler = Callable[[CallerRequest, socket.socket], None]
 
 MODELS = 'models'
-MODEL = 'model'
-SERVICE = 'service'
-_MAX_KEY = 255
-_NOT_PASSED_ON = frozenset(
+MODEL_REQUEST = 'model'
+SERVICE_REQUEST = 'service'
+_MAX_IDEMPOTENCY_KEY_LENGTH = 255
+_HEADERS_NOT_FORWARDED = frozenset(
     (
         'authorization',
         'host',
@@ -51,48 +52,50 @@
 
 
 class CallersRoot:
-    """The handler of every path.
+    """CherryPy handler for all paths of the caller API.
 
     Parameters
     ----------
-    take : callable
-        Receives what was read, with the caller's connection.
+    handle_request : callable
+        Called in a server thread with the parsed request and its socket.
     is_healthy : callable
-        Tells whether the node takes requests; read from any thread.
+        Returns whether the node accepts requests; called from any thread.
     """
 
-    def __init__(self, take: Taker, is_healthy: Callable[[], bool]) -> None:
-        self._take = take
+    def __init__(
+        self, handle_request: RequestHandler, is_healthy: Callable[[], bool]
+    ) -> None:
+        self._handle_request = handle_request
         self._is_healthy = is_healthy
 
     @cherrypy.expose
     def health(self) -> bytes:
-        """Tell the balancer whether to send requests here."""
+        """Answer the load balancer's health check."""
         healthy = self._is_healthy()
         status = HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE
         return answer_json({'healthy': healthy}, status)
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
-        """Read the running request and hand it to the loop."""
+        """Parse the current request and hand it to the event loop."""
         try:
-            caller = _read_request()
-        except BadBodyError as exc:
-            return _refuse(HTTPStatus.BAD_REQUEST, 'bad-request', str(exc))
+            request = _parse_request()
+        except InvalidRequestError as exc:
+            return _reject(HTTPStatus.BAD_REQUEST, 'bad-request', str(exc))
         except cherrypy.HTTPError as exc:
-            return _refuse(exc.code, 'bad-request', exc.reason)
-        if caller is None:
-            return _refuse(
+            return _reject(exc.code, 'bad-request', exc.reason)
+        if request is None:
+            return _reject(
                 HTTPStatus.NOT_FOUND, 'not-found', 'got an unknown path'
             )
         environ = cherrypy.request.wsgi_environ
-        environ[TAKERS].append(lambda sock: self._take(caller, sock))
+        environ[TAKERS].append(lambda sock: self._handle_request(request, sock))
         return b''
 
     index = default
 
 
-def _read_request() -> CallerRequest | None:
+def _parse_request() -> CallerRequest | None:
     environ = cherrypy.request.wsgi_environ
     path = environ['PATH_INFO']
     method = cherrypy.request.method
@@ -103,21 +106,21 @@
             raise cherrypy.HTTPError(
                 HTTPStatus.METHOD_NOT_ALLOWED, f'got {method}, expected POST'
             )
-        return _read_model_request(is_chat='chat' in path)
+        return _parse_model_request(is_chat='chat' in path)
     if path.startswith(_SERVICE_PREFIX):
-        return _read_service_request(method, environ['REQUEST_URI'])
+        return _parse_service_request(method, environ['REQUEST_URI'])
     return None
 
 
-def _read_model_request(*, is_chat: bool) -> CallerRequest:
-    body = read_model_body(_read_payload(), is_chat=is_chat)
+def _parse_model_request(*, is_chat: bool) -> CallerRequest:
+    body = parse_completion_body(_read_payload(), is_chat=is_chat)
     headers = cherrypy.request.headers
     return CallerRequest(
-        MODEL,
+        MODEL_REQUEST,
         read_bearer(),
         body['model'],
-        key=_read_key(),
-        timeout_s=read_timeout(headers.get('Request-Timeout', '')),
+        key=_read_idempotency_key(),
+        timeout_s=parse_request_timeout(headers.get('Request-Timeout', '')),
         stream=bool(body.get('stream')),
         trace=bool(headers.get('Samphirerill-Trace')),
         body=body,
@@ -125,57 +128,58 @@
     )
 
 
-def _read_service_request(method: str, uri: str) -> CallerRequest:
+def _parse_service_request(method: str, uri: str) -> CallerRequest:
     route, slash, rest = uri.partition(_SERVICE_PREFIX)[2].partition('/')
     if not slash:
-        route, mark, query = route.partition('?')
-        rest = f'{mark}{query}'
+        route, question_mark, query = route.partition('?')
+        rest = f'{question_mark}{query}'
     headers = cherrypy.request.headers
     return CallerRequest(
-        SERVICE,
+        SERVICE_REQUEST,
         read_bearer(),
         route,
-        key=_read_key(),
-        timeout_s=read_timeout(headers.get('Request-Timeout', '')),
+        key=_read_idempotency_key(),
+        timeout_s=parse_request_timeout(headers.get('Request-Timeout', '')),
         payload=_read_payload(),
         method=method,
         target=f'/{rest}',
         headers=[
-            (name, text)
-            for name, text in drop_hop_by_hop(list(headers.items()))
-            if name.lower() not in _NOT_PASSED_ON
+            (name, header)
+            for name, header in drop_hop_by_hop(list(headers.items()))
+            if name.lower() not in _HEADERS_NOT_FORWARDED
         ],
     )
 
 
 def _read_payload() -> bytes:
-    """Return the whole body; a cut-off or oversize one is refused."""
+    """Return the request body; reject it if truncated or too large."""
     environ = cherrypy.request.wsgi_environ
-    source = environ['wsgi.input']
+    body_stream = environ['wsgi.input']
     try:
-        payload: bytes = source.read()
+        payload: bytes = body_stream.read()
     except Exception as exc:
         raise cherrypy.HTTPError(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             f'got a body that can not be read: {type(exc).__name__}',
         ) from exc
-    length = environ.get('CONTENT_LENGTH')
-    if length and len(payload) != int(length):
-        raise BadBodyError(
-            f'got {len(payload)} bytes, expected {length}: the body is cut off'
+    declared_length = environ.get('CONTENT_LENGTH')
+    if declared_length and len(payload) != int(declared_length):
+        raise InvalidRequestError(
+            f'got {len(payload)} bytes, expected {declared_length}: '
+            'the body is cut off'
         )
     return payload
 
 
-def _read_key() -> str:
+def _read_idempotency_key() -> str:
     key: str = cherrypy.request.headers.get('Idempotency-Key', '').strip('"')
-    if len(key) > _MAX_KEY:
-        raise BadBodyError(
+    if len(key) > _MAX_IDEMPOTENCY_KEY_LENGTH:
+        raise InvalidRequestError(
             f'got an Idempotency-Key of {len(key)} characters, expected at '
-            f'most {_MAX_KEY}'
+            f'most {_MAX_IDEMPOTENCY_KEY_LENGTH}'
         )
     return key
 
 
-def _refuse(status: int, code: str, detail: str) -> bytes:
+def _reject(status: int, code: str, detail: str) -> bytes:
     return answer_problem(Problem(status, code, detail, Outcome.NOT_RUN))
