--- a/samphirerill/edges/callers.py
+++ b/samphirerill/edges/callers.py
@@ -19,7 +19,7 @@
     parse_completion_body,
     parse_request_timeout,
 )
-from samphirerill.edges.handoff import TAKERS
+from samphirerill.edges.handoff import SOCKET_HANDLERS
 from samphirerill.edges.serving import (
     answer_json,
     answer_problem,
@@ -89,7 +89,9 @@
                 HTTPStatus.NOT_FOUND, 'not-found', 'got an unknown path'
             )
         environ = cherrypy.request.wsgi_environ
-        environ[TAKERS].append(lambda sock: self._handle_request(request, sock))
+        environ[SOCKET_HANDLERS].append(
+            lambda sock: self._handle_request(request, sock)
+        )
         return b''
 
     index = default
--- a/samphirerill/edges/handoff.py
+++ b/samphirerill/edges/handoff.py
@@ -1,9 +1,9 @@
-"""A CherryPy server whose requests can be handed to the loop, socket and all.
+"""A Cheroot HTTP server that can hand connections to the event loop.
 
-CherryPy keeps one thread for each request until its answer is whole. For
-streams that last a minute this costs ten times the processor time of a loop.
-So threads only read and check a request; the connection then leaves the
-server, and everything else happens on the loop.
+Cheroot occupies one thread per request until its response is complete, which
+is expensive for long streams. Here a thread only parses and validates the
+request; the application can then detach the socket from the server, and the
+event loop sends the response.
 """
 
 from __future__ import annotations
@@ -25,15 +25,14 @@
     from collections.abc import Callable
 
 _LOG = get_logger('http')
-TAKERS = 'samphirerill.takers'
-_IDLE_CONNECTIONS = 1000
-# Thousands of small headers cost a thread as much as a large body.
-_MOST_HEADERS = 100
-# For so long what a refused caller still sends is read.
-_LINGER_S = 0.5
-_LEAST_WAIT_S = 0.001
-_READ_BYTES = 65_536
-_SINGLE = frozenset(
+SOCKET_HANDLERS = 'samphirerill.takers'
+_MAX_KEEP_ALIVE_CONNECTIONS = 1000
+# Bounds the CPU time spent on requests with many small headers.
+_MAX_HEADERS = 100
+_LINGERING_CLOSE_S = 0.5
+_MIN_RECV_TIMEOUT_S = 0.001
+_RECV_BYTES = 65_536
+_SINGLE_VALUE_HEADERS = frozenset(
     (
         b'Authorization',
         b'Content-Length',
@@ -44,66 +43,68 @@
         b'Transfer-Encoding',
     )
 )
-_TOKEN_BYTES = frozenset(
+_TOKEN_CHARACTERS = frozenset(
     b"!#$%&'*+-.^_`|~0123456789"
     b'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ'
 )
 
 
 class StrictHeaderReader(HeaderReader):
-    """Refuses headers that two parties could read in two ways.
+    """Rejects ambiguous headers, to prevent request smuggling.
 
-    With two lengths, or a length and a transfer coding, a balancer and this
-    server may disagree on where a request ends; a stranger's bytes then
-    become the start of the next caller's request.
+    With two lengths, or a length and a transfer coding, a proxy and this
+    server may disagree on where a request ends; bytes of one caller could
+    then be taken for the start of another caller's request.
     """
 
     def __call__(
         self, rfile: Any, hdict: dict[bytes, bytes] | None = None
     ) -> dict[bytes, bytes]:
-        """Read all headers; raise ``ValueError`` on an ambiguous one."""
-        self._seen: set[bytes] = set()
-        self._count = 0
-        found: dict[bytes, bytes] = super().__call__(rfile, hdict)
-        if b'Content-Length' in found and b'Transfer-Encoding' in found:
+        """Read all headers; raise ``ValueError`` if one is ambiguous."""
+        self._seen_names: set[bytes] = set()
+        self._header_count = 0
+        headers: dict[bytes, bytes] = super().__call__(rfile, hdict)
+        if b'Content-Length' in headers and b'Transfer-Encoding' in headers:
             raise ValueError('Both a length and a transfer coding.')
-        length = found.get(b'Content-Length', b'0')
-        if not length.isdigit():
+        declared_length = headers.get(b'Content-Length', b'0')
+        if not declared_length.isdigit():
             raise ValueError('The content length is no number.')
-        return found
+        return headers
 
     def _transform_key(self, key_name: bytes) -> bytes:
-        self._count += 1
-        if self._count > _MOST_HEADERS:
+        self._header_count += 1
+        if self._header_count > _MAX_HEADERS:
             raise ValueError('There are too many headers.')
-        if not key_name or not _TOKEN_BYTES.issuperset(key_name):
+        if not key_name or not _TOKEN_CHARACTERS.issuperset(key_name):
             raise ValueError('A header name has a forbidden character.')
         return key_name.title()
 
     def _allow_header(self, key_name: bytes) -> bool:
-        if key_name in _SINGLE:
-            if key_name in self._seen:
+        if key_name in _SINGLE_VALUE_HEADERS:
+            if key_name in self._seen_names:
                 raise ValueError('A header that may stand once stands twice.')
-            self._seen.add(key_name)
+            self._seen_names.add(key_name)
         return b'_' not in key_name
 
 
 class StrictRequest(HTTPRequest):
-    """A request read with :class:`StrictHeaderReader`."""
+    """A request whose headers :class:`StrictHeaderReader` reads."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        # One reader a request: it remembers which headers it has seen.
+        # The reader keeps state per request, so it must not be shared.
         self.header_reader = StrictHeaderReader()
 
     def simple_response(self, status: Any, msg: str = '') -> None:
-        """Answer a request the server itself refuses by a problem document."""
-        number, _, phrase = str(status).partition(' ')
-        code = phrase.lower().replace(' ', '-') or 'refused'
-        problem = Problem(int(number), code, msg or phrase, Outcome.NOT_RUN)
+        """Reject a request with a problem document (RFC 9457)."""
+        status_code, _, reason = str(status).partition(' ')
+        code = reason.lower().replace(' ', '-') or 'refused'
+        problem = Problem(
+            int(status_code), code, msg or reason, Outcome.NOT_RUN
+        )
         body = json.dumps(describe_problem(problem, '')).encode()
         lines = (
-            f'{self.server.protocol} {number} {phrase}',
+            f'{self.server.protocol} {status_code} {reason}',
             f'Content-Length: {len(body)}',
             'Content-Type: application/problem+json',
             f'{OUTCOME_HEADER}: {Outcome.NOT_RUN.value}',
@@ -114,45 +115,48 @@
         self.close_connection = True
         try:
             self.conn.wfile.write('\r\n'.join(lines).encode() + body)
-            _read_rest(self.conn.socket)
+            _discard_unread_input(self.conn.socket)
         except OSError as exc:
-            _LOG.info('caller left', extra={'error': repr(exc)})
+            _LOG.info(
+                'caller closed the connection', extra={'error': repr(exc)}
+            )
 
 
-def _read_rest(sock: socket.socket) -> None:
-    """Read and drop what a caller still sends after its final answer.
+def _discard_unread_input(sock: socket.socket) -> None:
+    """Discard what a caller still sends after its final response.
 
-    Closed with bytes unread, a connection is reset, and the answer is lost.
+    Closing a socket with unread input resets the connection, and the caller
+    may then lose the response.
     """
     sock.shutdown(socket.SHUT_WR)
-    deadline = time.monotonic() + _LINGER_S
+    deadline = time.monotonic() + _LINGERING_CLOSE_S
     is_open = True
     while is_open and time.monotonic() < deadline:
-        sock.settimeout(max(_LEAST_WAIT_S, deadline - time.monotonic()))
+        sock.settimeout(max(_MIN_RECV_TIMEOUT_S, deadline - time.monotonic()))
         try:
-            is_open = bool(sock.recv(_READ_BYTES))
+            is_open = bool(sock.recv(_RECV_BYTES))
         except TimeoutError:
             return
 
 
 class HandoffGateway(Gateway_10):
-    """Calls the application, then hands the connection off if it asks to."""
+    """Calls the application and detaches the socket if it asks for that."""
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
-        """Add the list that the application may put a taker into.
+        """Add the list to which the application may append a handler.
 
-        A list, because CherryPy works on a copy of the environment.
+        A list, because CherryPy copies the environment.
         """
-        return {**super().get_environ(), TAKERS: []}
+        return {**super().get_environ(), SOCKET_HANDLERS: []}
 
     def respond(self) -> None:
-        """Answer as usual, or give the socket to the application's taker."""
+        """Send the response, or pass the socket to the appended handler."""
         wsgi_app = self.req.server.wsgi_app
         response = wsgi_app(self.env, self.start_response)
         try:
-            takers = self.env[TAKERS]
-            if takers:
-                self._hand_off(takers[0])
+            socket_handlers = self.env[SOCKET_HANDLERS]
+            if socket_handlers:
+                self._hand_off(socket_handlers[0])
                 return
             for chunk in filter(None, response):
                 self.write(chunk)
@@ -161,11 +165,14 @@
                 response.close()
         self.req.ensure_headers_sent()
 
-    def _hand_off(self, taker: Callable[[socket.socket], None]) -> None:
-        """Give away a duplicate and make the server forget the original.
+    def _hand_off(
+        self, socket_handler: Callable[[socket.socket], None]
+    ) -> None:
+        """Pass on a duplicate of the socket and detach the original.
 
-        ``linger`` keeps the server from shutting the connection down when
-        it drops its own descriptor; ``ready`` keeps it from sending headers.
+        Setting ``linger`` keeps the server from shutting the connection down
+        when it closes its own descriptor; clearing ``ready`` keeps it from
+        sending headers.
         """
         conn = self.req.conn
         duplicate = socket.socket(fileno=os.dup(conn.socket.fileno()))
@@ -175,20 +182,20 @@
         self.req.chunked_write = False
         conn.linger = True
         conn.socket.close()
-        taker(duplicate)
+        socket_handler(duplicate)
 
 
 class StrictConnection(HTTPConnection):
-    """A connection whose requests are strict ones."""
+    """A connection whose requests are read by :class:`StrictRequest`."""
 
     RequestHandlerClass = StrictRequest
 
 
 class HandoffServer(Server):
-    """The server behind callers' and operators' interfaces."""
+    """The HTTP server of the caller and operator APIs."""
 
     ConnectionClass = StrictConnection
-    keep_alive_conn_limit = _IDLE_CONNECTIONS
+    keep_alive_conn_limit = _MAX_KEEP_ALIVE_CONNECTIONS
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -197,5 +204,5 @@
     def error_log(
         self, msg: str = '', level: int = 20, traceback: bool = False
     ) -> None:
-        """Log the server's own messages like any other event."""
+        """Send the server's own messages to the structured log."""
         _LOG.warning('server error', extra={'error': msg})
