--- a/samphirerill/edges/callers.py
+++ b/samphirerill/edges/callers.py
@@ -21,9 +21,9 @@
 )
 from samphirerill.edges.handoff import SOCKET_HANDLERS
 from samphirerill.edges.serving import (
-    answer_json,
-    answer_problem,
-    read_bearer,
+    read_bearer_token,
+    render_json,
+    render_problem,
 )
 from samphirerill.node.answers import CallerRequest
 
@@ -73,7 +73,7 @@
         """Answer the load balancer's health check."""
         healthy = self._is_healthy()
         status = HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE
-        return answer_json({'healthy': healthy}, status)
+        return render_json({'healthy': healthy}, status)
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
@@ -102,7 +102,7 @@
     path = environ['PATH_INFO']
     method = cherrypy.request.method
     if path == '/v1/models':
-        return CallerRequest(MODELS, read_bearer(), '')
+        return CallerRequest(MODELS, read_bearer_token(), '')
     if path in {'/v1/completions', '/v1/chat/completions'}:
         if method != 'POST':
             raise cherrypy.HTTPError(
@@ -119,7 +119,7 @@
     headers = cherrypy.request.headers
     return CallerRequest(
         MODEL_REQUEST,
-        read_bearer(),
+        read_bearer_token(),
         body['model'],
         key=_read_idempotency_key(),
         timeout_s=parse_request_timeout(headers.get('Request-Timeout', '')),
@@ -138,7 +138,7 @@
     headers = cherrypy.request.headers
     return CallerRequest(
         SERVICE_REQUEST,
-        read_bearer(),
+        read_bearer_token(),
         route,
         key=_read_idempotency_key(),
         timeout_s=parse_request_timeout(headers.get('Request-Timeout', '')),
@@ -184,4 +184,4 @@
 
 
 def _reject(status: int, code: str, detail: str) -> bytes:
-    return answer_problem(Problem(status, code, detail, Outcome.NOT_RUN))
+    return render_problem(Problem(status, code, detail, Outcome.NOT_RUN))
--- a/samphirerill/edges/operators.py
+++ b/samphirerill/edges/operators.py
@@ -1,7 +1,7 @@
-"""The operators' interface: configuration, state, metrics and drain.
+"""The HTTP API for operators: configuration, state, metrics and drain.
 
-Its threads may wait for the platform's service; what they need of the node's
-state they ask the loop for.
+Handlers run in server threads, so they may block on the platform's key-value
+service. Operations that need the node's state query it on the event loop.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from samphirerill.control.errors import InvalidPatchError
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.edges.serving import (
-    answer_json,
-    answer_problem,
-    read_bearer,
+    read_bearer_token,
+    render_json,
+    render_problem,
 )
 from samphirerill.node.logs import get_logger
 
@@ -39,163 +39,183 @@
 
 
 class Operations(Protocol):
-    """What the node lets operators do; every method may block."""
+    """Operations of a node that operators may call; each may block."""
 
     def read_state(self) -> dict[str, Any]:
-        """Return the dump of this process."""
+        """Return a snapshot of this process's state."""
 
     def read_metrics(self) -> str:
-        """Return the metrics as text."""
+        """Return the metrics in the Prometheus text format."""
 
     def read_configuration(self) -> dict[str, Any]:
-        """Return the version and document in force here."""
+        """Return the version and document of the active configuration."""
 
     def read_nodes(self) -> list[dict[str, Any]]:
-        """Return which version each node has in force."""
+        """Return the active configuration version of each node."""
 
     def read_history(self) -> list[Change]:
-        """Return the accepted changes that are kept."""
+        """Return the retained configuration changes."""
 
     def submit_patch(
         self, patch: list[Any], base: int, author: str, *, dry_run: bool
     ) -> Change:
-        """Submit a patch."""
+        """Apply a patch to version `base` of the configuration.
+
+        With `dry_run` the patch is validated but not stored.
+        """
 
     def drain(self) -> None:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
 
 
 def hash_key(key: str) -> str:
-    """Return a key's digest as configurations and settings hold it."""
+    """Return a key's digest in the format that documents store."""
     return f'sha256:{sha256(key.encode()).hexdigest()}'
 
 
-def matches_any(key: str, digests: tuple[str, ...]) -> bool:
-    """Compare a key with every digest, in time that tells nothing."""
+def matches_any_digest(key: str, digests: tuple[str, ...]) -> bool:
+    """Return whether a key matches a digest, in constant time."""
     digest = hash_key(key)
-    found = False
-    for known in digests:
-        found = hmac.compare_digest(digest, known) or found
-    return found
+    is_match = False
+    for expected in digests:
+        is_match = hmac.compare_digest(digest, expected) or is_match
+    return is_match
 
 
-def _guarded(handler: Callable[..., bytes]) -> Callable[..., bytes]:
-    """Let only operators in, and turn errors into problem documents."""
+def _require_operator_key(
+    handler: Callable[..., bytes],
+) -> Callable[..., bytes]:
+    """Require an operator key and report errors as problem documents."""
 
     @wraps(handler)
-    def guard(self: OperatorsRoot, *args: str, **query: str) -> bytes:
-        if not matches_any(read_bearer(), self.settings.operators.key_digests):
-            return _refuse(
+    def check_key_and_handle(
+        self: OperatorsRoot, *args: str, **query: str
+    ) -> bytes:
+        if not matches_any_digest(
+            read_bearer_token(), self.settings.operators.key_digests
+        ):
+            return _reject(
                 HTTPStatus.UNAUTHORIZED, 'unknown-key', 'got no operator key'
             )
         try:
             return handler(self, *args, **query)
         except Exception as exc:
-            return _explain(exc)
+            return _render_exception(exc)
 
-    return guard
+    return check_key_and_handle
 
 
 class OperatorsRoot:
-    """The handler tree of the operators' interface."""
+    """CherryPy handlers of the operator API; one method per path."""
 
     def __init__(self, settings: Settings, operations: Operations) -> None:
         self.settings = settings
         self._operations = operations
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def state(self) -> bytes:
-        """Answer the dump of this process."""
-        return answer_json(self._operations.read_state())
+        """Return a snapshot of this process's state."""
+        return render_json(self._operations.read_state())
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def metrics(self) -> bytes:
-        """Answer the metrics in the Prometheus text form."""
+        """Return the metrics in the Prometheus text format."""
         text = self._operations.read_metrics()
         cherrypy.serving.response.headers['Content-Type'] = 'text/plain'
         return text.encode()
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def config(self) -> bytes:
-        """Answer the configuration in force at this node."""
-        return answer_json(self._operations.read_configuration())
+        """Return the configuration that is active on this node."""
+        return render_json(self._operations.read_configuration())
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def nodes(self) -> bytes:
-        """Answer which node has which version in force."""
-        return answer_json(self._operations.read_nodes())
+        """Return the active configuration version of each node."""
+        return render_json(self._operations.read_nodes())
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def history(self) -> bytes:
-        """Answer the accepted changes that are kept."""
+        """Return the retained configuration changes."""
         changes = self._operations.read_history()
-        return answer_json([change.to_json() for change in changes])
+        return render_json([change.to_json() for change in changes])
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def patch(self) -> bytes:
-        """Submit ``{"base": N, "patch": […]}``; ``dry_run`` writes nothing."""
+        """Apply ``{"base": N, "patch": […]}``; ``dry_run`` only validates."""
         if cherrypy.request.method != 'POST':
-            return _refuse(
+            return _reject(
                 HTTPStatus.METHOD_NOT_ALLOWED, 'wrong-method', 'expected POST'
             )
-        order = _read_order()
+        submission = _parse_patch_request()
         change = self._operations.submit_patch(
-            order['patch'],
-            order['base'],
-            str(order.get('author', 'operator')),
-            dry_run=bool(order.get('dry_run')),
+            submission['patch'],
+            submission['base'],
+            str(submission.get('author', 'operator')),
+            dry_run=bool(submission.get('dry_run')),
         )
-        return answer_json(
-            {'version': change.version, 'dry_run': bool(order.get('dry_run'))}
+        return render_json(
+            {
+                'version': change.version,
+                'dry_run': bool(submission.get('dry_run')),
+            }
         )
 
     @cherrypy.expose
-    @_guarded
+    @_require_operator_key
     def drain(self) -> bytes:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         if cherrypy.request.method != 'POST':
-            return _refuse(
+            return _reject(
                 HTTPStatus.METHOD_NOT_ALLOWED, 'wrong-method', 'expected POST'
             )
         self._operations.drain()
-        return answer_json({'draining': True})
+        return render_json({'draining': True})
 
 
-class _BadOrderError(Exception):
-    """The body is no order."""
+class _InvalidPatchRequestError(Exception):
+    """The body of a patch request is malformed."""
 
 
-def _read_order() -> dict[str, Any]:
+def _parse_patch_request() -> dict[str, Any]:
     payload = cherrypy.request.wsgi_environ['wsgi.input'].read()
     try:
-        order = json.loads(payload)
+        submission = json.loads(payload)
     except ValueError as exc:
-        raise _BadOrderError(f'got a body that is no JSON: {exc}') from exc
-    if not isinstance(order, dict):
-        raise _BadOrderError('got no object, expected base and patch')
-    if not isinstance(order.get('base'), int):
-        raise _BadOrderError('got no base, expected the version patched')
-    if not isinstance(order.get('patch'), list):
-        raise _BadOrderError('got no patch, expected a list of operations')
-    return order
-
-
-def _explain(exc: Exception) -> bytes:
-    """Answer an error by what it says of the configuration."""
+        raise _InvalidPatchRequestError(
+            f'got a body that is no JSON: {exc}'
+        ) from exc
+    if not isinstance(submission, dict):
+        raise _InvalidPatchRequestError(
+            'got no object, expected base and patch'
+        )
+    if not isinstance(submission.get('base'), int):
+        raise _InvalidPatchRequestError(
+            'got no base, expected the version patched'
+        )
+    if not isinstance(submission.get('patch'), list):
+        raise _InvalidPatchRequestError(
+            'got no patch, expected a list of operations'
+        )
+    return submission
+
+
+def _render_exception(exc: Exception) -> bytes:
+    """Map an exception to a problem document."""
     if isinstance(exc, StaleBaseError):
-        return _refuse(HTTPStatus.CONFLICT, 'stale-base', str(exc))
+        return _reject(HTTPStatus.CONFLICT, 'stale-base', str(exc))
     if isinstance(exc, InvalidPatchError):
-        return _refuse(
+        return _reject(
             HTTPStatus.UNPROCESSABLE_ENTITY, 'invalid-patch', str(exc)
         )
     if isinstance(exc, UnknownResultError):
-        return answer_problem(
+        return render_problem(
             Problem(
                 HTTPStatus.GATEWAY_TIMEOUT,
                 'unknown-result',
@@ -204,16 +224,16 @@
             )
         )
     if isinstance(exc, StoreError):
-        return _refuse(
+        return _reject(
             HTTPStatus.SERVICE_UNAVAILABLE, 'store-unavailable', str(exc)
         )
-    if isinstance(exc, _BadOrderError):
-        return _refuse(HTTPStatus.BAD_REQUEST, 'bad-request', str(exc))
+    if isinstance(exc, _InvalidPatchRequestError):
+        return _reject(HTTPStatus.BAD_REQUEST, 'bad-request', str(exc))
     _LOG.error('operator call failed', extra={'error': repr(exc)})
-    return _refuse(
+    return _reject(
         HTTPStatus.INTERNAL_SERVER_ERROR, 'internal', type(exc).__name__
     )
 
 
-def _refuse(status: int, code: str, detail: str) -> bytes:
-    return answer_problem(Problem(status, code, detail, Outcome.NOT_RUN))
+def _reject(status: int, code: str, detail: str) -> bytes:
+    return render_problem(Problem(status, code, detail, Outcome.NOT_RUN))
--- a/samphirerill/edges/serving.py
+++ b/samphirerill/edges/serving.py
@@ -1,4 +1,4 @@
-"""Run a CherryPy application on a server that can hand connections off."""
+"""HTTP server for CherryPy handlers, and helpers for their responses."""
 
 from __future__ import annotations
 
@@ -15,37 +15,41 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_QUIET = {
+_CHERRYPY_CONFIG = {
     'request.show_tracebacks': False,
     'request.show_mismatched_params': False,
     'request.process_request_body': False,
     'request.methods_with_bodies': (),
     'tools.trailing_slash.on': False,
 }
-_PROBLEM_TYPE = 'application/problem+json'
+_PROBLEM_MEDIA_TYPE = 'application/problem+json'
 
 
 class ListenError(Exception):
-    """A port can't be listened on."""
+    """The server cannot listen on a port."""
 
     def __init__(self, host: str, port: int, reason: object) -> None:
         super().__init__(
             f'got {reason} for {host}:{port}, expected a free port; choose '
-            'another in the settings or end the process that has it',
+            'another in the settings or stop the process that uses it',
         )
 
 
 class HttpServer:
-    """One listening port with its application and threads.
+    """An HTTP server on one port, with its own thread pool.
 
     Parameters
     ----------
     root : object
         The CherryPy handler tree.
     host, port : str, int
-        Where to listen; port 0 picks a free one.
+        The address to listen on; port 0 selects a free port.
     threads : int
-        How many requests are read at once.
+        The size of the thread pool.
+    max_body_bytes : int
+        The largest request body that is accepted.
+    read_timeout_s : float
+        The socket timeout while a request is read.
     """
 
     def __init__(
@@ -69,12 +73,12 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> int:
-        """Listen and serve in threads of its own; return the port.
+        """Listen, serve in background threads and return the port.
 
         Raises
         ------
         ListenError
-            The port is in use or not to be had.
+            The address is in use or unavailable.
         """
         host, port = self._server.bind_addr
         try:
@@ -88,31 +92,31 @@
         return int(self._server.bind_addr[1])
 
     def stop(self) -> None:
-        """Stop listening; connections that were handed off live on."""
+        """Stop the server; connections that were handed off stay open."""
         self._server.stop()
 
 
-def answer_problem(problem: Problem) -> bytes:
-    """Set the running CherryPy response to a problem document."""
+def render_problem(problem: Problem) -> bytes:
+    """Render the current response as a problem document (RFC 9457)."""
     response = cherrypy.serving.response
     response.status = problem.status
-    response.headers['Content-Type'] = _PROBLEM_TYPE
+    response.headers['Content-Type'] = _PROBLEM_MEDIA_TYPE
     response.headers[OUTCOME_HEADER] = problem.outcome.value
     if problem.retry_after_s:
         response.headers['Retry-After'] = str(round(problem.retry_after_s))
     return json.dumps(describe_problem(problem, '')).encode()
 
 
-def answer_json(document: Any, status: int = 200) -> bytes:
-    """Set the running CherryPy response to a JSON document."""
+def render_json(document: Any, status: int = 200) -> bytes:
+    """Render the current response as a JSON document."""
     response = cherrypy.serving.response
     response.status = status
     response.headers['Content-Type'] = 'application/json'
     return json.dumps(document, indent=1).encode()
 
 
-def read_bearer() -> str:
-    """Return the bearer key of the running request, or an empty text."""
+def read_bearer_token() -> str:
+    """Return the bearer token of the current request, or an empty string."""
     scheme, _, key = cherrypy.request.headers.get(
         'Authorization', ''
     ).partition(' ')
@@ -122,7 +126,9 @@
 def _build_application(root: object) -> Callable[..., Any]:
     cherrypy.log.screen = False
     cherrypy.config.update({'engine.autoreload.on': False})
-    config = {'/': {**_QUIET, 'error_page.default': _answer_error}}
+    config = {
+        '/': {**_CHERRYPY_CONFIG, 'error_page.default': _render_error_page}
+    }
     application = cherrypy.Application(root, '', config)
     application.log.screen = False
     application.log.access_log.disabled = True
@@ -130,11 +136,11 @@
     return application
 
 
-def _answer_error(
+def _render_error_page(
     status: str, message: str, traceback: str, version: str
 ) -> bytes:
-    """Answer what CherryPy itself refuses, without its traceback."""
-    number, _, phrase = status.partition(' ')
-    code = phrase.lower().replace(' ', '-')
-    problem = Problem(int(number), code, message, Outcome.NOT_RUN)
-    return answer_problem(problem)
+    """Render an error that CherryPy raised, without its traceback."""
+    status_code, _, reason = status.partition(' ')
+    code = reason.lower().replace(' ', '-')
+    problem = Problem(int(status_code), code, message, Outcome.NOT_RUN)
+    return render_problem(problem)
