--- a/samphirerill/cli/main.py
+++ b/samphirerill/cli/main.py
@@ -13,7 +13,7 @@
     add_remote_options,
     ask_operator,
 )
-from samphirerill.settings.checks import check_parsed
+from samphirerill.settings.checks import check_document
 from samphirerill.settings.errors import InvalidDocumentError
 from samphirerill.settings.jsonc import read_commented
 from samphirerill.settings.model import load_settings
@@ -217,7 +217,7 @@
 
         load_scenario(options.file)
     else:
-        check_parsed(parsed)
+        check_document(parsed)
     _print(f'{options.file}: right')
     return EXIT_OK
 
--- a/samphirerill/settings/checks.py
+++ b/samphirerill/settings/checks.py
@@ -1,4 +1,4 @@
-"""Check documents and name every error at once, each with its line."""
+"""Validate documents and report all errors together, with their lines."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
     from jsonschema.exceptions import ValidationError
 
-    from samphirerill.settings.jsonc import Parsed
+    from samphirerill.settings.jsonc import ParsedDocument
 
-_SHOWN = 60
+_MAX_VALUE_CHARACTERS = 60
 
 
 def check_configuration(document: Any) -> list[Finding]:
-    """Return everything that is wrong with a configuration document.
+    """Return all errors in a configuration document.
 
-    Beside the schema, references have to lead somewhere, every model has to
-    be covered layer by layer, and no route may be without endpoints.
+    A document that matches the schema is also checked for references to
+    undefined names, for models with layers that no endpoint serves, for
+    routes without endpoints and for keys shared between accounts.
     """
     findings = _check_schema(document, CONFIGURATION)
     if findings:
@@ -34,159 +35,170 @@
 
 
 def check_settings(document: Any) -> list[Finding]:
-    """Return everything that is wrong with a settings document."""
+    """Return all errors in a settings document."""
     return _check_schema(document, SETTINGS)
 
 
-def check_parsed(parsed: Parsed) -> None:
-    """Check a file: settings if it has a ``node``, else a configuration.
+def check_document(parsed: ParsedDocument) -> None:
+    """Check a settings or configuration file.
+
+    A document with ``node`` or ``store`` is checked as settings.
 
     Raises
     ------
     InvalidDocumentError
-        The document has errors; it lists every one with its line.
+        The document has errors; the exception lists all of them.
     """
     is_settings = isinstance(parsed.document, dict) and (
         'node' in parsed.document or 'store' in parsed.document
     )
     check = check_settings if is_settings else check_configuration
     findings = [
-        Finding(found.place, parsed.find_line(found.place), found.message)
-        for found in check(parsed.document)
+        Finding(
+            finding.pointer, parsed.find_line(finding.pointer), finding.message
+        )
+        for finding in check(parsed.document)
     ]
     if findings:
         raise InvalidDocumentError(parsed.source, findings)
 
 
 def _check_schema(document: Any, schema: Schema) -> list[Finding]:
-    # Nodes on the platform check no such file, and start without it.
+    # Imported lazily: platform nodes do not validate files, and importing
+    # jsonschema would delay their start.
     from jsonschema import Draft202012Validator
 
     errors = Draft202012Validator(schema).iter_errors(document)
-    findings = [_explain(error) for error in errors]
-    return sorted(findings, key=lambda found: found.place)
+    findings = [_build_finding(error) for error in errors]
+    return sorted(findings, key=lambda finding: finding.pointer)
 
 
-def _explain(error: ValidationError) -> Finding:
-    place = ''.join(f'/{_escape(part)}' for part in error.absolute_path)
-    return Finding(place, 0, _phrase(error))
+def _build_finding(error: ValidationError) -> Finding:
+    pointer = ''.join(
+        f'/{_escape_pointer_part(part)}' for part in error.absolute_path
+    )
+    return Finding(pointer, 0, _format_message(error))
 
 
-def _phrase(error: Any) -> str:
-    """Say what was got and what was expected, whatever the rule."""
-    got = _shorten(repr(error.instance))
-    rule, wanted = error.validator, error.validator_value
-    if rule == 'additionalProperties' and wanted is False:
-        return _phrase_unknown(error)
+def _format_message(error: Any) -> str:
+    """Describe a schema violation by the actual and expected values."""
+    got = _truncate(repr(error.instance))
+    rule, rule_value = error.validator, error.validator_value
+    if rule == 'additionalProperties' and rule_value is False:
+        return _format_unknown_keys(error)
     if rule == 'required':
         return f'{error.message}; add it'
-    meaning = error.schema.get('description', '')
+    description = error.schema.get('description', '')
     expected = {
-        'type': f'{meaning or "a value"} of type {wanted}',
-        'enum': f'one of {wanted}',
-        'pattern': meaning or wanted,
-    }.get(rule, f'{rule} {wanted} {meaning}'.rstrip())
+        'type': f'{description or "a value"} of type {rule_value}',
+        'enum': f'one of {rule_value}',
+        'pattern': description or rule_value,
+    }.get(rule, f'{rule} {rule_value} {description}'.rstrip())
     return f'got {got}, expected {expected}'
 
 
-def _phrase_unknown(error: Any) -> str:
+def _format_unknown_keys(error: Any) -> str:
     properties = set(error.schema['properties'])
-    known = ', '.join(sorted(properties))
-    extra = ', '.join(sorted(set(error.instance) - properties))
-    return f'got unknown {extra}, expected only {known}'
+    known_keys = ', '.join(sorted(properties))
+    unknown_keys = ', '.join(sorted(set(error.instance) - properties))
+    return f'got unknown {unknown_keys}, expected only {known_keys}'
 
 
-def _shorten(text: str) -> str:
-    return f'{text[:_SHOWN]}…' if len(text) > _SHOWN else text
+def _truncate(text: str) -> str:
+    return (
+        f'{text[:_MAX_VALUE_CHARACTERS]}…'
+        if len(text) > _MAX_VALUE_CHARACTERS
+        else text
+    )
 
 
 def _check_endpoints(document: Any) -> Iterator[Finding]:
     models = document.get('models', {})
     for name, endpoint in document.get('endpoints', {}).items():
-        place = f'/endpoints/{_escape(name)}'
+        pointer = f'/endpoints/{_escape_pointer_part(name)}'
         if endpoint['kind'] != 'engine':
             continue
         if endpoint.get('model') not in models:
             got = endpoint.get('model')
             message = f'got model {got!r}, expected one of {sorted(models)}'
-            yield Finding(place, 0, message)
+            yield Finding(pointer, 0, message)
             continue
-        layers = models[endpoint['model']]['layers']
+        layer_count = models[endpoint['model']]['layers']
         first, last = endpoint.get('layers', (0, -1))
-        if not first <= last < layers:
+        if not first <= last < layer_count:
             message = (
                 f'got layers {[first, last]}, expected a range inside '
-                f'[0, {layers - 1}]'
+                f'[0, {layer_count - 1}]'
             )
-            yield Finding(f'{place}/layers', 0, message)
+            yield Finding(f'{pointer}/layers', 0, message)
 
 
 def _check_routes(document: Any) -> Iterator[Finding]:
     endpoints = document.get('endpoints', {})
     for name, route in document.get('routes', {}).items():
-        place = f'/routes/{_escape(name)}'
+        pointer = f'/routes/{_escape_pointer_part(name)}'
         if route['kind'] == 'model':
-            yield from _check_model_route(document, place, route)
+            yield from _check_model_route(document, pointer, route)
             continue
         if not route.get('endpoints'):
-            yield Finding(place, 0, 'got no endpoints, expected at least one')
+            yield Finding(pointer, 0, 'got no endpoints, expected at least one')
         for target in route.get('endpoints', ()):
             kind = endpoints.get(target, {}).get('kind')
             if kind != 'service':
                 message = f'got endpoint {target!r}, expected a plain service'
-                yield Finding(f'{place}/endpoints', 0, message)
+                yield Finding(f'{pointer}/endpoints', 0, message)
 
 
 def _check_model_route(
-    document: Any, place: str, route: Any
+    document: Any, pointer: str, route: Any
 ) -> Iterator[Finding]:
     models = document.get('models', {})
-    wanted = route.get('model')
-    if wanted not in models:
-        message = f'got model {wanted!r}, expected one of {sorted(models)}'
-        yield Finding(place, 0, message)
+    model = route.get('model')
+    if model not in models:
+        message = f'got model {model!r}, expected one of {sorted(models)}'
+        yield Finding(pointer, 0, message)
         return
-    held = [
+    layer_ranges = [
         endpoint.get('layers', (0, -1))
         for endpoint in document.get('endpoints', {}).values()
-        if endpoint.get('model') == wanted
+        if endpoint.get('model') == model
     ]
-    missing = _find_uncovered(held, models[wanted]['layers'])
+    missing = _find_uncovered_layer(layer_ranges, models[model]['layers'])
     if missing >= 0:
         message = (
-            f'got no endpoint that holds layer {missing} of {wanted!r}, '
+            f'got no endpoint that holds layer {missing} of {model!r}, '
             'expected every layer to be held'
         )
-        yield Finding(place, 0, message)
+        yield Finding(pointer, 0, message)
 
 
-def _find_uncovered(held: list[Any], layers: int) -> int:
-    """Return the first layer nobody holds, or -1."""
-    position = 0
-    for first, last in sorted(held):
-        if first > position:
+def _find_uncovered_layer(layer_ranges: list[Any], layer_count: int) -> int:
+    """Return the first layer that no range covers, or -1."""
+    next_layer = 0
+    for first, last in sorted(layer_ranges):
+        if first > next_layer:
             break
-        position = max(position, last + 1)
-    return position if position < layers else -1
+        next_layer = max(next_layer, last + 1)
+    return next_layer if next_layer < layer_count else -1
 
 
 def _check_accounts(document: Any) -> Iterator[Finding]:
     routes = document.get('routes', {})
     owners: dict[str, str] = {}
     for name, account in document.get('accounts', {}).items():
-        place = f'/accounts/{_escape(name)}'
+        pointer = f'/accounts/{_escape_pointer_part(name)}'
         for target in account['routes']:
             if target not in routes:
                 message = f'got route {target!r}, expected one of the routes'
-                yield Finding(f'{place}/routes', 0, message)
+                yield Finding(f'{pointer}/routes', 0, message)
         for digest in account['keys']:
             if owners.setdefault(digest, name) != name:
                 message = (
                     f'got a key that {owners[digest]!r} has too, expected '
                     'each key in one account'
                 )
-                yield Finding(f'{place}/keys', 0, message)
+                yield Finding(f'{pointer}/keys', 0, message)
 
 
-def _escape(part: Any) -> str:
+def _escape_pointer_part(part: Any) -> str:
     return str(part).replace('~', '~0').replace('/', '~1')
--- a/samphirerill/settings/errors.py
+++ b/samphirerill/settings/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the settings layer."""
+"""Validation errors of settings and configuration documents."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One thing wrong with a document.
+    """One validation error in a document.
 
-    `line` counts from 1; 0 means that the place has no line of its own.
+    `pointer` is the JSON pointer of the faulty value; `line` counts from 1
+    and is 0 if unknown.
     """
 
-    place: str
+    pointer: str
     line: int
     message: str
 
     def describe(self, source: str) -> str:
-        """Return the finding as one line that editors can jump to."""
-        place = self.place or 'the document'
-        return f'{source}:{self.line or 1}: {place}: {self.message}'
+        """Format the finding as ``file:line: pointer: message``."""
+        location = self.pointer or 'the document'
+        return f'{source}:{self.line or 1}: {location}: {self.message}'
 
 
 class InvalidDocumentError(Exception):
-    """A document has errors; `findings` lists every one of them."""
+    """A document is invalid; `findings` lists all of its errors."""
 
     def __init__(self, source: str, findings: list[Finding]) -> None:
         self.source = source
--- a/samphirerill/settings/jsonc.py
+++ b/samphirerill/settings/jsonc.py
@@ -1,4 +1,4 @@
-"""Read JSON with comments and remember which line each value is on."""
+"""Parse JSON with comments and record the line of each value."""
 
 from __future__ import annotations
 
@@ -11,73 +11,79 @@
 
 from samphirerill.settings.errors import Finding, InvalidDocumentError
 
-_TOKEN = re.compile(
+_STRING_OR_COMMENT = re.compile(
     r'"(?:\\.|[^"\\])*"|//[^\n]*|/\*.*?\*/',
     re.DOTALL,
 )
-_TRAILING_COMMA = re.compile(r'"(?:\\.|[^"\\])*"|,(?=\s*[}\]])')
+_STRING_OR_TRAILING_COMMA = re.compile(r'"(?:\\.|[^"\\])*"|,(?=\s*[}\]])')
 
 
 @dataclass(slots=True)
-class Parsed:
-    """A document and, for each JSON pointer in it, its line from 1."""
+class ParsedDocument:
+    """A document and a map from its JSON pointers to lines, from 1."""
 
     source: str
     document: Any
     lines: dict[str, int]
 
     def find_line(self, pointer: str) -> int:
-        """Return the line of a value or of the nearest thing around it."""
+        """Return the line of a value, or of its nearest known ancestor."""
         while pointer and pointer not in self.lines:
             pointer = pointer.rpartition('/')[0]
         return self.lines.get(pointer, 1)
 
 
-def parse_commented(text: str, source: str) -> Parsed:
-    """Parse JSON that may hold ``//`` and ``/* */`` comments.
+def parse_jsonc(text: str, source: str) -> ParsedDocument:
+    """Parse JSON with ``//`` and ``/* */`` comments and trailing commas.
 
     Parameters
     ----------
     text : str
         The document.
     source : str
-        The file's name, for messages.
+        The file name to report in errors.
 
     Raises
     ------
     InvalidDocumentError
-        The text is not JSON, or an object names a key twice.
+        The text is not JSON, or an object has a duplicate key.
     """
-    plain = _TRAILING_COMMA.sub(_blank, _TOKEN.sub(_blank, text))
+    json_text = _STRING_OR_TRAILING_COMMA.sub(
+        _blank_out, _STRING_OR_COMMENT.sub(_blank_out, text)
+    )
     try:
-        document = json.loads(plain, object_pairs_hook=_refuse_repeats)
+        document = json.loads(
+            json_text, object_pairs_hook=_reject_duplicate_keys
+        )
     except json.JSONDecodeError as exc:
         message = f'got {exc.msg.lower()}, expected JSON with comments'
         finding = Finding('', exc.lineno, message)
         raise InvalidDocumentError(source, [finding]) from exc
-    except RepeatedKeyError as exc:
-        finding = Finding(exc.key, _find_repeat(plain, exc.key), str(exc))
+    except DuplicateKeyError as exc:
+        finding = Finding(
+            exc.key, _find_duplicate_line(json_text, exc.key), str(exc)
+        )
         raise InvalidDocumentError(source, [finding]) from exc
     lines = {
         pointer: entry.value_start.line + 1
-        for pointer, entry in calculate(plain).items()
+        for pointer, entry in calculate(json_text).items()
     }
-    return Parsed(source, document, lines)
+    return ParsedDocument(source, document, lines)
 
 
-def read_commented(path: str) -> Parsed:
-    """Read and parse a file; see :func:`parse_commented`."""
+def read_commented(path: str) -> ParsedDocument:
+    """Read and parse a file; see :func:`parse_jsonc`."""
     try:
         with open(path, encoding='utf-8') as stream:
             text = stream.read()
     except (OSError, UnicodeDecodeError) as exc:
         message = f'got {exc}, expected a readable UTF-8 file'
         raise InvalidDocumentError(path, [Finding('', 0, message)]) from exc
-    return parse_commented(text, path)
+    return parse_jsonc(text, path)
 
 
-class RepeatedKeyError(ValueError):
-    """An object names a key twice; JSON parsers would keep the last."""
+class DuplicateKeyError(ValueError):
+    """An object has a duplicate key; ``json`` would keep the last value."""
 
     def __init__(self, key: str) -> None:
         self.key = key
@@ -86,24 +92,24 @@
         )
 
 
-def _blank(match: re.Match[str]) -> str:
-    """Replace a comment by blanks of equal shape, so that lines stay."""
+def _blank_out(match: re.Match[str]) -> str:
+    """Overwrite a match with blanks, which keeps lines and columns."""
     text = match.group()
     if text.startswith('"'):
         return text
     return re.sub(r'[^\n]', ' ', text)
 
 
-def _refuse_repeats(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found: dict[str, Any] = {}
-    for key, member in pairs:
-        if key in found:
-            raise RepeatedKeyError(key)
-        found[key] = member
-    return found
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    members: dict[str, Any] = {}
+    for key, json_value in pairs:
+        if key in members:
+            raise DuplicateKeyError(key)
+        members[key] = json_value
+    return members
 
 
-def _find_repeat(text: str, key: str) -> int:
-    """Return the line of a key's last mention."""
+def _find_duplicate_line(text: str, key: str) -> int:
+    """Return the line where a key occurs last."""
     position = text.rfind(json.dumps(key))
     return text.count('\n', 0, position) + 1
--- a/samphirerill/settings/model.py
+++ b/samphirerill/settings/model.py
@@ -1,17 +1,17 @@
-"""A node's settings as typed objects, handed about whole."""
+"""A node's settings as immutable typed objects."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-from samphirerill.settings.checks import check_parsed
-from samphirerill.settings.jsonc import Parsed, read_commented
+from samphirerill.settings.checks import check_document
+from samphirerill.settings.jsonc import ParsedDocument, read_commented
 
 
 @dataclass(slots=True, frozen=True)
 class CallerSettings:
-    """Where callers connect, and what they may send."""
+    """Address and limits of the caller API."""
 
     host: str = '127.0.0.1'
     port: int = 0
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorSettings:
-    """Where operators connect; `key_digests` are of their bearer keys."""
+    """Address of the operator API and digests of its accepted keys."""
 
     host: str = '127.0.0.1'
     port: int = 0
@@ -31,9 +31,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerSettings:
-    """Where the other nodes connect.
+    """Address for connections from other nodes.
 
-    `seeds` are peers to ask if a node starts while the service is away.
+    `seeds` are the peers to contact while no other member is known, as when
+    the key-value service is unavailable at start.
     """
 
     host: str = '127.0.0.1'
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreSettings:
-    """How to reach the platform's key-value service."""
+    """Connection to the platform's key-value service."""
 
     addresses: tuple[str, ...] = ()
     prefix: str = '/samphirerill/'
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VmListSettings:
-    """Where the platform's list of VMs is, and how often to read it."""
+    """Address of the platform's list of VMs and its polling interval."""
 
     address: str = ''
     every_s: float = 1.0
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogSettings:
-    """How much is logged, and in which form."""
+    """Log level and output format."""
 
     level: str = 'info'
     form: str = 'text'
@@ -69,9 +70,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownSettings:
-    """`notice_s`: time for the balancer to see a failing health check.
+    """Phases of a graceful shutdown.
 
-    `finish_s`: how long running requests may take to end.
+    For `notice_s`, health checks fail while requests are still accepted, so
+    that the load balancer stops sending them. Running requests then have
+    `finish_s` to complete.
     """
 
     notice_s: float = 2.0
@@ -80,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything a node learns from its settings file."""
+    """The contents of a node's settings file."""
 
     name: str
     data_centre: str
@@ -94,33 +97,37 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read, check and build a node's settings.
+    """Load and validate a node's settings file.
 
     Raises
     ------
     InvalidDocumentError
-        The file can't be read or has errors; every one is listed.
+        The file cannot be read or has errors; all of them are listed.
     """
     parsed = read_commented(path)
-    check_parsed(parsed)
+    check_document(parsed)
     return _build_settings(parsed)
 
 
-def _build_settings(parsed: Parsed) -> Settings:
+def _build_settings(parsed: ParsedDocument) -> Settings:
     document = parsed.document
-    operators = _tupled(document['operators'], 'key_digests')
+    operators = _convert_to_tuple(document['operators'], 'key_digests')
     return Settings(
         name=document['node']['name'],
         data_centre=document['node']['data_centre'],
         callers=CallerSettings(**document['callers']),
         operators=OperatorSettings(**operators),
-        peers=PeerSettings(**_tupled(document.get('peers', {}), 'seeds')),
-        store=StoreSettings(**_tupled(document['store'], 'addresses')),
+        peers=PeerSettings(
+            **_convert_to_tuple(document.get('peers', {}), 'seeds')
+        ),
+        store=StoreSettings(
+            **_convert_to_tuple(document['store'], 'addresses')
+        ),
         vm_list=VmListSettings(**document.get('vm_list', {})),
         log=LogSettings(**document.get('log', {})),
         shutdown=ShutdownSettings(**document.get('shutdown', {})),
     )
 
 
-def _tupled(spec: dict[str, Any], name: str) -> dict[str, Any]:
-    return {**spec, name: tuple(spec.get(name, ()))}
+def _convert_to_tuple(section: dict[str, Any], key: str) -> dict[str, Any]:
+    return {**section, key: tuple(section.get(key, ()))}
--- a/samphirerill/settings/schema.py
+++ b/samphirerill/settings/schema.py
@@ -1,4 +1,4 @@
-"""What a configuration and a settings file may hold, as JSON Schema."""
+"""JSON schemas of configuration documents and settings files."""
 
 from __future__ import annotations
 
@@ -6,18 +6,20 @@
 
 Schema = dict[str, Any]
 
-_NAME = '^[a-z0-9][a-z0-9._-]{0,62}$'
-_ADDRESS = r'^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$'
-_ANY_TEXT = {'type': 'string'}
-_DIGEST = '^sha256:[0-9a-f]{64}$'
+_NAME_PATTERN = '^[a-z0-9][a-z0-9._-]{0,62}$'
+_ADDRESS_PATTERN = r'^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$'
+_STRING = {'type': 'string'}
+_DIGEST_PATTERN = '^sha256:[0-9a-f]{64}$'
 
 
-def _text(pattern: str, meaning: str) -> Schema:
-    return {**_ANY_TEXT, 'pattern': pattern, 'description': meaning}
+def _matching_string(pattern: str, description: str) -> Schema:
+    return {**_STRING, 'pattern': pattern, 'description': description}
 
 
-def _number(least: float, meaning: str, kind: str = 'number') -> Schema:
-    return {'type': kind, 'minimum': least, 'description': meaning}
+def _number(
+    minimum: float, description: str, json_type: str = 'number'
+) -> Schema:
+    return {'type': json_type, 'minimum': minimum, 'description': description}
 
 
 def _object(members: Schema, required: tuple[str, ...] = ()) -> Schema:
@@ -29,29 +31,33 @@
     }
 
 
-def _by_name(member: Schema) -> Schema:
+def _mapping_by_name(member: Schema) -> Schema:
     return {
         'type': 'object',
-        'propertyNames': _text(_NAME, 'a name in lower case'),
+        'propertyNames': _matching_string(
+            _NAME_PATTERN, 'a name in lower case'
+        ),
         'additionalProperties': member,
     }
 
 
 _PRIORITY = {'enum': ['high', 'normal']}
-_ADDRESS_TEXT = _text(_ADDRESS, 'an IP address and port')
+_ADDRESS = _matching_string(_ADDRESS_PATTERN, 'an IP address and port')
 _PORT = {'type': 'integer', 'minimum': 0, 'maximum': 65_535}
-_DIGESTS = {
+_KEY_DIGESTS = {
     'type': 'array',
-    'items': _text(_DIGEST, 'sha256: and 64 hexadecimal digits'),
+    'items': _matching_string(
+        _DIGEST_PATTERN, 'sha256: and 64 hexadecimal digits'
+    ),
     'minItems': 1,
 }
 
 _MODEL = _object({'layers': _number(1, 'layers', 'integer')}, ('layers',))
 
-_DESIRED = _object(
+_DESIRED_STATE = _object(
     {
-        'version': _ANY_TEXT,
-        'adapters': {'type': 'array', 'items': _ANY_TEXT},
+        'version': _STRING,
+        'adapters': {'type': 'array', 'items': _STRING},
         'role': {'enum': ['', 'prefill', 'decode', 'both']},
     }
 )
@@ -59,9 +65,9 @@
 _ENDPOINT = _object(
     {
         'kind': {'enum': ['engine', 'service']},
-        'address': _ADDRESS_TEXT,
-        'data_centre': _text(_NAME, 'a name in lower case'),
-        'model': _ANY_TEXT,
+        'address': _ADDRESS,
+        'data_centre': _matching_string(_NAME_PATTERN, 'a name in lower case'),
+        'model': _STRING,
         'layers': {
             'type': 'array',
             'items': _number(0, 'a layer', 'integer'),
@@ -70,9 +76,9 @@
         },
         'slots': _number(1, 'requests at once', 'integer'),
         'layer_ms': _number(0, 'milliseconds'),
-        'accelerator': _ANY_TEXT,
+        'accelerator': _STRING,
         'checks_fencing': {'type': 'boolean'},
-        'desired': _DESIRED,
+        'desired': _DESIRED_STATE,
     },
     ('kind', 'address', 'data_centre'),
 )
@@ -80,10 +86,10 @@
 _ROUTE = _object(
     {
         'kind': {'enum': ['model', 'service']},
-        'model': _ANY_TEXT,
+        'model': _STRING,
         'endpoints': {
             'type': 'array',
-            'items': _ANY_TEXT,
+            'items': _STRING,
             'minItems': 1,
         },
         'priority': _PRIORITY,
@@ -96,8 +102,8 @@
 
 _ACCOUNT = _object(
     {
-        'keys': _DIGESTS,
-        'routes': {'type': 'array', 'items': _ANY_TEXT},
+        'keys': _KEY_DIGESTS,
+        'routes': {'type': 'array', 'items': _STRING},
         'weight': {'type': 'number', 'exclusiveMinimum': 0},
         'max_concurrent': _number(0, 'requests at once', 'integer'),
         'priority': _PRIORITY,
@@ -121,13 +127,13 @@
 
 CONFIGURATION: Schema = _object(
     {
-        'models': _by_name(_MODEL),
-        'endpoints': _by_name(_ENDPOINT),
-        'routes': _by_name(_ROUTE),
-        'accounts': _by_name(_ACCOUNT),
+        'models': _mapping_by_name(_MODEL),
+        'endpoints': _mapping_by_name(_ENDPOINT),
+        'routes': _mapping_by_name(_ROUTE),
+        'accounts': _mapping_by_name(_ACCOUNT),
         'links': {
             'type': 'object',
-            'propertyNames': _text(
+            'propertyNames': _matching_string(
                 '^[a-z0-9._-]+/[a-z0-9._-]+$', 'two data centres, as in a/b'
             ),
             'additionalProperties': _number(0, 'milliseconds one way'),
@@ -140,14 +146,16 @@
     {
         'node': _object(
             {
-                'name': _text(_NAME, 'a name in lower case'),
-                'data_centre': _text(_NAME, 'a name in lower case'),
+                'name': _matching_string(_NAME_PATTERN, 'a name in lower case'),
+                'data_centre': _matching_string(
+                    _NAME_PATTERN, 'a name in lower case'
+                ),
             },
             ('name', 'data_centre'),
         ),
         'callers': _object(
             {
-                'host': _ANY_TEXT,
+                'host': _STRING,
                 'port': _PORT,
                 'threads': _number(1, 'threads', 'integer'),
                 'max_body_bytes': _number(1, 'bytes', 'integer'),
@@ -157,17 +165,17 @@
         ),
         'operators': _object(
             {
-                'host': _ANY_TEXT,
+                'host': _STRING,
                 'port': _PORT,
-                'key_digests': _DIGESTS,
+                'key_digests': _KEY_DIGESTS,
             },
             ('host', 'port', 'key_digests'),
         ),
         'peers': _object(
             {
-                'host': _ANY_TEXT,
+                'host': _STRING,
                 'port': _PORT,
-                'seeds': {'type': 'array', 'items': _ADDRESS_TEXT},
+                'seeds': {'type': 'array', 'items': _ADDRESS},
             },
             ('host', 'port'),
         ),
@@ -175,7 +183,7 @@
             {
                 'addresses': {
                     'type': 'array',
-                    'items': _ADDRESS_TEXT,
+                    'items': _ADDRESS,
                     'minItems': 1,
                 },
                 'prefix': {'type': 'string', 'pattern': '^/.*/$'},
@@ -185,7 +193,7 @@
             ('addresses',),
         ),
         'vm_list': _object(
-            {'address': _ADDRESS_TEXT, 'every_s': _number(0.05, 'seconds')},
+            {'address': _ADDRESS, 'every_s': _number(0.05, 'seconds')},
             ('address',),
         ),
         'log': _object(
--- a/samphirerill/tests/test_command_line.py
+++ b/samphirerill/tests/test_command_line.py
@@ -16,7 +16,7 @@
 import samphirerill
 from samphirerill.cli.main import main
 from samphirerill.settings.errors import InvalidDocumentError
-from samphirerill.settings.jsonc import parse_commented
+from samphirerill.settings.jsonc import parse_jsonc
 from samphirerill.settings.model import load_settings
 from samphirerill.testing.layout import OPERATOR_KEY
 from samphirerill.tests.support import ClusterCase
@@ -66,19 +66,19 @@
     def test_files_that_are_no_json(self) -> None:
         """The line of the mistake is named."""
         with self.assertRaises(InvalidDocumentError) as caught:
-            parse_commented('{\n "a": 1,\n "b" 2}', 'f')
+            parse_jsonc('{\n "a": 1,\n "b" 2}', 'f')
         self.assertEqual(caught.exception.findings[0].line, 3)
 
     def test_repeated_keys_are_refused(self) -> None:
         """A parser would keep the last one without a word."""
         with self.assertRaises(InvalidDocumentError) as caught:
-            parse_commented('{"a": 1,\n "a": 2}', 'f')
+            parse_jsonc('{"a": 1,\n "a": 2}', 'f')
         self.assertEqual(caught.exception.findings[0].line, 2)
 
     def test_comments_change_nothing_else(self) -> None:
         """Not even inside strings, and trailing commas are allowed."""
         text = '{"a": "x // y", /* z\n */ "b": [1, 2,], // end\n}'
-        parsed = parse_commented(text, 'f')
+        parsed = parse_jsonc(text, 'f')
         self.assertEqual(parsed.document, {'a': 'x // y', 'b': [1, 2]})
         self.assertEqual(parsed.find_line('/b'), 2)
 
