--- a/samphirerill/cli/main.py
+++ b/samphirerill/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The ``samphirerill`` command line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from samphirerill.cli.remote import (
     RemoteError,
     add_remote_options,
-    ask_operator,
+    call_operator_api,
 )
 from samphirerill.settings.checks import check_document
 from samphirerill.settings.errors import InvalidDocumentError
@@ -32,30 +32,30 @@
     Parameters
     ----------
     arguments : sequence of str, optional
-        The words after the program's name; those of the process if left out.
+        The arguments after the program name; by default those of the process.
     """
     options = build_parser().parse_args(arguments)
     command: Callable[[argparse.Namespace], int] = options.command
     try:
         return command(options)
     except InvalidDocumentError as exc:
-        _complain(str(exc))
+        _print_error(str(exc))
         return EXIT_INVALID
     except BrokenPipeError:
         return EXIT_FAILED
     except (RemoteError, OSError) as exc:
-        _complain(str(exc))
+        _print_error(str(exc))
         return EXIT_FAILED
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of all commands."""
+    """Build the argument parser with all commands."""
     parser = argparse.ArgumentParser(
         prog='samphirerill',
-        description='Route language-model requests through pipelines over '
-        'mixed accelerators.',
-        epilog='Remote commands read the operator key from the environment '
-        'variable SAMPHIRERILL_OPERATOR_KEY.',
+        description='Route language-model requests through pipelines of '
+        'replicas on heterogeneous accelerators.',
+        epilog='Commands that call a node read the operator key from the '
+        'environment variable SAMPHIRERILL_OPERATOR_KEY.',
     )
     commands = parser.add_subparsers(required=True, metavar='COMMAND')
     _add_serve(commands)
@@ -64,7 +64,7 @@
     _add_config(commands)
     _add_state(commands)
     _add_drain(commands)
-    _add_tools(commands)
+    _add_hash_key(commands)
     _add_bench(commands)
     _add_soak(commands)
     _add_lab(commands)
@@ -82,13 +82,14 @@
 
 def _add_edge(commands: Any) -> None:
     edge = commands.add_parser(
-        'edge', help="run a node on the users' platform until it is drained"
+        'edge',
+        help="run an edge node on the users' platform until it is drained",
     )
     edge.add_argument(
         '--config',
         default='',
         metavar='FILE',
-        help='the settings file; by default the one the environment names',
+        help='the settings file (default: taken from the environment)',
     )
     edge.set_defaults(command=_run_edge)
 
@@ -96,34 +97,39 @@
 def _add_check(commands: Any) -> None:
     check = commands.add_parser(
         'check',
-        help='check a settings or configuration file, or a scenario',
-        description='Exit 0 if the file is right; else name every error '
-        'with its line, what was got and what was expected, and exit 2.',
+        help='validate a settings, configuration or scenario file',
+        description='Exit 0 if the file is valid; else print every error '
+        'with its line, the actual and the expected value, and exit 2.',
     )
     check.add_argument('file', metavar='FILE')
     check.set_defaults(command=_check)
 
 
 def _add_config(commands: Any) -> None:
-    config = commands.add_parser('config', help='show or change the routes')
-    parts = config.add_subparsers(required=True, metavar='ACTION')
-    show = parts.add_parser('show', help='print the configuration in force')
+    config = commands.add_parser(
+        'config', help='show or change the configuration'
+    )
+    actions = config.add_subparsers(required=True, metavar='ACTION')
+    show = actions.add_parser('show', help='print the active configuration')
     show.add_argument(
         '--nodes',
         action='store_true',
-        help='print which version each node has in force',
+        help='print the active version on each node',
     )
     add_remote_options(show)
     show.set_defaults(command=_show_config)
-    history = parts.add_parser('history', help='print the accepted changes')
+    history = actions.add_parser('history', help='print the retained changes')
     add_remote_options(history)
     history.set_defaults(command=_show_history)
-    patch = parts.add_parser(
+    patch = actions.add_parser(
         'patch',
-        help='submit a patch (RFC 6902) against a version',
-        description='The patch is refused if another version is current.',
+        help='apply a JSON patch (RFC 6902) to a version',
+        description='The patch is rejected if --base is not the current '
+        'version.',
+    )
+    patch.add_argument(
+        'file', metavar='FILE', help='a JSON list of patch operations'
     )
-    patch.add_argument('file', metavar='FILE', help='a list of operations')
     patch.add_argument('--base', required=True, type=int, metavar='N')
     patch.add_argument('--dry-run', action='store_true')
     patch.add_argument('--author', default=os.environ.get('USER', 'operator'))
@@ -132,8 +138,10 @@
 
 
 def _add_state(commands: Any) -> None:
-    state = commands.add_parser('state', help="print one process's state")
-    state.add_argument('--json', action='store_true', help='print it whole')
+    state = commands.add_parser('state', help="print a node's state")
+    state.add_argument(
+        '--json', action='store_true', help='print the full state as JSON'
+    )
     add_remote_options(state)
     state.set_defaults(command=_show_state)
 
@@ -144,17 +152,17 @@
     drain.set_defaults(command=_drain)
 
 
-def _add_tools(commands: Any) -> None:
-    hashing = commands.add_parser(
+def _add_hash_key(commands: Any) -> None:
+    hash_key = commands.add_parser(
         'hash-key', help='print the digest of a key read from standard input'
     )
-    hashing.set_defaults(command=_hash_key)
+    hash_key.set_defaults(command=_hash_key)
 
 
 def _add_bench(commands: Any) -> None:
     from samphirerill.bench.command import add_bench_options
 
-    bench = commands.add_parser('bench', help='measure, on loopback')
+    bench = commands.add_parser('bench', help='run benchmarks on loopback')
     add_bench_options(bench)
 
 
@@ -162,7 +170,7 @@
     from samphirerill.testing.soak.command import add_soak_options
 
     soak = commands.add_parser(
-        'soak', help='run real nodes under faults and check every promise'
+        'soak', help='run nodes under injected faults and check invariants'
     )
     add_soak_options(soak)
 
@@ -171,7 +179,7 @@
     from samphirerill.emulator.lab import add_lab_options
 
     lab = commands.add_parser(
-        'lab', help='play fleets and plans in an emulator'
+        'lab', help='simulate fleets and placement plans in an emulator'
     )
     add_lab_options(lab)
 
@@ -181,17 +189,16 @@
 
     explain = commands.add_parser(
         'explain',
-        help="find out from nodes' logs why streams were late",
-        description='Print the causes of all late streams with the time that '
-        'each phase took, or with --request one request from first to last.',
+        help="find the causes of late streams in nodes' logs",
+        description='Print the causes of late streams with the time that each '
+        'phase took, or with --request the log records of one request.',
     )
     add_explain_options(explain)
 
 
 def _serve(options: argparse.Namespace) -> int:
     settings = load_settings(options.config)
-    # The server's libraries are only loaded to serve: other commands start
-    # faster without them.
+    # Imported lazily: the server's libraries would slow down other commands.
     from samphirerill.edges.serving import ListenError
     from samphirerill.node.logs import start_logging
     from samphirerill.node.process import serve
@@ -200,7 +207,7 @@
     try:
         return serve(settings)
     except ListenError as exc:
-        _complain(str(exc))
+        _print_error(str(exc))
         return EXIT_FAILED
 
 
@@ -218,51 +225,51 @@
         load_scenario(options.file)
     else:
         check_document(parsed)
-    _print(f'{options.file}: right')
+    _print_line(f'{options.file}: valid')
     return EXIT_OK
 
 
 def _show_config(options: argparse.Namespace) -> int:
     if not options.nodes:
-        _print_json(ask_operator(options, '/config'))
+        _print_json(call_operator_api(options, '/config'))
         return EXIT_OK
-    for node in ask_operator(options, '/nodes'):
+    for node in call_operator_api(options, '/nodes'):
         version = node['version']
-        shown = 'no answer' if version is None else f'version {version}'
-        _print(f'{node["node"]}: {shown}')
+        status = 'no answer' if version is None else f'version {version}'
+        _print_line(f'{node["node"]}: {status}')
     return EXIT_OK
 
 
 def _show_history(options: argparse.Namespace) -> int:
-    for change in ask_operator(options, '/history'):
-        _print(json.dumps(change))
+    for change in call_operator_api(options, '/history'):
+        _print_line(json.dumps(change))
     return EXIT_OK
 
 
 def _patch_config(options: argparse.Namespace) -> int:
-    order = {
+    submission = {
         'base': options.base,
         'patch': read_commented(options.file).document,
         'author': options.author,
         'dry_run': options.dry_run,
     }
-    answer = ask_operator(options, '/patch', order)
-    done = 'would be accepted' if answer['dry_run'] else 'accepted'
-    _print(f'version {answer["version"]} {done}')
+    response = call_operator_api(options, '/patch', submission)
+    result = 'would be accepted' if response['dry_run'] else 'accepted'
+    _print_line(f'version {response["version"]} {result}')
     return EXIT_OK
 
 
 def _show_state(options: argparse.Namespace) -> int:
-    state = ask_operator(options, '/state')
+    state = call_operator_api(options, '/state')
     if options.json:
         _print_json(state)
         return EXIT_OK
     core = state['core']
-    _print(f'node {state["node"]} healthy={state["healthy"]}')
-    _print(f'configuration version {core["configuration_version"]}')
-    _print(f'open requests {core["requests"]} waiting {core["waiting"]}')
+    _print_line(f'node {state["node"]} healthy={state["healthy"]}')
+    _print_line(f'configuration version {core["configuration_version"]}')
+    _print_line(f'open requests {core["requests"]} waiting {core["waiting"]}')
     for name, endpoint in core['endpoints'].items():
-        _print(
+        _print_line(
             f'endpoint {name} {endpoint["health"]} '
             f'in_flight={endpoint["in_flight"]} free={endpoint["free"]}'
         )
@@ -270,25 +277,25 @@
 
 
 def _drain(options: argparse.Namespace) -> int:
-    ask_operator(options, '/drain', {})
-    _print('draining')
+    call_operator_api(options, '/drain', {})
+    _print_line('draining')
     return EXIT_OK
 
 
 def _hash_key(options: argparse.Namespace) -> int:
     from samphirerill.edges.operators import hash_key
 
-    _print(hash_key(sys.stdin.readline().strip()))
+    _print_line(hash_key(sys.stdin.readline().strip()))
     return EXIT_OK
 
 
 def _print_json(document: Any) -> None:
-    _print(json.dumps(document, indent=1))
+    _print_line(json.dumps(document, indent=1))
 
 
-def _print(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
 
 
-def _complain(line: str) -> None:
+def _print_error(line: str) -> None:
     sys.stderr.write(f'{line}\n')
--- a/samphirerill/cli/remote.py
+++ b/samphirerill/cli/remote.py
@@ -1,4 +1,4 @@
-"""Ask a running node's operators' interface."""
+"""Client for the operator API of a running node."""
 
 from __future__ import annotations
 
@@ -12,44 +12,47 @@
 if TYPE_CHECKING:
     import argparse
 
-KEY_VARIABLE = 'SAMPHIRERILL_OPERATOR_KEY'
-ADDRESS_VARIABLE = 'SAMPHIRERILL_OPERATORS'
+KEY_ENV_VAR = 'SAMPHIRERILL_OPERATOR_KEY'
+ADDRESS_ENV_VAR = 'SAMPHIRERILL_OPERATORS'
 _TIMEOUT_S = 15.0
-_BAD = 400
+_MIN_ERROR_STATUS = 400
 
 
 class RemoteError(Exception):
-    """A node gave no answer or refused."""
+    """A node did not answer, or it answered with an error."""
 
 
 def add_remote_options(parser: argparse.ArgumentParser) -> None:
-    """Let a command name the node it asks."""
+    """Add the options that select the node to call."""
     parser.add_argument(
         '--node',
         metavar='HOST:PORT',
-        default=os.environ.get(ADDRESS_VARIABLE, '127.0.0.1:8081'),
-        help=f"the node's operators' address (default: {ADDRESS_VARIABLE})",
+        default=os.environ.get(ADDRESS_ENV_VAR, '127.0.0.1:8081'),
+        help=f"address of the node's operator API (default: {ADDRESS_ENV_VAR})",
     )
 
 
-def ask_operator(
-    options: argparse.Namespace, target: str, document: Any = None
+def call_operator_api(
+    options: argparse.Namespace, path: str, document: Any = None
 ) -> Any:
-    """Call a node's operators' interface and return its JSON answer.
+    """Call a node's operator API and return the decoded JSON response.
+
+    Sends a POST request if there is a `document`, else a GET request.
 
     Raises
     ------
     RemoteError
-        The node gave no answer or refused.
+        No operator key is set, or the node did not answer or rejected the
+        request.
     """
-    key = os.environ.get(KEY_VARIABLE, '')
+    key = os.environ.get(KEY_ENV_VAR, '')
     if not key:
-        raise RemoteError(f'got no key, expected one in {KEY_VARIABLE}')
+        raise RemoteError(f'no operator key: set {KEY_ENV_VAR}')
     body = None if document is None else json.dumps(document)
     try:
         response = PoolManager(retries=False).request(
             'GET' if body is None else 'POST',
-            f'http://{options.node}{target}',
+            f'http://{options.node}{path}',
             body=body,
             headers={'Authorization': f'Bearer {key}'},
             timeout=Timeout(total=_TIMEOUT_S),
@@ -57,6 +60,6 @@
         answer = json.loads(response.data)
     except (HTTPError, ValueError) as exc:
         raise RemoteError(f'no answer from {options.node}: {exc}') from exc
-    if response.status >= _BAD:
+    if response.status >= _MIN_ERROR_STATUS:
         raise RemoteError(f'{answer["title"]}: {answer["detail"]}')
     return answer
