--- a/samphirerill/reports/__init__.py
+++ b/samphirerill/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports for operators, made of what nodes have logged."""
+"""Reports for operators, derived from nodes' logs."""
--- a/samphirerill/reports/explain.py
+++ b/samphirerill/reports/explain.py
@@ -1,4 +1,4 @@
-"""The command ``samphirerill explain``: from nodes' logs to causes."""
+"""The command ``samphirerill explain``: find the causes of late streams."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 from msgspec import json
 
-from samphirerill.reports.journal import Journal
-from samphirerill.reports.lateness import Aims, list_late
+from samphirerill.reports.late_streams import LatencyTargets, list_late_streams
+from samphirerill.reports.log_index import LogIndex
 
 if TYPE_CHECKING:
     import argparse
 
-    from samphirerill.reports.journal import Line
-    from samphirerill.reports.lateness import Cause, Lateness
+    from samphirerill.reports.late_streams import Cause, LateStream
+    from samphirerill.reports.log_index import LogRecord
 
 _EXIT_MISSING = 1
-_HIDDEN = frozenset(('time', 'level', 'part', 'event', 'request'))
-_EVIDENCE = frozenset(
+_HIDDEN_FIELDS = frozenset(('time', 'level', 'part', 'event', 'request'))
+_HOLD_EVENTS = frozenset(
     (
         'replica ended under requests',
         'request held back',
         'request released',
     )
 )
-_WIDTHS = (9, 10, 10, 9)
+_TIME_WIDTHS = (9, 10, 10, 9)
 _HEADER = (
     f'{"cause":<32}{"streams":>8}{"late ms":>9}{"noticing":>10}'
     f'{"deciding":>10}{"reading":>9}'
@@ -37,136 +37,147 @@
 
 def add_explain_options(parser: argparse.ArgumentParser) -> None:
     """Add the command's options."""
-    usual = Aims()
+    defaults = LatencyTargets()
     parser.add_argument('logs', nargs='+', metavar='LOG')
     parser.add_argument('--request', default='', metavar='ID')
     parser.add_argument(
         '--first',
         type=float,
-        default=usual.first_ms,
+        default=defaults.first_event_ms,
         metavar='MS',
-        help='the time within which a first event is on time',
+        help='the latency target for the first event',
     )
     parser.add_argument(
         '--pause',
         type=float,
-        default=usual.pause_ms,
+        default=defaults.pause_ms,
         metavar='MS',
-        help='the longest pause between events that is on time',
+        help='the latency target for the time between events',
     )
     parser.add_argument('--json', action='store_true')
     parser.set_defaults(command=explain)
 
 
 def explain(options: argparse.Namespace) -> int:
-    """Print one request's story, or the causes of all late streams."""
-    journal = Journal()
-    for name in options.logs:
-        with Path(name).open(errors='replace') as lines:
-            journal.read(lines)
+    """Print the log records of a request or the causes of late streams."""
+    index = LogIndex()
+    for path in options.logs:
+        with Path(path).open(errors='replace') as lines:
+            index.add_lines(lines)
     if options.request:
-        return _tell_story(journal, options.request)
-    late = list_late(journal, Aims(options.first, options.pause))
+        return _print_request(index, options.request)
+    late_streams = list_late_streams(
+        index, LatencyTargets(options.first, options.pause)
+    )
     if options.json:
-        _print(json.encode([_to_row(item) for item in late]).decode())
+        _print_line(
+            json.encode(
+                [_build_json_row(stream) for stream in late_streams]
+            ).decode()
+        )
     else:
-        for text in describe(late):
-            _print(text)
+        for row in format_table(late_streams):
+            _print_line(row)
     return 0
 
 
-def describe(late: list[Lateness]) -> list[str]:
-    """Return a table: for each cause its streams, and medians of times."""
-    groups: defaultdict[Cause, list[Lateness]] = defaultdict(list)
-    for item in late:
-        groups[item.cause].append(item)
+def format_table(late_streams: list[LateStream]) -> list[str]:
+    """Format a table with the count and median phase times per cause."""
+    groups: defaultdict[Cause, list[LateStream]] = defaultdict(list)
+    for stream in late_streams:
+        groups[stream.cause].append(stream)
     rows = [_HEADER]
     rows.extend(
-        _describe_cause(cause, group)
-        for cause, group in sorted(groups.items(), key=_rank)
+        _format_row(cause, group)
+        for cause, group in sorted(groups.items(), key=_get_group_order)
     )
     return rows
 
 
-def _describe_cause(cause: Cause, group: list[Lateness]) -> str:
+def _format_row(cause: Cause, streams: list[LateStream]) -> str:
     times = (
-        median(late.late_ms for late in group),
-        median(late.noticing_ms for late in group),
-        median(late.deciding_ms for late in group),
-        median(late.reading_ms for late in group),
+        median(stream.delay_ms for stream in streams),
+        median(stream.detection_ms for stream in streams),
+        median(stream.dispatch_ms for stream in streams),
+        median(stream.response_ms for stream in streams),
     )
-    shown = ''.join(
+    columns = ''.join(
         f'{time_ms:>{width}.0f}'
-        for time_ms, width in zip(times, _WIDTHS, strict=True)
+        for time_ms, width in zip(times, _TIME_WIDTHS, strict=True)
     )
-    return f'{cause.value:<32}{len(group):>8}{shown}'
+    return f'{cause.value:<32}{len(streams):>8}{columns}'
 
 
-def _rank(group: tuple[Cause, list[Lateness]]) -> int:
+def _get_group_order(group: tuple[Cause, list[LateStream]]) -> int:
     return -len(group[1])
 
 
-def _to_row(item: Lateness) -> dict[str, object]:
+def _build_json_row(stream: LateStream) -> dict[str, object]:
     return {
-        'request': item.request,
-        'cause': item.cause.value,
-        'late_ms': round(item.late_ms),
-        'noticing_ms': round(item.noticing_ms),
-        'deciding_ms': round(item.deciding_ms),
-        'reading_ms': round(item.reading_ms),
+        'request': stream.request,
+        'cause': stream.cause.value,
+        'late_ms': round(stream.delay_ms),
+        'noticing_ms': round(stream.detection_ms),
+        'deciding_ms': round(stream.dispatch_ms),
+        'reading_ms': round(stream.response_ms),
     }
 
 
-def _tell_story(journal: Journal, request: str) -> int:
-    """Print all lines of a request, and what became of its replicas."""
-    story = journal.requests.get(request, [])
-    if not story:
-        sys.stderr.write(f'no line of request {request!r} in these logs\n')
+def _print_request(index: LogIndex, request: str) -> int:
+    """Print the records of a request and of the replicas it used."""
+    records = index.by_request.get(request, [])
+    if not records:
+        sys.stderr.write(f'no log records of request {request!r}\n')
         return _EXIT_MISSING
-    since, until = story[0].at, story[-1].at
-    paths = ' '.join(str(line.facts.get('path', '')) for line in story)
-    around = [
-        line
-        for line in journal.others
-        if since <= line.at <= until
-        and str(line.facts.get('replica', ' ')) in paths
+    start_s, end_s = records[0].time_s, records[-1].time_s
+    paths = ' '.join(str(record.fields.get('path', '')) for record in records)
+    related = [
+        record
+        for record in index.without_request
+        if start_s <= record.time_s <= end_s
+        and str(record.fields.get('replica', ' ')) in paths
     ]
-    around += [
-        line for line in journal.others if _is_evidence(line, request, story)
+    related += [
+        record
+        for record in index.without_request
+        if _explains_hold(record, request, records)
     ]
-    for line in sorted([*story, *around], key=_get_time):
-        _print(_format_line(line, since))
+    for record in sorted([*records, *related], key=_get_time):
+        _print_line(_format_record(record, start_s))
     return 0
 
 
-def _is_evidence(line: Line, request: str, story: list[Line]) -> bool:
-    """Return whether a line tells why the request is held back.
+def _explains_hold(
+    record: LogRecord, request: str, records: list[LogRecord]
+) -> bool:
+    """Return whether a record says why the request is held back.
 
-    Such a line names attempts at the request, of which this may be one; the
-    refusal of this one names the first of them.
+    Such a record names requests with the same content: this one, or the first
+    of them, whose id then ends the reason for which this one was rejected.
     """
-    if line.event not in _EVIDENCE:
+    if record.event not in _HOLD_EVENTS:
         return False
-    first = str(line.facts.get('first_request', ''))
-    told = [str(fact) for fact in line.facts.values()]
-    reasons = [str(mine.facts.get('reason', '')) for mine in story]
-    return any(request in fact for fact in told) or (
-        bool(first) and any(reason.endswith(first) for reason in reasons)
+    first_request = str(record.fields.get('first_request', ''))
+    field_texts = [str(field_value) for field_value in record.fields.values()]
+    reasons = [str(own.fields.get('reason', '')) for own in records]
+    return any(request in field_value for field_value in field_texts) or (
+        bool(first_request)
+        and any(reason.endswith(first_request) for reason in reasons)
     )
 
 
-def _format_line(line: Line, since: float) -> str:
-    facts = ' '.join(
-        f'{name}={fact}'
-        for name, fact in line.facts.items()
-        if name not in _HIDDEN
+def _format_record(record: LogRecord, start_s: float) -> str:
+    fields = ' '.join(
+        f'{name}={field_value}'
+        for name, field_value in record.fields.items()
+        if name not in _HIDDEN_FIELDS
     )
-    return f'{line.at - since:8.3f} s  {line.event}  {facts}'
+    return f'{record.time_s - start_s:8.3f} s  {record.event}  {fields}'
 
 
-def _get_time(line: Line) -> float:
-    return line.at
+def _get_time(record: LogRecord) -> float:
+    return record.time_s
 
 
-def _print(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f'{text}\n')
--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From nodes' logs to why streams were late."""
+"""Tests of the report on late streams."""
 
 from __future__ import annotations
 
@@ -11,21 +11,25 @@
 from unittest import TestCase
 
 from samphirerill.cli.main import main
-from samphirerill.reports.explain import describe
-from samphirerill.reports.journal import Journal
-from samphirerill.reports.lateness import Aims, Cause, list_late
+from samphirerill.reports.explain import format_table
+from samphirerill.reports.late_streams import (
+    Cause,
+    LatencyTargets,
+    list_late_streams,
+)
+from samphirerill.reports.log_index import LogIndex
 
-_MINUTE = '2030-05-01T10:00:'
+_TIME_PREFIX = '2030-05-01T10:00:'
 
 
-def _line(second: float, event: str, **facts: Any) -> str:
-    stamp = f'{_MINUTE}{second:09.6f}Z'
-    return json.dumps({'time': stamp, 'event': event, **facts})
+def _line(time_s: float, event: str, **fields: Any) -> str:
+    timestamp = f'{_TIME_PREFIX}{time_s:09.6f}Z'
+    return json.dumps({'time': timestamp, 'event': event, **fields})
 
 
-def _end(second: float, request: str, pause_ms: int, ago_ms: int) -> str:
+def _end(time_s: float, request: str, pause_ms: int, ago_ms: int) -> str:
     return _line(
-        second,
+        time_s,
         'stream ended',
         request=request,
         first_ms=50,
@@ -36,22 +40,28 @@
 
 _LOG = [
     'a line of something else',
-    _line(1, 'stream sent', request='dead', path='one:0-80', waited_ms=1),
-    # Its last event came at 2.0 s, the next one at 2.3.
+    _line(
+        1, 'stream sent', request='unresponsive', path='one:0-80', waited_ms=1
+    ),
+    # The pause lasts from 2.0 s to 2.3 s.
     _line(2.08, 'replica avoided', replica='one', reason='does not answer'),
-    _line(2.1, 'stream broke', request='dead', reason='path waits for one'),
-    _line(2.2, 'stream sent', request='dead', path='two:0-80', waited_ms=9),
-    _end(4, 'dead', 300, 1700),
-    _line(1, 'stream sent', request='crowded', path='two:0-80', waited_ms=1),
-    _end(3, 'crowded', 250, 500),
-    _line(1, 'stream sent', request='timely', path='two:0-80', waited_ms=1),
-    _end(3, 'timely', 150, 500),
+    _line(
+        2.1, 'stream broke', request='unresponsive', reason='path waits for one'
+    ),
+    _line(
+        2.2, 'stream sent', request='unresponsive', path='two:0-80', waited_ms=9
+    ),
+    _end(4, 'unresponsive', 300, 1700),
+    _line(1, 'stream sent', request='overloaded', path='two:0-80', waited_ms=1),
+    _end(3, 'overloaded', 250, 500),
+    _line(1, 'stream sent', request='on-time', path='two:0-80', waited_ms=1),
+    _end(3, 'on-time', 150, 500),
     _line(1, 'stream sent', request='queued', path='two:0-80', waited_ms=700),
     _line(3, 'stream ended', request='queued', first_ms=750, most_gap_ms=40),
 ]
 
 
-_HELD_LOG = [
+_HOLD_LOG = [
     _line(1, 'stream sent', request='first', path='one:0-80', waited_ms=1),
     _line(2, 'replica ended under requests', requests=['first'], count=3),
     _line(
@@ -72,27 +82,28 @@
 
 
 class TestExplain(TestCase):
-    """Causes, phases, and one request's story."""
+    """Causes and phases of late streams, and the records of one request."""
 
     def setUp(self) -> None:
-        self.journal = Journal()
-        self.journal.read(f'edge-1 {line}' for line in _LOG)
+        self.index = LogIndex()
+        self.index.add_lines(f'edge-1 {line}' for line in _LOG)
 
     def test_each_late_stream_has_a_cause(self) -> None:
         causes = {
-            late.request: late.cause for late in list_late(self.journal, Aims())
+            late_stream.request: late_stream.cause
+            for late_stream in list_late_streams(self.index, LatencyTargets())
         }
         self.assertEqual(
             causes,
             {
-                'dead': Cause.SILENT,
-                'crowded': Cause.CROWDED,
-                'queued': Cause.NO_PATH,
+                'unresponsive': Cause.REPLICA_UNRESPONSIVE,
+                'overloaded': Cause.OVERLOAD,
+                'queued': Cause.WAITED_FOR_PATH,
             },
         )
-        self.assertEqual(self.journal.skipped, 1)
+        self.assertEqual(self.index.skipped_lines, 1)
 
-    def test_why_a_request_is_held_back_is_found_from_any_attempt(
+    def test_any_attempt_shows_why_a_request_is_held_back(
         self,
     ) -> None:
         expected = {
@@ -102,7 +113,7 @@
         }
         with TemporaryDirectory() as folder:
             log = Path(folder) / 'edge.log'
-            log.write_text('\n'.join(_HELD_LOG))
+            log.write_text('\n'.join(_HOLD_LOG))
             for request, events in expected.items():
                 out = io.StringIO()
                 with contextlib.redirect_stdout(out):
@@ -112,47 +123,52 @@
                 for line, event in zip(lines, events, strict=True):
                     self.assertIn(event, line)
 
-    def test_a_run_that_took_over_is_told_from_one_that_broke(self) -> None:
-        stories = {
-            'silent': ('one: does not answer', Cause.SILENT),
+    def test_unresponsive_replica_is_distinguished_from_lost_one(self) -> None:
+        reasons = {
+            'silent': ('one: does not answer', Cause.REPLICA_UNRESPONSIVE),
             'lost': ('one is lost', Cause.MOVED),
         }
-        for request, (reason, cause) in stories.items():
+        for request, (reason, cause) in reasons.items():
             with self.subTest(request):
-                journal = Journal()
+                index = LogIndex()
                 lines = (
                     _line(1, 'stream sent', request=request, waited_ms=1),
                     _line(2.1, 'stream leaves', request=request, reason=reason),
                     _line(2.15, 'stream sent beside', request=request),
                     _end(4, request, 300, 1700),
                 )
-                journal.read(f'edge-1 {line}' for line in lines)
-                late = list_late(journal, Aims())[0]
-                self.assertIs(late.cause, cause)
-                self.assertAlmostEqual(late.deciding_ms, 50, delta=1)
-
-    def test_a_pause_is_cut_into_phases(self) -> None:
-        late = {item.request: item for item in list_late(self.journal, Aims())}
-        dead = late['dead']
-        self.assertAlmostEqual(dead.noticing_ms, 100, delta=1)
-        self.assertAlmostEqual(dead.deciding_ms, 100, delta=1)
-        self.assertAlmostEqual(dead.reading_ms, 100, delta=1)
-
-    def test_what_callers_accept_decides(self) -> None:
-        patient = list_late(self.journal, Aims(first_ms=1000, pause_ms=400))
-        self.assertEqual(patient, [])
-
-    def test_the_table_has_a_row_for_each_cause(self) -> None:
-        rows = describe(list_late(self.journal, Aims()))
+                index.add_lines(f'edge-1 {line}' for line in lines)
+                late_stream = list_late_streams(index, LatencyTargets())[0]
+                self.assertIs(late_stream.cause, cause)
+                self.assertAlmostEqual(late_stream.dispatch_ms, 50, delta=1)
+
+    def test_pause_is_divided_into_phases(self) -> None:
+        late = {
+            late_stream.request: late_stream
+            for late_stream in list_late_streams(self.index, LatencyTargets())
+        }
+        stream = late['unresponsive']
+        self.assertAlmostEqual(stream.detection_ms, 100, delta=1)
+        self.assertAlmostEqual(stream.dispatch_ms, 100, delta=1)
+        self.assertAlmostEqual(stream.response_ms, 100, delta=1)
+
+    def test_latency_targets_define_late_streams(self) -> None:
+        late = list_late_streams(
+            self.index, LatencyTargets(first_event_ms=1000, pause_ms=400)
+        )
+        self.assertEqual(late, [])
+
+    def test_table_has_one_row_per_cause(self) -> None:
+        rows = format_table(list_late_streams(self.index, LatencyTargets()))
         self.assertEqual(len(rows), 4)
 
-    def test_a_story_names_what_befell_its_replicas(self) -> None:
+    def test_request_report_includes_events_of_its_replicas(self) -> None:
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'node.log'
             path.write_text('\n'.join(_LOG))
             out = io.StringIO()
             with contextlib.redirect_stdout(out):
-                code = main(['explain', str(path), '--request', 'dead'])
+                code = main(['explain', str(path), '--request', 'unresponsive'])
             self.assertEqual(code, 0)
             self.assertIn('replica avoided', out.getvalue())
             with contextlib.redirect_stderr(io.StringIO()):
