--- a/samphirerill/cli/main.py
+++ b/samphirerill/cli/main.py
@@ -8,7 +8,7 @@
 import sys
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.cli.remote import (
+from samphirerill.cli.operator_client import (
     RemoteError,
     add_remote_options,
     call_operator_api,
--- a/samphirerill/edges/callers.py
+++ b/samphirerill/edges/callers.py
@@ -14,12 +14,12 @@
 
 from samphirerill.backends.service import drop_hop_by_hop
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.edges.bodies import (
+from samphirerill.edges.handoff import SOCKET_HANDLERS
+from samphirerill.edges.request_validation import (
     InvalidRequestError,
     parse_completion_body,
     parse_request_timeout,
 )
-from samphirerill.edges.handoff import SOCKET_HANDLERS
 from samphirerill.edges.serving import (
     read_bearer_token,
     render_json,
