--- a/samphirerill/reports/explain.py
+++ b/samphirerill/reports/explain.py
@@ -10,18 +10,18 @@
 
 from msgspec import json
 
-from samphirerill.reports.late_streams import LatencyTargets, list_late_streams
-from samphirerill.reports.log_index import LogIndex
+from samphirerill.reports.journal import LogIndex
+from samphirerill.reports.lateness import LatencyTargets, list_late_streams
 
 if TYPE_CHECKING:
     import argparse
 
-    from samphirerill.reports.late_streams import Cause, LateStream
-    from samphirerill.reports.log_index import LogRecord
+    from samphirerill.reports.journal import LogRecord
+    from samphirerill.reports.lateness import Cause, LateStream
 
 _EXIT_MISSING = 1
 _HIDDEN_FIELDS = frozenset(('time', 'level', 'part', 'event', 'request'))
-_HOLD_EVENTS = frozenset(
+_QUARANTINE_EVENTS = frozenset(
     (
         'replica ended under requests',
         'request held back',
@@ -140,22 +140,22 @@
     related += [
         record
         for record in index.without_request
-        if _explains_hold(record, request, records)
+        if _explains_quarantine(record, request, records)
     ]
     for record in sorted([*records, *related], key=_get_time):
         _print_line(_format_record(record, start_s))
     return 0
 
 
-def _explains_hold(
+def _explains_quarantine(
     record: LogRecord, request: str, records: list[LogRecord]
 ) -> bool:
-    """Return whether a record says why the request is held back.
+    """Return whether a record says why the request is quarantined.
 
     Such a record names requests with the same content: this one, or the first
     of them, whose id then ends the reason for which this one was rejected.
     """
-    if record.event not in _HOLD_EVENTS:
+    if record.event not in _QUARANTINE_EVENTS:
         return False
     first_request = str(record.fields.get('first_request', ''))
     field_texts = [str(field_value) for field_value in record.fields.values()]
--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -12,12 +12,12 @@
 
 from samphirerill.cli.main import main
 from samphirerill.reports.explain import format_table
-from samphirerill.reports.late_streams import (
+from samphirerill.reports.journal import LogIndex
+from samphirerill.reports.lateness import (
     Cause,
     LatencyTargets,
     list_late_streams,
 )
-from samphirerill.reports.log_index import LogIndex
 
 _TIME_PREFIX = '2030-05-01T10:00:'
 
@@ -61,7 +61,7 @@
 ]
 
 
-_HOLD_LOG = [
+_QUARANTINE_LOG = [
     _line(1, 'stream sent', request='first', path='one:0-80', waited_ms=1),
     _line(2, 'replica ended under requests', requests=['first'], count=3),
     _line(
@@ -113,7 +113,7 @@
         }
         with TemporaryDirectory() as folder:
             log = Path(folder) / 'edge.log'
-            log.write_text('\n'.join(_HOLD_LOG))
+            log.write_text('\n'.join(_QUARANTINE_LOG))
             for request, events in expected.items():
                 out = io.StringIO()
                 with contextlib.redirect_stdout(out):
