--- a/samphirerill/settings/checks.py
+++ b/samphirerill/settings/checks.py
@@ -5,7 +5,11 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.settings.errors import Finding, InvalidDocumentError
-from samphirerill.settings.schema import CONFIGURATION, SETTINGS, Schema
+from samphirerill.settings.schema import (
+    CONFIGURATION_SCHEMA,
+    SETTINGS_SCHEMA,
+    Schema,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -24,7 +28,7 @@
     undefined names, for models with layers that no endpoint serves, for
     routes without endpoints and for keys shared between accounts.
     """
-    findings = _check_schema(document, CONFIGURATION)
+    findings = _check_schema(document, CONFIGURATION_SCHEMA)
     if findings:
         return findings
     return [
@@ -36,7 +40,7 @@
 
 def check_settings(document: Any) -> list[Finding]:
     """Return all errors in a settings document."""
-    return _check_schema(document, SETTINGS)
+    return _check_schema(document, SETTINGS_SCHEMA)
 
 
 def check_document(parsed: ParsedDocument) -> None:
--- a/samphirerill/settings/schema.py
+++ b/samphirerill/settings/schema.py
@@ -125,7 +125,7 @@
     }
 )
 
-CONFIGURATION: Schema = _object(
+CONFIGURATION_SCHEMA: Schema = _object(
     {
         'models': _mapping_by_name(_MODEL),
         'endpoints': _mapping_by_name(_ENDPOINT),
@@ -142,7 +142,7 @@
     }
 )
 
-SETTINGS: Schema = _object(
+SETTINGS_SCHEMA: Schema = _object(
     {
         'node': _object(
             {
