--- a/samphirerill/reports/journal.py
+++ b/samphirerill/reports/journal.py
@@ -1,4 +1,4 @@
-"""Read nodes' logs: JSON lines, perhaps with something before each."""
+"""Parse nodes' logs: JSON lines, each with an optional prefix."""
 
 from __future__ import annotations
 
@@ -13,50 +13,53 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_START = '{"time'
+_RECORD_START = '{"time'
 
 
 @dataclass(slots=True)
-class Line:
-    """One line of a log; `at` is its time of day in seconds."""
+class LogRecord:
+    """One log record; `time_s` is in seconds since the Unix epoch."""
 
-    at: float
+    time_s: float
     event: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
 
 @dataclass(slots=True)
-class Journal:
-    """What several nodes logged: by request, and about no request.
+class LogIndex:
+    """Log records of several nodes, grouped by request.
 
-    `skipped` counts lines that are no log lines.
+    `without_request` holds the records that name no request; `skipped_lines`
+    counts the non-empty lines that are not log records.
     """
 
-    requests: defaultdict[str, list[Line]] = field(
+    by_request: defaultdict[str, list[LogRecord]] = field(
         default_factory=partial(defaultdict, list)
     )
-    others: list[Line] = field(default_factory=list)
-    skipped: int = 0
+    without_request: list[LogRecord] = field(default_factory=list)
+    skipped_lines: int = 0
 
-    def read(self, lines: Iterable[str]) -> None:
-        """Take lines of one log."""
+    def add_lines(self, lines: Iterable[str]) -> None:
+        """Parse and add the lines of one log."""
         for text in lines:
-            line = _parse(text)
-            if line is None:
-                self.skipped += bool(text.strip())
+            record = _parse_line(text)
+            if record is None:
+                self.skipped_lines += bool(text.strip())
                 continue
-            request = line.facts.get('request', '')
-            story = self.requests[request] if request else self.others
-            story.append(line)
+            request = record.fields.get('request', '')
+            records = (
+                self.by_request[request] if request else self.without_request
+            )
+            records.append(record)
 
 
-def _parse(text: str) -> Line | None:
-    at = text.find(_START)
-    if at < 0:
+def _parse_line(text: str) -> LogRecord | None:
+    start = text.find(_RECORD_START)
+    if start < 0:
         return None
     try:
-        facts = json.decode(text[at:])
-        moment = datetime.fromisoformat(facts['time']).timestamp()
-        return Line(moment, facts['event'], facts)
+        fields = json.decode(text[start:])
+        time_s = datetime.fromisoformat(fields['time']).timestamp()
+        return LogRecord(time_s, fields['event'], fields)
     except (DecodeError, KeyError, TypeError, ValueError):
         return None
--- a/samphirerill/reports/lateness.py
+++ b/samphirerill/reports/lateness.py
@@ -1,9 +1,9 @@
-"""Why streams were late: the cause of each, and where the time went.
+"""Classify late streams by cause and break their delays into phases.
 
-A stream is late if its first event or one pause between two events took longer
-than callers accept. Its longest pause is cut into phases by what the node
-logged in it: until something was decided, until the stream was sent or moved,
-and until the next event came.
+A stream is late if the time to its first event, or the longest pause between
+two events, exceeds its latency target. Log records within the pause divide it
+into phases: detection, until the first record; dispatch, until the stream was
+last sent or moved; and response, until the next event.
 """
 
 from __future__ import annotations
@@ -15,142 +15,180 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from samphirerill.reports.journal import Journal, Line
+    from samphirerill.reports.journal import LogIndex, LogRecord
 
 _MS_PER_S = 1000
-# Log lines of one moment carry times that differ by so much.
-_SLACK_S = 0.002
+# Records of the same event may have slightly different times.
+_TIME_TOLERANCE_S = 0.002
 _SENT = 'stream sent'
-_SENT_BESIDE = 'stream sent beside'
+_SENT_IN_PARALLEL = 'stream sent beside'
 _MOVED = 'stream moved'
 _LEAVES = 'stream leaves'
 _BROKE = 'stream broke'
 _REFUSED = 'engine refused'
 _ENDED = 'stream ended'
-_ACTED = frozenset((_SENT, _SENT_BESIDE, _MOVED))
-# Words in the reason of a stream that leaves what is silent.
-_SILENT_WORDS = ('waits for', 'silent', 'does not answer')
+_DISPATCH_EVENTS = frozenset((_SENT, _SENT_IN_PARALLEL, _MOVED))
+# Parts of reasons that say that a replica did not respond.
+_UNRESPONSIVE_REASONS = ('waits for', 'silent', 'does not answer')
 
 
 class Cause(enum.Enum):
-    """What made a stream late."""
+    """The cause of a late stream."""
 
-    CUT = 'cut by the node'
-    NO_PATH = 'waited for a path'
-    BROKE = 'its first replica broke off'
-    SILENT = 'a part fell silent'
+    CUT_BY_NODE = 'cut by the node'
+    WAITED_FOR_PATH = 'waited for a path'
+    CONNECTION_BROKEN = 'its first replica broke off'
+    REPLICA_UNRESPONSIVE = 'a part fell silent'
     MOVED = 'moved off a part'
-    REFUSED = 'refused by engines'
-    CROWDED = 'nothing was decided: crowding'
+    REJECTED = 'refused by engines'
+    OVERLOAD = 'nothing was decided: crowding'
 
 
 @dataclass(slots=True, frozen=True)
-class Aims:
-    """What callers accept, in milliseconds."""
+class LatencyTargets:
+    """The longest acceptable delays, in milliseconds."""
 
-    first_ms: float = 500
+    first_event_ms: float = 500
     pause_ms: float = 200
 
 
 @dataclass(slots=True)
-class Lateness:
-    """One late stream; times in milliseconds.
+class LateStream:
+    """A late stream; times in milliseconds.
 
-    `noticing_ms` passed before something was decided, `deciding_ms` until it
-    was sent or moved, `reading_ms` until its next event.
+    `delay_ms` is the time to the first event or the longest pause. Its phases
+    are `detection_ms`, until the node logged a reaction; `dispatch_ms`, until
+    the stream was sent or moved; and `response_ms`, until the next event.
     """
 
     request: str
     cause: Cause
-    late_ms: float
-    noticing_ms: float = 0
-    deciding_ms: float = 0
-    reading_ms: float = 0
-
-
-def list_late(journal: Journal, aims: Aims) -> list[Lateness]:
-    """Return the late streams of a journal, in order of their end."""
-    found = []
-    for request, story in journal.requests.items():
-        ended = _find_last(story, _ENDED)
-        if ended is not None:
-            late = _explain(request, story, ended, aims)
-            if late is not None:
-                found.append((ended.at, late))
-    found.sort(key=_first)
-    return [late for _, late in found]
-
-
-def _explain(
-    request: str, story: Sequence[Line], ended: Line, aims: Aims
-) -> Lateness | None:
-    first_ms = ended.facts.get('first_ms', 0)
-    pause_ms = ended.facts.get('most_gap_ms', 0)
-    if any(line.event == 'stream cut' for line in story):
-        return Lateness(request, Cause.CUT, pause_ms)
-    if pause_ms > aims.pause_ms:
-        return _explain_pause(request, story, ended, pause_ms)
-    if first_ms > aims.first_ms:
-        return _explain_first(request, story, first_ms)
+    delay_ms: float
+    detection_ms: float = 0
+    dispatch_ms: float = 0
+    response_ms: float = 0
+
+
+def list_late_streams(
+    index: LogIndex, targets: LatencyTargets
+) -> list[LateStream]:
+    """Return the late streams, ordered by the time they ended."""
+    late_streams = []
+    for request, records in index.by_request.items():
+        end_record = _find_last_record(records, _ENDED)
+        if end_record is not None:
+            late_stream = _classify_stream(
+                request, records, end_record, targets
+            )
+            if late_stream is not None:
+                late_streams.append((end_record.time_s, late_stream))
+    late_streams.sort(key=_get_end_time)
+    return [late_stream for _, late_stream in late_streams]
+
+
+def _classify_stream(
+    request: str,
+    records: Sequence[LogRecord],
+    end_record: LogRecord,
+    targets: LatencyTargets,
+) -> LateStream | None:
+    first_ms = end_record.fields.get('first_ms', 0)
+    pause_ms = end_record.fields.get('most_gap_ms', 0)
+    if any(record.event == 'stream cut' for record in records):
+        return LateStream(request, Cause.CUT_BY_NODE, pause_ms)
+    if pause_ms > targets.pause_ms:
+        return _classify_pause(request, records, end_record, pause_ms)
+    if first_ms > targets.first_event_ms:
+        return _classify_first_event(request, records, first_ms)
     return None
 
 
-def _explain_first(
-    request: str, story: Sequence[Line], first_ms: float
-) -> Lateness:
-    sent = [line for line in story if line.event == _SENT]
-    waited_ms = sent[-1].facts.get('waited_ms', 0) if sent else first_ms
-    cause = _find_cause(story)
-    if cause is Cause.CROWDED and waited_ms > first_ms / 2:
-        cause = Cause.NO_PATH
-    return Lateness(
+def _classify_first_event(
+    request: str, records: Sequence[LogRecord], first_ms: float
+) -> LateStream:
+    send_records = [record for record in records if record.event == _SENT]
+    waited_ms = (
+        send_records[-1].fields.get('waited_ms', 0)
+        if send_records
+        else first_ms
+    )
+    cause = _find_cause(records)
+    if cause is Cause.OVERLOAD and waited_ms > first_ms / 2:
+        cause = Cause.WAITED_FOR_PATH
+    return LateStream(
         request, cause, first_ms, 0, waited_ms, first_ms - waited_ms
     )
 
 
-def _explain_pause(
-    request: str, story: Sequence[Line], ended: Line, pause_ms: float
-) -> Lateness:
-    until = ended.at - ended.facts.get('most_gap_ago_ms', 0) / _MS_PER_S
-    since = until - pause_ms / _MS_PER_S
-    within = [
-        line
-        for line in story
-        if since - _SLACK_S <= line.at <= until + _SLACK_S
+def _classify_pause(
+    request: str,
+    records: Sequence[LogRecord],
+    end_record: LogRecord,
+    pause_ms: float,
+) -> LateStream:
+    pause_end_s = (
+        end_record.time_s
+        - end_record.fields.get('most_gap_ago_ms', 0) / _MS_PER_S
+    )
+    pause_start_s = pause_end_s - pause_ms / _MS_PER_S
+    pause_records = [
+        record
+        for record in records
+        if pause_start_s - _TIME_TOLERANCE_S
+        <= record.time_s
+        <= pause_end_s + _TIME_TOLERANCE_S
+    ]
+    late_stream = LateStream(request, _find_cause(pause_records), pause_ms)
+    decision_times = [
+        record.time_s for record in pause_records if record.event != _ENDED
+    ]
+    dispatch_times = [
+        record.time_s
+        for record in pause_records
+        if record.event in _DISPATCH_EVENTS
+    ]
+    if decision_times:
+        late_stream.detection_ms = (
+            max(0.0, decision_times[0] - pause_start_s) * _MS_PER_S
+        )
+        last_action_s = (
+            dispatch_times[-1] if dispatch_times else decision_times[-1]
+        )
+        late_stream.dispatch_ms = (
+            last_action_s - decision_times[0]
+        ) * _MS_PER_S
+        late_stream.response_ms = (
+            max(0.0, pause_end_s - last_action_s) * _MS_PER_S
+        )
+    return late_stream
+
+
+def _find_cause(records: Sequence[LogRecord]) -> Cause:
+    departures = [
+        record for record in records if record.event in {_BROKE, _LEAVES}
     ]
-    late = Lateness(request, _find_cause(within), pause_ms)
-    decided = [line.at for line in within if line.event != _ENDED]
-    acted = [line.at for line in within if line.event in _ACTED]
-    if decided:
-        late.noticing_ms = max(0.0, decided[0] - since) * _MS_PER_S
-        last = acted[-1] if acted else decided[-1]
-        late.deciding_ms = (last - decided[0]) * _MS_PER_S
-        late.reading_ms = max(0.0, until - last) * _MS_PER_S
-    return late
-
-
-def _find_cause(lines: Sequence[Line]) -> Cause:
-    left = [line for line in lines if line.event in {_BROKE, _LEAVES}]
-    if left:
-        reason = str(left[-1].facts.get('reason', ''))
-        if any(word in reason for word in _SILENT_WORDS):
-            return Cause.SILENT
-    events = {line.event for line in lines}
+    if departures:
+        reason = str(departures[-1].fields.get('reason', ''))
+        if any(text in reason for text in _UNRESPONSIVE_REASONS):
+            return Cause.REPLICA_UNRESPONSIVE
+    events = {record.event for record in records}
     if _BROKE in events:
-        return Cause.BROKE
+        return Cause.CONNECTION_BROKEN
     if events & {_MOVED, _LEAVES}:
         return Cause.MOVED
-    if any(line.event == _REFUSED for line in lines):
-        return Cause.REFUSED
-    return Cause.CROWDED
+    if any(record.event == _REFUSED for record in records):
+        return Cause.REJECTED
+    return Cause.OVERLOAD
 
 
-def _find_last(story: Sequence[Line], event: str) -> Line | None:
-    for line in reversed(story):
-        if line.event == event:
-            return line
+def _find_last_record(
+    records: Sequence[LogRecord], event: str
+) -> LogRecord | None:
+    for record in reversed(records):
+        if record.event == event:
+            return record
     return None
 
 
-def _first(pair: tuple[float, Lateness]) -> float:
+def _get_end_time(pair: tuple[float, LateStream]) -> float:
     return pair[0]
