--- a/samphirerill/backends/calls.py
+++ b/samphirerill/backends/calls.py
@@ -1,9 +1,9 @@
-"""One HTTP call to an endpoint, on the loop.
+"""HTTP calls to endpoints on the event loop.
 
-Each attempt has a connection of its own, made for it and closed after it. A
-kept-alive connection that the endpoint had closed would look like a refused
-request although the request may have run; with a new connection, a failed
-connect surely ran nothing, and everything after the first byte may have run.
+Each attempt opens its own connection and closes it afterwards. On a reused
+connection that the endpoint has closed in the meantime, it is unknown whether
+the request was executed. With a new connection, a failed connect means that
+the request was not executed; after the first byte is sent, it may have been.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 CONNECT_TIMEOUT_S = 0.5
 
 
-class Sink(Protocol):
-    """Whoever hears what becomes of a call."""
+class EventSink(Protocol):
+    """Receiver of the events of a call."""
 
     def apply(self, event: object) -> None:
-        """Take one event for the decision core."""
+        """Pass an event to the decision core."""
 
 
 class Call(asyncio.Protocol):
@@ -35,14 +35,16 @@
     Parameters
     ----------
     attempt_id : str
-        Named in every event.
+        Identifies the attempt in every event.
     request : bytes
-        The whole HTTP request.
-    sink : Sink
-        Hears the events.
+        The serialized HTTP request.
+    sink : EventSink
+        Receives the events.
     """
 
-    def __init__(self, attempt_id: str, request: bytes, sink: Sink) -> None:
+    def __init__(
+        self, attempt_id: str, request: bytes, sink: EventSink
+    ) -> None:
         self.attempt_id = attempt_id
         self.status = 0
         self.headers: list[tuple[str, str]] = []
@@ -50,11 +52,11 @@
         self._sink = sink
         self._transport: Any = None
         self._parser = HttpResponseParser(self)
-        self._ended = False
+        self._closed = False
         self._paused = False
 
     async def open(self, address: str) -> None:
-        """Connect and send; a failure to connect is told as an event."""
+        """Connect and send; emits an event if the connection fails."""
         host, _, port = address.rpartition(':')
         loop = asyncio.get_running_loop()
         try:
@@ -63,74 +65,74 @@
                 CONNECT_TIMEOUT_S,
             )
         except (OSError, TimeoutError) as exc:
-            self._break(f'no connection: {exc}', connected=False)
+            self._fail(f'no connection: {exc}', connected=False)
 
     def close(self) -> None:
-        """End the call without telling anybody; the endpoint stops work."""
-        self._ended = True
+        """Abort the connection without an event; the endpoint stops work."""
+        self._closed = True
         if self._transport is not None:
             self._transport.abort()
 
     def pause(self) -> None:
-        """Read nothing more until ``resume``; the caller is slow."""
+        """Stop reading until ``resume``, because the client reads slowly."""
         self._paused = True
-        if self._transport is not None and not self._ended:
+        if self._transport is not None and not self._closed:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self._paused = False
-        if self._transport is not None and not self._ended:
+        if self._transport is not None and not self._closed:
             self._transport.resume_reading()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, and say so first."""
+        """Emit ``AttemptSent``, then send the request."""
         self._transport = transport
-        if self._ended:
+        if self._closed:
             self._transport.abort()
             return
         self._sink.apply(AttemptSent(self.attempt_id))
         self._transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser."""
-        if self._ended:
+        """Feed received bytes to the parser."""
+        if self._closed:
             return
         try:
             self._parser.feed_data(data)
         except HttpParserError as exc:
-            self._break(f'got an answer that is not HTTP: {exc}')
+            self._fail(f'got an answer that is not HTTP: {exc}')
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that the connection ended before the answer did."""
-        self._break('the connection closed before the answer was whole')
+        """Fail the attempt if the response was incomplete."""
+        self._fail('the connection closed before the answer was whole')
 
-    def on_header(self, name: bytes, text: bytes) -> None:
-        """Take one header of the answer."""
-        pair = (name.decode('latin-1'), text.decode('latin-1'))
-        self.headers.append(pair)
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a response header."""
+        header = (name.decode('latin-1'), value.decode('latin-1'))
+        self.headers.append(header)
 
     def on_headers_complete(self) -> None:
-        """Take the status."""
+        """Store the response status."""
         self.status = self._parser.get_status_code()
 
     @abstractmethod
     def on_body(self, body: bytes) -> None:
-        """Take a part of the answer."""
+        """Handle a chunk of the response body."""
 
     @abstractmethod
     def on_message_complete(self) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the response."""
 
-    def _tell(self, event: object) -> None:
-        if not self._ended:
+    def _emit(self, event: object) -> None:
+        if not self._closed:
             self._sink.apply(event)
 
-    def _break(
+    def _fail(
         self, detail: str, *, connected: bool = True, stage: int = -1
     ) -> None:
-        """Tell once that the attempt broke, and close its connection."""
-        if self._ended:
+        """Emit ``AttemptBroke`` once and close the connection."""
+        if self._closed:
             return
         event = AttemptBroke(self.attempt_id, detail, stage, connected)
         self._sink.apply(event)
@@ -144,12 +146,12 @@
     headers: list[tuple[str, str]],
     body: bytes,
 ) -> bytes:
-    """Return an HTTP/1.1 request whose connection ends with its answer."""
+    """Serialize an HTTP/1.1 request for a non-persistent connection."""
     lines = [
         f'{method} {target} HTTP/1.1',
         f'Host: {stage.address}',
         'Connection: close',
         f'Content-Length: {len(body)}',
     ]
-    lines.extend(f'{name}: {text}' for name, text in headers)
+    lines.extend(f'{name}: {value}' for name, value in headers)
     return '\r\n'.join([*lines, '', '']).encode('latin-1') + body
--- a/samphirerill/backends/engine.py
+++ b/samphirerill/backends/engine.py
@@ -1,8 +1,9 @@
-"""Calls to model engines: a pipeline's answer as a stream of tokens.
+"""Calls to model engines, which stream a pipeline's tokens.
 
-Engines speak the completions protocol with server-sent events. The request's
-``samphirerill`` member carries the attempt, its epoch, the pipeline and the
-token to resume at; each event of the answer names attempt, epoch and token.
+Engines implement the OpenAI completions API with server-sent events. The
+``samphirerill`` member of a request contains the attempt, its epoch, the
+stages of the pipeline and the index of the first token to generate. Each event
+of the response contains the attempt, the epoch and the index of its token.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from samphirerill.backends.calls import Sink
+    from samphirerill.backends.calls import EventSink
     from samphirerill.core.commands import OpenAttempt
 
 _OK = 200
 _LOAD_HEADER = 'endpoint-load-metrics'
-_DATA = b'data: '
-_DONE = b'[DONE]'
+_DATA_FIELD = b'data: '
+_DONE_PAYLOAD = b'[DONE]'
 _PRIORITIES = {'high': 0, 'normal': 1}
 
 
@@ -61,113 +62,117 @@
     error: _Failure | None = None
 
 
-class _Refusal(Struct):
+class _Rejection(Struct):
     ran: bool = True
     reason: str = ''
 
 
-class _Figures(Struct):
+class _LoadMetrics(Struct):
     running: int = 0
     waiting: int = 0
 
 
-class _Cache(Struct):
+class _CacheReport(Struct):
     first: int
     last: int
     stored: tuple[str, ...] = ()
     evicted: tuple[str, ...] = ()
 
 
-class _Load(Struct):
-    named_metrics: _Figures
-    cache: _Cache | None = None
+class _LoadReport(Struct):
+    named_metrics: _LoadMetrics
+    cache: _CacheReport | None = None
 
 
-_CHUNKS = Decoder(_Chunk)
-_REFUSALS = Decoder(_Refusal)
-_LOADS = Decoder(_Load)
+_CHUNK_DECODER = Decoder(_Chunk)
+_REJECTION_DECODER = Decoder(_Rejection)
+_LOAD_DECODER = Decoder(_LoadReport)
 
 
 class EngineCall(Call):
-    """One attempt at a pipeline, from its first stage's connection."""
+    """One attempt on a pipeline, over a connection to its first stage."""
 
     def __init__(
         self,
         command: OpenAttempt,
         request: bytes,
-        sink: Sink,
-        on_layers: Callable[[int, list[list[Any]]], None] | None = None,
+        sink: EventSink,
+        on_layer_trace: Callable[[int, list[list[Any]]], None] | None = None,
     ) -> None:
         super().__init__(command.attempt_id, request, sink)
-        self._head = command.stages[0].endpoint
-        self._on_layers = on_layers
-        self._rest = b''
+        self._first_endpoint = command.stages[0].endpoint
+        self._on_layer_trace = on_layer_trace
+        self._buffer = b''
 
     def on_headers_complete(self) -> None:
-        """Take the status and the engine's load."""
+        """Store the status and report the load from the headers."""
         super().on_headers_complete()
-        self._tell(AttemptProgressed(self.attempt_id))
+        self._emit(AttemptProgressed(self.attempt_id))
         for name, text in self.headers:
             if name.lower() == _LOAD_HEADER:
-                report_load(self._head, text, self._sink)
+                emit_load_report(self._first_endpoint, text, self._sink)
 
     def on_body(self, body: bytes) -> None:
-        """Take what came of the stream."""
-        self._rest += body
+        """Parse the server-sent events that are complete."""
+        self._buffer += body
         if self.status != _OK:
             return
-        events = self._rest.split(b'\n\n')
-        self._rest = events.pop()
+        events = self._buffer.split(b'\n\n')
+        self._buffer = events.pop()
         for event in events:
-            if not self._ended:
-                self._read_event(event)
+            if not self._closed:
+                self._parse_event(event)
 
     def on_message_complete(self) -> None:
-        """Take an answer that ended; a whole one was finished before."""
+        """Fail the attempt, or emit a rejection.
+
+        After the last token the core cancels the attempt, so a response that
+        ends by itself is incomplete.
+        """
         if self.status != _OK:
-            self._read_refusal()
+            self._handle_rejection()
             return
-        self._break('the stream ended before the answer was whole')
+        self._fail('the stream ended before the answer was whole')
 
-    def _read_event(self, event: bytes) -> None:
-        if not event.startswith(_DATA):
-            self._tell(AttemptProgressed(self.attempt_id))
+    def _parse_event(self, event: bytes) -> None:
+        if not event.startswith(_DATA_FIELD):
+            self._emit(AttemptProgressed(self.attempt_id))
             return
-        payload = event[len(_DATA) :]
-        if payload == _DONE:
+        payload = event[len(_DATA_FIELD) :]
+        if payload == _DONE_PAYLOAD:
             return
         try:
-            chunk = _CHUNKS.decode(payload)
+            chunk = _CHUNK_DECODER.decode(payload)
         except DecodeError as exc:
-            self._break(f'got an event that is no token: {exc}')
+            self._fail(f'got an event that is no token: {exc}')
             return
-        self._read_chunk(chunk)
+        self._handle_chunk(chunk)
 
-    def _read_chunk(self, chunk: _Chunk) -> None:
+    def _handle_chunk(self, chunk: _Chunk) -> None:
         if chunk.error is not None:
             detail = f'the engine reports {chunk.error.code}'
-            self._break(detail, stage=chunk.error.stage)
+            self._fail(detail, stage=chunk.error.stage)
             return
         if chunk.id != self.attempt_id or not chunk.choices:
-            # Another attempt's token on this connection: the engine has
-            # crossed answers. Passed on, it would reach a stranger.
-            self._break('got a token of another attempt')
+            # The engine mixed up two responses. Forwarding the token would
+            # disclose another client's answer.
+            self._fail('got a token of another attempt')
             return
-        if self._on_layers is not None:
-            self._on_layers(chunk.token, chunk.layers)
-        self._tell(_build_token(chunk))
+        if self._on_layer_trace is not None:
+            self._on_layer_trace(chunk.token, chunk.layers)
+        self._emit(_build_token(chunk))
 
-    def _read_refusal(self) -> None:
-        """Believe "not run" only if the engine says so in so many words."""
+    def _handle_rejection(self) -> None:
+        """Treat the request as not executed only if the engine states it."""
         try:
-            refusal = _REFUSALS.decode(self._rest)
+            rejection = _REJECTION_DECODER.decode(self._buffer)
         except DecodeError:
-            self._break(f'the engine answered status {self.status}')
+            self._fail(f'the engine answered status {self.status}')
             return
-        if refusal.ran:
-            self._break(f'the engine answered status {self.status}')
+        if rejection.ran:
+            self._fail(f'the engine answered status {self.status}')
             return
-        self._tell(AttemptRefused(self.attempt_id, refusal.reason))
+        self._emit(AttemptRefused(self.attempt_id, rejection.reason))
         self.close()
 
 
@@ -180,24 +185,25 @@
     *,
     trace: bool,
 ) -> bytes:
-    """Return the HTTP request of an attempt.
+    """Serialize the HTTP request of an attempt.
 
     Parameters
     ----------
     command : OpenAttempt
-        The attempt with its pipeline.
+        The attempt and the stages of its pipeline.
     body : dict
-        The caller's checked body.
+        The validated body of the client's request.
     account_salt : str
-        Kept with cached prefixes, so that accounts never share one.
+        Salt of the engine's prefix cache; keeps accounts from sharing entries.
     priority : str
         ``high`` or ``normal``.
     prefixes : tuple of str
-        Digests that the engine names in its cache events.
+        Digests of the prompt's prefixes, which the engine uses in its cache
+        events.
     trace : bool
-        Ask which stages ran which layers of each token.
+        Whether the engine lists which stage ran which layers of each token.
     """
-    head = command.stages[0]
+    first_stage = command.stages[0]
     document = {
         **body,
         'stream': True,
@@ -224,21 +230,23 @@
         target = '/v1/chat/completions'
     headers = [('Content-Type', 'application/json')]
     payload = json.dumps(document).encode()
-    return build_request('POST', target, head, headers, payload)
+    return build_request('POST', target, first_stage, headers, payload)
 
 
-def report_load(endpoint: str, text: str | bytes, sink: Sink) -> None:
-    """Pass an engine's load report on; an unreadable one says nothing."""
+def emit_load_report(endpoint: str, text: str | bytes, sink: EventSink) -> None:
+    """Emit the events of an engine's load report; ignores invalid ones."""
     try:
-        load = _LOADS.decode(text)
+        report = _LOAD_DECODER.decode(text)
     except DecodeError:
         return
-    figures = load.named_metrics
-    cache = load.cache
+    metrics = report.named_metrics
+    cache = report.cache
     if cache is not None:
-        news = CacheNews(cache.first, cache.last, cache.stored, cache.evicted)
-        sink.apply(CacheReported(endpoint, news))
-    sink.apply(LoadReported(endpoint, figures.running, figures.waiting))
+        cache_events = CacheNews(
+            cache.first, cache.last, cache.stored, cache.evicted
+        )
+        sink.apply(CacheReported(endpoint, cache_events))
+    sink.apply(LoadReported(endpoint, metrics.running, metrics.waiting))
 
 
 def _build_token(chunk: _Chunk) -> TokenArrived:
--- a/samphirerill/backends/service.py
+++ b/samphirerill/backends/service.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: any method and body, the answer passed on whole."""
+"""Calls to plain services: any method and body, with a buffered response."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from samphirerill.core.events import ServiceAnswered
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import Sink
+    from samphirerill.backends.calls import EventSink
 
-MAX_ANSWER_BYTES = 4_194_304
+MAX_RESPONSE_BYTES = 4_194_304
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -27,40 +27,42 @@
 
 
 class ServiceCall(Call):
-    """One attempt at a plain service; holds its answer until it is whole.
+    """One attempt on a plain service; buffers the response until complete.
 
-    A part of an answer is never passed on: a service that dies halfway
-    would leave the caller with half a truth.
+    Partial responses are not forwarded: if the service fails halfway, the
+    client must not receive a truncated body.
     """
 
-    def __init__(self, attempt_id: str, request: bytes, sink: Sink) -> None:
+    def __init__(
+        self, attempt_id: str, request: bytes, sink: EventSink
+    ) -> None:
         super().__init__(attempt_id, request, sink)
         self.body = b''
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the answer."""
+        """Buffer a chunk of the body; fail if the body is too large."""
         self.body += body
-        if len(self.body) > MAX_ANSWER_BYTES:
-            self._break(
-                f'got an answer over {MAX_ANSWER_BYTES} bytes; it may have run'
+        if len(self.body) > MAX_RESPONSE_BYTES:
+            self._fail(
+                f'got an answer over {MAX_RESPONSE_BYTES} bytes; it may have run'
             )
 
     def on_message_complete(self) -> None:
-        """Tell that the answer is whole."""
-        self._tell(ServiceAnswered(self.attempt_id, self.status))
+        """Emit ``ServiceAnswered`` for the complete response."""
+        self._emit(ServiceAnswered(self.attempt_id, self.status))
         self.close()
 
-    def list_headers(self) -> list[tuple[str, str]]:
-        """Return the answer's headers that concern the caller."""
+    def list_end_to_end_headers(self) -> list[tuple[str, str]]:
+        """Return the end-to-end headers of the response."""
         return drop_hop_by_hop(self.headers)
 
 
 def drop_hop_by_hop(
     headers: list[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return the headers without those that concern one connection only."""
+    """Return the headers without hop-by-hop ones."""
     return [
-        (name, text)
-        for name, text in headers
+        (name, value)
+        for name, value in headers
         if name.lower() not in _HOP_BY_HOP
     ]
--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/actions.py
@@ -87,9 +87,11 @@
     call = node.calls.pop(command.attempt_id)
     if not isinstance(call, ServiceCall):
         raise TypeError('got an engine call, expected a plain service')
-    session.kept = KeptAnswer(call.status, call.list_headers(), call.body)
+    session.kept = KeptAnswer(
+        call.status, call.list_end_to_end_headers(), call.body
+    )
     session.send_whole(
-        call.status, call.list_headers(), call.body, Outcome.ANSWERED
+        call.status, call.list_end_to_end_headers(), call.body, Outcome.ANSWERED
     )
 
 
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -34,7 +34,7 @@
 from samphirerill.node.logs import get_logger
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import Sink
+    from samphirerill.backends.calls import EventSink
     from samphirerill.backends.peers import PeerClients
     from samphirerill.core.commands import SettleClaim, WriteClaim
     from samphirerill.node.members import Members
@@ -114,7 +114,7 @@
         worker: StoreWorker,
         holder: str,
         prefix: str,
-        sink: Sink,
+        sink: EventSink,
         members: Members,
         clients: PeerClients,
     ) -> None:
--- a/samphirerill/node/probes.py
+++ b/samphirerill/node/probes.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.backends.engine import report_load
+from samphirerill.backends.engine import emit_load_report
 from samphirerill.core.events import ProbeAnswered
 from samphirerill.core.model import ENGINE
 from samphirerill.node.loop_lag import lag_aware_timeout_at
@@ -86,7 +86,7 @@
     if body is None:
         node.apply(ProbeAnswered(name, alive=False))
     else:
-        report_load(name, body, node)
+        emit_load_report(name, body, node)
 
 
 def _pick_stalest(node: Node) -> EndpointState | None:
