--- a/samphirerill/backends/store.py
+++ b/samphirerill/backends/store.py
@@ -1,7 +1,7 @@
-"""The one interface to the platform's key-value service.
+"""Interface of the platform's key-value service.
 
-Everything the project needs of the service is here, so that another service,
-or a test's unreliable stand-in, can take its place.
+Code outside this module depends on this interface only, so that another
+service, or a fake with injected faults in tests, can replace etcd.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class StoreError(Exception):
-    """Base of the errors of the key-value service."""
+    """Base class of the errors of the key-value service."""
 
 
 class StoreUnreachableError(StoreError):
-    """The service did not answer.
+    """The service did not respond.
 
-    `may_have_applied` is false only if the call certainly was not sent. A
-    write whose answer was lost may have taken effect: whoever takes this
-    error for a failed write would write twice or say so wrongly.
+    `may_have_applied` is false only if the call was certainly not sent. A
+    write whose response was lost may have been applied, so it must be neither
+    repeated blindly nor reported as failed.
     """
 
     def __init__(self, detail: str, *, may_have_applied: bool) -> None:
@@ -33,12 +33,12 @@
 
 
 class StoreRefusedError(StoreError):
-    """The service answered that it won't do what was asked."""
+    """The service rejected the call."""
 
 
 @dataclass(slots=True, frozen=True)
 class Stored:
-    """One key with its value and the revision that wrote it."""
+    """A key, its value and the revision of its last write."""
 
     key: str
     text: str
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Put:
-    """Set a key; `lease` makes it vanish with that lease."""
+    """Write of a key; it is deleted when `lease` expires, if given."""
 
     key: str
     text: str
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Absent:
-    """Holds if nobody has set the key."""
+    """Condition: the key does not exist."""
 
     key: str
 
 
 @dataclass(slots=True, frozen=True)
 class Unchanged:
-    """Holds if the key's last write was this revision; 0 for none."""
+    """Condition: the key was last written at `revision`; 0 if absent."""
 
     key: str
     revision: int
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Holds:
-    """Holds if the key has exactly this text."""
+    """Condition: the value of the key equals `text`."""
 
     key: str
     text: str
@@ -82,10 +82,10 @@
 
 @dataclass(slots=True)
 class Transaction:
-    """Writes that happen all together, if all conditions hold.
+    """Writes that are applied atomically if all conditions hold.
 
-    If one does not hold, only `otherwise` is written and the keys of
-    `read` are read; all of it counts as one call.
+    Otherwise `otherwise` is written and the keys in `read` are read. Either
+    way it is one call.
     """
 
     conditions: list[Condition] = field(default_factory=list)
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class Committed:
-    """What became of a transaction."""
+    """Result of a transaction; `found` has the keys that were read."""
 
     succeeded: bool
     revision: int
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class RangeRead:
-    """Keys under a prefix and the revision they were read at."""
+    """Entries under a prefix and the revision they were read at."""
 
     entries: list[Stored]
     revision: int
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True)
 class WatchBatch:
-    """Changes since the last batch; `gone` lists deleted keys."""
+    """Changes since the previous batch; `gone` has the deleted keys."""
 
     revision: int
     changed: list[Stored]
@@ -122,7 +122,7 @@
 
 
 class KeyValueStore(Protocol):
-    """What the project asks of the service; every method may block."""
+    """Client of a key-value service; every method may block."""
 
     def read_prefix(self, prefix: str) -> RangeRead:
         """Read all keys under a prefix, sorted."""
@@ -134,10 +134,10 @@
         """Return a new lease's id."""
 
     def renew_lease(self, lease: str) -> bool:
-        """Renew a lease; return whether it was still there."""
+        """Renew a lease; return whether it still existed."""
 
     def revoke_lease(self, lease: str) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
     def watch(self, prefix: str, revision: int) -> Iterator[WatchBatch]:
-        """Yield changes from a revision on until the connection breaks."""
+        """Yield changes from `revision` on until the connection is lost."""
