--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -1,8 +1,7 @@
-"""The key-value service over the JSON form of the etcd v3 API.
+"""Client of etcd's v3 API through its JSON gateway.
 
-Source: the API's published JSON gateway. urllib3 carries the bytes; its own
-retries and redirects are off, because only the layers above may decide to
-send a write a second time.
+Retries and redirects of urllib3 are disabled, because only the calling code
+can decide whether a write may be repeated.
 """
 
 from __future__ import annotations
@@ -40,19 +39,20 @@
     from samphirerill.settings.model import StoreSettings
 
 _OK = 200
-_SERVER_ERRORS = 500
+_MIN_SERVER_ERROR = 500
 _POOL_SIZE = 4
-_WATCH_READ_S = 60
+_WATCH_READ_TIMEOUT_S = 60
 Json = dict[str, Any]
 
 
 class EtcdStore:
-    """A client of the service; safe to use from several threads.
+    """A thread-safe etcd client.
 
     Parameters
     ----------
     settings : StoreSettings
-        Addresses are tried in turn; one that failed goes to the end.
+        The address in use is the first one; an address that fails is moved
+        to the end of the list.
     """
 
     def __init__(self, settings: StoreSettings) -> None:
@@ -65,27 +65,27 @@
     def read_prefix(self, prefix: str) -> RangeRead:
         """Read all keys under a prefix, sorted."""
         answer = self._call('/v3/kv/range', _build_range(prefix))
-        entries = [_read_entry(entry) for entry in answer.get('kvs', ())]
-        return RangeRead(entries, _read_revision(answer))
+        entries = [_parse_entry(entry) for entry in answer.get('kvs', ())]
+        return RangeRead(entries, _parse_revision(answer))
 
     def commit(self, transaction: Transaction) -> Committed:
-        """Run a transaction as one call."""
-        otherwise = _build_writes(transaction.otherwise)
+        """Run a transaction in one call."""
+        otherwise = _build_put_operations(transaction.otherwise)
         reads = [
             {'request_range': {'key': _encode(key)}} for key in transaction.read
         ]
         call = {
             'compare': [_compare(item) for item in transaction.conditions],
             'success': [
-                *_build_writes(transaction.puts),
-                *_build_deletes(transaction.deletes),
+                *_build_put_operations(transaction.puts),
+                *_build_delete_operations(transaction.deletes),
             ],
             'failure': [*otherwise, *reads],
         }
         answer = self._call('/v3/kv/txn', call)
-        found = _collect_found(answer.get('responses', ()))
+        found = _parse_entries(answer.get('responses', ()))
         return Committed(
-            bool(answer.get('succeeded')), _read_revision(answer), found
+            bool(answer.get('succeeded')), _parse_revision(answer), found
         )
 
     def grant_lease(self, ttl_s: int) -> str:
@@ -93,20 +93,20 @@
         return str(self._call('/v3/lease/grant', {'TTL': str(ttl_s)})['ID'])
 
     def renew_lease(self, lease: str) -> bool:
-        """Renew a lease; return whether it was still there."""
+        """Renew a lease; return whether it still existed."""
         answer = self._call('/v3/lease/keepalive', {'ID': lease})
         return int(answer['result'].get('TTL', 0)) > 0
 
     def revoke_lease(self, lease: str) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         self._call('/v3/lease/revoke', {'ID': lease})
 
     def watch(self, prefix: str, revision: int) -> Iterator[WatchBatch]:
-        """Yield changes from a revision on until the connection breaks.
+        """Yield changes from `revision` on until the connection is lost.
 
-        An empty batch comes first, once the watch stands. A watch that has
-        gone silent ends after a minute with ``StoreUnreachableError``; whoever
-        watches starts another from the last revision it saw.
+        The first batch is empty and confirms that the watch was created. A
+        watch without data for a minute ends with ``StoreUnreachableError``;
+        the caller then starts another one after the last revision received.
         """
         call = {
             'create_request': {
@@ -116,7 +116,7 @@
         }
         response = self._open('/v3/watch', call, stream=True)
         try:
-            yield from _read_batches(response)
+            yield from _parse_batches(response)
         except (HTTPError, OSError, ValueError) as exc:
             raise StoreUnreachableError(
                 f'the watch broke: {exc}', may_have_applied=False
@@ -138,8 +138,8 @@
 
     def _open(self, path: str, call: Json, *, stream: bool) -> Any:
         pool = self._pools[0]
-        connect_s = self._settings.call_timeout_s
-        read_s = _WATCH_READ_S if stream else connect_s
+        connect_timeout_s = self._settings.call_timeout_s
+        read_timeout_s = _WATCH_READ_TIMEOUT_S if stream else connect_timeout_s
         try:
             response = pool.request(
                 'POST',
@@ -148,7 +148,7 @@
                 preload_content=not stream,
                 retries=False,
                 redirect=False,
-                timeout=Timeout(connect=connect_s, read=read_s),
+                timeout=Timeout(connect=connect_timeout_s, read=read_timeout_s),
             )
         except (NewConnectionError, ConnectTimeoutError) as exc:
             self._pools.append(self._pools.pop(0))
@@ -160,7 +160,7 @@
             raise StoreUnreachableError(
                 f'no answer: {exc}', may_have_applied=True
             ) from exc
-        if response.status >= _SERVER_ERRORS:
+        if response.status >= _MIN_SERVER_ERROR:
             raise StoreUnreachableError(
                 f'got status {response.status}', may_have_applied=True
             )
@@ -214,7 +214,7 @@
     return {'key': _encode(prefix), 'range_end': _encode(end)}
 
 
-def _build_writes(puts: list[Put]) -> list[Json]:
+def _build_put_operations(puts: list[Put]) -> list[Json]:
     return [{'request_put': _build_put(put)} for put in puts]
 
 
@@ -225,40 +225,40 @@
     return call
 
 
-def _build_deletes(keys: list[str]) -> list[Json]:
+def _build_delete_operations(keys: list[str]) -> list[Json]:
     return [{'request_delete_range': {'key': _encode(key)}} for key in keys]
 
 
-def _collect_found(responses: Any) -> dict[str, Stored]:
+def _parse_entries(responses: Any) -> dict[str, Stored]:
     found = {}
     for response in responses:
         for entry in response.get('response_range', {}).get('kvs', ()):
-            stored = _read_entry(entry)
+            stored = _parse_entry(entry)
             found[stored.key] = stored
     return found
 
 
-def _read_batches(response: Any) -> Iterator[WatchBatch]:
-    rest = b''
-    for part in response.stream(None):
-        *lines, rest = (rest + part).split(b'\n')
+def _parse_batches(response: Any) -> Iterator[WatchBatch]:
+    buffer = b''
+    for chunk in response.stream(None):
+        *lines, buffer = (buffer + chunk).split(b'\n')
         for line in lines:
             if line:
-                yield _read_batch(json.loads(line)['result'])
+                yield _parse_batch(json.loads(line)['result'])
 
 
-def _read_batch(document: Json) -> WatchBatch:
+def _parse_batch(document: Json) -> WatchBatch:
     changed = []
     gone = []
     for event in document.get('events', ()):
         if event.get('type') == 'DELETE':
             gone.append(_decode(event['kv']['key']))
         else:
-            changed.append(_read_entry(event['kv']))
-    return WatchBatch(_read_revision(document), changed, gone)
+            changed.append(_parse_entry(event['kv']))
+    return WatchBatch(_parse_revision(document), changed, gone)
 
 
-def _read_entry(entry: Json) -> Stored:
+def _parse_entry(entry: Json) -> Stored:
     return Stored(
         _decode(entry['key']),
         _decode(entry.get('value', '')),
@@ -266,7 +266,7 @@
     )
 
 
-def _read_revision(answer: Json) -> int:
+def _parse_revision(answer: Json) -> int:
     return int(answer['header']['revision'])
 
 
