--- a/samphirerill/backends/vms.py
+++ b/samphirerill/backends/vms.py
@@ -1,8 +1,8 @@
-"""The platform's lagging list of VMs.
+"""Client of the platform's VM list, which lags behind the actual state.
 
-Source: the published form of HTTP service discovery: a JSON list of objects
-with ``targets`` (here endpoints' names) and ``labels``, of which ``state`` is
-``live`` or ``leaving``.
+The list has the format of Prometheus HTTP service discovery: a JSON array of
+objects with ``targets`` (names of endpoints) and ``labels``, among them
+``state``, which is ``live`` or ``leaving``.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 from samphirerill.core.events import VmListRead
 
-_TIMEOUT_S = 1.0
+_READ_TIMEOUT_S = 1.0
 
 
 class VmListError(Exception):
-    """The list could not be read or is no list."""
+    """The VM list could not be fetched or is invalid."""
 
 
 class VmList:
-    """Reads the list; every read blocks."""
+    """Blocking client of the VM list."""
 
     def __init__(self, address: str) -> None:
         self._url = f'http://{address}/vms'
         self._http = PoolManager(retries=False)
 
     def read(self) -> Result[VmListRead, VmListError]:
-        """Return which endpoints are live and leaving, or why not."""
+        """Fetch the live and the leaving endpoints."""
         try:
             response = self._http.request(
-                'GET', self._url, timeout=Timeout(total=_TIMEOUT_S)
+                'GET', self._url, timeout=Timeout(total=_READ_TIMEOUT_S)
             )
             groups = json.loads(response.data)
             states = {
@@ -42,7 +42,7 @@
                 for target in group['targets']
             }
         except (HTTPError, LookupError, TypeError, ValueError) as exc:
-            return Err(VmListError(f'got no list of VMs: {exc}'))
+            return Err(VmListError(f'cannot read the VM list: {exc}'))
         leaving = {name for name in states if states[name] == 'leaving'}
         return Ok(
             VmListRead(
