--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -1,8 +1,8 @@
-"""Words between nodes over gRPC.
+"""Messages between nodes over gRPC.
 
-gRPC's own retries and name resolution stay unused: addresses are IP numbers,
-and a word that fails is simply followed by the next one. Keep-alive pings are
-on, because a silent connection would otherwise never be noticed.
+Retries and name resolution of gRPC are not used: addresses are IP addresses,
+and a lost message is superseded by the next one. Keep-alive pings detect
+connections that have died silently.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     VerdictGroup,
     VerdictNote,
 )
-from samphirerill.backends.peers_pb2 import Word as WireWord
+from samphirerill.backends.peers_pb2 import Word as WireMessage
 from samphirerill.backends.peers_pb2_grpc import (
     PeersServicer,
     PeersStub,
@@ -34,30 +34,30 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Collect = Callable[[Batch], Awaitable[list[Verdict]]]
+    ClaimBatchHandler = Callable[[Batch], Awaitable[list[Verdict]]]
 
 EXCHANGE_TIMEOUT_S = 0.8
 COLLECT_TIMEOUT_S = 1.5
-_MAX_MESSAGE = 16_777_216
-_OPTIONS = (
+_MAX_MESSAGE_BYTES = 16_777_216
+_CHANNEL_OPTIONS = (
     ('grpc.enable_retries', 0),
     ('grpc.keepalive_time_ms', 5000),
     ('grpc.keepalive_timeout_ms', 2000),
     ('grpc.keepalive_permit_without_calls', 0),
-    ('grpc.max_receive_message_length', _MAX_MESSAGE),
-    ('grpc.max_send_message_length', _MAX_MESSAGE),
+    ('grpc.max_receive_message_length', _MAX_MESSAGE_BYTES),
+    ('grpc.max_send_message_length', _MAX_MESSAGE_BYTES),
     ('grpc.so_reuseport', 0),
     ('grpc.max_reconnect_backoff_ms', 2000),
 )
 
 
 class PeerError(Exception):
-    """A peer gave no answer."""
+    """A peer did not respond, or the node cannot listen for peers."""
 
 
 @dataclass(slots=True)
 class Word:
-    """What one node tells another; see ``peers.proto``."""
+    """State that a node sends to a peer; see ``peers.proto``."""
 
     node: str
     version: int
@@ -70,17 +70,17 @@
 
 
 class PeerServer:
-    """Answers other nodes' words on the loop."""
+    """gRPC server for calls from other nodes."""
 
     def __init__(
-        self, answer: Callable[[Word], Word], collect: Collect
+        self, answer: Callable[[Word], Word], collect: ClaimBatchHandler
     ) -> None:
         self._servicer = _Servicer(answer, collect)
         self._server: Any = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen and return the port; port 0 picks a free one."""
-        self._server = server(options=_OPTIONS)
+        """Start listening and return the port; port 0 selects a free one."""
+        self._server = server(options=_CHANNEL_OPTIONS)
         add_PeersServicer_to_server(self._servicer, self._server)
         try:
             bound = self._server.add_insecure_port(f'{host}:{port}')
@@ -96,94 +96,94 @@
 
 
 class PeerClients:
-    """Connections to other nodes, the least recently used closed first."""
+    """LRU cache of gRPC channels to other nodes."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_channels: int) -> None:
+        self._max_channels = max_channels
         self._channels: dict[str, Channel] = {}
 
     async def exchange(
-        self, address: str, word: Word
+        self, address: str, message: Word
     ) -> Result[Word, PeerError]:
-        """Send a word and return the answer, or that none came in time."""
-        stub = PeersStub(await self._find_channel(address))
+        """Send a message and return the peer's reply."""
+        stub = PeersStub(await self._get_channel(address))
         try:
             answer = await stub.Exchange(
-                _to_wire(word), timeout=EXCHANGE_TIMEOUT_S
+                _encode_message(message), timeout=EXCHANGE_TIMEOUT_S
             )
         except RpcError:
             return Err(PeerError(f'no answer from {address}'))
-        return Ok(_from_wire(answer))
+        return Ok(_decode_message(answer))
 
     async def collect(
         self, address: str, batch: Batch
     ) -> Result[list[Verdict], PeerError]:
-        """Have another node write a batch; return its verdicts.
+        """Let another node write a batch of claims; return the results.
 
-        If no answer came in time, the batch may have been written.
+        If the call fails, the batch may have been written.
         """
-        stub = PeersStub(await self._find_channel(address))
+        stub = PeersStub(await self._get_channel(address))
         try:
             answer = await stub.Collect(
-                _build_group(batch), timeout=COLLECT_TIMEOUT_S
+                _encode_group(batch), timeout=COLLECT_TIMEOUT_S
             )
         except RpcError:
             return Err(PeerError(f'no verdicts from {address}'))
         by_request = {claim.request_id: claim for claim in batch.claims}
         verdicts = [
-            _read_verdict(note, by_request[note.request])
+            _decode_verdict(note, by_request[note.request])
             for note in answer.verdicts
             if note.request in by_request
         ]
         return Ok(verdicts)
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all channels."""
         channels = list(self._channels.values())
         self._channels.clear()
         await asyncio.gather(*(channel.close() for channel in channels))
 
-    async def _find_channel(self, address: str) -> Channel:
+    async def _get_channel(self, address: str) -> Channel:
         channel = self._channels.pop(address, None)
         if channel is None:
-            channel = insecure_channel(address, options=_OPTIONS)
+            channel = insecure_channel(address, options=_CHANNEL_OPTIONS)
         self._channels[address] = channel
-        await self._close_oldest()
+        await self._evict_channel()
         return channel
 
-    async def _close_oldest(self) -> None:
-        if len(self._channels) > self._most:
+    async def _evict_channel(self) -> None:
+        if len(self._channels) > self._max_channels:
             address = next(iter(self._channels))
             await self._channels.pop(address).close()
 
 
 class _Servicer(PeersServicer):  # type: ignore[misc]
-    """Passes each word to the node."""
+    """Dispatches gRPC calls to the node."""
 
     def __init__(
-        self, answer: Callable[[Word], Word], collect: Collect
+        self, answer: Callable[[Word], Word], collect: ClaimBatchHandler
     ) -> None:
-        self._answer = answer
+        self._build_reply = answer
         self._collect = collect
 
-    async def Exchange(self, request: WireWord, context: Any) -> WireWord:
-        """Answer one word."""
-        return _to_wire(self._answer(_from_wire(request)))
+    async def Exchange(self, request: WireMessage, context: Any) -> WireMessage:
+        """Reply to a message of a peer."""
+        return _encode_message(self._build_reply(_decode_message(request)))
 
     async def Collect(self, request: ClaimGroup, context: Any) -> VerdictGroup:
-        """Write claims for another node."""
-        verdicts = await self._collect(_read_group(request))
-        return VerdictGroup(verdicts=map(_note_verdict, verdicts))
+        """Write claims on behalf of another node."""
+        verdicts = await self._collect(_decode_group(request))
+        return VerdictGroup(verdicts=map(_encode_verdict, verdicts))
 
 
-def _build_group(batch: Batch) -> ClaimGroup:
+def _encode_group(batch: Batch) -> ClaimGroup:
     return ClaimGroup(
-        claims=map(_note_claim, batch.claims),
-        settled=map(_note_settlement, batch.settlements),
+        claims=map(_encode_claim, batch.claims),
+        settled=map(_encode_settlement, batch.settlements),
     )
 
 
-def _note_claim(claim: Claim) -> ClaimNote:
+def _encode_claim(claim: Claim) -> ClaimNote:
     return ClaimNote(
         key=claim.key,
         holder=claim.holder,
@@ -192,19 +192,19 @@
     )
 
 
-def _note_settlement(settlement: Settlement) -> ClaimNote:
-    note = _note_claim(settlement.claim)
+def _encode_settlement(settlement: Settlement) -> ClaimNote:
+    note = _encode_claim(settlement.claim)
     note.outcome = settlement.outcome.value
     note.answer = json.dumps(settlement.answer).encode()
     return note
 
 
-def _read_group(group: ClaimGroup) -> Batch:
+def _decode_group(group: ClaimGroup) -> Batch:
     return Batch(
-        [_read_claim(note) for note in group.claims],
+        [_decode_claim(note) for note in group.claims],
         [
             Settlement(
-                _read_claim(note),
+                _decode_claim(note),
                 Outcome(note.outcome),
                 json.loads(note.answer),
             )
@@ -213,11 +213,11 @@
     )
 
 
-def _read_claim(note: ClaimNote) -> Claim:
+def _decode_claim(note: ClaimNote) -> Claim:
     return Claim(note.key, note.holder, note.request, note.fingerprint)
 
 
-def _note_verdict(verdict: Verdict) -> VerdictNote:
+def _encode_verdict(verdict: Verdict) -> VerdictNote:
     return VerdictNote(
         request=verdict.claim.request_id,
         state=verdict.state,
@@ -226,37 +226,37 @@
     )
 
 
-def _read_verdict(note: VerdictNote, claim: Claim) -> Verdict:
+def _decode_verdict(note: VerdictNote, claim: Claim) -> Verdict:
     answer = json.loads(note.answer)
     return Verdict(claim, note.state, note.holder, answer)
 
 
-def measure_word(word: Word) -> int:
-    """Return the bytes of a word as it is sent."""
-    return int(_to_wire(word).ByteSize())
+def measure_word(message: Word) -> int:
+    """Return the serialized size of a message in bytes."""
+    return int(_encode_message(message).ByteSize())
 
 
-def _to_wire(word: Word) -> WireWord:
-    return WireWord(
-        node=word.node,
-        version=word.version,
-        store_read_age_s=word.store_read_age_s,
-        changes=word.changes,
-        document=word.document,
-        draining=word.draining,
-        leaving=word.leaving,
-        evidence=word.evidence,
+def _encode_message(message: Word) -> WireMessage:
+    return WireMessage(
+        node=message.node,
+        version=message.version,
+        store_read_age_s=message.store_read_age_s,
+        changes=message.changes,
+        document=message.document,
+        draining=message.draining,
+        leaving=message.leaving,
+        evidence=message.evidence,
     )
 
 
-def _from_wire(wire: WireWord) -> Word:
+def _decode_message(wire_message: WireMessage) -> Word:
     return Word(
-        wire.node,
-        wire.version,
-        wire.store_read_age_s,
-        list(wire.changes),
-        wire.document,
-        wire.draining,
-        list(wire.leaving),
-        wire.evidence,
+        wire_message.node,
+        wire_message.version,
+        wire_message.store_read_age_s,
+        list(wire_message.changes),
+        wire_message.document,
+        wire_message.draining,
+        list(wire_message.leaving),
+        wire_message.evidence,
     )
