--- a/samphirerill/backends/calls.py
+++ b/samphirerill/backends/calls.py
@@ -107,9 +107,9 @@
         """Fail the attempt if the response was incomplete."""
         self._fail('the connection closed before the answer was whole')
 
-    def on_header(self, name: bytes, value: bytes) -> None:
+    def on_header(self, name: bytes, header_value: bytes) -> None:
         """Store a response header."""
-        header = (name.decode('latin-1'), value.decode('latin-1'))
+        header = (name.decode('latin-1'), header_value.decode('latin-1'))
         self.headers.append(header)
 
     def on_headers_complete(self) -> None:
@@ -153,5 +153,5 @@
         'Connection: close',
         f'Content-Length: {len(body)}',
     ]
-    lines.extend(f'{name}: {value}' for name, value in headers)
+    lines.extend(f'{name}: {header_value}' for name, header_value in headers)
     return '\r\n'.join([*lines, '', '']).encode('latin-1') + body
--- a/samphirerill/backends/service.py
+++ b/samphirerill/backends/service.py
@@ -62,7 +62,7 @@
 ) -> list[tuple[str, str]]:
     """Return the headers without hop-by-hop ones."""
     return [
-        (name, value)
-        for name, value in headers
+        (name, header_value)
+        for name, header_value in headers
         if name.lower() not in _HOP_BY_HOP
     ]
