--- a/samphirerill/node/accounts.py
+++ b/samphirerill/node/accounts.py
@@ -1,4 +1,4 @@
-"""Find the client account of a bearer key."""
+"""Look up the client account of an API key."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 if TYPE_CHECKING:
     from samphirerill.core.model import Configuration
 
-_BUCKET_CHARS = 12
-DigestOwner = tuple[str, str]
-Buckets = dict[str, list[DigestOwner]]
+_PREFIX_LENGTH = 12
+DigestEntry = tuple[str, str]
+Buckets = dict[str, list[DigestEntry]]
 
 
 class KeyIndex:
-    """The digests of all accounts' keys, found by their first characters.
+    """Index of all accounts' API key digests, bucketed by digest prefix.
 
-    Only digests are known. The whole digest is compared in constant time.
+    The node stores only digests of keys and compares the complete digest in
+    constant time.
     """
 
     __slots__ = ('_buckets',)
@@ -26,20 +27,22 @@
         self._buckets: Buckets = {}
 
     def rebuild(self, configuration: Configuration) -> None:
-        """Take the keys of a configuration that has come into force."""
+        """Index the keys of a newly applied configuration."""
         buckets: Buckets = {}
         for account in configuration.accounts.values():
             for digest in account.keys:
-                bare = digest.partition(':')[2]
-                bucket = buckets.setdefault(bare[:_BUCKET_CHARS], [])
-                bucket.append((bare, account.name))
+                hex_digest = digest.partition(':')[2]
+                bucket = buckets.setdefault(hex_digest[:_PREFIX_LENGTH], [])
+                bucket.append((hex_digest, account.name))
         self._buckets = buckets
 
     def find_account(self, key: str) -> str:
-        """Return the account a key belongs to, or an empty text."""
+        """Return the account of a key, or an empty string."""
         digest = sha256(key.encode()).hexdigest()
-        found = ''
-        for known, name in self._buckets.get(digest[:_BUCKET_CHARS], ()):
-            if hmac.compare_digest(known, digest):
-                found = name
-        return found
+        account_name = ''
+        for known_digest, name in self._buckets.get(
+            digest[:_PREFIX_LENGTH], ()
+        ):
+            if hmac.compare_digest(known_digest, digest):
+                account_name = name
+        return account_name
