--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/actions.py
@@ -1,4 +1,4 @@
-"""Carry out the decision core's commands."""
+"""Execution of the decision core's commands."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     SettleClaim,
     WriteClaim,
 )
-from samphirerill.node.answers import KeptAnswer
-from samphirerill.node.metrics import FIRST_TOKEN, TOKEN_GAP, WHOLE
+from samphirerill.node.answers import StoredResponse
+from samphirerill.node.metrics import FIRST_TOKEN, RESPONSE_TIME, TOKEN_INTERVAL
 from samphirerill.node.probes import probe_endpoint
 
 if TYPE_CHECKING:
@@ -35,44 +35,46 @@
     from samphirerill.node.node import Node
     from samphirerill.node.sessions import Session
 
-_SALT_CHARS = 16
+_SALT_LENGTH = 16
 
 
 @singledispatch
-def perform(command: object, node: Node) -> None:
-    """Carry out one command of the decision core."""
+def execute(command: object, node: Node) -> None:
+    """Execute a command of the decision core."""
     raise TypeError(
         f'got {type(command).__name__}, expected a command of the core'
     )
 
 
-@perform.register(OpenAttempt)
-def perform_open(command: OpenAttempt, node: Node) -> None:
-    """Open an attempt's connection."""
+@execute.register(OpenAttempt)
+def execute_open(command: OpenAttempt, node: Node) -> None:
+    """Send the request of an attempt over a new connection."""
     session = node.sessions[command.request_id]
     call = _build_call(command, session, node)
     node.calls[command.attempt_id] = call
-    session.on_slow = lambda slow: call.pause() if slow else call.resume()
-    work = call.open(command.stages[0].address)
-    node.start_task(work, f'attempt {command.attempt_id}')
+    session.on_backpressure = lambda slow: (
+        call.pause() if slow else call.resume()
+    )
+    coroutine = call.open(command.stages[0].address)
+    node.start_task(coroutine, f'attempt {command.attempt_id}')
 
 
-@perform.register(CancelAttempt)
-def perform_cancel(command: CancelAttempt, node: Node) -> None:
-    """Close an attempt's connection."""
+@execute.register(CancelAttempt)
+def execute_cancel(command: CancelAttempt, node: Node) -> None:
+    """Abort the connection of an attempt."""
     call = node.calls.pop(command.attempt_id, None)
     if call is not None:
         call.close()
 
 
-@perform.register(DeliverToken)
-def perform_deliver(command: DeliverToken, node: Node) -> None:
-    """Send a token to the caller and measure when it came."""
+@execute.register(DeliverToken)
+def execute_deliver_token(command: DeliverToken, node: Node) -> None:
+    """Send a token to the client and record its latency."""
     session = node.sessions[command.request_id]
     now = node.loop.time()
     if session.last_token_at:
-        gap_s = now - session.last_token_at
-        node.metrics.record(TOKEN_GAP, session.priority, gap_s)
+        interval_s = now - session.last_token_at
+        node.metrics.record(TOKEN_INTERVAL, session.priority, interval_s)
     else:
         wait_s = now - session.arrived_at
         node.metrics.record(FIRST_TOKEN, session.priority, wait_s)
@@ -80,56 +82,56 @@
     session.deliver_token(command.index, command.text, command.finish)
 
 
-@perform.register(DeliverService)
-def perform_service(command: DeliverService, node: Node) -> None:
-    """Send a plain service's whole answer."""
+@execute.register(DeliverService)
+def execute_deliver_service(command: DeliverService, node: Node) -> None:
+    """Send the response of a plain service to the client."""
     session = node.sessions[command.request_id]
     call = node.calls.pop(command.attempt_id)
     if not isinstance(call, ServiceCall):
         raise TypeError('got an engine call, expected a plain service')
-    session.kept = KeptAnswer(
+    session.stored_response = StoredResponse(
         call.status, call.list_end_to_end_headers(), call.body
     )
-    session.send_whole(
+    session.send_response(
         call.status, call.list_end_to_end_headers(), call.body, Outcome.ANSWERED
     )
 
 
-@perform.register(FinishAnswer)
-def perform_finish(command: FinishAnswer, node: Node) -> None:
-    """Tell the caller that its answer is whole."""
+@execute.register(FinishAnswer)
+def execute_finish(command: FinishAnswer, node: Node) -> None:
+    """Complete the response to the client."""
     session = node.sessions.pop(command.request_id)
-    if session.kept is None:
-        session.finish_answer()
-    whole_s = node.loop.time() - session.arrived_at
-    node.metrics.record(WHOLE, session.priority, whole_s)
+    if session.stored_response is None:
+        session.finish_response()
+    duration_s = node.loop.time() - session.arrived_at
+    node.metrics.record(RESPONSE_TIME, session.priority, duration_s)
 
 
-@perform.register(RefuseRequest)
-def perform_refuse(command: RefuseRequest, node: Node) -> None:
-    """Tell the caller why there is no whole answer."""
+@execute.register(RefuseRequest)
+def execute_refuse(command: RefuseRequest, node: Node) -> None:
+    """Send the client a problem document."""
     session = node.sessions.pop(command.request_id)
-    session.refuse(command.problem)
+    session.send_problem(command.problem)
 
 
-@perform.register(ReplayAnswer)
-def perform_replay(command: ReplayAnswer, node: Node) -> None:
-    """Send the answer that the first request with this key got."""
+@execute.register(ReplayAnswer)
+def execute_replay(command: ReplayAnswer, node: Node) -> None:
+    """Repeat the answer to the first request with this idempotency key."""
     session = node.sessions.pop(command.request_id)
-    answer = _claims(node).answers.pop(command.request_id, {})
+    answer = _get_claim_writer(node).answers.pop(command.request_id, {})
     text = answer.get('text')
     body = answer.get('body')
     if text is not None:
-        session.replay_text(text, answer['tokens'])
+        session.replay_completion(text, answer['tokens'])
     elif body is not None:
-        session.send_whole(
+        session.send_response(
             answer['status'],
             [(name, shown) for name, shown in answer['headers']],
             b64decode(body),
             Outcome.ANSWERED,
         )
     else:
-        session.refuse(
+        session.send_problem(
             Problem(
                 HTTPStatus.CONFLICT,
                 'already-answered',
@@ -140,30 +142,32 @@
         )
 
 
-@perform.register(WriteClaim)
-def perform_claim(command: WriteClaim, node: Node) -> None:
-    """Queue a claim."""
-    _claims(node).write(command)
+@execute.register(WriteClaim)
+def execute_write_claim(command: WriteClaim, node: Node) -> None:
+    """Queue a claim on an idempotency key for writing."""
+    _get_claim_writer(node).write(command)
 
 
-@perform.register(SettleClaim)
-def perform_settle(command: SettleClaim, node: Node) -> None:
-    """Queue a claim's outcome, with the answer if it is small enough."""
+@execute.register(SettleClaim)
+def execute_settle_claim(command: SettleClaim, node: Node) -> None:
+    """Queue a claim's outcome, with the answer unless it is too large."""
     session = node.sessions.get(command.request_id)
-    answer = {} if session is None else _pack_answer(command, session)
-    _claims(node).settle(command, answer)
+    answer = {} if session is None else _build_stored_answer(command, session)
+    _get_claim_writer(node).settle(command, answer)
 
 
-@perform.register(ProbeEndpoint)
-def perform_probe(command: ProbeEndpoint, node: Node) -> None:
-    """Ask an endpoint over a new connection whether it is there."""
-    work = probe_endpoint(command, node)
-    node.start_task(work, f'probe {command.endpoint}')
+@execute.register(ProbeEndpoint)
+def execute_probe(command: ProbeEndpoint, node: Node) -> None:
+    """Start a health check of an endpoint."""
+    coroutine = probe_endpoint(command, node)
+    node.start_task(coroutine, f'probe {command.endpoint}')
 
 
-def salt_account(account: str) -> str:
-    """Return what keeps an account's cached prefixes its own."""
-    return hashlib.sha256(f'cache/{account}'.encode()).hexdigest()[:_SALT_CHARS]
+def derive_cache_salt(account: str) -> str:
+    """Return the salt that isolates an account in engines' prefix caches."""
+    return hashlib.sha256(f'cache/{account}'.encode()).hexdigest()[
+        :_SALT_LENGTH
+    ]
 
 
 def _build_call(command: OpenAttempt, session: Session, node: Node) -> Call:
@@ -172,53 +176,67 @@
         return ServiceCall(command.attempt_id, request, node)
     request = build_engine_request(
         command,
-        {**session.caller.body, 'resume_text': ''.join(session.texts)},
-        salt_account(session.account),
+        {
+            **session.client_request.body,
+            'resume_text': ''.join(session.token_texts),
+        },
+        derive_cache_salt(session.account),
         session.priority,
         session.prefixes,
-        trace=session.caller.trace,
+        trace=session.client_request.trace,
+    )
+    on_layer_trace = (
+        session.layer_traces.__setitem__
+        if session.client_request.trace
+        else None
     )
-    on_layers = session.layers.__setitem__ if session.caller.trace else None
-    return EngineCall(command, request, node, on_layers)
+    return EngineCall(command, request, node, on_layer_trace)
 
 
 def _build_service_request(command: OpenAttempt, session: Session) -> bytes:
-    """Return a plain service's request.
+    """Serialize the request to a plain service.
 
-    The caller's idempotency key is replaced by a digest with its account:
-    a service that keeps keys itself must not mix two accounts up.
+    The client's idempotency key is replaced by a digest that includes the
+    account, so that a service cannot confuse the keys of two accounts.
     """
-    caller = session.caller
-    headers = [*caller.headers, ('Samphirerill-Account', session.account)]
-    if caller.key:
-        scoped = f'{session.account}/{caller.route}/{caller.key}'
-        digest = hashlib.sha256(scoped.encode()).hexdigest()
+    client_request = session.client_request
+    headers = [
+        *client_request.headers,
+        ('Samphirerill-Account', session.account),
+    ]
+    if client_request.key:
+        scoped_key = (
+            f'{session.account}/{client_request.route}/{client_request.key}'
+        )
+        digest = hashlib.sha256(scoped_key.encode()).hexdigest()
         headers.append(('Idempotency-Key', digest))
     return build_request(
-        caller.method,
-        caller.target,
+        client_request.method,
+        client_request.target,
         command.stages[0],
         headers,
-        caller.payload,
+        client_request.payload,
     )
 
 
-def _pack_answer(command: SettleClaim, session: Session) -> dict[str, Any]:
+def _build_stored_answer(
+    command: SettleClaim, session: Session
+) -> dict[str, Any]:
     if command.outcome is not Outcome.ANSWERED:
         return {}
-    if session.kept is not None:
-        body = b64encode(session.kept.body).decode()
+    if session.stored_response is not None:
+        body = b64encode(session.stored_response.body).decode()
         packed = {
-            'status': session.kept.status,
-            'headers': session.kept.headers,
+            'status': session.stored_response.status,
+            'headers': session.stored_response.headers,
             'body': body,
         }
         return packed if len(body) <= MAX_KEPT_ANSWER else {}
-    text = ''.join(session.texts)
+    text = ''.join(session.token_texts)
     if len(text) > MAX_KEPT_ANSWER:
         return {}
-    return {'text': text, 'tokens': len(session.texts)}
+    return {'text': text, 'tokens': len(session.token_texts)}
 
 
-def _claims(node: Node) -> Any:
+def _get_claim_writer(node: Node) -> Any:
     return node.claims
--- a/samphirerill/node/answers.py
+++ b/samphirerill/node/answers.py
@@ -1,4 +1,4 @@
-"""What callers ask for and the documents they are answered with."""
+"""Requests of clients and the documents of their responses."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from samphirerill.core.commands import Problem
 
 OUTCOME_HEADER = 'Samphirerill-Outcome'
-_PROBLEM_BASE = 'https://samphirerill.example/problems/'
+_PROBLEM_TYPE_PREFIX = 'https://samphirerill.example/problems/'
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """What the edge read from one caller, before any decision.
+    """A client's request as the HTTP server has parsed it.
 
-    `deadline_s` is the caller's limit in seconds from now; the node turns
-    it into a deadline at once. `body` is a checked JSON body of a model
-    request; `payload` the raw body of a plain-service one.
+    `timeout_s` is the timeout that the client asked for; 0 if none. `body` is
+    the validated JSON body of a model request, `payload` the raw body of a
+    request to a plain service.
     """
 
     kind: str
@@ -42,40 +42,46 @@
 
 
 @dataclass(slots=True)
-class KeptAnswer:
-    """An answer kept for a retry with the same idempotency key."""
+class StoredResponse:
+    """A response stored for retries with the same idempotency key."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes
 
 
-def read_prompt(caller: CallerRequest) -> str:
-    """Return the text a model request starts from."""
-    if caller.is_chat:
-        return '\n'.join(turn['content'] for turn in caller.body['messages'])
-    return str(caller.body.get('prompt', ''))
+def get_prompt_text(client_request: CallerRequest) -> str:
+    """Return the prompt of a model request as text."""
+    if client_request.is_chat:
+        return '\n'.join(
+            turn['content'] for turn in client_request.body['messages']
+        )
+    return str(client_request.body.get('prompt', ''))
 
 
 @dataclass(slots=True, frozen=True)
-class WholeText:
-    """A model's whole answer."""
+class Completion:
+    """A complete answer of a model."""
 
     text: str
     finish: str
     tokens: int
 
 
-def build_frame(request_id: str, caller: CallerRequest) -> bytes:
-    """Return what every token's event of a stream starts with."""
-    kind = 'chat.completion.chunk' if caller.is_chat else 'text_completion'
-    head = json.dumps(_build_head(request_id, kind, caller.route))
-    member = 'delta' if caller.is_chat else 'text'
-    return f'{head[:-1]}, "choices":[{{"index":0,"{member}":'.encode()
+def build_chunk_prefix(request_id: str, client_request: CallerRequest) -> bytes:
+    """Return the JSON that every chunk of a stream starts with."""
+    kind = (
+        'chat.completion.chunk' if client_request.is_chat else 'text_completion'
+    )
+    head = json.dumps(
+        _build_common_fields(request_id, kind, client_request.route)
+    )
+    field_name = 'delta' if client_request.is_chat else 'text'
+    return f'{head[:-1]}, "choices":[{{"index":0,"{field_name}":'.encode()
 
 
-def build_summary(request_id: str, tokens: int) -> dict[str, Any]:
-    """Return a stream's last event, which names the outcome."""
+def build_final_chunk(request_id: str, tokens: int) -> dict[str, Any]:
+    """Return the last chunk of a stream, which contains the outcome."""
     return {
         'id': request_id,
         'object': 'samphirerill.outcome',
@@ -85,29 +91,29 @@
     }
 
 
-def build_whole(
-    request_id: str, caller: CallerRequest, whole: WholeText
+def build_completion(
+    request_id: str, client_request: CallerRequest, completion: Completion
 ) -> dict[str, Any]:
-    """Return a whole answer that was not streamed."""
-    choice: dict[str, Any] = {'index': 0, 'finish_reason': whole.finish}
+    """Return the document of an answer that is not streamed."""
+    choice: dict[str, Any] = {'index': 0, 'finish_reason': completion.finish}
     kind = 'text_completion'
-    if caller.is_chat:
+    if client_request.is_chat:
         kind = 'chat.completion'
-        choice['message'] = {'role': 'assistant', 'content': whole.text}
+        choice['message'] = {'role': 'assistant', 'content': completion.text}
     else:
-        choice['text'] = whole.text
+        choice['text'] = completion.text
     return {
-        **_build_head(request_id, kind, caller.route),
+        **_build_common_fields(request_id, kind, client_request.route),
         'choices': [choice],
-        'usage': {'completion_tokens': whole.tokens},
+        'usage': {'completion_tokens': completion.tokens},
         'samphirerill': {'outcome': Outcome.ANSWERED.value},
     }
 
 
 def describe_problem(problem: Problem, request_id: str) -> dict[str, Any]:
-    """Return a problem document (RFC 9457) that says whether anything ran."""
+    """Return a problem document (RFC 9457) with the request's outcome."""
     document: dict[str, Any] = {
-        'type': f'{_PROBLEM_BASE}{problem.code}',
+        'type': f'{_PROBLEM_TYPE_PREFIX}{problem.code}',
         'title': problem.code.replace('-', ' '),
         'status': problem.status,
         'detail': problem.detail,
@@ -119,8 +125,8 @@
     return document
 
 
-def format_status(status: int) -> str:
-    """Return the status line of an answer."""
+def format_status_line(status: int) -> str:
+    """Return the status line of a response."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -128,7 +134,9 @@
     return f'HTTP/1.1 {int(status)} {phrase}'
 
 
-def _build_head(request_id: str, kind: str, route: str) -> dict[str, Any]:
+def _build_common_fields(
+    request_id: str, kind: str, route: str
+) -> dict[str, Any]:
     return {
         'id': request_id,
         'object': kind,
--- a/samphirerill/node/arrivals.py
+++ b/samphirerill/node/arrivals.py
@@ -1,4 +1,4 @@
-"""Take callers' requests from the edge's threads onto the loop."""
+"""Transfer of client requests from server threads to the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from samphirerill.core.model import MODEL_ROUTE, choose_priority
 from samphirerill.core.prefixes import digest_prefixes
 from samphirerill.edges.callers import MODELS
-from samphirerill.node.answers import read_prompt
+from samphirerill.node.answers import get_prompt_text
 from samphirerill.node.sessions import Session
 from samphirerill.quarantine import digest_request
 
@@ -24,112 +24,122 @@
     from samphirerill.node.node import Node
 
 
-class Arrivals:
-    """Turns what the edge read into sessions and events.
+class RequestReceiver:
+    """Creates a session for each parsed request and submits it to the core.
 
     Parameters
     ----------
     node : Node
-        The node whose loop the requests go to.
+        The node that handles the requests.
     """
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
-    def take_from_thread(
-        self, caller: CallerRequest, sock: socket.socket
+    def receive_from_thread(
+        self, client_request: CallerRequest, sock: socket.socket
     ) -> None:
-        """Receive a request in an edge's thread."""
-        self._node.loop.call_soon_threadsafe(self._take, caller, sock)
+        """Receive a request on a thread of the HTTP server."""
+        self._node.loop.call_soon_threadsafe(
+            self._create_session, client_request, sock
+        )
 
-    def _take(self, caller: CallerRequest, sock: socket.socket) -> None:
-        session = Session(uuid.uuid4().hex, caller, self._leave)
+    def _create_session(
+        self, client_request: CallerRequest, sock: socket.socket
+    ) -> None:
+        session = Session(uuid.uuid4().hex, client_request, self._on_disconnect)
         session.arrived_at = self._node.loop.time()
-        self._node.start_task(self._admit(session, sock), 'admit')
+        self._node.start_task(self._handle_request(session, sock), 'admit')
 
-    def _leave(self, request_id: str) -> None:
+    def _on_disconnect(self, request_id: str) -> None:
         self._node.apply(CallerLeft(request_id))
 
-    async def _admit(self, session: Session, sock: socket.socket) -> None:
+    async def _handle_request(
+        self, session: Session, sock: socket.socket
+    ) -> None:
         await session.attach(sock)
-        caller = session.caller
-        session.account = self._node.keys.find_account(caller.bearer)
-        problem = self._find_problem(session)
+        client_request = session.client_request
+        session.account = self._node.keys.find_account(client_request.bearer)
+        problem = self._check_request(session)
         if problem:
-            session.refuse(problem)
-        elif caller.kind == MODELS:
-            self._answer_models(session)
+            session.send_problem(problem)
+        elif client_request.kind == MODELS:
+            self._send_models(session)
         else:
-            self._hand_to_core(session)
+            self._submit_to_core(session)
 
-    def _hand_to_core(self, session: Session) -> None:
-        caller = session.caller
+    def _submit_to_core(self, session: Session) -> None:
+        client_request = session.client_request
         state = self._node.router.state
-        route = state.configuration.routes[caller.route]
+        route = state.configuration.routes[client_request.route]
         account = state.configuration.accounts[session.account]
         session.priority = choose_priority(route, account)
-        timeout_s = min(caller.timeout_s or route.timeout_s, route.timeout_s)
-        session.prefixes = digest_prefixes(session.account, read_prompt(caller))
+        timeout_s = min(
+            client_request.timeout_s or route.timeout_s, route.timeout_s
+        )
+        session.prefixes = digest_prefixes(
+            session.account, get_prompt_text(client_request)
+        )
         self._node.sessions[session.request_id] = session
         self._node.apply(
             RequestArrived(
                 session.request_id,
                 session.account,
-                caller.route,
+                client_request.route,
                 session.arrived_at + timeout_s,
-                tokens=int(caller.body.get('max_tokens', 1)),
-                key=caller.key,
-                fingerprint=_fingerprint(caller),
+                tokens=int(client_request.body.get('max_tokens', 1)),
+                key=client_request.key,
+                fingerprint=_compute_fingerprint(client_request),
                 prefixes=session.prefixes,
-                identity=_identify(session),
+                identity=_compute_identity(session),
             ),
         )
 
-    def _find_problem(self, session: Session) -> Problem | None:
-        """Return why the core need not be asked, or nothing.
+    def _check_request(self, session: Session) -> Problem | None:
+        """Return why the request is rejected, or None.
 
-        A route that the account may not use is as unknown as one that is
-        not there: its name is another account's business.
+        A route that the account may not use is reported like one that does
+        not exist, so that the names of other accounts' routes stay hidden.
         """
         configuration = self._node.router.state.configuration
         if not configuration.version:
-            return _refusal(
+            return _build_rejection(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'no-configuration',
                 'no configuration is known yet',
                 1,
             )
         if not session.account:
-            return _refusal(
+            return _build_rejection(
                 HTTPStatus.UNAUTHORIZED,
                 'unknown-key',
                 'got no key of an account',
             )
-        caller = session.caller
-        if caller.kind == MODELS:
+        client_request = session.client_request
+        if client_request.kind == MODELS:
             return None
         allowed = configuration.accounts[session.account].routes
-        route = configuration.routes.get(caller.route)
-        is_model = caller.kind == MODEL_ROUTE
+        route = configuration.routes.get(client_request.route)
+        is_model = client_request.kind == MODEL_ROUTE
         if (
             route is None
-            or caller.route not in allowed
+            or client_request.route not in allowed
             or (route.kind == MODEL_ROUTE) != is_model
         ):
-            return _refusal(
+            return _build_rejection(
                 HTTPStatus.NOT_FOUND,
                 'unknown-route',
-                f'got unknown route {caller.route!r}',
+                f'got unknown route {client_request.route!r}',
             )
-        if not route.idempotent and not caller.key:
-            return _refusal(
+        if not route.idempotent and not client_request.key:
+            return _build_rejection(
                 HTTPStatus.BAD_REQUEST,
                 'key-required',
                 'this route is not idempotent: send an Idempotency-Key',
             )
         return None
 
-    def _answer_models(self, session: Session) -> None:
+    def _send_models(self, session: Session) -> None:
         configuration = self._node.router.state.configuration
         allowed = configuration.accounts[session.account].routes
         models = [
@@ -138,26 +148,29 @@
             if configuration.routes[name].kind == MODEL_ROUTE
         ]
         body = json.dumps({'object': 'list', 'data': models}).encode()
-        session.send_whole(HTTPStatus.OK, [], body, Outcome.ANSWERED)
+        session.send_response(HTTPStatus.OK, [], body, Outcome.ANSWERED)
 
 
-def _fingerprint(caller: CallerRequest) -> str:
-    """Return a digest that tells two bodies under one key apart."""
-    facts = [caller.method, caller.target, caller.body]
-    digest = hashlib.sha256(json.dumps(facts, sort_keys=True).encode())
-    digest.update(caller.payload)
+def _compute_fingerprint(client_request: CallerRequest) -> str:
+    """Return a digest that detects reuse of a key for another request."""
+    fields = [client_request.method, client_request.target, client_request.body]
+    digest = hashlib.sha256(json.dumps(fields, sort_keys=True).encode())
+    digest.update(client_request.payload)
     return digest.hexdigest()
 
 
-def _identify(session: Session) -> bytes:
-    """Return what makes this the same request as another attempt."""
-    caller = session.caller
-    body = caller.payload or json.dumps(caller.body, sort_keys=True).encode()
-    target = f'{caller.route} {caller.target}'.encode()
+def _compute_identity(session: Session) -> bytes:
+    """Return a digest that is equal for retries of the same request."""
+    client_request = session.client_request
+    body = (
+        client_request.payload
+        or json.dumps(client_request.body, sort_keys=True).encode()
+    )
+    target = f'{client_request.route} {client_request.target}'.encode()
     return digest_request(session.account, target, body)
 
 
-def _refusal(
+def _build_rejection(
     status: int, code: str, detail: str, retry_after_s: float = 0
 ) -> Problem:
     return Problem(status, code, detail, Outcome.NOT_RUN, retry_after_s)
--- a/samphirerill/node/node.py
+++ b/samphirerill/node/node.py
@@ -1,7 +1,7 @@
-"""The node: the decision core wired to its edges, on one loop.
+"""The node: runs the decision core on the event loop.
 
-Every event goes through :meth:`Node.apply`; every command the core answers
-with is carried out by :func:`samphirerill.node.actions.perform`.
+Every event is passed to :meth:`Node.apply`; the commands that the core returns
+are executed by :func:`samphirerill.node.actions.execute`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from samphirerill.core.events import TimePassed
 from samphirerill.core.router import Router
 from samphirerill.node.accounts import KeyIndex
-from samphirerill.node.actions import perform
+from samphirerill.node.actions import execute
 from samphirerill.node.logs import get_logger
 from samphirerill.node.metrics import Metrics
 
@@ -29,12 +29,12 @@
 
 
 class Node:
-    """State and edges of one process; lives on the loop's thread only.
+    """State of one router process; used on the event loop's thread only.
 
     Parameters
     ----------
     settings : Settings
-        The node's settings, whole.
+        The settings of the node.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -56,10 +56,10 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def apply(self, event: object) -> None:
-        """Let the core handle an event and carry out what it answers.
+        """Let the core handle an event and execute the resulting commands.
 
-        Carrying out a command can lead to another event at once; it is
-        queued, so that commands never overtake each other.
+        Executing a command can emit another event; it is queued, so that
+        commands are executed in order.
         """
         self._events.append(event)
         if self._applying:
@@ -70,30 +70,29 @@
                 self._apply_one(self._events.popleft())
         finally:
             self._applying = False
-        self._arm_timer()
+        self._schedule_timer()
 
-    def start_task(self, work: Any, name: str) -> None:
-        """Run a coroutine; an error in it is logged, not lost."""
-        task = self.loop.create_task(work, name=name)
+    def start_task(self, coroutine: Any, name: str) -> None:
+        """Run a coroutine as a task whose errors are logged."""
+        task = self.loop.create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._end_task)
+        task.add_done_callback(self._on_task_done)
 
     def _apply_one(self, event: object) -> None:
         for command in self.router.apply(event, self.loop.time()):
             try:
-                perform(command, self)
+                execute(command, self)
             except Exception as exc:
-                # One command that can't be carried out must not swallow
-                # those after it: they belong to other requests, which
-                # would wait for them until their deadlines.
-                self._note_failure(command, exc)
+                # Later commands belong to other requests, which would wait
+                # until their deadlines if this error prevented them.
+                self._log_failure(command, exc)
 
-    def _note_failure(self, command: object, exc: Exception) -> None:
+    def _log_failure(self, command: object, exc: Exception) -> None:
         self.router.state.counters['commands.failed'] += 1
         kind = type(command).__name__
         _LOG.error('command failed', extra={'kind': kind, 'error': repr(exc)})
 
-    def _end_task(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             _LOG.error(
@@ -104,14 +103,14 @@
                 },
             )
 
-    def _arm_timer(self) -> None:
-        wake = self.router.next_wake()
-        if wake is None or wake >= self._timer_at:
+    def _schedule_timer(self) -> None:
+        wake_at = self.router.next_wake()
+        if wake_at is None or wake_at >= self._timer_at:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_at = wake
-        self._timer = self.loop.call_at(wake, self._on_timer)
+        self._timer_at = wake_at
+        self._timer = self.loop.call_at(wake_at, self._on_timer)
 
     def _on_timer(self) -> None:
         lag_s = self.loop.time() - self._timer_at
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -13,7 +13,7 @@
 from samphirerill.edges.callers import CallersRoot
 from samphirerill.edges.operators import OperatorsRoot
 from samphirerill.edges.serving import HttpServer, ListenError
-from samphirerill.node.arrivals import Arrivals
+from samphirerill.node.arrivals import RequestReceiver
 from samphirerill.node.claim_writer import ClaimWriter
 from samphirerill.node.follower import Follower
 from samphirerill.node.gossip import Gossip
@@ -175,9 +175,11 @@
 
     def _build_callers(self) -> HttpServer:
         spec = self._settings.callers
-        arrivals = Arrivals(self.node)
+        arrivals = RequestReceiver(self.node)
         return HttpServer(
-            CallersRoot(arrivals.take_from_thread, lambda: self.node.healthy),
+            CallersRoot(
+                arrivals.receive_from_thread, lambda: self.node.healthy
+            ),
             spec.host,
             spec.port,
             spec.threads,
--- a/samphirerill/node/sessions.py
+++ b/samphirerill/node/sessions.py
@@ -1,4 +1,4 @@
-"""Callers' connections after their request has been read, on the loop."""
+"""Connections of clients whose request has been parsed."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from samphirerill.node.answers import (
     OUTCOME_HEADER,
     CallerRequest,
-    KeptAnswer,
-    WholeText,
-    build_frame,
-    build_summary,
-    build_whole,
+    Completion,
+    StoredResponse,
+    build_chunk_prefix,
+    build_completion,
+    build_final_chunk,
     describe_problem,
-    format_status,
+    format_status_line,
 )
 
 if TYPE_CHECKING:
@@ -29,144 +29,148 @@
     from samphirerill.core.commands import Problem
 
 StageRuns = list[list[Any]]
-_MAX_UNSENT = 262_144
+_WRITE_BUFFER_BYTES = 262_144
 
 
 class Session(asyncio.Protocol):
-    """One caller's connection, from the read request to its one answer.
+    """A client's connection, from the parsed request to the response.
 
     Parameters
     ----------
     request_id : str
-        Names the request in answers and logs.
-    caller : CallerRequest
-        What was asked.
-    on_left : callable
-        Called once if the caller closes before its answer is whole.
+        Identifies the request in responses and logs.
+    client_request : CallerRequest
+        The parsed request.
+    on_disconnect : callable
+        Called once if the client disconnects before the response is complete.
     """
 
     def __init__(
         self,
         request_id: str,
-        caller: CallerRequest,
-        on_left: Callable[[str], None],
+        client_request: CallerRequest,
+        on_disconnect: Callable[[str], None],
     ) -> None:
         self.request_id = request_id
-        self.caller = caller
+        self.client_request = client_request
         self.account = ''
         self.priority = ''
         self.prefixes: tuple[str, ...] = ()
-        self.texts: list[str] = []
-        self.layers: dict[int, StageRuns] = {}
-        self.answered = False
-        self.kept: KeptAnswer | None = None
+        self.token_texts: list[str] = []
+        self.layer_traces: dict[int, StageRuns] = {}
+        self.is_finished = False
+        self.stored_response: StoredResponse | None = None
         self.arrived_at = 0.0
         self.last_token_at = 0.0
-        self.on_slow: Callable[[bool], None] | None = None
-        self._finish = ''
+        self.on_backpressure: Callable[[bool], None] | None = None
+        self._finish_reason = ''
         self._token_count = 0
-        self._on_left = on_left
+        self._on_disconnect = on_disconnect
         self._transport: Any = None
-        self._head_sent = False
-        self._frame = b''
+        self._headers_sent = False
+        self._chunk_prefix = b''
 
     async def attach(self, sock: socket.socket) -> None:
-        """Take over the caller's connection."""
+        """Take over the client's socket from the HTTP server."""
         loop = asyncio.get_running_loop()
         await loop.connect_accepted_socket(lambda: self, sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Bound what may wait for a slow caller."""
+        """Limit the write buffer for slow clients."""
         self._transport = transport
-        self._transport.set_write_buffer_limits(high=_MAX_UNSENT)
+        self._transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
 
     def eof_received(self) -> bool:
-        """Take a half-closed connection for a caller that left."""
+        """Treat a half-closed connection as a disconnect."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the node if the caller left early."""
+        """Report a disconnect before the response is complete."""
         self._transport = None
-        if not self.answered:
-            self.answered = True
-            self._on_left(self.request_id)
+        if not self.is_finished:
+            self.is_finished = True
+            self._on_disconnect(self.request_id)
 
     def pause_writing(self) -> None:
-        """The caller reads slower than its answer comes."""
-        if self.on_slow is not None:
-            self.on_slow(True)
+        """Apply backpressure: the write buffer is full."""
+        if self.on_backpressure is not None:
+            self.on_backpressure(True)
 
     def resume_writing(self) -> None:
-        """The caller has caught up."""
-        if self.on_slow is not None:
-            self.on_slow(False)
+        """Release backpressure: the write buffer has drained."""
+        if self.on_backpressure is not None:
+            self.on_backpressure(False)
 
     def deliver_token(self, index: int, text: str, finish: str) -> None:
-        """Keep a token and, for a streamed answer, send it."""
-        self.texts.append(text)
-        self._finish = finish or self._finish
-        if not self.caller.stream:
+        """Store a token and send it if the response is streamed."""
+        self.token_texts.append(text)
+        self._finish_reason = finish or self._finish_reason
+        if not self.client_request.stream:
             return
         self._start_stream()
         reason = f'"{finish}"' if finish else 'null'
-        layers = b''
-        if self.caller.trace:
-            layers = b',"layers":' + encode(self.layers.pop(index, []))
+        layer_traces = b''
+        if self.client_request.trace:
+            layer_traces = b',"layers":' + encode(
+                self.layer_traces.pop(index, [])
+            )
         text_json = encode(text)
-        if self.caller.is_chat:
+        if self.client_request.is_chat:
             text_json = b'{"content":' + text_json + b'}'
         self._send_event(
             b'%b%b,"finish_reason":%b}]%b}'
-            % (self._frame, text_json, reason.encode(), layers)
+            % (self._chunk_prefix, text_json, reason.encode(), layer_traces)
         )
 
-    def finish_answer(self) -> None:
-        """Tell that the answer is whole, in its last event or as a whole."""
-        if not self.caller.stream:
+    def finish_response(self) -> None:
+        """Send the final chunks of a stream, or the complete response."""
+        if not self.client_request.stream:
             body = json.dumps(
-                build_whole(self.request_id, self.caller, self._sum_up())
+                build_completion(
+                    self.request_id, self.client_request, self._build_result()
+                )
             ).encode()
-            self.send_whole(HTTPStatus.OK, [], body, Outcome.ANSWERED)
+            self.send_response(HTTPStatus.OK, [], body, Outcome.ANSWERED)
             return
         self._start_stream()
         self._send_event(
             json.dumps(
-                build_summary(self.request_id, self._count_tokens())
+                build_final_chunk(self.request_id, self._get_token_count())
             ).encode()
         )
         self._send_event(b'[DONE]')
         self._write(b'0\r\n\r\n')
-        self._end()
+        self._close()
 
-    def refuse(self, problem: Problem) -> None:
-        """Tell why there is no whole answer, and what is known of it.
+    def send_problem(self, problem: Problem) -> None:
+        """Send a problem document.
 
-        A stream that has started ends without its last chunk, so that no
-        client can take a part for the whole.
+        A stream that has started ends without the terminating HTTP chunk, so
+        that clients detect the truncated response.
         """
         document = describe_problem(problem, self.request_id)
-        if self._head_sent:
-            failure = {'error': document}
-            self._send_event(json.dumps(failure).encode())
-            self._end()
+        if self._headers_sent:
+            error_chunk = {'error': document}
+            self._send_event(json.dumps(error_chunk).encode())
+            self._close()
             return
         headers = [('Content-Type', 'application/problem+json')]
         if problem.retry_after_s:
             seconds = max(1, round(problem.retry_after_s))
             headers.append(('Retry-After', str(seconds)))
         body = json.dumps(document).encode()
-        self.send_whole(problem.status, headers, body, problem.outcome)
+        self.send_response(problem.status, headers, body, problem.outcome)
 
-    def send_whole(
+    def send_response(
         self,
         status: int,
         headers: list[tuple[str, str]],
         body: bytes,
         outcome: Outcome,
     ) -> None:
-        """Send a whole answer that names its outcome."""
+        """Send a complete response with the outcome in a header."""
         names = {name.lower() for name, _ in headers}
-        lines = [format_status(status)]
+        lines = [format_status_line(status)]
         lines.extend(f'{name}: {text}' for name, text in headers)
         if 'content-type' not in names:
             lines.append('Content-Type: application/json')
@@ -180,21 +184,23 @@
         )
         head = '\r\n'.join([*lines, '', '']).encode('latin-1')
         self._write(head + body)
-        self._end()
+        self._close()
 
-    def replay_text(self, text: str, tokens: int) -> None:
-        """Send a kept model answer, in the form this caller asked for."""
+    def replay_completion(self, text: str, tokens: int) -> None:
+        """Send a stored completion, streamed if the client asked for that."""
         self.deliver_token(0, text, 'stop')
         self._token_count = tokens
-        self.finish_answer()
+        self.finish_response()
 
     def _start_stream(self) -> None:
-        if self._head_sent:
+        if self._headers_sent:
             return
-        self._head_sent = True
-        self._frame = build_frame(self.request_id, self.caller)
+        self._headers_sent = True
+        self._chunk_prefix = build_chunk_prefix(
+            self.request_id, self.client_request
+        )
         lines = (
-            format_status(HTTPStatus.OK),
+            format_status_line(HTTPStatus.OK),
             'Content-Type: text/event-stream',
             'Cache-Control: no-store',
             'Transfer-Encoding: chunked',
@@ -205,22 +211,24 @@
         )
         self._write('\r\n'.join(lines).encode())
 
-    def _sum_up(self) -> WholeText:
-        text = ''.join(self.texts)
-        return WholeText(text, self._finish or 'stop', self._count_tokens())
+    def _build_result(self) -> Completion:
+        text = ''.join(self.token_texts)
+        return Completion(
+            text, self._finish_reason or 'stop', self._get_token_count()
+        )
 
-    def _count_tokens(self) -> int:
-        return self._token_count or len(self.texts)
+    def _get_token_count(self) -> int:
+        return self._token_count or len(self.token_texts)
 
     def _send_event(self, payload: bytes) -> None:
         size = len(payload) + 8
         self._write(b'%x\r\ndata: %b\n\n\r\n' % (size, payload))
 
     def _write(self, payload: bytes) -> None:
-        if self._transport is not None and not self.answered:
+        if self._transport is not None and not self.is_finished:
             self._transport.write(payload)
 
-    def _end(self) -> None:
-        self.answered = True
+    def _close(self) -> None:
+        self.is_finished = True
         if self._transport is not None:
             self._transport.close()
