--- a/samphirerill/node/claim_carriers.py
+++ b/samphirerill/node/claim_carriers.py
@@ -1,9 +1,9 @@
-"""The two ways a group of claims reaches the platform's service.
+"""The two ways to write a batch of claims to the key-value service.
 
-In a small fleet every node writes its own groups. In a large one a node has
-hardly a claim a second, so its groups would hold one claim each and wait long
-for their turn; there a few nodes gather for all. Which node writes never
-matters for who wins a key: the service's transaction alone decides that.
+In a small fleet every node writes its own batches. In a large fleet, where the
+limit on writes would leave each node few writes with one claim each, a few
+nodes aggregate the claims of all. Which node writes does not affect which
+request acquires a key; the transaction in the service decides that.
 """
 
 from __future__ import annotations
@@ -30,89 +30,101 @@
 
 COLLECTORS = 8
 COLLECT_ABOVE = 16
-UNKNOWN = ''
-KEEP_S = 86_400
-_LEASE_RENEWAL_S = 3600.0
+UNKNOWN_STATE = ''
+CLAIM_TTL_S = 86_400
+_LEASE_REUSE_S = 3600.0
 
 
-class Carrier(Protocol):
-    """Takes a batch to the service; returns verdicts and what to retry."""
+class BatchWriter(Protocol):
+    """Writes batches of claims to the service."""
 
-    async def carry(self, batch: Batch) -> tuple[list[Verdict], list[Claim]]:
-        """Write a batch.
+    async def write_batch(
+        self, batch: Batch
+    ) -> tuple[list[Verdict], list[Claim]]:
+        """Write a batch; return the results and the claims to retry.
 
         Raises
         ------
         StoreError
-            It was not written, or nobody knows.
+            The batch was not written, or that is unknown.
         """
 
 
-class DirectCarrier:
-    """Writes to the service itself."""
+class DirectBatchWriter:
+    """Writes batches directly to the service."""
 
     def __init__(self, worker: StoreWorker) -> None:
         self._worker = worker
         self._lease = ''
         self._lease_until = 0.0
 
-    async def carry(self, batch: Batch) -> tuple[list[Verdict], list[Claim]]:
+    async def write_batch(
+        self, batch: Batch
+    ) -> tuple[list[Verdict], list[Claim]]:
         """Write a batch in one transaction."""
-        lease = await self._find_lease()
-        done = await self._worker.run(
+        lease = await self._get_lease()
+        transaction_result = await self._worker.run(
             self._worker.store.commit, build_transaction(batch, lease)
         )
-        return read_verdicts(batch.claims, done)
+        return read_verdicts(batch.claims, transaction_result)
 
-    async def _find_lease(self) -> str:
-        """Return the lease that lets claims vanish after a day."""
+    async def _get_lease(self) -> str:
+        """Return a lease with which claims expire after `CLAIM_TTL_S`."""
         now = time.monotonic()
         if now >= self._lease_until:
             self._lease = await self._worker.run(
-                self._worker.store.grant_lease, KEEP_S
+                self._worker.store.grant_lease, CLAIM_TTL_S
             )
-            self._lease_until = now + _LEASE_RENEWAL_S
+            self._lease_until = now + _LEASE_REUSE_S
         return self._lease
 
 
-class PeerCarrier:
-    """Has another node write."""
+class PeerBatchWriter:
+    """Writes batches through another node."""
 
     def __init__(self, clients: PeerClients, address: str) -> None:
         self._clients = clients
         self._address = address
 
-    async def carry(self, batch: Batch) -> tuple[list[Verdict], list[Claim]]:
-        """Send a batch to the node that gathers, and wait for its word."""
+    async def write_batch(
+        self, batch: Batch
+    ) -> tuple[list[Verdict], list[Claim]]:
+        """Send a batch to the aggregating node and wait for the results."""
         answer = await self._clients.collect(self._address, batch)
         if isinstance(answer, Err):
             raise StoreUnreachableError(
                 str(answer.err_value), may_have_applied=True
             )
-        verdicts = answer.ok_value
-        if any(verdict.state == UNKNOWN for verdict in verdicts):
+        claim_results = answer.ok_value
+        if any(
+            claim_result.state == UNKNOWN_STATE
+            for claim_result in claim_results
+        ):
             raise StoreUnreachableError(
-                'the gathering node gave no verdict', may_have_applied=True
+                'the aggregating node did not write the claims in time',
+                may_have_applied=True,
             )
-        return verdicts, []
+        return claim_results, []
 
 
 def pick_collector(node_id: str, members: Members) -> str:
-    """Return the address of the node to gather for this one, or ''.
+    """Return the address of the node that aggregates for this one, or ''.
 
-    Empty means that this node writes for itself: the fleet is small, or this
-    node is one of those that gather. Nodes that know different members may
-    choose differently; that costs a write, no more.
+    Empty if this node writes directly: the fleet is small, or this node is an
+    aggregator. Nodes with different views of the membership may choose
+    differently, which only costs additional writes.
     """
     if members.count <= COLLECT_ABOVE:
         return ''
-    ids = sorted([node_id, *members.others], key=_rank)
-    collectors = ids[:COLLECTORS]
-    if node_id in collectors:
+    ids = sorted([node_id, *members.others], key=_compute_rank)
+    aggregators = ids[:COLLECTORS]
+    if node_id in aggregators:
         return ''
-    chosen = min(collectors, key=lambda other: _rank(f'{node_id}/{other}'))
+    chosen = min(
+        aggregators, key=lambda other: _compute_rank(f'{node_id}/{other}')
+    )
     return members.others[chosen].peer_address
 
 
-def _rank(name: str) -> str:
+def _compute_rank(name: str) -> str:
     return sha256(name.encode()).hexdigest()
--- a/samphirerill/node/claim_releases.py
+++ b/samphirerill/node/claim_releases.py
@@ -1,8 +1,8 @@
-"""Removes claims under which nothing ran.
+"""Release of claims whose request was not executed.
 
-A removal names the exact text that this node wrote. Sent twice, it spares the
-claim that a retry has won in between; without that, the retry's work would run
-and a third request could win the key and run it again.
+A claim is only deleted if its value is the one that this node wrote. A delete
+that is sent twice therefore leaves alone the claim that a retry has acquired
+in the meantime; otherwise a third request could execute the same work again.
 """
 
 from __future__ import annotations
@@ -22,48 +22,50 @@
 
 
 @dataclass(slots=True)
-class _Release:
-    """A claim to remove once its deadline has come."""
+class _PendingRelease:
+    """A claim to delete, not before a time on the monotonic clock."""
 
     claim: Claim
-    removable_at: float
+    not_before: float
 
 
-class ClaimReleases:
-    """The claims to remove; kept until the service has confirmed each."""
+class ClaimReleaseQueue:
+    """Queue of claims to delete, each kept until the service confirms it."""
 
     def __init__(self, worker: StoreWorker) -> None:
         self._worker = worker
-        self._waiting: list[_Release] = []
+        self._pending: list[_PendingRelease] = []
 
-    def add(self, claim: Claim, removable_at: float) -> None:
-        """Remove a claim, not before a time on the monotonic clock."""
-        self._waiting.append(_Release(claim, removable_at))
+    def add(self, claim: Claim, not_before: float) -> None:
+        """Queue a claim for release."""
+        self._pending.append(_PendingRelease(claim, not_before))
 
     def size(self) -> int:
-        """Return how many claims are still to be removed."""
-        return len(self._waiting)
+        """Return the number of claims to release."""
+        return len(self._pending)
 
     def has_due(self) -> bool:
-        """Tell whether a claim could be removed now."""
+        """Return whether a claim can be released now."""
         now = time.monotonic()
-        return any(item.removable_at <= now for item in self._waiting)
+        return any(item.not_before <= now for item in self._pending)
 
-    async def run_due(self) -> None:
-        """Try to remove what is due; what fails is tried again later."""
+    async def release_due(self) -> None:
+        """Try to delete the claims that are due; failures stay queued."""
         now = time.monotonic()
-        due = [item for item in self._waiting if item.removable_at <= now]
-        self._waiting = [
-            item for item in self._waiting if item.removable_at > now
+        due = [item for item in self._pending if item.not_before <= now]
+        self._pending = [
+            item for item in self._pending if item.not_before > now
         ]
-        done = await asyncio.gather(*map(self._remove, due))
-        self._waiting.extend(
-            item for item, removed in zip(due, done, strict=True) if not removed
+        outcomes = await asyncio.gather(*map(self._delete_claim, due))
+        self._pending.extend(
+            item
+            for item, is_deleted in zip(due, outcomes, strict=True)
+            if not is_deleted
         )
 
-    async def _remove(self, release: _Release) -> bool:
+    async def _delete_claim(self, release: _PendingRelease) -> bool:
         transaction = build_release(release.claim)
-        done = await self._worker.attempt(
+        outcome = await self._worker.attempt(
             self._worker.store.commit, transaction
         )
-        return isinstance(done, Ok)
+        return isinstance(outcome, Ok)
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -1,7 +1,8 @@
-"""Writes claims and their outcomes in groups, one call at a time.
+"""Batched writes of claims and their outcomes, one call at a time.
 
-While one call is under way, what comes next gathers. The slower the service,
-the larger the groups; the calls a second never rise above one node's share.
+A claim reserves an idempotency key for one request. Claims that arrive during
+a call form the next batch, so batches grow if the service is slow, and the
+rate of calls stays within the node's share of the fleet's limit.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 from samphirerill.node.claim_carriers import (
     COLLECT_ABOVE,
     COLLECTORS,
-    UNKNOWN,
-    Carrier,
-    DirectCarrier,
-    PeerCarrier,
+    UNKNOWN_STATE,
+    BatchWriter,
+    DirectBatchWriter,
+    PeerBatchWriter,
     pick_collector,
 )
-from samphirerill.node.claim_releases import ClaimReleases
+from samphirerill.node.claim_releases import ClaimReleaseQueue
 from samphirerill.node.logs import get_logger
 
 if TYPE_CHECKING:
@@ -41,39 +42,44 @@
     from samphirerill.node.store_worker import StoreWorker
 
 _LOG = get_logger('claims')
-Told = TypeVar('Told')
+FutureResult = TypeVar('FutureResult')
 FLEET_WRITES_PER_S = 150
-LEAST_GAP_S = 0.02
-GIVE_UP_S = 2.0
+MIN_WRITE_INTERVAL_S = 0.02
+CLAIM_TIMEOUT_S = 2.0
 RELEASE_AFTER_S = 4.0
-_COLLECT_S = 1.0
-_BACKOFF_S = 0.25
+_PEER_CLAIM_TIMEOUT_S = 1.0
+_RETRY_DELAY_S = 0.25
 _MAX_BATCH = 50
 
 
 @dataclass(slots=True)
-class _Pending:
-    """A claim that waits for its verdict until its deadline.
+class _PendingClaim:
+    """A queued claim.
 
-    `told` gets the verdict of a claim that is written for another node.
+    `result_future` is resolved with the result if the claim belongs to another
+    node.
     """
 
     claim: Claim
     deadline: float
-    told: asyncio.Future[Verdict] | None = None
+    result_future: asyncio.Future[Verdict] | None = None
 
 
 @dataclass(slots=True)
-class _Outcome:
-    """A claim's outcome; `written` is awaited by the node it belongs to."""
+class _PendingOutcome:
+    """A queued outcome of a claim.
+
+    `written_future` is resolved after the write if the claim belongs to
+    another node.
+    """
 
     settlement: Settlement
-    written: asyncio.Future[None] | None = None
+    written_future: asyncio.Future[None] | None = None
 
 
 @dataclass(slots=True)
-class ClaimFigures:
-    """How many claims and outcomes went out in how many calls."""
+class ClaimCounters:
+    """Counters of claims, outcomes and calls."""
 
     claims: int = 0
     settlements: int = 0
@@ -85,28 +91,28 @@
 
 
 @dataclass(slots=True)
-class _Gathered:
-    pending: list[_Pending] = field(default_factory=list)
-    settlements: list[_Outcome] = field(default_factory=list)
+class _WriteQueue:
+    pending: list[_PendingClaim] = field(default_factory=list)
+    settlements: list[_PendingOutcome] = field(default_factory=list)
 
 
 class ClaimWriter:
-    """The node's only writer of claims.
+    """Writes the claims of a node and those of the nodes it aggregates for.
 
     Parameters
     ----------
     worker : StoreWorker
-        Carries out the calls.
+        Runs the calls to the service.
     holder : str
-        This node's id, unique for each start of the process.
+        The id of this node, unique for each start of the process.
     prefix : str
-        Where the project's keys start.
-    sink : Sink
-        Hears the verdicts.
+        Prefix of the project's keys.
+    sink : EventSink
+        Receives the results as events.
     members : Members
-        The nodes; they decide who writes, and tell who is alive.
+        The known nodes, from which aggregators are chosen.
     clients : PeerClients
-        Reaches the node that writes for this one, in a large fleet.
+        Channels to the aggregating node of a large fleet.
     """
 
     def __init__(
@@ -119,192 +125,206 @@
         clients: PeerClients,
     ) -> None:
         self.answers: dict[str, dict[str, Any]] = {}
-        self.figures = ClaimFigures()
+        self.figures = ClaimCounters()
         self._worker = worker
         self.name = holder
         self._prefix = prefix
         self._sink = sink
         self._members = members
         self._clients = clients
-        self._direct = DirectCarrier(worker)
-        self._releases = ClaimReleases(worker)
-        self._gathered = _Gathered()
-        self._held: dict[str, Claim] = {}
-        self._wake = asyncio.Event()
+        self._direct = DirectBatchWriter(worker)
+        self._releases = ClaimReleaseQueue(worker)
+        self._queue = _WriteQueue()
+        self._own_claims: dict[str, Claim] = {}
+        self._has_work = asyncio.Event()
 
     def write(self, command: WriteClaim) -> None:
-        """Queue a claim; its verdict comes as an event."""
+        """Queue a claim; its result is emitted as an event."""
         claim = build_claim(command, self.name, self._prefix)
-        deadline = time.monotonic() + GIVE_UP_S
-        self._held[command.request_id] = claim
-        self._gathered.pending.append(_Pending(claim, deadline))
-        self._wake.set()
+        deadline = time.monotonic() + CLAIM_TIMEOUT_S
+        self._own_claims[command.request_id] = claim
+        self._queue.pending.append(_PendingClaim(claim, deadline))
+        self._has_work.set()
 
     def settle(self, command: SettleClaim, answer: dict[str, Any]) -> None:
-        """Queue the outcome of a claim that was won."""
-        claim = self._held.pop(command.request_id, None)
+        """Queue the outcome of an acquired claim, or its release."""
+        claim = self._own_claims.pop(command.request_id, None)
         if claim is None:
             return
         if command.outcome is Outcome.NOT_RUN:
             self._releases.add(claim, time.monotonic())
         else:
             settlement = Settlement(claim, command.outcome, answer)
-            self._gathered.settlements.append(_Outcome(settlement))
-        self._wake.set()
+            self._queue.settlements.append(_PendingOutcome(settlement))
+        self._has_work.set()
 
     async def collect(self, batch: Batch) -> list[Verdict]:
-        """Write a batch for another node; return a verdict for each claim.
+        """Write a batch for another node; return a result for each claim.
 
-        A verdict with an empty state says that nobody knows.
+        An empty state in a result means that the result is unknown.
         """
         loop = asyncio.get_running_loop()
-        deadline = time.monotonic() + _COLLECT_S
+        deadline = time.monotonic() + _PEER_CLAIM_TIMEOUT_S
         waiting = [
-            _Pending(claim, deadline, loop.create_future())
+            _PendingClaim(claim, deadline, loop.create_future())
             for claim in batch.claims
         ]
-        self._gathered.pending.extend(waiting)
+        self._queue.pending.extend(waiting)
         outcomes = [
-            _Outcome(settlement, loop.create_future())
+            _PendingOutcome(settlement, loop.create_future())
             for settlement in batch.settlements
         ]
-        self._gathered.settlements.extend(outcomes)
+        self._queue.settlements.extend(outcomes)
         self.figures.collected += len(waiting)
-        self._wake.set()
+        self._has_work.set()
         await asyncio.gather(
-            *(item.written for item in outcomes if item.written)
+            *(item.written_future for item in outcomes if item.written_future)
         )
         return list(
-            await asyncio.gather(*(item.told for item in waiting if item.told))
+            await asyncio.gather(
+                *(item.result_future for item in waiting if item.result_future)
+            )
         )
 
     def is_idle(self) -> bool:
-        """Tell whether nothing waits to be written."""
-        gathered = self._gathered
+        """Return whether nothing is waiting to be written."""
+        queue = self._queue
         due = self._releases.has_due()
-        return not (gathered.pending or gathered.settlements or due)
+        return not (queue.pending or queue.settlements or due)
 
-    def describe(self) -> ClaimFigures:
-        """Return the figures for the state dump."""
-        self.figures.waiting = len(self._gathered.pending)
+    def describe(self) -> ClaimCounters:
+        """Return the counters for the state dump."""
+        self.figures.waiting = len(self._queue.pending)
         self.figures.abandoned = self._releases.size()
         return self.figures
 
     async def run(self) -> None:
-        """Write what gathers, for ever."""
+        """Write queued claims and outcomes until cancelled."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._has_work.wait()
+            self._has_work.clear()
             while not self.is_idle() or self._releases.size():
                 await self._flush()
-                await asyncio.sleep(self._gap_s())
+                await asyncio.sleep(self._get_write_interval_s())
 
-    def _gap_s(self) -> float:
-        """Return the time between two calls that the fleet can afford."""
+    def _get_write_interval_s(self) -> float:
+        """Return the time between two calls within the fleet's limit."""
         writers = self._members.count
         if writers > COLLECT_ABOVE:
             writers = COLLECTORS
-        return max(LEAST_GAP_S, writers / FLEET_WRITES_PER_S)
+        return max(MIN_WRITE_INTERVAL_S, writers / FLEET_WRITES_PER_S)
 
     async def _flush(self) -> None:
-        taken = self._take()
-        claims = [item.claim for item in taken.pending]
-        batch = Batch(claims, [item.settlement for item in taken.settlements])
-        verdicts: list[Verdict] = []
-        again: list[Claim] = []
+        dequeued = self._dequeue()
+        claims = [item.claim for item in dequeued.pending]
+        batch = Batch(
+            claims, [item.settlement for item in dequeued.settlements]
+        )
+        claim_results: list[Verdict] = []
+        retries: list[Claim] = []
         try:
             if batch:
-                verdicts, again = await self._carry(batch)
+                claim_results, retries = await self._write_batch(batch)
         except StoreError as exc:
-            self._put_back(taken, exc)
-            await asyncio.sleep(_BACKOFF_S)
+            self._requeue(dequeued, exc)
+            await asyncio.sleep(_RETRY_DELAY_S)
             return
-        self._note_written(taken.settlements)
-        self._tell_all(taken.pending, verdicts)
-        self._gathered.pending.extend(
-            item for item in taken.pending if item.claim in again
+        self._confirm_outcomes(dequeued.settlements)
+        self._dispatch_results(dequeued.pending, claim_results)
+        self._queue.pending.extend(
+            item for item in dequeued.pending if item.claim in retries
         )
-        await self._releases.run_due()
+        await self._releases.release_due()
 
-    def _note_written(self, outcomes: list[_Outcome]) -> None:
+    def _confirm_outcomes(self, outcomes: list[_PendingOutcome]) -> None:
         self.figures.settlements += len(outcomes)
         for item in outcomes:
-            if item.written is not None:
-                _answer(item.written, None)
+            if item.written_future is not None:
+                _resolve_future(item.written_future, None)
 
-    async def _carry(self, batch: Batch) -> tuple[list[Verdict], list[Claim]]:
-        """Take a batch to the service, by the way that is right now."""
+    async def _write_batch(
+        self, batch: Batch
+    ) -> tuple[list[Verdict], list[Claim]]:
+        """Write a batch, directly or through the aggregating node."""
         self.figures.calls += 1
         address = pick_collector(self.name, self._members)
-        carrier: Carrier = self._direct
+        batch_writer: BatchWriter = self._direct
         if address:
-            carrier = PeerCarrier(self._clients, address)
-        return await carrier.carry(batch)
+            batch_writer = PeerBatchWriter(self._clients, address)
+        return await batch_writer.write_batch(batch)
 
-    def _take(self) -> _Gathered:
-        gathered = self._gathered
-        taken = _Gathered(
-            gathered.pending[:_MAX_BATCH], gathered.settlements[:_MAX_BATCH]
+    def _dequeue(self) -> _WriteQueue:
+        queue = self._queue
+        dequeued = _WriteQueue(
+            queue.pending[:_MAX_BATCH], queue.settlements[:_MAX_BATCH]
         )
-        gathered.pending = gathered.pending[_MAX_BATCH:]
-        gathered.settlements = gathered.settlements[_MAX_BATCH:]
-        return taken
+        queue.pending = queue.pending[_MAX_BATCH:]
+        queue.settlements = queue.settlements[_MAX_BATCH:]
+        return dequeued
 
-    def _put_back(self, taken: _Gathered, exc: StoreError) -> None:
-        """Keep what can still be written; give up what is too late.
+    def _requeue(self, dequeued: _WriteQueue, exc: StoreError) -> None:
+        """Requeue after a failed call; abandon claims past their deadline.
 
-        A claim given up may have been written all the same. It is kept to
-        be removed later: otherwise a retry would for a day be told that the
-        request may have run.
+        An abandoned claim may have been written. It is released later, because
+        until it expired a retry would learn that the request may have run.
         """
         now = time.monotonic()
-        later = self._gathered.settlements
-        self._gathered.settlements = [*taken.settlements, *later]
-        for item in taken.pending:
+        queued = self._queue.settlements
+        self._queue.settlements = [*dequeued.settlements, *queued]
+        for item in dequeued.pending:
             if item.deadline > now:
-                self._gathered.pending.append(item)
-            elif item.told is None:
-                self._give_up(item.claim, exc)
+                self._queue.pending.append(item)
+            elif item.result_future is None:
+                self._abandon_claim(item.claim, exc)
             else:
-                _answer(item.told, Verdict(item.claim, UNKNOWN))
+                _resolve_future(
+                    item.result_future, Verdict(item.claim, UNKNOWN_STATE)
+                )
 
-    def _give_up(self, claim: Claim, exc: StoreError) -> None:
+    def _abandon_claim(self, claim: Claim, exc: StoreError) -> None:
         self.figures.failed += 1
         self._releases.add(claim, time.monotonic() + RELEASE_AFTER_S)
-        self._held.pop(claim.request_id, None)
-        _LOG.warning('claim given up', extra={'reason': type(exc).__name__})
+        self._own_claims.pop(claim.request_id, None)
+        _LOG.warning(
+            'claim not written in time', extra={'reason': type(exc).__name__}
+        )
         self._sink.apply(ClaimFailed(claim.request_id))
 
-    def _tell_all(
-        self, pending: list[_Pending], verdicts: list[Verdict]
+    def _dispatch_results(
+        self, pending: list[_PendingClaim], claim_results: list[Verdict]
     ) -> None:
-        told = {item.claim.request_id: item.told for item in pending}
-        for verdict in verdicts:
-            waiting = told.get(verdict.claim.request_id)
-            if waiting is None:
-                self._tell_own(verdict)
+        futures = {
+            item.claim.request_id: item.result_future for item in pending
+        }
+        for claim_result in claim_results:
+            future = futures.get(claim_result.claim.request_id)
+            if future is None:
+                self._handle_own_result(claim_result)
                 continue
-            _answer(waiting, verdict)
+            _resolve_future(future, claim_result)
 
-    def _tell_own(self, verdict: Verdict) -> None:
+    def _handle_own_result(self, claim_result: Verdict) -> None:
         self.figures.claims += 1
-        request_id = verdict.claim.request_id
-        if verdict.state == 'won':
+        request_id = claim_result.claim.request_id
+        if claim_result.state == 'won':
             self._sink.apply(ClaimWon(request_id))
             return
-        self._held.pop(request_id, None)
-        if verdict.state == 'answered':
-            self.answers[request_id] = verdict.answer
-        alive = self._members.is_alive(verdict.holder)
-        self._sink.apply(ClaimTaken(request_id, verdict.state, alive))
+        self._own_claims.pop(request_id, None)
+        if claim_result.state == 'answered':
+            self.answers[request_id] = claim_result.answer
+        is_holder_alive = self._members.is_alive(claim_result.holder)
+        self._sink.apply(
+            ClaimTaken(request_id, claim_result.state, is_holder_alive)
+        )
         self.answers.pop(request_id, None)
 
 
-def _answer(fut: asyncio.Future[Told], answer: Told) -> None:
-    """Answer another node's call, unless it has given up waiting.
+def _resolve_future(
+    future: asyncio.Future[FutureResult], answer: FutureResult
+) -> None:
+    """Resolve a future of another node's call unless it is cancelled.
 
-    A call whose deadline passed is cancelled. An answer set on it all the
-    same would raise, and end the only task that writes claims.
+    Resolving a cancelled future would raise and end the task that writes claims.
     """
-    if not fut.done():
-        fut.set_result(answer)
+    if not future.done():
+        future.set_result(answer)
