--- a/samphirerill/node/log_sink.py
+++ b/samphirerill/node/log_sink.py
@@ -1,51 +1,50 @@
-"""A stream for log lines that never blocks and has a bounded volume."""
+"""Non-blocking, rate-limited output stream for log lines."""
 
 from __future__ import annotations
 
 import os
 from time import monotonic
 
-# A node under its usual load writes some twenty lines a second; a storm of
-# refusals some hundred. What comes beyond this is counted, not written.
+# Lines above this rate are counted, not written.
 LINES_PER_S = 400
 
 
 class LogSink:
-    """Writes lines to a descriptor, or drops and counts them.
+    """Writes log lines to a file descriptor, or drops and counts them.
 
-    A pipe that nobody reads would block the loop, and with it every stream of
-    the node; one would see all of them pause at once, with no cause in the log.
+    A blocking write to a full pipe would block the event loop and thereby all
+    streams of the node.
 
     Parameters
     ----------
     descriptor : int
-        Where the lines go; it is made non-blocking.
+        The file descriptor to write to; it is set to non-blocking mode.
     """
 
-    __slots__ = ('_descriptor', '_dropped', '_left', '_window_until')
+    __slots__ = ('_descriptor', '_dropped', '_remaining', '_window_end')
 
     def __init__(self, descriptor: int) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._dropped = 0
-        self._left = LINES_PER_S
-        self._window_until = 0.0
+        self._remaining = LINES_PER_S
+        self._window_end = 0.0
 
     def write(self, text: str) -> int:
-        """Write one line whole, or count it as dropped."""
+        """Write a complete line, or count it as dropped."""
         now = monotonic()
-        if now >= self._window_until:
-            self._window_until = now + 1
-            self._left = LINES_PER_S
-        self._left -= 1
-        if self._left < 0:
+        if now >= self._window_end:
+            self._window_end = now + 1
+            self._remaining = LINES_PER_S
+        self._remaining -= 1
+        if self._remaining < 0:
             self._dropped += 1
         else:
             self._write(text)
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is kept back."""
+        """Do nothing, because lines are not buffered."""
 
     def _write(self, text: str) -> None:
         if self._dropped:
