--- a/samphirerill/node/logs.py
+++ b/samphirerill/node/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one event a line, readable or as JSON.
+"""Structured logging: one event per line, as text or JSON.
 
-Each part of the node logs under a fixed prefix. Events carry names and
-numbers; a prompt, an answer or a key is never handed to a logger.
+Each component logs to its own channel. Prompts, answers and keys must not be
+logged.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
     from samphirerill.settings.model import LogSettings
 
 
-def get_logger(part: str) -> Logger:
-    """Return the logger of one part; its name prefixes every line."""
-    return Logger(part)
+def get_logger(channel: str) -> Logger:
+    """Return the logger of a component's channel."""
+    return Logger(channel)
 
 
 def start_logging(
     settings: LogSettings, stream: TextIO | LogSink | None = None
 ) -> None:
-    """Send all logs to a stream in the form the settings ask for.
+    """Write all logs to a stream in the configured format.
 
     Parameters
     ----------
     settings : LogSettings
-        Level and form.
+        Level and format of the logs.
     stream : TextIO or LogSink, optional
-        Standard error if left out.
+        Standard error by default.
     """
     level = lookup_level(settings.level.upper())
     handler = StreamHandler(stream or sys.stderr, level=level)
@@ -46,10 +46,13 @@
 
 
 def _format_text(record: LogRecord, handler: Any) -> str:
-    shown = ''.join(f' {key}={text}' for key, text in _facts(record).items())
+    suffix = ''.join(
+        f' {key}={extra_value}'
+        for key, extra_value in _get_extra(record).items()
+    )
     return (
         f'{record.time:%Y-%m-%dT%H:%M:%S.%f}Z {record.level_name:<7} '
-        f'{record.channel}: {record.message}{shown}'
+        f'{record.channel}: {record.message}{suffix}'
     )
 
 
@@ -60,10 +63,10 @@
             'level': record.level_name.lower(),
             'part': record.channel,
             'event': record.message,
-            **_facts(record),
+            **_get_extra(record),
         }
     )
 
 
-def _facts(record: LogRecord) -> dict[str, Any]:
+def _get_extra(record: LogRecord) -> dict[str, Any]:
     return dict(record.extra)
