--- a/samphirerill/node/loop_lag.py
+++ b/samphirerill/node/loop_lag.py
@@ -1,8 +1,8 @@
-"""Timeouts that don't count the lag of this process's event loop.
+"""Timeouts that are extended by the lag of the event loop.
 
-A loop that was blocked, by other work on its VM or by a long callback, fires its
-timers before it has acted on what arrived meanwhile. Counted against a peer, the
-lag makes endpoints unreachable or silent that are neither.
+After the event loop was blocked, by a long callback or by other load on the VM,
+it fires timers before it handles data that arrived in the meantime. Without the
+extension, endpoints that did respond would be regarded as unresponsive.
 """
 
 from __future__ import annotations
@@ -14,45 +14,45 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-# A timer that fires later than this shows that the loop was blocked.
+# Smaller delays of a timer are not regarded as lag.
 LEAST_LAG_S = 0.003
-# However long the loop was blocked, a timeout is extended by no more.
-MOST_EXTENSION_S = 0.3
+# Limit of the extension of a timeout.
+MAX_EXTENSION_S = 0.3
 
 
 class _LagAwareTimer:
-    """Ends a scope at its deadline, later if the timer itself is late.
+    """Expires a timeout scope at its deadline, extended by the loop's lag.
 
     Parameters
     ----------
     scope : asyncio.Timeout
-        Ended when the time is over.
+        The scope to expire.
     deadline : float
-        On the loop's clock.
+        Time on the event loop's clock.
     """
 
-    __slots__ = ('_deadline', '_handle', '_latest', '_loop', '_scope')
+    __slots__ = ('_deadline', '_handle', '_final_deadline', '_loop', '_scope')
 
     def __init__(self, scope: asyncio.Timeout, deadline: float) -> None:
         self._loop = asyncio.get_running_loop()
         self._scope = scope
         self._deadline = deadline
-        # Set by the first lag: when the scope ends, however often more lag comes.
-        self._latest = 0.0
+        # Limit of all extensions; set by the first lag.
+        self._final_deadline = 0.0
         self._handle = self._loop.call_at(deadline, self._expire)
 
     def cancel(self) -> None:
-        """The scope has been left."""
+        """Cancel the timer."""
         self._handle.cancel()
 
     def _expire(self) -> None:
         now = self._loop.time()
         lag_s = now - self._deadline
-        self._latest = self._latest or now + MOST_EXTENSION_S
-        if lag_s <= LEAST_LAG_S or now >= self._latest:
+        self._final_deadline = self._final_deadline or now + MAX_EXTENSION_S
+        if lag_s <= LEAST_LAG_S or now >= self._final_deadline:
             self._scope.reschedule(now)
             return
-        self._deadline = min(now + lag_s, self._latest)
+        self._deadline = min(now + lag_s, self._final_deadline)
         self._handle = self._loop.call_at(self._deadline, self._expire)
 
 
@@ -60,7 +60,7 @@
 async def lag_aware_timeout_at(deadline: float) -> AsyncIterator[None]:
     """Raise ``TimeoutError`` in the body at a deadline on the loop's clock.
 
-    The lag of the loop at the deadline is added, up to `MOST_EXTENSION_S`.
+    The deadline is extended by the loop's lag, by up to `MAX_EXTENSION_S`.
     """
     async with asyncio.timeout(None) as scope:
         timer = _LagAwareTimer(scope, deadline)
