--- a/samphirerill/node/claim_releases.py
+++ b/samphirerill/node/claim_releases.py
@@ -65,7 +65,7 @@
 
     async def _delete_claim(self, release: _PendingRelease) -> bool:
         transaction = build_release(release.claim)
-        outcome = await self._worker.attempt(
+        outcome = await self._worker.try_run(
             self._worker.store.commit, transaction
         )
         return isinstance(outcome, Ok)
--- a/samphirerill/node/commander.py
+++ b/samphirerill/node/commander.py
@@ -1,4 +1,4 @@
-"""Command the engines, if this node holds the commander's key."""
+"""Brings engines to their desired state if this node is the leader."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     Tenure,
     plan_orders,
 )
-from samphirerill.node.jitter import spread
+from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
 from samphirerill.node.probes import fetch
 
@@ -35,141 +35,150 @@
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
-COMMANDER = 'shared/commander'
-_EVERY_S = 1.0
-_ASKED_AT_ONCE = 32
+LEADER_KEY = 'shared/commander'
+_RUN_INTERVAL_S = 1.0
+_MAX_POLLS = 32
 _LOG = get_logger('orders')
 
 
-class _Answer(Struct):
+class _StatusResponse(Struct):
     version: str = ''
     adapters: tuple[str, ...] = ()
     role: str = ''
     loading: bool = False
 
 
-_ANSWERS = Decoder(_Answer)
+_STATUS_DECODER = Decoder(_StatusResponse)
 
 
-class Commander:
-    """This node's part in commanding the engines.
+class EngineController:
+    """Leader election and, on the leader, control of the engines.
 
-    The watch tells whether the key is taken, so that a fleet of nodes that
-    don't command asks the service nothing.
+    The leader holds a key in the key-value service under a lease and sends
+    orders with the desired state. Other nodes learn from the watch whether the
+    key exists, and need no calls to the service for it.
     """
 
     def __init__(self, node: Node, worker: StoreWorker) -> None:
         self._node = node
         self._worker = worker
-        self._key = f'{node.settings.store.prefix}{COMMANDER}'
-        self._tenure: Tenure | None = None
+        self._leader_key = f'{node.settings.store.prefix}{LEADER_KEY}'
+        self._term: Tenure | None = None
         self._lease = ''
         self._renew_at = 0.0
-        self._holder = ''
+        self._leader_id = ''
         self._statuses: dict[str, Status] = {}
 
-    def take_batch(self, batch: WatchBatch) -> None:
-        """Learn from the watch who commands."""
+    def handle_watch_batch(self, batch: WatchBatch) -> None:
+        """Update the id of the leader from the watch."""
         for entry in batch.changed:
-            if entry.key == self._key:
-                self._holder = entry.text
-        if self._key in batch.gone:
-            self._holder = ''
+            if entry.key == self._leader_key:
+                self._leader_id = entry.text
+        if self._leader_key in batch.gone:
+            self._leader_id = ''
 
     def describe(self) -> dict[str, object]:
-        """Return who commands, for the state dump."""
-        tenure = self._tenure
-        fence = 0 if tenure is None else tenure.fence
-        return {'commander': self._holder, 'own_fence': fence}
+        """Return the leader, for the state dump."""
+        term = self._term
+        fence = 0 if term is None else term.fence
+        return {'commander': self._leader_id, 'own_fence': fence}
 
     async def run(self) -> None:
-        """Command whenever the key can be had, for ever."""
+        """Run for leader, and send orders while this node is the leader."""
         while True:
-            await asyncio.sleep(spread(_EVERY_S))
-            if not self._list_wanted():
+            await asyncio.sleep(add_jitter(_RUN_INTERVAL_S))
+            if not self._list_controlled():
                 continue
             try:
-                await self._hold_office()
+                await self._maintain_leadership()
             except StoreError as exc:
-                _LOG.debug('no word from the service', extra={'why': str(exc)})
-            if self._tenure is not None:
-                await self._order_all(self._tenure)
+                _LOG.debug('leader election failed', extra={'why': str(exc)})
+            if self._term is not None:
+                await self._send_orders(self._term)
 
-    async def leave(self) -> None:
-        """Give the key back at once."""
+    async def release_leadership(self) -> None:
+        """Release the leader key."""
         if not self._lease:
             return
         lease = self._lease
         self._lease = ''
-        self._tenure = None
-        revoked = await self._worker.attempt(
+        self._term = None
+        revoked = await self._worker.try_run(
             self._worker.store.revoke_lease, lease
         )
         if isinstance(revoked, Err):
-            _LOG.info('the key will lapse by itself')
+            _LOG.info('cannot revoke the leader lease; it will expire')
 
-    async def _hold_office(self) -> None:
+    async def _maintain_leadership(self) -> None:
         now = self._node.loop.time()
-        if self._tenure is not None and now >= self._tenure.act_until:
-            _LOG.warning('tenure lapsed', extra={'fence': self._tenure.fence})
-            self._tenure = None
-        if self._tenure is None:
-            await self._try_win()
+        if self._term is not None and now >= self._term.act_until:
+            _LOG.warning(
+                'leadership expired', extra={'fence': self._term.fence}
+            )
+            self._term = None
+        if self._term is None:
+            await self._campaign()
         elif now >= self._renew_at:
-            await self._renew(self._tenure)
+            await self._renew(self._term)
 
-    async def _try_win(self) -> None:
-        if self._holder and self._holder != self._node.node_id:
+    async def _campaign(self) -> None:
+        if self._leader_id and self._leader_id != self._node.node_id:
             return
         store = self._worker.store
-        asked_at = self._node.loop.time()
+        requested_at = self._node.loop.time()
         self._lease = await self._worker.run(store.grant_lease, LEASE_S)
         transaction = Transaction(
-            conditions=[Absent(self._key)],
-            puts=[Put(self._key, self._node.node_id, self._lease)],
-            read=[self._key],
+            conditions=[Absent(self._leader_key)],
+            puts=[Put(self._leader_key, self._node.node_id, self._lease)],
+            read=[self._leader_key],
         )
-        done = await self._worker.run(store.commit, transaction)
-        if not done.succeeded:
-            self._holder = done.found[self._key].text if done.found else ''
+        outcome = await self._worker.run(store.commit, transaction)
+        if not outcome.succeeded:
+            self._leader_id = (
+                outcome.found[self._leader_key].text if outcome.found else ''
+            )
             return
         now = self._node.loop.time()
-        self._tenure = Tenure.begin(done.revision, asked_at, now)
-        self._renew_at = asked_at + RENEW_EVERY_S
-        _LOG.info('commanding', extra={'fence': done.revision})
+        self._term = Tenure.begin(outcome.revision, requested_at, now)
+        self._renew_at = requested_at + RENEW_EVERY_S
+        _LOG.info('leadership acquired', extra={'fence': outcome.revision})
 
-    async def _renew(self, tenure: Tenure) -> None:
-        asked_at = self._node.loop.time()
-        held = await self._worker.run(
+    async def _renew(self, term: Tenure) -> None:
+        requested_at = self._node.loop.time()
+        is_renewed = await self._worker.run(
             self._worker.store.renew_lease, self._lease
         )
-        if not held:
-            self._tenure = None
+        if not is_renewed:
+            self._term = None
             return
-        tenure.renew(asked_at)
-        self._renew_at = asked_at + RENEW_EVERY_S
-
-    async def _order_all(self, tenure: Tenure) -> None:
-        wanted = self._pick_asked()
-        found = await asyncio.gather(*map(_ask_status, wanted))
-        answered = dict(
-            zip([endpoint.name for endpoint in wanted], found, strict=True)
+        term.renew(requested_at)
+        self._renew_at = requested_at + RENEW_EVERY_S
+
+    async def _send_orders(self, term: Tenure) -> None:
+        polled = self._choose_engines_to_poll()
+        responses = await asyncio.gather(*map(_fetch_status, polled))
+        status_by_name = dict(
+            zip([endpoint.name for endpoint in polled], responses, strict=True)
         )
-        for name, status in answered.items():
+        for name, status in status_by_name.items():
             self._statuses.pop(name, None)
             if status is not None:
                 self._statuses[name] = status
-        wanted = [item for item in wanted if answered[item.name] is not None]
+        polled = [
+            item for item in polled if status_by_name[item.name] is not None
+        ]
         limits = self._node.router.state.configuration.limits
         now = self._node.loop.time()
         orders = plan_orders(
-            wanted, self._statuses, tenure, now, limits.loads_at_once
+            polled, self._statuses, term, now, limits.loads_at_once
+        )
+        await asyncio.gather(
+            *(self._send_order(order, term) for order in orders)
         )
-        await asyncio.gather(*(self._send(order, tenure) for order in orders))
 
-    async def _send(self, order: Order, tenure: Tenure) -> None:
+    async def _send_order(self, order: Order, term: Tenure) -> None:
         now = self._node.loop.time()
-        if now + ORDER_TIMEOUT_S >= tenure.act_until:
+        if now + ORDER_TIMEOUT_S >= term.act_until:
             return
         desired = order.desired
         body = json.dumps(
@@ -190,26 +199,27 @@
             },
         )
 
-    def _pick_asked(self) -> list[Endpoint]:
-        """Return whom to ask: who may be loading, then the longest unasked.
+    def _choose_engines_to_poll(self) -> list[Endpoint]:
+        """Return the engines to poll: loading ones, then the least recent.
 
-        Asking 770 engines every second would cost the commander half a core.
+        Their number is limited, because polling all engines of a large
+        deployment every second would cost too much CPU time.
         """
         order = {name: at for at, name in enumerate(self._statuses)}
-        wanted = self._list_wanted()
-        wanted.sort(
+        polled = self._list_controlled()
+        polled.sort(
             key=lambda endpoint: (
                 not self._is_loading(endpoint.name),
                 order.get(endpoint.name, -1),
             ),
         )
-        return wanted[:_ASKED_AT_ONCE]
+        return polled[:_MAX_POLLS]
 
     def _is_loading(self, name: str) -> bool:
         status = self._statuses.get(name)
         return status is not None and status.is_loading
 
-    def _list_wanted(self) -> list[Endpoint]:
+    def _list_controlled(self) -> list[Endpoint]:
         endpoints = self._node.router.state.configuration.endpoints
         return [
             endpoint
@@ -218,12 +228,12 @@
         ]
 
 
-async def _ask_status(endpoint: Endpoint) -> Status | None:
+async def _fetch_status(endpoint: Endpoint) -> Status | None:
     body = await fetch(endpoint.address, '/status')
     if body is None:
         return None
     try:
-        answer = _ANSWERS.decode(body)
+        answer = _STATUS_DECODER.decode(body)
     except DecodeError:
         return None
     return Status(answer.version, answer.adapters, answer.role, answer.loading)
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -1,8 +1,9 @@
-"""Follow what the nodes share in the key-value service.
+"""Synchronization with the state that nodes share in the key-value service.
 
-One watch covers the configuration's changes and the list of nodes. A watch
-can go silent without an error, so a small read of the accepted version goes
-beside it; that read is also the evidence that this node is not cut off.
+One watch delivers changes of the configuration, of the nodes and of leaving
+endpoints. A watch can stop delivering without an error, so the accepted
+version is also polled; a successful poll proves that this node is not
+partitioned from the service.
 """
 
 from __future__ import annotations
@@ -29,10 +30,10 @@
     ServingForbidden,
 )
 from samphirerill.core.model import build_configuration
-from samphirerill.node.commander import Commander
-from samphirerill.node.jitter import WIDE, spread
+from samphirerill.node.commander import EngineController
+from samphirerill.node.jitter import WIDE_JITTER, add_jitter
 from samphirerill.node.logs import get_logger
-from samphirerill.node.vm_reader import read_leaving
+from samphirerill.node.vm_reader import parse_leaving_endpoints
 
 if TYPE_CHECKING:
     from samphirerill.node.members import Members
@@ -40,16 +41,16 @@
     from samphirerill.node.store_worker import StoreWorker
 
 _LOG = get_logger('config')
-SHARED = 'shared/'
+SHARED_PREFIX = 'shared/'
 FLEET_READS_PER_S = 200
 LEAST_POLL_S = 1.0
-_LEAST_PAUSE_S = 0.2
-_MOST_PAUSE_S = 5.0
-_CATCH_UP_S = 0.5
+_MIN_BACKOFF_S = 0.2
+_MAX_BACKOFF_S = 5.0
+_FRESHNESS_CHECK_INTERVAL_S = 0.5
 
 
-class Follower:
-    """Keeps one node's configuration and list of nodes up to date."""
+class ConfigurationFollower:
+    """Keeps the configuration and the membership of a node up to date."""
 
     def __init__(
         self, node: Node, worker: StoreWorker, members: Members
@@ -58,20 +59,20 @@
         self.evidence = Evidence(node.loop.time())
         prefix = node.settings.store.prefix
         self.log = ConfigurationLog(worker.store, prefix)
-        self.commander = Commander(node, worker)
+        self.commander = EngineController(node, worker)
         self._node = node
         self._worker = worker
         self._members = members
         self._prefix = prefix
-        self._stopping = threading.Event()
-        self._forbidden = ''
+        self._stop_requested = threading.Event()
+        self._suspension_reason = ''
         self._revision = 0
-        self._built_from: dict[str, Any] = {}
+        self._applied_document: dict[str, Any] = {}
 
     async def run(self) -> None:
-        """Load once the service answers, then watch and poll for ever."""
+        """Load the configuration, then watch and poll until cancelled."""
         loaded = await self._load_first()
-        self._install(loaded)
+        self._apply_loaded(loaded)
         self._revision = loaded.revision
         threading.Thread(
             target=self._watch_forever,
@@ -79,126 +80,140 @@
             daemon=True,
         ).start()
         while True:
-            await asyncio.sleep(self._poll_gap_s())
+            await asyncio.sleep(self._get_poll_interval_s())
             await self._poll()
 
-    async def judge(self) -> None:
-        """Tell the core whenever the evidence for serving changes."""
+    async def monitor_freshness(self) -> None:
+        """Suspend serving while the configuration may be stale."""
         while True:
-            doubt = self.evidence.find_doubt(
+            reason = self.evidence.find_doubt(
                 self._node.loop.time(), self.view.version, self._members.count
             )
-            if doubt != self._forbidden:
-                self._forbidden = doubt
-                event = ServingForbidden(doubt) if doubt else ServingAllowed()
-                _LOG.warning('serving changed', extra={'doubt': doubt})
+            if reason != self._suspension_reason:
+                self._suspension_reason = reason
+                event = ServingForbidden(reason) if reason else ServingAllowed()
+                _LOG.warning('serving changed', extra={'doubt': reason})
                 self._node.apply(event)
-            await asyncio.sleep(_CATCH_UP_S)
+            await asyncio.sleep(_FRESHNESS_CHECK_INTERVAL_S)
 
     def offer(self, change: Change) -> None:
-        """Take a change from the service or a peer."""
+        """Apply a configuration change from the service or a peer."""
         try:
-            rose = self.view.offer(change)
+            is_newer = self.view.offer(change)
         except ConfigurationError as exc:
-            _LOG.error('change unusable', extra={'error': str(exc)})
+            _LOG.error(
+                'invalid configuration change ignored',
+                extra={'error': str(exc)},
+            )
             return
-        if rose:
-            self._put_in_force()
+        if is_newer:
+            self._activate()
 
     def install(self, version: int, document: dict[str, Any]) -> None:
-        """Take a whole configuration from the service or a peer."""
+        """Apply a complete configuration from the service or a peer."""
         if self.view.install(version, document):
-            self._put_in_force()
+            self._activate()
 
     def stop(self) -> None:
-        """Let the watch end."""
-        self._stopping.set()
+        """Stop the watch thread."""
+        self._stop_requested.set()
 
     async def _load_first(self) -> Loaded:
-        pause_s = _LEAST_PAUSE_S
+        backoff_s = _MIN_BACKOFF_S
         while True:
-            loaded = await self._worker.attempt(self.log.load)
+            loaded = await self._worker.try_run(self.log.load)
             if isinstance(loaded, Ok):
                 self.evidence.note_store_read(self._node.loop.time())
                 return loaded.ok_value
-            why = str(loaded.err_value)
-            _LOG.warning('service not there', extra={'error': why})
-            await asyncio.sleep(spread(pause_s, WIDE))
-            pause_s = min(_MOST_PAUSE_S, 2 * pause_s)
+            error = str(loaded.err_value)
+            _LOG.warning(
+                'cannot load the configuration; retrying',
+                extra={'error': error},
+            )
+            await asyncio.sleep(add_jitter(backoff_s, WIDE_JITTER))
+            backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
 
-    def _install(self, loaded: Loaded) -> None:
+    def _apply_loaded(self, loaded: Loaded) -> None:
         self.install(loaded.version, loaded.document)
         for change in loaded.changes:
             self.view.recent.append(change)
 
-    def _put_in_force(self) -> None:
-        before = self._node.router.state.configuration
+    def _activate(self) -> None:
+        previous = self._node.router.state.configuration
         configuration = build_configuration(
-            self.view.document, self.view.version, before, self._built_from
+            self.view.document,
+            self.view.version,
+            previous,
+            self._applied_document,
         )
-        self._built_from = self.view.document
-        if configuration.accounts is not before.accounts:
+        self._applied_document = self.view.document
+        if configuration.accounts is not previous.accounts:
             self._node.keys.rebuild(configuration)
         self._node.apply(ConfigurationAccepted(configuration))
         _LOG.info('in force', extra={'version': self.view.version})
 
     async def _poll(self) -> None:
-        version = await self._worker.attempt(self.log.read_version)
+        version = await self._worker.try_run(self.log.read_version)
         if isinstance(version, Err):
-            _LOG.debug('poll failed', extra={'error': str(version.err_value)})
+            _LOG.debug(
+                'cannot poll the configuration version',
+                extra={'error': str(version.err_value)},
+            )
             return
         self.evidence.note_store_read(self._node.loop.time())
         self.view.note_known(version.ok_value)
         if self.view.is_behind():
-            await self._catch_up()
+            await self._resynchronize()
 
-    async def _catch_up(self) -> None:
-        """Read what a silent watch has not brought.
+    async def _resynchronize(self) -> None:
+        """Read everything that the watch covers after it missed a change.
 
-        The watch carries more than the configuration: moved on without that,
-        it never told of nodes that joined or went meanwhile.
+        The watch continues from the revision of this read. Without the shared
+        keys, nodes that joined or left in the meantime would be missed.
         """
-        loaded = await self._worker.attempt(self.log.load)
-        shared = await self._worker.attempt(
-            self._worker.store.read_prefix, f'{self._prefix}{SHARED}'
+        loaded = await self._worker.try_run(self.log.load)
+        shared = await self._worker.try_run(
+            self._worker.store.read_prefix, f'{self._prefix}{SHARED_PREFIX}'
         )
         if isinstance(loaded, Err) or isinstance(shared, Err):
-            why = str(loaded.err() or shared.err())
-            _LOG.warning('catch-up failed', extra={'error': why})
+            error = str(loaded.err() or shared.err())
+            _LOG.warning('resynchronization failed', extra={'error': error})
             return
         self.install(loaded.ok_value.version, loaded.ok_value.document)
         entries = shared.ok_value.entries
-        gone = self._members.list_missing(entries)
+        deleted_keys = self._members.list_missing_keys(entries)
         revision = shared.ok_value.revision
-        self._take_batch([], WatchBatch(revision, entries, gone))
+        self._handle_batch([], WatchBatch(revision, entries, deleted_keys))
         self._revision = max(self._revision, loaded.ok_value.revision)
 
-    def _poll_gap_s(self) -> float:
-        """Spread the fleet's polls, so that they stay within its reads."""
-        gap_s = max(LEAST_POLL_S, self._members.count / FLEET_READS_PER_S)
-        return spread(gap_s, WIDE)
+    def _get_poll_interval_s(self) -> float:
+        """Return a poll interval that keeps the fleet within its read limit."""
+        interval_s = max(LEAST_POLL_S, self._members.count / FLEET_READS_PER_S)
+        return add_jitter(interval_s, WIDE_JITTER)
 
     def _watch_forever(self) -> None:
-        """Watch in a thread; what comes is posted to the loop.
+        """Watch in a thread and pass the batches to the event loop.
 
-        A service that has forgotten the revision to start from ends the
-        watch at once; the poll then reads the whole and moves it on.
+        If the service has compacted the start revision, the watch ends at
+        once; the poll then resynchronizes and advances the revision.
         """
-        pause_s = _LEAST_PAUSE_S
-        prefix = f'{self._prefix}{SHARED}'
-        while not self._stopping.is_set():
+        backoff_s = _MIN_BACKOFF_S
+        prefix = f'{self._prefix}{SHARED_PREFIX}'
+        while not self._stop_requested.is_set():
             try:
                 for batch in self._worker.store.watch(
                     prefix, self._revision + 1
                 ):
-                    self._revision = max(self._revision, self._post(batch))
-                    pause_s = _LEAST_PAUSE_S
+                    self._revision = max(
+                        self._revision, self._post_to_loop(batch)
+                    )
+                    backoff_s = _MIN_BACKOFF_S
             except StoreError as exc:
-                _LOG.debug('watch broke', extra={'error': str(exc)})
-            self._stopping.wait(spread(pause_s, WIDE))
-            pause_s = min(_MOST_PAUSE_S, 2 * pause_s)
+                _LOG.debug('watch lost', extra={'error': str(exc)})
+            self._stop_requested.wait(add_jitter(backoff_s, WIDE_JITTER))
+            backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
 
-    def _post(self, batch: WatchBatch) -> int:
+    def _post_to_loop(self, batch: WatchBatch) -> int:
         log_prefix = f'{self._prefix}{LOG}'
         changes = [
             self.log.read_change(entry)
@@ -207,14 +222,14 @@
         ]
         loop = self._node.loop
         if not loop.is_closed():
-            loop.call_soon_threadsafe(self._take_batch, changes, batch)
-        # A batch without events may be ahead of events still to come.
+            loop.call_soon_threadsafe(self._handle_batch, changes, batch)
+        # Events up to the revision of an empty batch may still be pending.
         return batch.revision if batch.changed or batch.gone else 0
 
-    def _take_batch(self, changes: list[Change], batch: WatchBatch) -> None:
-        self._members.take_batch(batch)
-        self.commander.take_batch(batch)
-        leaving = read_leaving(self._prefix, batch)
+    def _handle_batch(self, changes: list[Change], batch: WatchBatch) -> None:
+        self._members.handle_watch_batch(batch)
+        self.commander.handle_watch_batch(batch)
+        leaving = parse_leaving_endpoints(self._prefix, batch)
         if leaving is not None:
             self._node.apply(leaving)
         for change in changes:
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -1,8 +1,8 @@
-"""Talk with a few other nodes, whether or not the service is there.
+"""Gossip with peers, which also works without the key-value service.
 
-Peers spread three things: which version of the configuration is accepted and
-the changes that lead to it, how lately each has reached the service, and
-which endpoints are leaving.
+Messages contain the version of the configuration, missing changes, the age of
+the sender's last read from the service, leaving endpoints and records of
+requests that crashed endpoints.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from samphirerill.core.events import EvidenceTold, VmListRead
 from samphirerill.core.queries import list_evidence, list_leaving
 from samphirerill.edges.serving import ListenError
-from samphirerill.node.jitter import spread
+from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
 from samphirerill.quarantine.messages import (
     UnreadableEvidenceError,
@@ -36,22 +36,21 @@
 
 if TYPE_CHECKING:
     from samphirerill.control.claims import Batch, Verdict
-    from samphirerill.node.follower import Follower
+    from samphirerill.node.follower import ConfigurationFollower
     from samphirerill.node.members import Members
     from samphirerill.node.node import Node
 
 EVERY_S = 1.0
 PARTNERS = 2
-_KEPT_CHANNELS = 16
-# Records against requests in one word, about 1.5 KB.
-_MOST_EVIDENCE = 16
-_NEVER_S = 1e9
+_MAX_CHANNELS = 16
+_MAX_EVIDENCE_RECORDS = 16
+_MAX_READ_AGE_S = 1e9
 _LOG = get_logger('peers')
 
 
 @dataclass(slots=True)
-class PeerView:
-    """What a peer last said; `heard_at` is this node's clock."""
+class PeerStatus:
+    """The last message of a peer; `heard_at` is on this node's clock."""
 
     node: str
     version: int
@@ -60,20 +59,20 @@
 
 
 class Gossip:
-    """This node's talk with the others."""
+    """Periodic exchange of messages with random peers."""
 
     def __init__(
-        self, node: Node, follower: Follower, members: Members
+        self, node: Node, follower: ConfigurationFollower, members: Members
     ) -> None:
         self._node = node
         self._follower = follower
         self._members = members
-        self.clients = PeerClients(_KEPT_CHANNELS)
-        self._server = PeerServer(self._answer, self._collect)
-        self._heard: dict[str, PeerView] = {}
+        self.clients = PeerClients(_MAX_CHANNELS)
+        self._server = PeerServer(self._answer, self._write_claims)
+        self._heard: dict[str, PeerStatus] = {}
 
     async def start(self) -> int:
-        """Listen for other nodes; return the port."""
+        """Start listening for peers; return the port."""
         peers = self._node.settings.peers
         try:
             return await self._server.start(peers.host, peers.port)
@@ -81,25 +80,25 @@
             raise ListenError(peers.host, peers.port, exc) from exc
 
     async def run(self) -> None:
-        """Exchange words with a few other nodes, for ever."""
+        """Exchange messages with random peers until cancelled."""
         while True:
-            await asyncio.sleep(spread(EVERY_S))
+            await asyncio.sleep(add_jitter(EVERY_S))
             await asyncio.gather(
-                *(self._talk(address) for address in self._pick_partners())
+                *(self._exchange(address) for address in self._choose_peers())
             )
 
     async def stop(self) -> None:
-        """Stop talking and listening."""
+        """Close all channels and stop listening."""
         await self.clients.close()
         await self._server.stop()
 
-    async def ask_all(self) -> list[dict[str, Any]]:
-        """Ask every known node which version it has in force."""
+    async def query_versions(self) -> list[dict[str, Any]]:
+        """Query all known nodes for their configuration version."""
         members = list(self._members.others.values())
         answers = await asyncio.gather(
-            *(self._talk(member.peer_address) for member in members)
+            *(self._exchange(member.peer_address) for member in members)
         )
-        found = [
+        versions = [
             {
                 'node': member.node_id,
                 'version': answer.version if answer else None,
@@ -110,34 +109,36 @@
             'node': self._node.node_id,
             'version': self._follower.view.version,
         }
-        return [own, *found]
+        return [own, *versions]
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return what the peers last said."""
+        """Return the last message of each peer, for the state dump."""
         return [asdict(view) for view in self._heard.values()]
 
-    def _pick_partners(self) -> list[str]:
-        known = [
+    def _choose_peers(self) -> list[str]:
+        addresses = [
             member.peer_address for member in self._members.others.values()
         ]
-        known = known or list(self._node.settings.peers.seeds)
-        return random.sample(known, min(PARTNERS, len(known)))
+        addresses = addresses or list(self._node.settings.peers.seeds)
+        return random.sample(addresses, min(PARTNERS, len(addresses)))
 
-    async def _talk(self, address: str) -> Word | None:
+    async def _exchange(self, address: str) -> Word | None:
         answer = await self.clients.exchange(address, self._build_word())
         if isinstance(answer, Err):
-            _LOG.debug('no word', extra={'reason': str(answer.err_value)})
+            _LOG.debug(
+                'peer did not respond', extra={'reason': str(answer.err_value)}
+            )
             return None
         self._hear(answer.ok_value)
         return answer.ok_value
 
-    def _answer(self, word: Word) -> Word:
-        """Answer a peer's word with all that it lacks."""
-        self._hear(word)
+    def _answer(self, message: Word) -> Word:
+        """Reply with this node's message and the changes that the peer lacks."""
+        self._hear(message)
         answer = self._build_word()
         view = self._follower.view
-        if word.version < view.version:
-            changes = view.list_after(word.version)
+        if message.version < view.version:
+            changes = view.list_after(message.version)
             if changes is None:
                 answer.document = json.dumps(view.document).encode()
             else:
@@ -146,42 +147,46 @@
                 ]
         return answer
 
-    async def _collect(self, batch: Batch) -> list[Verdict]:
+    async def _write_claims(self, batch: Batch) -> list[Verdict]:
         claims = self._node.claims
         return [] if claims is None else await claims.collect(batch)
 
-    def _hear(self, word: Word) -> None:
+    def _hear(self, message: Word) -> None:
         now = self._node.loop.time()
-        self._forget_silent(now)
-        self._heard[word.node] = PeerView(
-            word.node, word.version, word.store_read_age_s, now
+        self._remove_expired(now)
+        self._heard[message.node] = PeerStatus(
+            message.node, message.version, message.store_read_age_s, now
         )
         self._follower.evidence.note_peer(
-            word.node, now, word.store_read_age_s, word.version
+            message.node, now, message.store_read_age_s, message.version
         )
-        self._follower.view.note_known(word.version)
-        if word.document:
-            self._follower.install(word.version, json.loads(word.document))
-        for change in word.changes:
+        self._follower.view.note_known(message.version)
+        if message.document:
+            self._follower.install(
+                message.version, json.loads(message.document)
+            )
+        for change in message.changes:
             self._follower.offer(parse_change(json.loads(change)))
-        self._take_evidence(word)
-        if word.leaving:
-            self._node.apply(VmListRead(frozenset(), frozenset(word.leaving)))
+        self._handle_evidence(message)
+        if message.leaving:
+            self._node.apply(
+                VmListRead(frozenset(), frozenset(message.leaving))
+            )
 
-    def _take_evidence(self, word: Word) -> None:
-        if not word.evidence:
+    def _handle_evidence(self, message: Word) -> None:
+        if not message.evidence:
             return
         try:
-            records = decode_told(word.evidence)
+            records = decode_told(message.evidence)
         except UnreadableEvidenceError as exc:
             _LOG.warning(
-                'evidence is unreadable',
-                extra={'node': word.node, 'error': str(exc)},
+                'invalid evidence from a peer',
+                extra={'node': message.node, 'error': str(exc)},
             )
             return
         self._node.apply(EvidenceTold(records))
 
-    def _forget_silent(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for name, view in tuple(self._heard.items()):
             if now - view.heard_at > FORGET_AFTER_S:
                 self._heard.pop(name)
@@ -189,13 +194,13 @@
     def _encode_evidence(self, now: float) -> bytes:
         state = self._node.router.state
         state.quarantine.forget(now)
-        records = list_evidence(state, now, _MOST_EVIDENCE)
+        records = list_evidence(state, now, _MAX_EVIDENCE_RECORDS)
         return encode_told(records) if records else b''
 
     def _build_word(self) -> Word:
         node = self._node
         now = node.loop.time()
-        age_s = min(_NEVER_S, self._follower.evidence.own_age_s(now))
+        age_s = min(_MAX_READ_AGE_S, self._follower.evidence.own_age_s(now))
         return Word(
             node.node_id,
             self._follower.view.version,
--- a/samphirerill/node/jitter.py
+++ b/samphirerill/node/jitter.py
@@ -1,13 +1,13 @@
-"""Spread waits, so that nodes which start together don't act together."""
+"""Random jitter of intervals, so that nodes do not act in lockstep."""
 
 from __future__ import annotations
 
 import random
 
-USUAL = 0.2
-WIDE = 0.5
+DEFAULT_JITTER = 0.2
+WIDE_JITTER = 0.5
 
 
-def spread(seconds: float, share: float = USUAL) -> float:
-    """Return a time up to a share shorter or longer, at random."""
-    return seconds * random.uniform(1 - share, 1 + share)  # noqa: S311
+def add_jitter(seconds: float, fraction: float = DEFAULT_JITTER) -> float:
+    """Return a duration randomly changed by up to a fraction of it."""
+    return seconds * random.uniform(1 - fraction, 1 + fraction)  # noqa: S311
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operations.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a node, called from the edge's threads."""
+"""Operators' requests to a node, called on threads of the HTTP server."""
 
 from __future__ import annotations
 
@@ -14,65 +14,65 @@
     from collections.abc import Callable
 
     from samphirerill.control.configuration_log import Change
-    from samphirerill.node.follower import Follower
+    from samphirerill.node.follower import ConfigurationFollower
     from samphirerill.node.node import Node
-    from samphirerill.node.process import Process
+    from samphirerill.node.process import NodeProcess
 
-_WAIT_S = 5.0
-_KIB = 1024
+_TIMEOUT_S = 5.0
+_BYTES_PER_KIB = 1024
 
 
 class NodeOperations:
-    """Answers operators from the loop's state and the service."""
+    """Handles operators' requests with the node's state and the service."""
 
-    def __init__(self, process: Process) -> None:
+    def __init__(self, process: NodeProcess) -> None:
         self._process = process
         self._node: Node = process.node
-        self._follower: Follower = process.follower
+        self._follower: ConfigurationFollower = process.follower
 
     def read_state(self) -> dict[str, Any]:
-        """Return the dump of this process."""
-        return self._ask_loop(self._describe)
+        """Return the state dump of this node."""
+        return self._run_on_loop(self._build_state)
 
     def read_metrics(self) -> str:
-        """Return the metrics as text."""
-        return self._ask_loop(
+        """Return the metrics in the Prometheus text format."""
+        return self._run_on_loop(
             lambda: self._node.metrics.format_prometheus(
                 self._node.router.state.counters
             ),
         )
 
     def read_configuration(self) -> dict[str, Any]:
-        """Return the version and document in force here."""
+        """Return the version and document of the applied configuration."""
         view = self._follower.view
-        return self._ask_loop(
+        return self._run_on_loop(
             lambda: {'version': view.version, 'document': view.document}
         )
 
     def read_nodes(self) -> list[dict[str, Any]]:
-        """Return which version each node has in force, by asking each."""
-        work = self._process.gossip.ask_all()
-        fut = asyncio.run_coroutine_threadsafe(work, self._node.loop)
-        return fut.result(_WAIT_S)
+        """Query each node for its configuration version."""
+        coroutine = self._process.gossip.query_versions()
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._node.loop)
+        return future.result(_TIMEOUT_S)
 
     def read_history(self) -> list[Change]:
-        """Return the accepted changes that are kept."""
+        """Return the accepted configuration changes that are still stored."""
         return self._follower.log.read_changes(after=0)
 
     def submit_patch(
         self, patch: list[Any], base: int, author: str, *, dry_run: bool
     ) -> Change:
-        """Submit a patch to the service."""
+        """Submit a configuration patch to the service."""
         change = self._follower.log.submit(patch, base, author, dry_run=dry_run)
         if not dry_run:
             self._node.loop.call_soon_threadsafe(self._follower.offer, change)
         return change
 
     def drain(self) -> None:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         self._node.loop.call_soon_threadsafe(self._process.begin_drain)
 
-    def _describe(self) -> dict[str, Any]:
+    def _build_state(self) -> dict[str, Any]:
         node = self._node
         now = node.loop.time()
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -84,7 +84,7 @@
             'open_calls': len(node.calls),
             'open_sessions': len(node.sessions),
             'cpu_s': usage.ru_utime + usage.ru_stime,
-            'max_memory_bytes': usage.ru_maxrss * _KIB,
+            'max_memory_bytes': usage.ru_maxrss * _BYTES_PER_KIB,
             'store_read_age_s': self._follower.evidence.own_age_s(now),
             'store_calls': dict(self._process.worker.calls),
             'claims': asdict(node.claims.describe()) if node.claims else {},
@@ -98,9 +98,9 @@
             'core': describe_state(node.router.state, now),
         }
 
-    def _ask_loop(self, query: Callable[[], Any]) -> Any:
-        async def ask() -> Any:
+    def _run_on_loop(self, query: Callable[[], Any]) -> Any:
+        async def run_query() -> Any:
             return query()
 
-        fut = asyncio.run_coroutine_threadsafe(ask(), self._node.loop)
-        return fut.result(_WAIT_S)
+        future = asyncio.run_coroutine_threadsafe(run_query(), self._node.loop)
+        return future.result(_TIMEOUT_S)
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -1,4 +1,4 @@
-"""One node's process: start, serve, drain, exit."""
+"""Life cycle of a node process: start, serve, drain, exit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from samphirerill.edges.serving import HttpServer, ListenError
 from samphirerill.node.arrivals import RequestReceiver
 from samphirerill.node.claim_writer import ClaimWriter
-from samphirerill.node.follower import Follower
+from samphirerill.node.follower import ConfigurationFollower
 from samphirerill.node.gossip import Gossip
 from samphirerill.node.logs import get_logger
 from samphirerill.node.members import Members
@@ -30,27 +30,29 @@
 
 _LOG = get_logger('process')
 _OPERATOR_THREADS = 4
-_OPERATOR_BODY_BYTES = 8_388_608
-_DRAIN_STEP_S = 0.05
-_SWITCH_S = 0.001
+_MAX_OPERATOR_BODY_BYTES = 8_388_608
+_DRAIN_POLL_INTERVAL_S = 0.05
+_THREAD_SWITCH_INTERVAL_S = 0.001
 EXIT_CLEAN = 0
-EXIT_CUT = 3
+EXIT_ABORTED = 3
 
 
-class Process:
-    """Everything one node consists of.
+class NodeProcess:
+    """Creates, starts and stops the components of a node.
 
     Parameters
     ----------
     settings : Settings
-        The node's settings, whole.
+        The settings of the node.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.node = Node(settings)
         self.worker = StoreWorker(EtcdStore(settings.store))
         self.members = Members(self.node, self.worker)
-        self.follower = Follower(self.node, self.worker, self.members)
+        self.follower = ConfigurationFollower(
+            self.node, self.worker, self.members
+        )
         self.gossip = Gossip(self.node, self.follower, self.members)
         self.node.claims = ClaimWriter(
             self.worker,
@@ -62,46 +64,46 @@
         )
         self._settings = settings
         self._draining = False
-        self._ended = asyncio.Event()
+        self._stopped = asyncio.Event()
         self._exit_code = EXIT_CLEAN
-        self._callers = self._build_callers()
-        self._operators = self._build_operators()
+        self._client_server = self._build_client_server()
+        self._operator_server = self._build_operator_server()
 
     async def run(self) -> int:
-        """Serve until drained; return the exit code."""
+        """Serve until shutdown; return the exit code."""
         try:
-            await self._start_edges()
+            await self._start_servers()
         except ListenError:
-            # Threads that already listen would keep the process alive,
-            # deaf and unnoticed.
-            await self._stop_edges()
+            # Threads of servers that already listen would keep the process
+            # alive.
+            await self._stop_servers()
             raise
         self._start_tasks()
-        self._catch_signals()
-        await self._ended.wait()
+        self._install_signal_handlers()
+        await self._stopped.wait()
         await self._stop()
         return self._exit_code
 
     def begin_drain(self) -> None:
-        """Begin a graceful shutdown; a second call ends at once."""
+        """Start a graceful shutdown; a second call aborts open requests."""
         if self._draining:
-            self._cut()
+            self._abort()
             return
         self._draining = True
         self.node.start_task(self._drain(), 'drain')
 
-    async def _start_edges(self) -> None:
+    async def _start_servers(self) -> None:
         peer_port = await self.gossip.start()
         host = self._settings.peers.host
         self.members.peer_address = f'{host}:{peer_port}'
-        operator_port = self._operators.start()
-        caller_port = self._callers.start()
+        operator_port = self._operator_server.start()
+        client_port = self._client_server.start()
         self.node.healthy = True
         _LOG.info(
             'serving',
             extra={
                 'node': self.node.node_id,
-                'callers': caller_port,
+                'callers': client_port,
                 'operators': operator_port,
                 'peers': peer_port,
             },
@@ -110,10 +112,10 @@
     def _start_tasks(self) -> None:
         node = self.node
         node.start_task(self.follower.run(), 'follow')
-        node.start_task(self.follower.judge(), 'judge')
+        node.start_task(self.follower.monitor_freshness(), 'judge')
         node.start_task(self.follower.commander.run(), 'commander')
         node.start_task(self.members.run(), 'membership')
-        node.start_task(self.members.sweep(), 'sweep')
+        node.start_task(self.members.remove_expired(), 'sweep')
         node.start_task(self.gossip.run(), 'gossip')
         node.start_task(poll_loads(node), 'loads')
         if node.claims is not None:
@@ -122,15 +124,15 @@
             vms = VmReader(node, self.worker, self.members)
             node.start_task(vms.run(), 'vm list')
 
-    def _catch_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             self.node.loop.add_signal_handler(number, self.begin_drain)
 
     async def _drain(self) -> None:
-        """Fail the health check, then refuse new work, then finish all.
+        """Fail the health check, then reject new requests, then finish.
 
-        The balancer needs time to see the failing check; a node that refused
-        at once would turn away callers that another node could serve.
+        New requests are still accepted until the load balancer has had time
+        to notice the failing health check.
         """
         shutdown = self._settings.shutdown
         loop = self.node.loop
@@ -140,45 +142,45 @@
         await asyncio.sleep(shutdown.notice_s)
         self.node.apply(DrainRequested())
         while self._count_open() and loop.time() < finish_at:
-            await asyncio.sleep(_DRAIN_STEP_S)
+            await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
         if self._count_open():
-            self._cut()
+            self._abort()
             return
-        self._ended.set()
+        self._stopped.set()
 
-    def _cut(self) -> None:
-        """End at once and say what was cut."""
-        cut = self._count_open()
-        _LOG.warning('ending at once', extra={'cut': cut})
-        self._exit_code = EXIT_CUT if cut else EXIT_CLEAN
-        self._ended.set()
+    def _abort(self) -> None:
+        """Exit without waiting for open requests."""
+        open_count = self._count_open()
+        _LOG.warning('aborting open requests', extra={'cut': open_count})
+        self._exit_code = EXIT_ABORTED if open_count else EXIT_CLEAN
+        self._stopped.set()
 
     def _count_open(self) -> int:
-        """Count requests without an end and outcomes not yet written."""
+        """Count open requests, plus one if claims are still unwritten."""
         claims = self.node.claims
         unwritten = 0 if claims is None or claims.is_idle() else 1
         return count_open(self.node.router.state) + unwritten
 
     async def _stop(self) -> None:
         self.follower.stop()
-        await self.follower.commander.leave()
-        await self.members.leave()
-        await self._stop_edges()
+        await self.follower.commander.release_leadership()
+        await self.members.deregister()
+        await self._stop_servers()
         _LOG.info('ended', extra={'code': self._exit_code})
 
-    async def _stop_edges(self) -> None:
+    async def _stop_servers(self) -> None:
         await self.gossip.stop()
         loop = self.node.loop
-        await loop.run_in_executor(None, self._callers.stop)
-        await loop.run_in_executor(None, self._operators.stop)
+        await loop.run_in_executor(None, self._client_server.stop)
+        await loop.run_in_executor(None, self._operator_server.stop)
         self.worker.stop()
 
-    def _build_callers(self) -> HttpServer:
+    def _build_client_server(self) -> HttpServer:
         spec = self._settings.callers
-        arrivals = RequestReceiver(self.node)
+        request_receiver = RequestReceiver(self.node)
         return HttpServer(
             CallersRoot(
-                arrivals.receive_from_thread, lambda: self.node.healthy
+                request_receiver.receive_from_thread, lambda: self.node.healthy
             ),
             spec.host,
             spec.port,
@@ -187,7 +189,7 @@
             spec.read_timeout_s,
         )
 
-    def _build_operators(self) -> HttpServer:
+    def _build_operator_server(self) -> HttpServer:
         spec = self._settings.operators
         root = OperatorsRoot(self._settings, NodeOperations(self))
         return HttpServer(
@@ -195,18 +197,18 @@
             spec.host,
             spec.port,
             _OPERATOR_THREADS,
-            _OPERATOR_BODY_BYTES,
+            _MAX_OPERATOR_BODY_BYTES,
             self._settings.callers.read_timeout_s,
         )
 
 
 def serve(settings: Settings) -> int:
-    """Run one node until it is drained; return its exit code."""
-    # The loop must get its turn while a thread parses a request; the usual
-    # 5 ms would show as gaps between tokens.
-    sys.setswitchinterval(_SWITCH_S)
+    """Run a node until shutdown; return its exit code."""
+    # With the default of 5 ms, threads that parse requests would delay the
+    # tokens of streams.
+    sys.setswitchinterval(_THREAD_SWITCH_INTERVAL_S)
     return asyncio.run(_serve(settings))
 
 
 async def _serve(settings: Settings) -> int:
-    return await Process(settings).run()
+    return await NodeProcess(settings).run()
--- a/samphirerill/node/store_worker.py
+++ b/samphirerill/node/store_worker.py
@@ -1,4 +1,4 @@
-"""Lets the loop call the blocking key-value service without waiting."""
+"""Runs blocking calls to the key-value service outside the event loop."""
 
 from __future__ import annotations
 
@@ -16,39 +16,41 @@
 
     from samphirerill.backends.store import KeyValueStore
 
-Answer = TypeVar('Answer')
+CallResult = TypeVar('CallResult')
 _THREADS = 3
 
 
 class StoreWorker:
-    """Runs store calls in a few threads and counts them by name."""
+    """Thread pool for calls to the store, with counts by function name."""
 
     def __init__(self, store: KeyValueStore) -> None:
         self.store = store
         self.calls: Counter[str] = Counter()
         self._threads = ThreadPoolExecutor(_THREADS, 'store')
 
-    async def run(self, work: Callable[..., Answer], *arguments: Any) -> Answer:
-        """Run one blocking call in a thread and return its answer.
+    async def run(
+        self, function: Callable[..., CallResult], *arguments: Any
+    ) -> CallResult:
+        """Run a blocking call in a thread and return its result.
 
         Raises
         ------
         StoreError
-            Whatever the call raised.
+            If the call fails.
         """
-        self.calls[work.__name__] += 1
+        self.calls[function.__name__] += 1
         loop = asyncio.get_running_loop()
-        return await loop.run_in_executor(self._threads, work, *arguments)
+        return await loop.run_in_executor(self._threads, function, *arguments)
 
-    async def attempt(
-        self, work: Callable[..., Answer], *arguments: Any
-    ) -> Result[Answer, StoreError]:
-        """Run one blocking call for a caller that handles its failure."""
+    async def try_run(
+        self, function: Callable[..., CallResult], *arguments: Any
+    ) -> Result[CallResult, StoreError]:
+        """Run a blocking call and return a `Result` instead of raising."""
         try:
-            return Ok(await self.run(work, *arguments))
+            return Ok(await self.run(function, *arguments))
         except StoreError as exc:
             return Err(exc)
 
     def stop(self) -> None:
-        """Start no more calls."""
+        """Cancel queued calls and accept no more."""
         self._threads.shutdown(wait=False, cancel_futures=True)
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -1,10 +1,9 @@
-"""Read the platform's list of VMs and share what it says.
+"""Detection of leaving endpoints in the platform's VM list.
 
-The list names every endpoint, some 60 KB at 770 of them. Were each of 400
-nodes to read it every second, each would spend seven times its budget of
-bytes. So the fleet together reads it a fixed number of times a second, and
-whoever sees an endpoint leave writes one small key that all nodes watch.
-Peers tell each other too, for times when the service is away.
+The list contains all endpoints, so it is too large to be read often by every
+node. The rate of reads is limited for the fleet as a whole; a node that finds a
+leaving endpoint writes a key that all nodes watch. Gossip spreads the same
+information while the key-value service is unavailable.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 from samphirerill.backends.store import Put, Transaction
 from samphirerill.backends.vms import VmList
 from samphirerill.core.events import VmListRead
-from samphirerill.node.jitter import spread
+from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
 
 if TYPE_CHECKING:
@@ -26,13 +25,13 @@
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
-LEAVING = 'shared/leaving/'
+LEAVING_PREFIX = 'shared/leaving/'
 FLEET_READERS = 8
 _LOG = get_logger('vms')
 
 
 class VmReader:
-    """This node's part of reading the list."""
+    """Periodically reads the VM list and publishes leaving endpoints."""
 
     def __init__(
         self, node: Node, worker: StoreWorker, members: Members
@@ -40,56 +39,68 @@
         self._node = node
         self._worker = worker
         self._members = members
-        self._vms = VmList(node.settings.vm_list.address)
+        self._client = VmList(node.settings.vm_list.address)
 
     async def run(self) -> None:
-        """Read and share for ever."""
+        """Read the list until cancelled."""
         while True:
-            found = await self._worker.run(self._vms.read)
-            if isinstance(found, Err):
-                _LOG.debug('no list', extra={'error': str(found.err_value)})
+            vm_list = await self._worker.run(self._client.read)
+            if isinstance(vm_list, Err):
+                _LOG.debug(
+                    'VM list is not available',
+                    extra={'error': str(vm_list.err_value)},
+                )
             else:
-                await self._take(found.ok_value)
-            await asyncio.sleep(spread(self._gap_s()))
+                await self._handle_list(vm_list.ok_value)
+            await asyncio.sleep(add_jitter(self._get_read_interval_s()))
 
-    async def _take(self, event: VmListRead) -> None:
-        """Apply a read and share what this node did not know before."""
+    async def _handle_list(self, event: VmListRead) -> None:
+        """Apply a list and publish what has changed."""
         state = self._node.router.state
-        before = set(state.leaving)
+        previous = set(state.leaving)
         self._node.apply(event)
-        after = set(state.leaving)
-        if before != after:
-            await self._share(sorted(after - before), sorted(before - after))
-
-    def _gap_s(self) -> float:
-        """Return the time between two reads of this node."""
+        current = set(state.leaving)
+        if previous != current:
+            await self._publish(
+                sorted(current - previous), sorted(previous - current)
+            )
+
+    def _get_read_interval_s(self) -> float:
+        """Return the interval between reads within the fleet's limit."""
         every_s = self._node.settings.vm_list.every_s
         return every_s * max(1, self._members.count / FLEET_READERS)
 
-    async def _share(self, new: list[str], back: list[str]) -> None:
-        prefix = f'{self._node.settings.store.prefix}{LEAVING}'
+    async def _publish(self, added: list[str], removed: list[str]) -> None:
+        prefix = f'{self._node.settings.store.prefix}{LEAVING_PREFIX}'
         transaction = Transaction(
-            puts=[Put(f'{prefix}{name}', 'leaving') for name in new],
-            deletes=[f'{prefix}{name}' for name in back],
+            puts=[Put(f'{prefix}{name}', 'leaving') for name in added],
+            deletes=[f'{prefix}{name}' for name in removed],
         )
-        done = await self._worker.attempt(
+        outcome = await self._worker.try_run(
             self._worker.store.commit, transaction
         )
-        if isinstance(done, Err):
-            _LOG.debug('not shared', extra={'error': str(done.err_value)})
-
-
-def read_leaving(prefix: str, batch: WatchBatch) -> VmListRead | None:
-    """Return what a batch says of leaving endpoints, if anything."""
-    start = f'{prefix}{LEAVING}'
+        if isinstance(outcome, Err):
+            _LOG.debug(
+                'cannot publish leaving endpoints',
+                extra={'error': str(outcome.err_value)},
+            )
+
+
+def parse_leaving_endpoints(
+    prefix: str, batch: WatchBatch
+) -> VmListRead | None:
+    """Return the changes of leaving endpoints in a batch, or None."""
+    key_prefix = f'{prefix}{LEAVING_PREFIX}'
     leaving = {
-        entry.key.removeprefix(start)
+        entry.key.removeprefix(key_prefix)
         for entry in batch.changed
-        if entry.key.startswith(start)
+        if entry.key.startswith(key_prefix)
     }
-    back = {
-        key.removeprefix(start) for key in batch.gone if key.startswith(start)
+    removed = {
+        key.removeprefix(key_prefix)
+        for key in batch.gone
+        if key.startswith(key_prefix)
     }
-    if not leaving and not back:
+    if not leaving and not removed:
         return None
-    return VmListRead(frozenset(back), frozenset(leaving))
+    return VmListRead(frozenset(removed), frozenset(leaving))
--- a/samphirerill/tests/test_catch_up.py
+++ b/samphirerill/tests/test_catch_up.py
@@ -11,7 +11,7 @@
 
 from samphirerill.backends.store import RangeRead, Stored
 from samphirerill.control.configuration_log import Loaded
-from samphirerill.node.follower import Follower
+from samphirerill.node.follower import ConfigurationFollower
 from samphirerill.node.members import Members
 
 if TYPE_CHECKING:
@@ -37,16 +37,16 @@
         node.node_id = 'n1'
         node.settings.store.prefix = 'p/'
         worker = MagicMock()
-        worker.attempt = self.attempt
+        worker.try_run = self.try_run
         worker.store.read_prefix = self.read_prefix
         self.entries: list[Stored] = []
         self.members = Members(node, worker)
-        self.follower = Follower(node, worker, self.members)
+        self.follower = ConfigurationFollower(node, worker, self.members)
         self.follower.install = MagicMock()  # type: ignore[method-assign]
         self.follower.log = MagicMock()
         self.follower.log.load = lambda: Loaded(7, {}, 20, [])
 
-    async def attempt(self, call: Callable[..., Any], *args: Any) -> Ok[Any]:
+    async def try_run(self, call: Callable[..., Any], *args: Any) -> Ok[Any]:
         """Call at once."""
         return Ok(call(*args))
 
@@ -57,7 +57,7 @@
     async def catch_up(self, *names: str) -> None:
         """Let a node find that these are there."""
         self.entries = [_build_entry(name) for name in names]
-        await self.follower._catch_up()  # noqa: SLF001
+        await self.follower._resynchronize()  # noqa: SLF001
 
     async def test_nodes_that_came_and_went_are_heard_of(self) -> None:
         """Symptom: a node never hears of another one.
@@ -69,7 +69,7 @@
         await self.catch_up('n1', 'n2', 'n3')
         self.assertEqual(set(self.members.others), {'n2', 'n3'})
         await self.catch_up('n1', 'n3')
-        missing = self.members.list_missing(self.entries)
+        missing = self.members.list_missing_keys(self.entries)
         self.assertEqual(missing, [_KEY.format('n2')])
-        gone = self.members._gone_at  # noqa: SLF001
+        gone = self.members._removal_deadlines  # noqa: SLF001
         self.assertEqual(set(gone), {'n2'})
