--- a/samphirerill/node/probes.py
+++ b/samphirerill/node/probes.py
@@ -1,4 +1,4 @@
-"""Ask endpoints whether they are there and how busy they are."""
+"""Health checks and load polls of endpoints."""
 
 from __future__ import annotations
 
@@ -17,59 +17,61 @@
 
 PROBE_TIMEOUT_S = 0.4
 POLLS_PER_S = 8.0
-FRESH_FOR_S = 1.0
-_IDLE_S = 0.25
-_MAX_ANSWER = 65_536
+LOAD_REPORT_TTL_S = 1.0
+_IDLE_INTERVAL_S = 0.25
+_MAX_BODY_BYTES = 65_536
 
 
 async def probe_endpoint(command: ProbeEndpoint, node: Node) -> None:
-    """Tell the core whether an endpoint answers a new connection."""
-    has_ended = False
+    """Check an endpoint over a new connection and report to the core."""
+    is_refused = False
     try:
-        await _fetch_in_time(command.address, '/health', None)
+        await _fetch_with_timeout(command.address, '/health', None)
     except ConnectionRefusedError:
-        has_ended = True
+        is_refused = True
         is_alive = False
     except (OSError, EOFError, TimeoutError, ValueError):
         is_alive = False
     else:
         is_alive = True
-    node.apply(ProbeAnswered(command.endpoint, is_alive, has_ended))
+    node.apply(ProbeAnswered(command.endpoint, is_alive, is_refused))
 
 
 async def poll_loads(node: Node) -> None:
-    """Keep load reports fresh at a fixed number of polls a second.
+    """Poll the load of engines at a fixed total rate, stalest report first.
 
-    The cost stays the same however many endpoints there are; with more of
-    them each is asked less often. Reports that come with answers count, so
-    the endpoints in use are known best.
+    The cost does not depend on the number of engines; with more of them each
+    is polled less often. Engines also report their load with responses, so
+    engines in use rarely need a poll.
     """
     while True:
-        found = _pick_stalest(node)
-        if found is None:
-            await asyncio.sleep(_IDLE_S)
+        endpoint_state = _find_stalest(node)
+        if endpoint_state is None:
+            await asyncio.sleep(_IDLE_INTERVAL_S)
             continue
-        found.reported_at = node.loop.time()
-        work = _poll_one(found.endpoint.name, found.endpoint.address, node)
-        node.start_task(work, 'load poll')
+        endpoint_state.reported_at = node.loop.time()
+        coroutine = _poll_load(
+            endpoint_state.endpoint.name, endpoint_state.endpoint.address, node
+        )
+        node.start_task(coroutine, 'load poll')
         await asyncio.sleep(1 / POLLS_PER_S)
 
 
 async def fetch(
     address: str, target: str, body: bytes | None = None
 ) -> bytes | None:
-    """Return the body of a small answer, or nothing if none came.
+    """Return the body of a response, or None if the request failed.
 
-    With a `body` it is posted; without one the target is read.
+    Sends a POST request if there is a `body`, else a GET request.
     """
     try:
-        return await _fetch_in_time(address, target, body)
+        return await _fetch_with_timeout(address, target, body)
     except (OSError, EOFError, TimeoutError, ValueError):
         return None
 
 
 def build_fetch(target: str, address: str, body: bytes | None = None) -> bytes:
-    """Return the request of a probe, poll or order."""
+    """Serialize the request of a health check, load poll or order."""
     method, length = 'GET', ''
     if body is not None:
         method, length = 'POST', f'Content-Length: {len(body)}\r\n'
@@ -80,27 +82,28 @@
     return head.encode() + (body or b'')
 
 
-async def _poll_one(name: str, address: str, node: Node) -> None:
-    seen = node.router.state.prefixes.last_seen(name)
-    body = await fetch(address, f'/load?cache_after={seen}')
+async def _poll_load(name: str, address: str, node: Node) -> None:
+    last_event = node.router.state.prefixes.last_seen(name)
+    body = await fetch(address, f'/load?cache_after={last_event}')
     if body is None:
         node.apply(ProbeAnswered(name, alive=False))
     else:
         emit_load_report(name, body, node)
 
 
-def _pick_stalest(node: Node) -> EndpointState | None:
-    before = node.loop.time() - FRESH_FOR_S
-    stale = [
-        found
+def _find_stalest(node: Node) -> EndpointState | None:
+    stale_before = node.loop.time() - LOAD_REPORT_TTL_S
+    stale_states = [
+        endpoint_state
         for replicas in node.router.state.by_model.values()
-        for found in replicas
-        if found.endpoint.kind == ENGINE and found.reported_at < before
+        for endpoint_state in replicas
+        if endpoint_state.endpoint.kind == ENGINE
+        and endpoint_state.reported_at < stale_before
     ]
-    return min(stale, key=lambda item: item.reported_at, default=None)
+    return min(stale_states, key=lambda item: item.reported_at, default=None)
 
 
-async def _fetch_in_time(
+async def _fetch_with_timeout(
     address: str, target: str, body: bytes | None
 ) -> bytes:
     deadline = asyncio.get_running_loop().time() + PROBE_TIMEOUT_S
@@ -114,16 +117,16 @@
     writer.write(build_fetch(target, address, body))
     try:
         head = await reader.readuntil(b'\r\n\r\n')
-        return await reader.readexactly(_find_length(head))
+        return await reader.readexactly(_parse_content_length(head))
     finally:
         writer.close()
 
 
-def _find_length(head: bytes) -> int:
+def _parse_content_length(head: bytes) -> int:
     for line in head.split(b'\r\n'):
         name, _, text = line.partition(b':')
         if name.lower() == b'content-length':
             length = int(text)
-            if length <= _MAX_ANSWER:
+            if length <= _MAX_BODY_BYTES:
                 return length
-    raise ValueError('got no usable length')
+    raise ValueError('got no valid Content-Length')
