--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -30,7 +30,7 @@
     ServingForbidden,
 )
 from samphirerill.core.model import build_configuration
-from samphirerill.node.commander import EngineController
+from samphirerill.node.engine_controller import EngineController
 from samphirerill.node.jitter import WIDE_JITTER, add_jitter
 from samphirerill.node.logs import get_logger
 from samphirerill.node.vm_reader import parse_leaving_endpoints
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -14,7 +14,7 @@
 from result import Err
 
 from samphirerill.backends.store import Put, Transaction
-from samphirerill.backends.vms import VmList
+from samphirerill.backends.vm_list import VmList
 from samphirerill.core.events import VmListRead
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
