--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -64,9 +64,9 @@
 
     def read_prefix(self, prefix: str) -> RangeRead:
         """Read all keys under a prefix, sorted."""
-        answer = self._call('/v3/kv/range', _build_range(prefix))
-        entries = [_parse_entry(entry) for entry in answer.get('kvs', ())]
-        return RangeRead(entries, _parse_revision(answer))
+        document = self._call('/v3/kv/range', _build_range(prefix))
+        entries = [_parse_entry(entry) for entry in document.get('kvs', ())]
+        return RangeRead(entries, _parse_revision(document))
 
     def commit(self, transaction: Transaction) -> Committed:
         """Run a transaction in one call."""
@@ -74,7 +74,7 @@
         reads = [
             {'request_range': {'key': _encode(key)}} for key in transaction.read
         ]
-        call = {
+        payload = {
             'compare': [_compare(item) for item in transaction.conditions],
             'success': [
                 *_build_put_operations(transaction.puts),
@@ -82,10 +82,10 @@
             ],
             'failure': [*otherwise, *reads],
         }
-        answer = self._call('/v3/kv/txn', call)
-        found = _parse_entries(answer.get('responses', ()))
+        document = self._call('/v3/kv/txn', payload)
+        found = _parse_entries(document.get('responses', ()))
         return Committed(
-            bool(answer.get('succeeded')), _parse_revision(answer), found
+            bool(document.get('succeeded')), _parse_revision(document), found
         )
 
     def grant_lease(self, ttl_s: int) -> str:
@@ -94,8 +94,8 @@
 
     def renew_lease(self, lease: str) -> bool:
         """Renew a lease; return whether it still existed."""
-        answer = self._call('/v3/lease/keepalive', {'ID': lease})
-        return int(answer['result'].get('TTL', 0)) > 0
+        document = self._call('/v3/lease/keepalive', {'ID': lease})
+        return int(document['result'].get('TTL', 0)) > 0
 
     def revoke_lease(self, lease: str) -> None:
         """Revoke a lease and delete its keys."""
@@ -108,13 +108,13 @@
         watch without data for a minute ends with ``StoreUnreachableError``;
         the caller then starts another one after the last revision received.
         """
-        call = {
+        payload = {
             'create_request': {
                 **_build_range(prefix),
                 'start_revision': str(revision),
             },
         }
-        response = self._open('/v3/watch', call, stream=True)
+        response = self._open('/v3/watch', payload, stream=True)
         try:
             yield from _parse_batches(response)
         except (HTTPError, OSError, ValueError) as exc:
@@ -124,19 +124,19 @@
         finally:
             response.close()
 
-    def _call(self, path: str, call: Json) -> Json:
-        response = self._open(path, call, stream=False)
+    def _call(self, path: str, payload: Json) -> Json:
+        response = self._open(path, payload, stream=False)
         try:
-            answer = json.loads(response.data)
+            document = json.loads(response.data)
         except ValueError as exc:
             raise StoreUnreachableError(
                 'got an answer that is not JSON', may_have_applied=True
             ) from exc
         if response.status != _OK:
-            raise StoreRefusedError(str(answer.get('message', answer)))
-        return answer
+            raise StoreRefusedError(str(document.get('message', document)))
+        return document
 
-    def _open(self, path: str, call: Json, *, stream: bool) -> Any:
+    def _open(self, path: str, payload: Json, *, stream: bool) -> Any:
         pool = self._pools[0]
         connect_timeout_s = self._settings.call_timeout_s
         read_timeout_s = _WATCH_READ_TIMEOUT_S if stream else connect_timeout_s
@@ -144,7 +144,7 @@
             response = pool.request(
                 'POST',
                 path,
-                body=json.dumps(call),
+                body=json.dumps(payload),
                 preload_content=not stream,
                 retries=False,
                 redirect=False,
@@ -219,10 +219,10 @@
 
 
 def _build_put(put: Put) -> Json:
-    call = {'key': _encode(put.key), 'value': _encode(put.text)}
+    payload = {'key': _encode(put.key), 'value': _encode(put.text)}
     if put.lease != NO_LEASE:
-        call['lease'] = put.lease
-    return call
+        payload['lease'] = put.lease
+    return payload
 
 
 def _build_delete_operations(keys: list[str]) -> list[Json]:
@@ -266,8 +266,8 @@
     )
 
 
-def _parse_revision(answer: Json) -> int:
-    return int(answer['header']['revision'])
+def _parse_revision(document: Json) -> int:
+    return int(document['header']['revision'])
 
 
 def _encode(text: str) -> str:
--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -73,9 +73,9 @@
     """gRPC server for calls from other nodes."""
 
     def __init__(
-        self, answer: Callable[[Word], Word], collect: ClaimBatchHandler
+        self, reply: Callable[[Word], Word], collect: ClaimBatchHandler
     ) -> None:
-        self._servicer = _Servicer(answer, collect)
+        self._servicer = _Servicer(reply, collect)
         self._server: Any = None
 
     async def start(self, host: str, port: int) -> int:
@@ -108,12 +108,12 @@
         """Send a message and return the peer's reply."""
         stub = PeersStub(await self._get_channel(address))
         try:
-            answer = await stub.Exchange(
+            reply = await stub.Exchange(
                 _encode_message(message), timeout=EXCHANGE_TIMEOUT_S
             )
         except RpcError:
             return Err(PeerError(f'no answer from {address}'))
-        return Ok(_decode_message(answer))
+        return Ok(_decode_message(reply))
 
     async def collect(
         self, address: str, batch: Batch
@@ -124,7 +124,7 @@
         """
         stub = PeersStub(await self._get_channel(address))
         try:
-            answer = await stub.Collect(
+            reply = await stub.Collect(
                 _encode_group(batch), timeout=COLLECT_TIMEOUT_S
             )
         except RpcError:
@@ -132,7 +132,7 @@
         by_request = {claim.request_id: claim for claim in batch.claims}
         verdicts = [
             _decode_verdict(note, by_request[note.request])
-            for note in answer.verdicts
+            for note in reply.verdicts
             if note.request in by_request
         ]
         return Ok(verdicts)
@@ -161,9 +161,9 @@
     """Dispatches gRPC calls to the node."""
 
     def __init__(
-        self, answer: Callable[[Word], Word], collect: ClaimBatchHandler
+        self, reply: Callable[[Word], Word], collect: ClaimBatchHandler
     ) -> None:
-        self._build_reply = answer
+        self._build_reply = reply
         self._collect = collect
 
     async def Exchange(self, request: WireMessage, context: Any) -> WireMessage:
--- a/samphirerill/backends/service.py
+++ b/samphirerill/backends/service.py
@@ -44,7 +44,8 @@
         self.body += body
         if len(self.body) > MAX_RESPONSE_BYTES:
             self._fail(
-                f'got an answer over {MAX_RESPONSE_BYTES} bytes; it may have run'
+                f'got an answer over {MAX_RESPONSE_BYTES} bytes; '
+                'it may have run'
             )
 
     def on_message_complete(self) -> None:
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -324,7 +324,7 @@
 ) -> None:
     """Resolve a future of another node's call unless it is cancelled.
 
-    Resolving a cancelled future would raise and end the task that writes claims.
+    Resolving a cancelled future would raise and stop the writer task.
     """
     if not future.done():
         future.set_result(answer)
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -59,7 +59,7 @@
         self.evidence = Evidence(node.loop.time())
         prefix = node.settings.store.prefix
         self.log = ConfigurationLog(worker.store, prefix)
-        self.commander = EngineController(node, worker)
+        self.engine_controller = EngineController(node, worker)
         self._node = node
         self._worker = worker
         self._members = members
@@ -228,7 +228,7 @@
 
     def _handle_batch(self, changes: list[Change], batch: WatchBatch) -> None:
         self._members.handle_watch_batch(batch)
-        self.commander.handle_watch_batch(batch)
+        self.engine_controller.handle_watch_batch(batch)
         leaving = parse_leaving_endpoints(self._prefix, batch)
         if leaving is not None:
             self._node.apply(leaving)
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -133,7 +133,7 @@
         return answer.ok_value
 
     def _answer(self, message: Word) -> Word:
-        """Reply with this node's message and the changes that the peer lacks."""
+        """Reply to a message, with the changes that the peer lacks."""
         self._hear(message)
         answer = self._build_word()
         view = self._follower.view
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operations.py
@@ -93,7 +93,7 @@
                 for name, member in self._process.members.others.items()
             },
             'peers': self._process.gossip.describe(),
-            'orders': self._follower.commander.describe(),
+            'orders': self._follower.engine_controller.describe(),
             'times': node.metrics.describe(),
             'core': describe_state(node.router.state, now),
         }
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -113,7 +113,7 @@
         node = self.node
         node.start_task(self.follower.run(), 'follow')
         node.start_task(self.follower.monitor_freshness(), 'judge')
-        node.start_task(self.follower.commander.run(), 'commander')
+        node.start_task(self.follower.engine_controller.run(), 'commander')
         node.start_task(self.members.run(), 'membership')
         node.start_task(self.members.remove_expired(), 'sweep')
         node.start_task(self.gossip.run(), 'gossip')
@@ -163,7 +163,7 @@
 
     async def _stop(self) -> None:
         self.follower.stop()
-        await self.follower.commander.release_leadership()
+        await self.follower.engine_controller.release_leadership()
         await self.members.deregister()
         await self._stop_servers()
         _LOG.info('ended', extra={'code': self._exit_code})
