--- a/samphirerill/tests/test_whole_path.py
+++ b/samphirerill/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Requests from a caller to an answer, over real sockets and processes."""
+"""End-to-end tests of requests, with real sockets and processes."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from samphirerill.tests.support import ClusterCase
 
 
-class TestAnswersAreWhole(ClusterCase):
-    """A request gets its whole answer, streamed or not."""
+class TestCompleteResponses(ClusterCase):
+    """Requests get complete responses, streamed or not."""
 
-    def test_streamed_answer_names_stages_and_outcome(self) -> None:
-        """Each token was run by stages that cover each layer once."""
-        answer = complete(
+    def test_streamed_response_has_trace_and_outcome(self) -> None:
+        """The stages that ran a token cover each layer exactly once."""
+        response = complete(
             self.callers,
             COACH_KEY,
             'plans',
@@ -26,9 +26,9 @@
             12,
             headers={'Samphirerill-Trace': '1'},
         )
-        self.assert_whole(answer.texts, 'block one', 12)
-        self.assertEqual(answer.outcome, 'answered')
-        for stages in answer.layers:
+        self.assert_whole(response.texts, 'block one', 12)
+        self.assertEqual(response.outcome, 'answered')
+        for stages in response.layers:
             covered = [
                 layer
                 for _, first, last in stages
@@ -36,9 +36,9 @@
             ]
             self.assertEqual(covered, list(range(12)))
 
-    def test_answer_that_is_not_streamed(self) -> None:
-        """The whole text comes in one document."""
-        answer = complete(
+    def test_non_streamed_response(self) -> None:
+        """A response that is not streamed contains the complete text."""
+        response = complete(
             self.callers,
             COACH_KEY,
             'plans',
@@ -46,53 +46,51 @@
             5,
             stream=False,
         )
-        self.assertEqual(answer.outcome, 'answered')
-        expected = ''.join(make_token('block two', at) for at in range(5))
-        self.assertEqual(answer.text, expected)
+        self.assertEqual(response.outcome, 'answered')
+        expected = ''.join(make_token('block two', index) for index in range(5))
+        self.assertEqual(response.text, expected)
 
-    def test_chat_answer(self) -> None:
-        """Chat calls get chat documents."""
+    def test_chat_response(self) -> None:
+        """Chat requests get chat completions."""
         body = {
             'model': 'plans',
             'messages': [{'role': 'user', 'content': 'hello'}],
             'max_tokens': 3,
         }
-        answer = call_raw(
+        response = call_raw(
             self.callers,
             '/v1/chat/completions',
             COACH_KEY,
             json.dumps(body).encode(),
         )
-        document = json.loads(answer.body)
+        document = json.loads(response.body)
         self.assertEqual(document['object'], 'chat.completion')
-        self.assertEqual(len(answer.text.split()), 3)
+        self.assertEqual(len(response.text.split()), 3)
 
-    def test_plain_service_gets_method_path_and_body(self) -> None:
-        """Any method and body reach the plain service."""
-        answer = call_raw(
+    def test_request_is_forwarded_to_plain_service(self) -> None:
+        """Method, path and body are forwarded to the plain service."""
+        response = call_raw(
             self.callers,
             '/svc/lookups/orders/7?full=1',
             BRIDAL_KEY,
             b'abc',
             method='PUT',
         )
-        document = json.loads(answer.body)
+        document = json.loads(response.body)
         self.assertEqual(
             document,
             {'method': 'PUT', 'path': '/orders/7?full=1', 'length': 3},
         )
-        self.assertEqual(answer.outcome, 'answered')
+        self.assertEqual(response.outcome, 'answered')
 
 
-class TestNothingIsLeftBehind(ClusterCase):
-    """A node's memory does not grow with what it has answered."""
+class TestReleasedResources(ClusterCase):
+    """Finished requests release their resources."""
 
-    def test_ended_requests_leave_no_call_or_session(self) -> None:
-        """Whatever way they ended.
+    def test_finished_requests_leave_no_call_or_session(self) -> None:
+        """Completed and timed-out requests leave no state behind.
 
-        Symptom: a node's memory grows for days.
-        Sequence: answers are delivered whole; the caller goes.
-        Cause: an attempt that ended well was never taken off the books.
+        Guards against a memory leak by attempts that are not removed.
         """
         for number in range(3):
             complete(self.callers, COACH_KEY, 'plans', f'p{number}', 3)
@@ -112,34 +110,32 @@
         self.assertNotIn('commands.failed', state['core']['counters'])
 
 
-class TestStageDeath(ClusterCase):
-    """A stage that dies halfway is replaced without a seam."""
+class TestStageCrash(ClusterCase):
+    """A stage that crashes during a stream is replaced."""
 
-    def test_stream_carries_on_from_the_last_token(self) -> None:
-        """A killed stage costs no token and doubles none.
+    def test_stream_resumes_after_the_last_token(self) -> None:
+        """A crashed stage neither loses nor repeats tokens.
 
-        Symptom: the answer stops, starts over or repeats a token.
-        Sequence: a stream runs; the engine of its middle stage is killed.
-        Cause: the rest of the answer is asked for from the wrong token.
+        Guards against resuming the stream at the wrong token.
         """
-        found: list[str] = []
+        crashed: list[str] = []
 
-        def kill() -> None:
+        def crash_middle_stage() -> None:
             time.sleep(0.4)
             state = self.cluster.nodes[0].read_state()
-            for name, spec in state['core']['endpoints'].items():
-                if spec['in_flight'] and name.startswith('stage1'):
+            for name, endpoint in state['core']['endpoints'].items():
+                if endpoint['in_flight'] and name.startswith('stage1'):
                     address = self.cluster.addresses['engines'][name]
                     self.cluster.control(address, die=True)
-                    found.append(name)
-
-        killer = threading.Thread(target=kill)
-        killer.start()
-        answer = complete(self.callers, COACH_KEY, 'plans', 'knee', 50)
-        killer.join()
-        self.assertEqual(len(found), 1)
-        self.assert_whole(answer.texts, 'knee', 50)
-        self.assertEqual(answer.outcome, 'answered')
+                    crashed.append(name)
+
+        crash_thread = threading.Thread(target=crash_middle_stage)
+        crash_thread.start()
+        response = complete(self.callers, COACH_KEY, 'plans', 'knee', 50)
+        crash_thread.join()
+        self.assertEqual(len(crashed), 1)
+        self.assert_whole(response.texts, 'knee', 50)
+        self.assertEqual(response.outcome, 'answered')
 
 
 if __name__ == '__main__':
