--- a/samphirerill/tests/test_bad_input.py
+++ b/samphirerill/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear refusal, and nothing is run or lost."""
+"""Invalid requests are rejected with an error and not executed."""
 
 from __future__ import annotations
 
@@ -11,63 +11,67 @@
 from samphirerill.testing.layout import BRIDAL_KEY, COACH_KEY
 from samphirerill.tests.support import ClusterCase
 
-_GOOD = {'model': 'plans', 'prompt': 'x', 'max_tokens': 2}
-_MAX_BODY = 20_000
-_SENDS_ON_AFTER_S = 0.2
+_VALID_BODY = {'model': 'plans', 'prompt': 'x', 'max_tokens': 2}
+_MAX_BODY_BYTES = 20_000
+_SEND_PAUSE_S = 0.2
 
 
-class TestBadInput(ClusterCase):
-    """Everything a caller can get wrong."""
+class TestInvalidRequests(ClusterCase):
+    """Invalid requests of clients."""
 
-    overrides = {'callers': {'max_body_bytes': _MAX_BODY}}  # noqa: RUF012
+    overrides = {'callers': {'max_body_bytes': _MAX_BODY_BYTES}}  # noqa: RUF012
 
-    def test_unknown_route_is_refused(self) -> None:
-        """A route that is not there, or not the account's, is unknown."""
-        answer = complete(self.callers, COACH_KEY, 'nowhere', 'x', 2)
-        self.assert_refused(answer, 404, 'unknown-route')
+    def test_unknown_route_is_rejected(self) -> None:
+        """A route that does not exist is reported as unknown."""
+        response = complete(self.callers, COACH_KEY, 'nowhere', 'x', 2)
+        self.assert_refused(response, 404, 'unknown-route')
 
-    def test_wrong_key_is_refused(self) -> None:
-        """A key of no account opens nothing."""
-        answer = complete(self.callers, 'guessed', 'plans', 'x', 2)
-        self.assert_refused(answer, 401, 'unknown-key')
+    def test_unknown_key_is_rejected(self) -> None:
+        """A key that belongs to no account is rejected."""
+        response = complete(self.callers, 'guessed', 'plans', 'x', 2)
+        self.assert_refused(response, 401, 'unknown-key')
 
-    def test_bodies_that_can_not_be_used(self) -> None:
-        """Each says what was got and what was expected."""
+    def test_invalid_bodies_are_rejected(self) -> None:
+        """The error says what was received."""
         bodies = {
             'no json': b'{"model": "plans"',
             'too deep': b'{"model": ' + b'[' * 15_000,
             'no utf-8': b'{"model": "plans", "prompt": "\xff"}',
             'no object': b'[]',
-            'wrong type': json.dumps({**_GOOD, 'max_tokens': 'x'}).encode(),
-            'too few': json.dumps({**_GOOD, 'max_tokens': 0}).encode(),
-            'two choices': json.dumps({**_GOOD, 'n': 2}).encode(),
+            'wrong type': json.dumps(
+                {**_VALID_BODY, 'max_tokens': 'x'}
+            ).encode(),
+            'too few': json.dumps({**_VALID_BODY, 'max_tokens': 0}).encode(),
+            'two choices': json.dumps({**_VALID_BODY, 'n': 2}).encode(),
             'no prompt': b'{"model": "plans"}',
-            'both': json.dumps({**_GOOD, 'messages': []}).encode(),
+            'both': json.dumps({**_VALID_BODY, 'messages': []}).encode(),
         }
         for name, body in bodies.items():
             with self.subTest(name):
-                answer = call_raw(
+                response = call_raw(
                     self.callers, '/v1/completions', COACH_KEY, body
                 )
-                self.assert_refused(answer, 400, 'bad-request')
-                self.assertTrue(answer.problem['detail'].startswith('got'))
-
-    def test_oversize_body_is_refused(self) -> None:
-        """A body above the limit is not read to its end."""
-        body = json.dumps({**_GOOD, 'prompt': 'x' * _MAX_BODY}).encode()
-        answer = call_raw(self.callers, '/v1/completions', COACH_KEY, body)
-        self.assert_refused(answer, 413, 'request-entity-too-large')
-
-    def test_wrong_method_is_refused(self) -> None:
-        """Completions are posted."""
-        answer = call_raw(
+                self.assert_refused(response, 400, 'bad-request')
+                self.assertTrue(response.problem['detail'].startswith('got'))
+
+    def test_oversized_body_is_rejected(self) -> None:
+        """A body above the limit is rejected."""
+        body = json.dumps(
+            {**_VALID_BODY, 'prompt': 'x' * _MAX_BODY_BYTES}
+        ).encode()
+        response = call_raw(self.callers, '/v1/completions', COACH_KEY, body)
+        self.assert_refused(response, 413, 'request-entity-too-large')
+
+    def test_wrong_method_is_rejected(self) -> None:
+        """Completions only accept POST."""
+        response = call_raw(
             self.callers, '/v1/completions', COACH_KEY, b'', method='PUT'
         )
-        self.assert_refused(answer, 405, 'bad-request')
+        self.assert_refused(response, 405, 'bad-request')
 
-    def test_bad_timeout_is_refused(self) -> None:
-        """A caller's limit has to be a positive number."""
-        answer = complete(
+    def test_invalid_timeout_is_rejected(self) -> None:
+        """A timeout that is not a number is rejected."""
+        response = complete(
             self.callers,
             COACH_KEY,
             'plans',
@@ -75,41 +79,39 @@
             2,
             headers={'Request-Timeout': 'soon'},
         )
-        self.assert_refused(answer, 400, 'bad-request')
+        self.assert_refused(response, 400, 'bad-request')
 
-    def test_non_idempotent_route_needs_a_key(self) -> None:
-        """Without a key a retry could not be told from a second request."""
-        answer = call_raw(self.callers, '/svc/notices/x', BRIDAL_KEY, b'{}')
-        self.assert_refused(answer, 400, 'key-required')
+    def test_non_idempotent_route_requires_a_key(self) -> None:
+        """Without a key, retries are indistinguishable from new requests."""
+        response = call_raw(self.callers, '/svc/notices/x', BRIDAL_KEY, b'{}')
+        self.assert_refused(response, 400, 'key-required')
 
-    def test_models_are_those_of_the_account(self) -> None:
-        """The list of models needs a key, too."""
-        answer = call_raw(
+    def test_models_of_the_account_are_listed(self) -> None:
+        """The list contains the models that the account may use."""
+        response = call_raw(
             self.callers, '/v1/models', COACH_KEY, b'', method='GET'
         )
-        names = {model['id'] for model in json.loads(answer.body)['data']}
+        names = {model['id'] for model in json.loads(response.body)['data']}
         self.assertEqual(names, {'plans', 'fittings'})
 
 
-def _read_to_end(sock: socket.socket) -> bytes:
-    parts = []
-    while part := sock.recv(4096):
-        parts.append(part)
-    return b''.join(parts)
+def _receive_all(sock: socket.socket) -> bytes:
+    chunks = []
+    while chunk := sock.recv(4096):
+        chunks.append(chunk)
+    return b''.join(chunks)
 
 
-class TestSmuggling(ClusterCase):
-    """Headers that two parties could read in two ways are refused.
+class TestRequestSmuggling(ClusterCase):
+    """Requests with ambiguous or incomplete framing are rejected.
 
-    Symptom: a caller gets the answer to a stranger's request.
-    Sequence: a request names two lengths; the balancer believes one, the
-    node the other; the rest of the body becomes the next request.
-    Cause: an ambiguous header was accepted instead of refused.
+    Guards against request smuggling: if the load balancer and the node use
+    different lengths, the rest of a body is parsed as another request.
     """
 
-    def test_ambiguous_headers_are_refused(self) -> None:
-        """Each of them ends the connection with a 400."""
-        heads = {
+    def test_ambiguous_headers_are_rejected(self) -> None:
+        """Ambiguous, malformed or too many headers get a 400 response."""
+        cases = {
             'two lengths': 'Content-Length: 2\r\nContent-Length: 40',
             'length and coding': (
                 'Content-Length: 2\r\nTransfer-Encoding: chunked'
@@ -119,46 +121,46 @@
             'no number': 'Content-Length: +2',
             'too many': '\r\n'.join(f'X-{name}: 1' for name in range(3000)),
         }
-        for name, head in heads.items():
+        for name, headers in cases.items():
             with self.subTest(name):
-                raw = (
+                request = (
                     'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
-                    f'{head}\r\n\r\n{{}}'
+                    f'{headers}\r\n\r\n{{}}'
                 )
-                answer = self._send(raw.encode())
-                self.assertTrue(answer.startswith(b'HTTP/1.1 400'), answer)
-                self.assertIn(b'"outcome": "not-run"', answer)
+                response = self._send(request.encode())
+                self.assertTrue(response.startswith(b'HTTP/1.1 400'), response)
+                self.assertIn(b'"outcome": "not-run"', response)
 
-    def test_a_caller_that_still_sends_gets_its_refusal(self) -> None:
-        """A refusal isn't lost to a reset because headers were unread."""
+    def test_client_that_still_sends_gets_the_rejection(self) -> None:
+        """The rejection is not lost to a reset because of unread headers."""
         host, _, port = self.callers.rpartition(':')
         headers = [f'X-{number}: 1\r\n' for number in range(3000)]
         with socket.create_connection((host, int(port)), timeout=5) as sock:
             sock.sendall(b'POST /v1/completions HTTP/1.1\r\nHost: x\r\n')
             sock.sendall(''.join(headers[:2000]).encode())
-            time.sleep(_SENDS_ON_AFTER_S)
+            time.sleep(_SEND_PAUSE_S)
             sock.sendall(''.join(headers[2000:]).encode())
-            answer = _read_to_end(sock)
-        self.assertTrue(answer.startswith(b'HTTP/1.1 400'), answer)
+            response = _receive_all(sock)
+        self.assertTrue(response.startswith(b'HTTP/1.1 400'), response)
 
-    def test_cut_off_body_runs_nothing(self) -> None:
-        """A body shorter than its length is no request."""
-        body = json.dumps(_GOOD)[:-1]
-        raw = (
+    def test_truncated_body_is_not_executed(self) -> None:
+        """A body that is shorter than its Content-Length is not executed."""
+        body = json.dumps(_VALID_BODY)[:-1]
+        request = (
             'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
             f'Authorization: Bearer {COACH_KEY}\r\n'
             f'Content-Length: {len(body) + 1}\r\n\r\n{body}'
         )
         before = self._count_sequences()
-        self._send(raw.encode())
+        self._send(request.encode())
         self.assertEqual(self._count_sequences(), before)
 
-    def _send(self, raw: bytes) -> bytes:
+    def _send(self, request: bytes) -> bytes:
         host, _, port = self.callers.rpartition(':')
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            sock.sendall(raw)
+            sock.sendall(request)
             sock.shutdown(socket.SHUT_WR)
-            return _read_to_end(sock)
+            return _receive_all(sock)
 
     def _count_sequences(self) -> int:
         engines = self.cluster.addresses['engines'].values()
