--- a/samphirerill/tests/test_catch_up.py
+++ b/samphirerill/tests/test_catch_up.py
@@ -1,4 +1,4 @@
-"""A node whose watch was silent catches up with all that it carries."""
+"""Resynchronization after a watch has missed changes."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_KEY = 'p/shared/nodes/{0}'
-_TEXT = '{{"id": "{0}", "data_centre": "a", "peer": "x"}}'
+_MEMBER_KEY = 'p/shared/nodes/{0}'
+_MEMBER_JSON = '{{"id": "{0}", "data_centre": "a", "peer": "x"}}'
 
 
 def _build_entry(name: str) -> Stored:
     entry = MagicMock(spec=Stored)
-    entry.key = _KEY.format(name)
-    entry.text = _TEXT.format(name)
+    entry.key = _MEMBER_KEY.format(name)
+    entry.text = _MEMBER_JSON.format(name)
     return entry
 
 
-class TestCatchUp(IsolatedAsyncioTestCase):
-    """The configuration is read anew, and the watch moved on to there."""
+class TestResynchronization(IsolatedAsyncioTestCase):
+    """The configuration and the shared keys are read again."""
 
     async def asyncSetUp(self) -> None:
         node = MagicMock()
@@ -47,29 +47,28 @@
         self.follower.log.load = lambda: Loaded(7, {}, 20, [])
 
     async def try_run(self, call: Callable[..., Any], *args: Any) -> Ok[Any]:
-        """Call at once."""
+        """Run the call immediately."""
         return Ok(call(*args))
 
     def read_prefix(self, prefix: str) -> RangeRead:
-        """Return all entries there are."""
+        """Return all entries."""
         return RangeRead(self.entries, 20)
 
-    async def catch_up(self, *names: str) -> None:
-        """Let a node find that these are there."""
+    async def resynchronize(self, *names: str) -> None:
+        """Resynchronize while only these nodes are registered."""
         self.entries = [_build_entry(name) for name in names]
         await self.follower._resynchronize()  # noqa: SLF001
 
-    async def test_nodes_that_came_and_went_are_heard_of(self) -> None:
-        """Symptom: a node never hears of another one.
+    async def test_missed_joins_and_departures_are_applied(self) -> None:
+        """Nodes that joined or left while the watch was silent are found.
 
-        Sequence: the watch is silent; a node joins; the poll sees a new
-        version, the configuration is read and the watch moved on. Cause: the
-        watch carries the nodes too, and those were not read again.
+        Guards against advancing the watch after reading the configuration only,
+        although the watch covers the members, too.
         """
-        await self.catch_up('n1', 'n2', 'n3')
+        await self.resynchronize('n1', 'n2', 'n3')
         self.assertEqual(set(self.members.others), {'n2', 'n3'})
-        await self.catch_up('n1', 'n3')
+        await self.resynchronize('n1', 'n3')
         missing = self.members.list_missing_keys(self.entries)
-        self.assertEqual(missing, [_KEY.format('n2')])
-        gone = self.members._removal_deadlines  # noqa: SLF001
-        self.assertEqual(set(gone), {'n2'})
+        self.assertEqual(missing, [_MEMBER_KEY.format('n2')])
+        removals = self.members._removal_deadlines  # noqa: SLF001
+        self.assertEqual(set(removals), {'n2'})
