--- a/samphirerill/tests/test_log_sink.py
+++ b/samphirerill/tests/test_log_sink.py
@@ -1,4 +1,4 @@
-"""Log lines never block the loop, and their volume is bounded."""
+"""Log output neither blocks the event loop nor exceeds its rate limit."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TestLogSink(TestCase):
-    """A pipe that is read late or not at all."""
+    """Writes to a pipe that is read late or not at all."""
 
     def setUp(self) -> None:
         reader, writer = os.pipe()
@@ -22,11 +22,11 @@
         os.close(self.reader)
         os.close(self.writer)
 
-    def test_a_full_pipe_drops_whole_lines(self) -> None:
-        """Symptom: all streams of a node pause at once, with no cause.
+    def test_full_pipe_drops_complete_lines(self) -> None:
+        """Lines are dropped while the pipe is full.
 
-        Sequence: whoever reads the logs stops; the pipe fills; the next line
-        waits. Cause: lines were written to a blocking descriptor.
+        Guards against blocking writes, which would stall all streams of a node
+        when the reader of its logs stops.
         """
         line = 'x' * 1000 + '\n'
         for _ in range(200):
@@ -37,7 +37,7 @@
         self.assertIn('lines dropped', text)
         self.assertTrue(text.endswith('after\n'))
 
-    def test_a_storm_is_bounded(self) -> None:
+    def test_rate_is_limited(self) -> None:
         for _ in range(LINES_PER_S * 3):
             self.sink.write('line\n')
         self.assertLessEqual(self._read_all().count('line\n'), LINES_PER_S)
