--- a/samphirerill/backends/calls.py
+++ b/samphirerill/backends/calls.py
@@ -29,7 +29,7 @@
         """Pass an event to the decision core."""
 
 
-class Call(asyncio.Protocol):
+class EndpointCall(asyncio.Protocol):
     """The connection of one attempt.
 
     Parameters
--- a/samphirerill/backends/engine.py
+++ b/samphirerill/backends/engine.py
@@ -14,7 +14,7 @@
 from msgspec import DecodeError, Struct, field
 from msgspec.json import Decoder
 
-from samphirerill.backends.calls import Call, build_request
+from samphirerill.backends.calls import EndpointCall, build_request
 from samphirerill.core.events import (
     AttemptProgressed,
     AttemptRefused,
@@ -89,7 +89,7 @@
 _LOAD_DECODER = Decoder(_LoadReport)
 
 
-class EngineCall(Call):
+class EngineCall(EndpointCall):
     """One attempt on a pipeline, over a connection to its first stage."""
 
     def __init__(
--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -24,7 +24,7 @@
     Committed,
     Holds,
     Put,
-    RangeRead,
+    RangeResult,
     Stored,
     StoreRefusedError,
     StoreUnreachableError,
@@ -62,11 +62,11 @@
             for address in settings.addresses
         ]
 
-    def read_prefix(self, prefix: str) -> RangeRead:
+    def read_prefix(self, prefix: str) -> RangeResult:
         """Read all keys under a prefix, sorted."""
         document = self._call('/v3/kv/range', _build_range(prefix))
         entries = [_parse_entry(entry) for entry in document.get('kvs', ())]
-        return RangeRead(entries, _parse_revision(document))
+        return RangeResult(entries, _parse_revision(document))
 
     def commit(self, transaction: Transaction) -> Committed:
         """Run a transaction in one call."""
--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -37,7 +37,7 @@
     ClaimBatchHandler = Callable[[Batch], Awaitable[list[Verdict]]]
 
 EXCHANGE_TIMEOUT_S = 0.8
-COLLECT_TIMEOUT_S = 1.5
+CLAIM_WRITE_TIMEOUT_S = 1.5
 _MAX_MESSAGE_BYTES = 16_777_216
 _CHANNEL_OPTIONS = (
     ('grpc.enable_retries', 0),
@@ -125,7 +125,7 @@
         stub = PeersStub(await self._get_channel(address))
         try:
             reply = await stub.Collect(
-                _encode_group(batch), timeout=COLLECT_TIMEOUT_S
+                _encode_group(batch), timeout=CLAIM_WRITE_TIMEOUT_S
             )
         except RpcError:
             return Err(PeerError(f'no verdicts from {address}'))
--- a/samphirerill/backends/service.py
+++ b/samphirerill/backends/service.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from samphirerill.backends.calls import Call
+from samphirerill.backends.calls import EndpointCall
 from samphirerill.core.events import ServiceAnswered
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 )
 
 
-class ServiceCall(Call):
+class ServiceCall(EndpointCall):
     """One attempt on a plain service; buffers the response until complete.
 
     Partial responses are not forwarded: if the service fails halfway, the
--- a/samphirerill/backends/store.py
+++ b/samphirerill/backends/store.py
@@ -105,7 +105,7 @@
 
 
 @dataclass(slots=True)
-class RangeRead:
+class RangeResult:
     """Entries under a prefix and the revision they were read at."""
 
     entries: list[Stored]
@@ -124,7 +124,7 @@
 class KeyValueStore(Protocol):
     """Client of a key-value service; every method may block."""
 
-    def read_prefix(self, prefix: str) -> RangeRead:
+    def read_prefix(self, prefix: str) -> RangeResult:
         """Read all keys under a prefix, sorted."""
 
     def commit(self, transaction: Transaction) -> Committed:
--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/actions.py
@@ -31,7 +31,7 @@
 from samphirerill.node.probes import probe_endpoint
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import Call
+    from samphirerill.backends.calls import EndpointCall
     from samphirerill.node.node import Node
     from samphirerill.node.sessions import Session
 
@@ -170,7 +170,9 @@
     ]
 
 
-def _build_call(command: OpenAttempt, session: Session, node: Node) -> Call:
+def _build_call(
+    command: OpenAttempt, session: Session, node: Node
+) -> EndpointCall:
     if command.is_service:
         request = _build_service_request(command, session)
         return ServiceCall(command.attempt_id, request, node)
@@ -239,4 +241,4 @@
 
 
 def _get_claim_writer(node: Node) -> Any:
-    return node.claims
+    return node.claim_writer
--- a/samphirerill/node/arrivals.py
+++ b/samphirerill/node/arrivals.py
@@ -59,7 +59,9 @@
     ) -> None:
         await session.attach(sock)
         client_request = session.client_request
-        session.account = self._node.keys.find_account(client_request.bearer)
+        session.account = self._node.key_index.find_account(
+            client_request.bearer
+        )
         problem = self._check_request(session)
         if problem:
             session.send_problem(problem)
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -125,7 +125,7 @@
         clients: PeerClients,
     ) -> None:
         self.answers: dict[str, dict[str, Any]] = {}
-        self.figures = ClaimCounters()
+        self.counters = ClaimCounters()
         self._worker = worker
         self.name = holder
         self._prefix = prefix
@@ -175,7 +175,7 @@
             for settlement in batch.settlements
         ]
         self._queue.settlements.extend(outcomes)
-        self.figures.collected += len(waiting)
+        self.counters.collected += len(waiting)
         self._has_work.set()
         await asyncio.gather(
             *(item.written_future for item in outcomes if item.written_future)
@@ -194,9 +194,9 @@
 
     def describe(self) -> ClaimCounters:
         """Return the counters for the state dump."""
-        self.figures.waiting = len(self._queue.pending)
-        self.figures.abandoned = self._releases.size()
-        return self.figures
+        self.counters.waiting = len(self._queue.pending)
+        self.counters.abandoned = self._releases.size()
+        return self.counters
 
     async def run(self) -> None:
         """Write queued claims and outcomes until cancelled."""
@@ -237,7 +237,7 @@
         await self._releases.release_due()
 
     def _confirm_outcomes(self, outcomes: list[_PendingOutcome]) -> None:
-        self.figures.settlements += len(outcomes)
+        self.counters.settlements += len(outcomes)
         for item in outcomes:
             if item.written_future is not None:
                 _resolve_future(item.written_future, None)
@@ -246,7 +246,7 @@
         self, batch: Batch
     ) -> tuple[list[Verdict], list[Claim]]:
         """Write a batch, directly or through the aggregating node."""
-        self.figures.calls += 1
+        self.counters.calls += 1
         address = pick_collector(self.name, self._members)
         batch_writer: BatchWriter = self._direct
         if address:
@@ -282,7 +282,7 @@
                 )
 
     def _abandon_claim(self, claim: Claim, exc: StoreError) -> None:
-        self.figures.failed += 1
+        self.counters.failed += 1
         self._releases.add(claim, time.monotonic() + RELEASE_AFTER_S)
         self._own_claims.pop(claim.request_id, None)
         _LOG.warning(
@@ -304,7 +304,7 @@
             _resolve_future(future, claim_result)
 
     def _handle_own_result(self, claim_result: Verdict) -> None:
-        self.figures.claims += 1
+        self.counters.claims += 1
         request_id = claim_result.claim.request_id
         if claim_result.state == 'won':
             self._sink.apply(ClaimWon(request_id))
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -148,7 +148,7 @@
         )
         self._applied_document = self.view.document
         if configuration.accounts is not previous.accounts:
-            self._node.keys.rebuild(configuration)
+            self._node.key_index.rebuild(configuration)
         self._node.apply(ConfigurationAccepted(configuration))
         _LOG.info('in force', extra={'version': self.view.version})
 
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -148,7 +148,7 @@
         return answer
 
     async def _write_claims(self, batch: Batch) -> list[Verdict]:
-        claims = self._node.claims
+        claims = self._node.claim_writer
         return [] if claims is None else await claims.collect(batch)
 
     def _hear(self, message: Word) -> None:
--- a/samphirerill/node/node.py
+++ b/samphirerill/node/node.py
@@ -19,7 +19,7 @@
 from samphirerill.node.metrics import Metrics
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import Call
+    from samphirerill.backends.calls import EndpointCall
     from samphirerill.node.claim_writer import ClaimWriter
     from samphirerill.node.sessions import Session
     from samphirerill.settings.model import Settings
@@ -44,11 +44,11 @@
         self.router = Router(self.node_id, seed)
         self.loop = asyncio.get_running_loop()
         self.sessions: dict[str, Session] = {}
-        self.calls: dict[str, Call] = {}
+        self.calls: dict[str, EndpointCall] = {}
         self.metrics = Metrics()
-        self.keys = KeyIndex()
-        self.claims: ClaimWriter | None = None
-        self.healthy = False
+        self.key_index = KeyIndex()
+        self.claim_writer: ClaimWriter | None = None
+        self.is_healthy = False
         self._events: deque[object] = deque()
         self._applying = False
         self._timer: asyncio.TimerHandle | None = None
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operations.py
@@ -80,14 +80,16 @@
             'node': node.node_id,
             'data_centre': node.settings.data_centre,
             'pid': os.getpid(),
-            'healthy': node.healthy,
+            'healthy': node.is_healthy,
             'open_calls': len(node.calls),
             'open_sessions': len(node.sessions),
             'cpu_s': usage.ru_utime + usage.ru_stime,
             'max_memory_bytes': usage.ru_maxrss * _BYTES_PER_KIB,
             'store_read_age_s': self._follower.evidence.own_age_s(now),
             'store_calls': dict(self._process.worker.calls),
-            'claims': asdict(node.claims.describe()) if node.claims else {},
+            'claims': asdict(node.claim_writer.describe())
+            if node.claim_writer
+            else {},
             'members': {
                 name: asdict(member)
                 for name, member in self._process.members.others.items()
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -54,7 +54,7 @@
             self.node, self.worker, self.members
         )
         self.gossip = Gossip(self.node, self.follower, self.members)
-        self.node.claims = ClaimWriter(
+        self.node.claim_writer = ClaimWriter(
             self.worker,
             self.node.node_id,
             settings.store.prefix,
@@ -98,7 +98,7 @@
         self.members.peer_address = f'{host}:{peer_port}'
         operator_port = self._operator_server.start()
         client_port = self._client_server.start()
-        self.node.healthy = True
+        self.node.is_healthy = True
         _LOG.info(
             'serving',
             extra={
@@ -118,8 +118,8 @@
         node.start_task(self.members.remove_expired(), 'sweep')
         node.start_task(self.gossip.run(), 'gossip')
         node.start_task(poll_loads(node), 'loads')
-        if node.claims is not None:
-            node.start_task(node.claims.run(), 'claims')
+        if node.claim_writer is not None:
+            node.start_task(node.claim_writer.run(), 'claims')
         if self._settings.vm_list.address:
             vms = VmReader(node, self.worker, self.members)
             node.start_task(vms.run(), 'vm list')
@@ -137,7 +137,7 @@
         shutdown = self._settings.shutdown
         loop = self.node.loop
         finish_at = loop.time() + shutdown.notice_s + shutdown.finish_s
-        self.node.healthy = False
+        self.node.is_healthy = False
         _LOG.info('draining', extra={'open': self._count_open()})
         await asyncio.sleep(shutdown.notice_s)
         self.node.apply(DrainRequested())
@@ -157,7 +157,7 @@
 
     def _count_open(self) -> int:
         """Count open requests, plus one if claims are still unwritten."""
-        claims = self.node.claims
+        claims = self.node.claim_writer
         unwritten = 0 if claims is None or claims.is_idle() else 1
         return count_open(self.node.router.state) + unwritten
 
@@ -180,7 +180,8 @@
         request_receiver = RequestReceiver(self.node)
         return HttpServer(
             CallersRoot(
-                request_receiver.receive_from_thread, lambda: self.node.healthy
+                request_receiver.receive_from_thread,
+                lambda: self.node.is_healthy,
             ),
             spec.host,
             spec.port,
--- a/samphirerill/tests/test_catch_up.py
+++ b/samphirerill/tests/test_catch_up.py
@@ -9,7 +9,7 @@
 
 from result import Ok
 
-from samphirerill.backends.store import RangeRead, Stored
+from samphirerill.backends.store import RangeResult, Stored
 from samphirerill.control.configuration_log import Loaded
 from samphirerill.node.follower import ConfigurationFollower
 from samphirerill.node.members import Members
@@ -50,9 +50,9 @@
         """Run the call immediately."""
         return Ok(call(*args))
 
-    def read_prefix(self, prefix: str) -> RangeRead:
+    def read_prefix(self, prefix: str) -> RangeResult:
         """Return all entries."""
-        return RangeRead(self.entries, 20)
+        return RangeResult(self.entries, 20)
 
     async def resynchronize(self, *names: str) -> None:
         """Resynchronize while only these nodes are registered."""
