--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -95,15 +95,15 @@
     async def query_versions(self) -> list[dict[str, Any]]:
         """Query all known nodes for their configuration version."""
         members = list(self._members.others.values())
-        answers = await asyncio.gather(
+        replies = await asyncio.gather(
             *(self._exchange(member.peer_address) for member in members)
         )
         versions = [
             {
                 'node': member.node_id,
-                'version': answer.version if answer else None,
+                'version': reply.version if reply else None,
             }
-            for member, answer in zip(members, answers, strict=True)
+            for member, reply in zip(members, replies, strict=True)
         ]
         own = {
             'node': self._node.node_id,
@@ -113,7 +113,7 @@
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the last message of each peer, for the state dump."""
-        return [asdict(view) for view in self._heard.values()]
+        return [asdict(status) for status in self._heard.values()]
 
     def _choose_peers(self) -> list[str]:
         addresses = [
@@ -123,33 +123,33 @@
         return random.sample(addresses, min(PARTNERS, len(addresses)))
 
     async def _exchange(self, address: str) -> Word | None:
-        answer = await self.clients.exchange(address, self._build_word())
-        if isinstance(answer, Err):
+        reply = await self.clients.exchange(address, self._build_word())
+        if isinstance(reply, Err):
             _LOG.debug(
-                'peer did not respond', extra={'reason': str(answer.err_value)}
+                'peer did not respond', extra={'reason': str(reply.err_value)}
             )
             return None
-        self._hear(answer.ok_value)
-        return answer.ok_value
+        self._hear(reply.ok_value)
+        return reply.ok_value
 
     def _answer(self, message: Word) -> Word:
         """Reply to a message, with the changes that the peer lacks."""
         self._hear(message)
-        answer = self._build_word()
+        reply = self._build_word()
         view = self._follower.view
         if message.version < view.version:
             changes = view.list_after(message.version)
             if changes is None:
-                answer.document = json.dumps(view.document).encode()
+                reply.document = json.dumps(view.document).encode()
             else:
-                answer.changes = [
+                reply.changes = [
                     json.dumps(change.to_json()).encode() for change in changes
                 ]
-        return answer
+        return reply
 
     async def _write_claims(self, batch: Batch) -> list[Verdict]:
-        claims = self._node.claim_writer
-        return [] if claims is None else await claims.collect(batch)
+        claim_writer = self._node.claim_writer
+        return [] if claim_writer is None else await claim_writer.collect(batch)
 
     def _hear(self, message: Word) -> None:
         now = self._node.loop.time()
@@ -187,8 +187,8 @@
         self._node.apply(EvidenceTold(records))
 
     def _remove_expired(self, now: float) -> None:
-        for name, view in tuple(self._heard.items()):
-            if now - view.heard_at > FORGET_AFTER_S:
+        for name, status in tuple(self._heard.items()):
+            if now - status.heard_at > FORGET_AFTER_S:
                 self._heard.pop(name)
 
     def _encode_evidence(self, now: float) -> bytes:
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -121,8 +121,8 @@
         if node.claim_writer is not None:
             node.start_task(node.claim_writer.run(), 'claims')
         if self._settings.vm_list.address:
-            vms = VmReader(node, self.worker, self.members)
-            node.start_task(vms.run(), 'vm list')
+            vm_reader = VmReader(node, self.worker, self.members)
+            node.start_task(vm_reader.run(), 'vm list')
 
     def _install_signal_handlers(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -157,8 +157,8 @@
 
     def _count_open(self) -> int:
         """Count open requests, plus one if claims are still unwritten."""
-        claims = self.node.claim_writer
-        unwritten = 0 if claims is None or claims.is_idle() else 1
+        claim_writer = self.node.claim_writer
+        unwritten = 0 if claim_writer is None or claim_writer.is_idle() else 1
         return count_open(self.node.router.state) + unwritten
 
     async def _stop(self) -> None:
