--- a/samphirerill/testing/soak/__init__.py
+++ b/samphirerill/testing/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real nodes as processes, faults from outside them."""
+"""Randomized soak test: node processes under externally injected faults."""
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that check every answer against what was promised."""
+"""Clients that check every response against the router's guarantees."""
 
 from __future__ import annotations
 
@@ -15,99 +15,107 @@
 from samphirerill.relay.errors import EndpointError
 from samphirerill.relay.events import EventSplitter
 from samphirerill.relay.pool import call_once
+from samphirerill.testing.soak.environment import HOST, KEYS
 from samphirerill.testing.soak.replicas import count_events
-from samphirerill.testing.soak.world import HOST, KEYS
 
 if TYPE_CHECKING:
     from random import Random
 
+    from samphirerill.testing.soak.environment import SoakEnvironment
     from samphirerill.testing.soak.nodes import SoakNode
-    from samphirerill.testing.soak.world import SoakWorld
 
 KINDS = frozenset(('notes', 'look', 'book'))
-_MIX = ('notes', 'notes', 'look', 'book')
+_REQUEST_MIX = ('notes', 'notes', 'look', 'book')
 _OK = 200
 _ID_BITS = 64
 _NOT_FOUND = 404
-_UNKNOWN_KEY = 401
-_NOT_RUN = frozenset((408, 421, 429, 503))
-_PATIENCE_S = 9.0
-_PAUSE_S = 0.05
-_REUSE = 0.6
-# Within so long of a fault, or of its end, requests may fail for it.
-_AFTERMATH_S = 5.0
-_IN_FORCE_S = 2.5
-_ROLLBACK_S = 0.4
-_PROBE_S = 0.1
-_READY_S = 0.3
-_READY_TIMEOUT_S = 0.5
-_MISSES = 2
+_UNAUTHORIZED = 401
+_NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
+_REQUEST_TIMEOUT_S = 9.0
+_MAX_PAUSE_S = 0.05
+_REUSE_SHARE = 0.6
+# Requests may fail because of a fault for this long after the fault ended.
+_FAULT_GRACE_S = 5.0
+_PROPAGATION_S = 2.5
+_REVERT_GRACE_S = 0.4
+_PROBE_INTERVAL_S = 0.1
+_CHECK_INTERVAL_S = 0.3
+_CHECK_TIMEOUT_S = 0.5
+_FAILED_CHECKS_MAX = 2
 
 
 @dataclass(slots=True)
-class _Answer:
-    """What a client got; `status` 0 for no answer at all."""
+class _Response:
+    """A client's response; `status` is 0 if no response head arrived."""
 
     status: int = 0
     request_id: bytes = b''
     body: bytes = b''
-    is_whole: bool = False
+    is_complete: bool = False
 
 
-class Balancer:
-    """Asks the nodes whether they are ready, as the platform's does."""
+class LoadBalancer:
+    """Polls the nodes' readiness, like the platform's load balancer."""
 
-    def __init__(self, world: SoakWorld) -> None:
-        self._world = world
-        self._misses: dict[str, int] = {}
+    def __init__(self, environment: SoakEnvironment) -> None:
+        self._environment = environment
+        self._failed_checks: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         while True:
-            await asyncio.gather(*map(self._ask, self._world.nodes))
-            await asyncio.sleep(_READY_S)
+            await asyncio.gather(
+                *map(self._check_ready, self._environment.nodes)
+            )
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
     def list_ready(self) -> list[SoakNode]:
-        """Return the nodes in rotation; all of them if there is none."""
-        nodes = self._world.nodes
+        """Return the nodes in rotation, or all nodes if none is ready."""
+        nodes = self._environment.nodes
         ready = [
             node
             for node in nodes
-            if self._misses.get(node.name, _MISSES) < _MISSES
+            if self._failed_checks.get(node.name, _FAILED_CHECKS_MAX)
+            < _FAILED_CHECKS_MAX
         ]
         return ready or nodes
 
-    async def _ask(self, node: SoakNode) -> None:
-        deadline = asyncio.get_running_loop().time() + _READY_TIMEOUT_S
+    async def _check_ready(self, node: SoakNode) -> None:
+        deadline = asyncio.get_running_loop().time() + _CHECK_TIMEOUT_S
         try:
             status, _ = await call_once(
                 node.readiness, b'GET', b'/ready', b'', deadline
             )
         except EndpointError:
-            # A miss is all that it means.
+            # No answer counts as a failed check.
             status = 0
-        missed = 0 if status == _OK else self._misses.get(node.name, 0) + 1
-        self._misses[node.name] = missed
+        failed_checks = (
+            0 if status == _OK else self._failed_checks.get(node.name, 0) + 1
+        )
+        self._failed_checks[node.name] = failed_checks
 
 
 class Client:
-    """One client that asks one thing after another.
+    """A client that sends one request after another.
 
     Parameters
     ----------
-    world : SoakWorld
-        What is asked, and the truth.
-    balancer : Balancer
-        Chooses nodes.
+    environment : SoakEnvironment
+        The nodes, and the ground truth to check against.
+    balancer : LoadBalancer
+        Selects the nodes to connect to.
     random : Random
-        Seeded.
+        Seeded random generator.
     """
 
     def __init__(
-        self, world: SoakWorld, balancer: Balancer, random: Random
+        self,
+        environment: SoakEnvironment,
+        balancer: LoadBalancer,
+        random: Random,
     ) -> None:
-        self._world = world
-        self._truth = world.truth
+        self._environment = environment
+        self._truth = environment.truth
         self._balancer = balancer
         self._random = random
         self._loop = asyncio.get_running_loop()
@@ -115,156 +123,177 @@
         self._is_reused = False
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         while True:
-            kind = self._random.choice(_MIX)
-            await self._ask(kind)
-            await asyncio.sleep(_PAUSE_S * self._random.random())
+            kind = self._random.choice(_REQUEST_MIX)
+            await self._send_request(kind)
+            await asyncio.sleep(_MAX_PAUSE_S * self._random.random())
 
-    async def _ask(self, kind: str) -> None:
+    async def _send_request(self, kind: str) -> None:
         request_id = f'{self._random.getrandbits(_ID_BITS):016x}'
         account = self._random.choice(tuple(KEYS))
         self._truth.accounts[request_id] = account
         if kind == 'book':
-            self._truth.once_only.add(request_id)
+            self._truth.non_idempotent.add(request_id)
         since = self._loop.time()
-        answer = await self._exchange(kind, request_id, account)
-        self._truth.counts[f'{kind}.{answer.status}'] += 1
-        self._check(kind, request_id, answer, since)
+        response = await self._exchange(kind, request_id, account)
+        self._truth.counts[f'{kind}.{response.status}'] += 1
+        self._check_response(kind, request_id, response, since)
 
     async def _exchange(
         self, kind: str, request_id: str, account: str
-    ) -> _Answer:
-        answer = _Answer()
+    ) -> _Response:
+        response = _Response()
         try:
-            conn = await self._connect()
+            conn = await self._get_connection()
             conn.send(_build_request(f'/{kind}/x', request_id, account))
-            await _read(conn, answer, self._loop.time() + _PATIENCE_S)
+            await _read_response(
+                conn, response, self._loop.time() + _REQUEST_TIMEOUT_S
+            )
         except EndpointError:
-            # What is missing from the answer is judged by the caller.
-            self._drop()
+            # The caller checks how much of the response arrived.
+            self._close_connection()
         else:
             if not conn.is_usable(self._loop.time()):
-                self._drop()
-        return answer
+                self._close_connection()
+        return response
 
-    async def _connect(self) -> HttpConnection:
+    async def _get_connection(self) -> HttpConnection:
         now = self._loop.time()
         conn = self._conn
-        keeps = conn is not None and self._random.random() < _REUSE
-        self._is_reused = keeps and conn is not None and conn.is_usable(now)
+        keep_alive = conn is not None and self._random.random() < _REUSE_SHARE
+        self._is_reused = (
+            keep_alive and conn is not None and conn.is_usable(now)
+        )
         if conn is not None and self._is_reused:
             return conn
-        self._drop()
+        self._close_connection()
         node = self._random.choice(self._balancer.list_ready())
         self._conn = HttpConnection(node.callers)
         await self._conn.open()
         return self._conn
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._conn is not None:
             self._conn.close()
         self._conn = None
 
-    def _check(
-        self, kind: str, request_id: str, answer: _Answer, since: float
+    def _check_response(
+        self, kind: str, request_id: str, response: _Response, since: float
     ) -> None:
-        if answer.status in _NOT_RUN:
-            self._truth.note_refused(request_id)
-        if answer.request_id not in (b'', request_id.encode()):
-            self._truth.break_promise(f'{request_id}: got another answer')
-        if answer.status == _OK:
-            self._check_body(kind, request_id, answer)
+        if response.status in _NOT_EXECUTED_STATUSES:
+            self._truth.record_refusal(request_id)
+        if response.request_id not in (b'', request_id.encode()):
+            self._truth.record_violation(
+                f'{request_id}: got the response to {response.request_id!r}'
+            )
+        if response.status == _OK:
+            self._check_body(kind, request_id, response)
         now = self._loop.time()
-        is_good = answer.status == _OK and answer.is_whole
-        if self._crossed_close(request_id, answer):
+        is_success = response.status == _OK and response.is_complete
+        if self._raced_with_close(request_id, response):
             return
-        if not is_good and self._truth.is_calm(since - _AFTERMATH_S, now):
-            self._truth.break_promise(
-                f'{request_id}: {kind} got {answer.status} with no fault '
-                f'near, whole: {answer.is_whole}'
+        if not is_success and self._truth.is_fault_free(
+            since - _FAULT_GRACE_S, now
+        ):
+            self._truth.record_violation(
+                f'{request_id}: {kind} got status {response.status}, '
+                f'complete: {response.is_complete}, with no fault nearby'
             )
 
-    def _crossed_close(self, request_id: str, answer: _Answer) -> bool:
-        """Return whether a request met the end of a kept connection."""
-        was_run = bool(self._truth.runs.get(request_id))
-        return self._is_reused and not answer.status and not was_run
+    def _raced_with_close(self, request_id: str, response: _Response) -> bool:
+        """Return whether the node closed a reused connection before the send."""
+        was_executed = bool(self._truth.runs.get(request_id))
+        return self._is_reused and not response.status and not was_executed
 
-    def _check_body(self, kind: str, request_id: str, answer: _Answer) -> None:
+    def _check_body(
+        self, kind: str, request_id: str, response: _Response
+    ) -> None:
         if kind != 'notes':
             expected = f'{request_id} desk'.encode()
-            if answer.is_whole and answer.body != expected:
-                self._truth.break_promise(f'{request_id}: got {answer.body!r}')
+            if response.is_complete and response.body != expected:
+                self._truth.record_violation(
+                    f'{request_id}: got body {response.body!r}'
+                )
             return
         splitter = EventSplitter()
-        events = splitter.feed(answer.body)
+        events = splitter.feed(response.body)
         for number, event in enumerate(events, 1):
             expected = f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
             if event.raw != expected:
-                self._truth.break_promise(
+                self._truth.record_violation(
                     f'{request_id}: event {number} is {event.raw!r}'
                 )
                 return
-        if answer.is_whole and len(events) != count_events(request_id):
-            self._truth.break_promise(
+        if response.is_complete and len(events) != count_events(request_id):
+            self._truth.record_violation(
                 f'{request_id}: ended after {len(events)} events'
             )
 
 
 class VersionProbe:
-    """Asks single nodes which version of the configuration is in force."""
+    """Checks which configuration version individual nodes serve with."""
 
-    def __init__(self, world: SoakWorld, random: Random) -> None:
-        self._world = world
-        self._truth = world.truth
+    def __init__(self, environment: SoakEnvironment, random: Random) -> None:
+        self._environment = environment
+        self._truth = environment.truth
         self._random = random
         self._loop = asyncio.get_running_loop()
-        # For each start of a node, the newest version seen, and when.
-        self._seen: dict[tuple[str, int], tuple[int, float]] = {}
+        # Newest version seen and when, by node name and process start.
+        self._newest_seen: dict[tuple[str, int], tuple[int, float]] = {}
 
     async def run(self) -> None:
         """Probe until cancelled."""
         while True:
-            node = self._random.choice(self._world.nodes)
-            newest = self._world.version
+            node = self._random.choice(self._environment.nodes)
+            newest = self._environment.version
             await self._probe(node, max(1, newest - self._random.randrange(2)))
-            await asyncio.sleep(_PROBE_S)
+            await asyncio.sleep(_PROBE_INTERVAL_S)
 
     async def _probe(self, node: SoakNode, version: int) -> None:
-        key = (node.name, node.incarnation)
+        key = (node.name, node.start_count)
         request_id = f'{self._random.getrandbits(_ID_BITS):016x}'
         self._truth.accounts[request_id] = 'suva'
         since = self._loop.time()
         conn = HttpConnection(node.callers)
-        answer = _Answer()
+        response = _Response()
         try:
             await conn.open()
             conn.send(_build_request(f'/v{version}/', request_id, 'suva'))
-            await _read(conn, answer, since + _PATIENCE_S)
+            await _read_response(conn, response, since + _REQUEST_TIMEOUT_S)
         except EndpointError:
-            # Clients judge answers that don't come; this is about versions.
+            # Missing responses are checked by the clients, not here.
             return
         finally:
             conn.close()
-        if key == (node.name, node.incarnation):
-            self._judge(key, version, answer.status, since)
+        if key == (node.name, node.start_count):
+            self._check_version(key, version, response.status, since)
 
-    def _judge(
+    def _check_version(
         self, key: tuple[str, int], version: int, status: int, since: float
     ) -> None:
-        best, seen_at = self._seen.get(key, (0, 0.0))
-        if status == _OK and version > best:
-            self._seen[key] = (version, self._loop.time())
-        is_older = version < best and since > seen_at + _ROLLBACK_S
+        newest_seen, seen_at = self._newest_seen.get(key, (0, 0.0))
+        if status == _OK and version > newest_seen:
+            self._newest_seen[key] = (version, self._loop.time())
+        is_older = version < newest_seen and since > seen_at + _REVERT_GRACE_S
         if status == _OK and is_older:
-            self._truth.break_promise(f'{key}: went back to {version}')
-        acked_at = self._world.acked_at[version]
+            self._truth.record_violation(
+                f'{key}: reverted to configuration {version}'
+            )
+        committed_at = self._environment.committed_at[version]
         is_due = (
-            version == self._world.version and since > acked_at + _IN_FORCE_S
+            version == self._environment.version
+            and since > committed_at + _PROPAGATION_S
         )
-        is_refused = status in (_NOT_FOUND, _UNKNOWN_KEY)
-        if is_due and is_refused and self._truth.is_calm(acked_at, since):
-            self._truth.break_promise(f'{key}: {version} is not in force')
+        is_rejected = status in (_NOT_FOUND, _UNAUTHORIZED)
+        if (
+            is_due
+            and is_rejected
+            and self._truth.is_fault_free(committed_at, since)
+        ):
+            self._truth.record_violation(
+                f'{key}: configuration {version} is not in force'
+            )
 
 
 def _build_request(target: str, request_id: str, account: str) -> bytes:
@@ -278,16 +307,18 @@
     return build_call(b'POST', target.encode(), headers, b'{}')
 
 
-async def _read(conn: HttpConnection, answer: _Answer, deadline: float) -> None:
-    """Read an answer as far as it comes."""
+async def _read_response(
+    conn: HttpConnection, response: _Response, deadline: float
+) -> None:
+    """Read a response into `answer`, keeping what arrived on an error."""
     head = await conn.read(deadline)
     if not isinstance(head, Head):
-        raise TypeError(f'got {head!r}, expected the head of an answer')
-    answer.status = head.status
-    answer.request_id = head.get(b'x-samphirerill-request-id') or b''
+        raise TypeError(f'got {head!r}, expected a response head')
+    response.status = head.status
+    response.request_id = head.get(b'x-samphirerill-request-id') or b''
     while True:
         part = await conn.read(deadline)
         if not isinstance(part, Part):
-            answer.is_whole = True
+            response.is_complete = True
             return
-        answer.body += part.body
+        response.body += part.body
--- a/samphirerill/testing/soak/command.py
+++ b/samphirerill/testing/soak/command.py
@@ -1,4 +1,4 @@
-"""The command ``samphirerill soak``."""
+"""Command-line interface of ``samphirerill soak``."""
 
 from __future__ import annotations
 
@@ -10,58 +10,58 @@
 if TYPE_CHECKING:
     import argparse
 
-_LENGTH_S = 14.0
-_COUNT = 10
-_SEEDS = 1_000_000
+_FAULT_DURATION_S = 14.0
+_SEED_COUNT = 10
+_SEED_RANGE = 1_000_000
 
 
 def add_soak_options(parser: argparse.ArgumentParser) -> None:
-    """Add the options of the command."""
+    """Add the options of ``samphirerill soak``."""
     parser.add_argument(
         '--first',
         type=int,
         default=-1,
         metavar='SEED',
-        help='the first seed; by default a fresh one',
+        help='first seed; derived from the clock by default',
     )
     parser.add_argument(
         '--count',
         type=int,
-        default=_COUNT,
+        default=_SEED_COUNT,
         metavar='N',
-        help='how many seeds, one after another (%(default)s)',
+        help='number of consecutive seeds to run (%(default)s)',
     )
     parser.add_argument(
         '--seconds',
         type=float,
-        default=_LENGTH_S,
+        default=_FAULT_DURATION_S,
         metavar='S',
-        help='how long faults last for each seed (%(default)s)',
+        help='duration of fault injection for each seed (%(default)s)',
     )
     parser.add_argument(
         '--regressions',
         action='store_true',
-        help='run the seeds that once broke a promise instead',
+        help='run the regression seeds instead',
     )
     parser.add_argument(
         '--keep',
         default='',
         metavar='DIR',
-        help="keep the nodes' logs there, a folder for each seed",
+        help="keep the nodes' logs in DIR, one subdirectory for each seed",
     )
-    parser.set_defaults(command=_soak)
+    parser.set_defaults(command=_run_soak)
 
 
-def _soak(options: argparse.Namespace) -> int:
-    """Return 1 if any seed broke a promise."""
-    # The stand-ins are loaded only for this command.
+def _run_soak(options: argparse.Namespace) -> int:
+    """Run the selected seeds; return 1 if any violated a guarantee."""
+    # Imported here so that other commands do not load the test code.
     from samphirerill.testing.soak.run import run_seeds
 
     seeds = list(REGRESSIONS)
     if not options.regressions:
         first = options.first
         if first < 0:
-            first = time.time_ns() % _SEEDS
+            first = time.time_ns() % _SEED_RANGE
         seeds = list(range(first, first + options.count))
     failed = run_seeds(iter(seeds), options.seconds, options.keep)
     return int(failed > 0)
--- a/samphirerill/testing/soak/world.py
+++ b/samphirerill/testing/soak/environment.py
@@ -1,4 +1,4 @@
-"""A small platform on loopback: store, replicas, nodes, and the operator."""
+"""The system under test on loopback: store, replicas and nodes."""
 
 from __future__ import annotations
 
@@ -11,8 +11,12 @@
 from samphirerill.testing.platform_store import StandInStore
 from samphirerill.testing.soak.nodes import SoakNode
 from samphirerill.testing.soak.proxy import LoopbackProxy
-from samphirerill.testing.soak.replicas import LAYERS, Replicas, SoakReplica
-from samphirerill.testing.soak.truth import Truth
+from samphirerill.testing.soak.replicas import (
+    LAYERS,
+    ReplicaRegistry,
+    SoakReplica,
+)
+from samphirerill.testing.soak.truth import GroundTruth
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -21,12 +25,12 @@
 
 HOST = 'soak.example'
 KEYS = {'suva': 'key-suva', 'nadi': 'key-nadi'}
-_STORE = '127.0.0.2'
-_FIRST_NODE = 11
-_FIRST_REPLICA = 41
-_PULSE_S = 0.1
-# How long the entry of a replica that crashed stays.
-_ENTRY_S = 1.5
+_STORE_HOST = '127.0.0.2'
+_FIRST_NODE_OCTET = 11
+_FIRST_REPLICA_OCTET = 41
+_PUBLISH_INTERVAL_S = 0.1
+# How long the registry entry of a crashed replica remains.
+_ENTRY_REMOVAL_DELAY_S = 1.5
 _ENGINE: dict[str, Any] = {
     'slots': 96,
     'kvTokenBytes': 1_000_000,
@@ -46,36 +50,36 @@
 }
 
 
-class Slot:
-    """A place where a replica lives, behind a proxy, start after start."""
+class ReplicaSlot:
+    """A fixed address behind a proxy, at which replicas run in turn."""
 
     def __init__(self, number: int, port: int, service: str, kind: str) -> None:
-        host = f'127.0.0.{_FIRST_REPLICA + number}'
+        host = f'127.0.0.{_FIRST_REPLICA_OCTET + number}'
         self.number = number
         self.service = service
         self.kind = kind
         self.address = f'{host}:{port}'
-        self.own_address = f'{host}:{port + 1}'
+        self.listen_address = f'{host}:{port + 1}'
         self.starts = 0
         self.replica: SoakReplica | None = None
-        self.proxy = LoopbackProxy(self.address, self._find_target)
+        self.proxy = LoopbackProxy(self.address, self._get_target)
         self.entry = b''
 
-    def _find_target(self) -> str:
-        return self.own_address
+    def _get_target(self) -> str:
+        return self.listen_address
 
 
-class SoakWorld:
-    """Everything the soak runs.
+class SoakEnvironment:
+    """All processes and servers of a soak run.
 
     Parameters
     ----------
     folder : Path
-        For settings and logs of the nodes.
+        Directory of the nodes' settings and logs.
     port : int
-        The first of six free ports.
+        First of six consecutive free ports.
     nodes, engines, services : int
-        How many of each.
+        The number of nodes, engines and plain services.
     """
 
     def __init__(
@@ -86,31 +90,39 @@
         engines: int = 6,
         services: int = 2,
     ) -> None:
-        self.truth = Truth()
+        self.truth = GroundTruth()
         self.service = StandInStore()
         self.version = 0
-        self.acked_at: dict[int, float] = {}
-        self._store_address = f'{_STORE}:{port}'
+        self.committed_at: dict[int, float] = {}
+        self._store_address = f'{_STORE_HOST}:{port}'
         self.nodes = [
-            SoakNode(f'node-{at}', f'127.0.0.{_FIRST_NODE + at}', port, folder)
-            for at in range(nodes)
+            SoakNode(
+                f'node-{index}',
+                f'127.0.0.{_FIRST_NODE_OCTET + index}',
+                port,
+                folder,
+            )
+            for index in range(nodes)
         ]
         self.store_proxies = {
-            node.name: LoopbackProxy(node.store, self._find_store)
+            node.name: LoopbackProxy(node.store, self._get_store_address)
             for node in self.nodes
         }
-        self.slots = [Slot(at, port, 'llm', 'half') for at in range(engines)]
+        self.slots = [
+            ReplicaSlot(index, port, 'llm', 'half') for index in range(engines)
+        ]
         self.slots.extend(
-            Slot(engines + at, port, 'desk', '') for at in range(services)
+            ReplicaSlot(engines + index, port, 'desk', '')
+            for index in range(services)
         )
-        self._replicas = Replicas(self.truth)
+        self._replicas = ReplicaRegistry(self.truth)
         self._loop = asyncio.get_running_loop()
         self._connections: set[CallerConnection] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start all parts; the nodes may take a second to be ready."""
+        """Start everything, without waiting for the nodes to be ready."""
         self._server = await listen(
             self._store_address, self.service, self._connections
         )
@@ -124,17 +136,17 @@
         for node in self.nodes:
             node.write_settings(seeds=seeds)
             node.start()
-        self._tasks.add(asyncio.create_task(self._keep_entries()))
+        self._tasks.add(asyncio.create_task(self._publish_entries()))
 
     async def stop(self) -> None:
-        """End all that was started here."""
+        """Stop everything that was started here."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for node in self.nodes:
             node.kill()
-        living = [slot.replica for slot in self.slots if slot.replica]
-        for replica in living:
+        running = [slot.replica for slot in self.slots if slot.replica]
+        for replica in running:
             replica.stop()
         proxies = [slot.proxy for slot in self.slots]
         proxies.extend(self.store_proxies.values())
@@ -145,27 +157,31 @@
             self._server.close()
 
     async def configure(self) -> None:
-        """Write the next version; only it has the route ``/vNUMBER/``."""
+        """Store the next configuration version, with a route ``/vVERSION/``.
+
+        No other version has that route, so a request to it shows whether a
+        node serves with this version.
+        """
         self.version += 1
-        text = json.encode(_build_configuration(self.version))
-        await self.service.put('op/config', text)
-        self.acked_at[self.version] = self._loop.time()
+        document = json.encode(_build_configuration(self.version))
+        await self.service.put('op/config', document)
+        self.committed_at[self.version] = self._loop.time()
 
-    async def start_replica(self, slot: Slot) -> None:
-        """Start a replica in an empty place."""
+    async def start_replica(self, slot: ReplicaSlot) -> None:
+        """Start a new replica in an empty slot."""
         slot.starts += 1
         slot.replica = SoakReplica(
             self._replicas,
             f'r{slot.number}-{slot.starts}',
             slot.service,
             slot.address,
-            slot.own_address,
+            slot.listen_address,
             slot.kind,
         )
         await slot.replica.start()
 
-    def crash_replica(self, slot: Slot) -> None:
-        """End a replica; its entry goes a little later."""
+    def crash_replica(self, slot: ReplicaSlot) -> None:
+        """Stop a replica abruptly; its registry entry is deleted later."""
         replica = slot.replica
         if replica is None:
             return
@@ -173,46 +189,46 @@
         slot.entry = b''
         replica.stop()
         slot.proxy.reset()
-        self._delete_later(replica.replica_id)
+        self._schedule_entry_removal(replica.replica_id)
 
-    async def leave(self, slot: Slot) -> None:
-        """Let a replica announce that it leaves."""
+    async def drain_replica(self, slot: ReplicaSlot) -> None:
+        """Mark a replica as draining in the service registry."""
         if slot.replica is not None:
             slot.replica.is_leaving = True
-            await self._announce(slot)
-            slot.replica.leaving_acked_at = self._loop.time()
+            await self._publish_entry(slot)
+            slot.replica.leaving_since = self._loop.time()
 
-    def heal(self) -> None:
-        """End everything that harms, but for dead processes and replicas."""
+    def clear_faults(self) -> None:
+        """Clear all faults except stopped processes and replicas."""
         self.service.busy = False
         self.service.deaf = False
         self.service.lose_answers = 0
         for proxy in self.store_proxies.values():
-            proxy.heal()
+            proxy.clear_faults()
         for slot in self.slots:
-            slot.proxy.heal()
+            slot.proxy.clear_faults()
 
-    def _find_store(self) -> str:
+    def _get_store_address(self) -> str:
         return self._store_address
 
-    def _delete_later(self, replica_id: str) -> None:
-        task = asyncio.create_task(self._delete(replica_id))
+    def _schedule_entry_removal(self, replica_id: str) -> None:
+        task = asyncio.create_task(self._remove_entry(replica_id))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _delete(self, replica_id: str) -> None:
-        await asyncio.sleep(_ENTRY_S)
+    async def _remove_entry(self, replica_id: str) -> None:
+        await asyncio.sleep(_ENTRY_REMOVAL_DELAY_S)
         await self.service.delete(f'servers/{replica_id}')
 
-    async def _keep_entries(self) -> None:
-        """Announce what has changed, and let leases lapse."""
+    async def _publish_entries(self) -> None:
+        """Publish changed registry entries and expire leases."""
         while True:
             for slot in self.slots:
-                await self._announce(slot)
+                await self._publish_entry(slot)
             await self.service.end_overdue()
-            await asyncio.sleep(_PULSE_S)
+            await asyncio.sleep(_PUBLISH_INTERVAL_S)
 
-    async def _announce(self, slot: Slot) -> None:
+    async def _publish_entry(self, slot: ReplicaSlot) -> None:
         if slot.replica is None:
             return
         entry = slot.replica.build_entry()
--- a/samphirerill/testing/soak/nodes.py
+++ b/samphirerill/testing/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The real program, one process for each node."""
+"""Router nodes under test, each in a process of its own."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
     from pathlib import Path
     from signal import Signals
 
-_END_S = 10.0
-_STEP_S = 0.05
+_EXIT_TIMEOUT_S = 10.0
+_POLL_INTERVAL_S = 0.05
 
 
 class SoakNode:
-    """One node: its settings file and its process, started again and again.
+    """One node: its settings file and its process, which can be restarted.
 
     Parameters
     ----------
     name, host : str
-        The node's name and its loopback address.
+        Name and loopback address.
     port : int
-        The first of the ports that it listens on; the same for all nodes.
+        First of the consecutive ports that it listens on; the same for all
+        nodes.
     folder : Path
-        Where its settings and its log lie.
+        Directory of the settings file and the log.
     """
 
     def __init__(self, name: str, host: str, port: int, folder: Path) -> None:
@@ -36,8 +37,8 @@
         self.callers = f'{host}:{port}'
         self.readiness = f'{host}:{port + 1}'
         self.store = f'{host}:{port + 5}'
-        # Changes with each start of the process.
-        self.incarnation = 0
+        # Number of process starts; distinguishes a restarted node.
+        self.start_count = 0
         self.settings: dict[str, Any] = {
             'name': name,
             'data_centre': 'a',
@@ -55,15 +56,15 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def write_settings(self, **changes: Any) -> None:
-        """Write the settings file, with changes."""
+        """Update the settings and write the settings file."""
         self.settings.update(changes)
         self._path.write_bytes(json.encode(self.settings))
 
     def start(self) -> None:
-        """Start the process, if none runs."""
+        """Start the process unless it is running."""
         if self.is_running():
             return
-        self.incarnation += 1
+        self.start_count += 1
         command = (
             sys.executable,
             '-m',
@@ -78,25 +79,31 @@
             )
 
     def is_running(self) -> bool:
-        """Return whether the process has not ended."""
+        """Return whether the process is alive."""
         return self._process is not None and self._process.poll() is None
 
     def send_signal(self, number: Signals) -> None:
-        """Send a signal to the process that was started here."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.is_running():
             self._process.send_signal(number)
 
-    async def wait_for_end(self) -> int | None:
-        """Wait until the process has ended; return its code, if it has."""
-        deadline = asyncio.get_running_loop().time() + _END_S
+    async def wait_for_exit(self) -> int | None:
+        """Wait for the process to exit.
+
+        Returns
+        -------
+        int or None
+            The exit code, or None if the process did not exit in time.
+        """
+        deadline = asyncio.get_running_loop().time() + _EXIT_TIMEOUT_S
         while self.is_running():
             if asyncio.get_running_loop().time() >= deadline:
                 return None
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return None if self._process is None else self._process.returncode
 
     def kill(self) -> None:
-        """End the process at once, also one that stands still."""
+        """Send SIGKILL, which also ends a stopped process, and reap it."""
         if self._process is not None and self.is_running():
             self._process.kill()
             self._process.wait()
--- a/samphirerill/testing/soak/proxy.py
+++ b/samphirerill/testing/soak/proxy.py
@@ -1,8 +1,8 @@
-"""A loopback proxy that harms connections on command.
+"""A loopback TCP proxy that injects network faults.
 
-It forwards bytes both ways. While it is told to, it holds them back, delays
-them, swallows one direction, or resets what is open; new connections are then
-treated in the same way.
+It forwards bytes in both directions. On request it stalls or delays traffic,
+drops one direction, or resets open connections. Active faults also apply to
+new connections.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
     address : str
         ``IP:PORT`` to listen on.
     find_target : callable
-        Returns the ``IP:PORT`` to connect to now; empty if there is none.
+        Returns the ``IP:PORT`` to connect to, or an empty string if there
+        is none.
     """
 
     def __init__(self, address: str, find_target: Callable[[], str]) -> None:
         self.address = address
-        self.is_silent = False
-        self.swallows_answers = False
-        self.swallows_calls = False
+        self.is_stalled = False
+        self.drops_responses = False
+        self.drops_requests = False
         self.delay_s = 0.0
         self._find_target = find_target
         self._server: asyncio.Server | None = None
@@ -40,14 +41,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         host, _, port = self.address.rpartition(':')
         self._server = await asyncio.start_server(
             self._accept, host, int(port), reuse_address=True
         )
 
     async def stop(self) -> None:
-        """Refuse connections and reset the open ones."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -60,11 +61,11 @@
         for writer in tuple(self._writers):
             writer.transport.abort()
 
-    def heal(self) -> None:
-        """Forward as if nothing had been."""
-        self.is_silent = False
-        self.swallows_answers = False
-        self.swallows_calls = False
+    def clear_faults(self) -> None:
+        """Clear all faults; traffic is forwarded unchanged."""
+        self.is_stalled = False
+        self.drops_responses = False
+        self.drops_requests = False
         self.delay_s = 0.0
 
     def _accept(
@@ -78,32 +79,38 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
-        other: asyncio.StreamWriter | None = None
+        upstream_writer: asyncio.StreamWriter | None = None
         try:
-            await self._wait_while_silent()
+            await self._wait_while_stalled()
             host, _, port = self._find_target().rpartition(':')
-            back, other = await asyncio.open_connection(host, int(port))
-            self._writers.add(other)
-            await self._forward_both(reader, writer, back, other)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                host, int(port)
+            )
+            self._writers.add(upstream_writer)
+            await self._forward_both(
+                reader, writer, upstream_reader, upstream_writer
+            )
         except (OSError, ValueError):
-            # The caller sees a reset, as it would without a proxy.
+            # The client sees a reset, as it would without a proxy.
             writer.transport.abort()
         finally:
-            self._end(writer)
-            self._end(other)
+            self._close_writer(writer)
+            self._close_writer(upstream_writer)
 
     async def _forward_both(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        back: asyncio.StreamReader,
-        other: asyncio.StreamWriter,
+        upstream_reader: asyncio.StreamReader,
+        upstream_writer: asyncio.StreamWriter,
     ) -> None:
-        calls = asyncio.create_task(self._forward(reader, other, is_call=True))
-        answers = asyncio.create_task(
-            self._forward(back, writer, is_call=False)
+        requests = asyncio.create_task(
+            self._forward(reader, upstream_writer, is_request=True)
         )
-        tasks = (calls, answers)
+        responses = asyncio.create_task(
+            self._forward(upstream_reader, writer, is_request=False)
+        )
+        tasks = (requests, responses)
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -116,22 +123,24 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_call: bool,
+        is_request: bool,
     ) -> None:
         while data := await reader.read(_CHUNK_BYTES):
-            await self._wait_while_silent()
+            await self._wait_while_stalled()
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            lost = self.swallows_calls if is_call else self.swallows_answers
-            if not lost:
+            is_dropped = (
+                self.drops_requests if is_request else self.drops_responses
+            )
+            if not is_dropped:
                 writer.write(data)
                 await writer.drain()
 
-    async def _wait_while_silent(self) -> None:
-        while self.is_silent:
+    async def _wait_while_stalled(self) -> None:
+        while self.is_stalled:
             await asyncio.sleep(_STEP_S)
 
-    def _end(self, writer: asyncio.StreamWriter | None) -> None:
+    def _close_writer(self, writer: asyncio.StreamWriter | None) -> None:
         if writer is None:
             return
         self._writers.discard(writer)
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -1,8 +1,8 @@
-"""Stand-ins of engines and plain services that keep the rules of real ones.
+"""Fake engines and plain services that follow the platform's protocol.
 
-An engine answers only for layers that it holds, streams an event for each step,
-stalls while a part of a path is dead, and knows orders and reports. What it runs
-is written into the truth.
+An engine serves only the layers that it holds, streams one event per step,
+stalls while another stage of the pipeline is down, and handles placement orders
+and reports. Every execution is recorded in the ground truth.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.server import CallerConnection, Request
-    from samphirerill.testing.soak.truth import Truth
+    from samphirerill.testing.soak.truth import GroundTruth
 
 LAYERS = 80
 _OK = 200
@@ -26,59 +26,60 @@
 _UNAVAILABLE = 503
 _NOT_FOUND = 404
 _CONFLICT = 409
-_EVENT_S = 0.015
-_PLAIN_S = 0.02
-# An engine waits so long for a dead part before it gives a request up.
-_STALL_S = 1.0
+_EVENT_INTERVAL_S = 0.015
+_SERVICE_TIME_S = 0.02
+# How long an engine waits for a stage that is down before it drops the request.
+_STALL_TIMEOUT_S = 1.0
 _LAYER_LOAD_S = 0.01
-# The platform's bound, and what a message takes on a busy machine.
-_LEAVING_BOUND_S = 2.5
-_STEP_S = 0.02
-_ID = b'x-samphirerill-request-id'
-_PATH = b'x-samphirerill-hop-count'
+# The platform's bound plus a margin for message delay on a loaded machine.
+_DRAIN_BOUND_S = 2.5
+_POLL_INTERVAL_S = 0.02
+_REQUEST_ID_HEADER = b'x-samphirerill-request-id'
+_PIPELINE_HEADER = b'x-samphirerill-hop-count'
 
 
 def count_events(request_id: str) -> int:
-    """Return how many events the answer to a request has."""
+    """Return the number of events in the response to a request."""
     return 8 + int(request_id[-2:], 16) % 24
 
 
-class Replicas:
-    """All replicas by address, so that engines see the parts of a path."""
+class ReplicaRegistry:
+    """Running replicas by address, so that engines see other stages."""
 
-    def __init__(self, truth: Truth) -> None:
+    def __init__(self, truth: GroundTruth) -> None:
         self.truth = truth
         self.by_address: dict[str, SoakReplica] = {}
 
     def find(self, address: str) -> SoakReplica | None:
-        """Return who lives at an address."""
+        """Return the replica at an address, if any."""
         return self.by_address.get(address)
 
 
 class SoakReplica:
-    """One start of a replica.
+    """One instance of a replica, from its start to its end.
 
     Parameters
     ----------
-    replicas : Replicas
-        The others.
+    replicas : ReplicaRegistry
+        The other running replicas.
     replica_id : str
-        New with each start.
+        Unique to this instance.
     service : str
-        What it serves.
-    address, own_address : str
-        Where nodes reach it, through a proxy, and where it listens.
+        Name of the service.
+    address, listen_address : str
+        The address of its proxy, which nodes connect to, and the address
+        that it listens on.
     kind : str
-        The accelerator; empty for a plain service.
+        Accelerator type; empty for a plain service.
     """
 
     def __init__(
         self,
-        replicas: Replicas,
+        replicas: ReplicaRegistry,
         replica_id: str,
         service: str,
         address: str,
-        own_address: str,
+        listen_address: str,
         kind: str = '',
     ) -> None:
         self.replica_id = replica_id
@@ -86,27 +87,29 @@
         self.address = address
         self.kind = kind
         self.layers = LayerRange(0, 0)
-        self.is_dead = False
+        self.is_stopped = False
         self.is_leaving = False
-        self.leaving_acked_at = float('inf')
+        self.leaving_since = float('inf')
         self.orders = 0
-        self._own_address = own_address
+        self._listen_address = listen_address
         self._replicas = replicas
         self._truth = replicas.truth
         self._loop = asyncio.get_running_loop()
         self._connections: set[CallerConnection] = set()
         self._server: asyncio.Server | None = None
         self._busy_until = 0.0
-        self._paths: dict[str, list[tuple[str, LayerRange]]] = {}
+        self._pipelines: dict[str, list[tuple[str, LayerRange]]] = {}
 
     async def start(self) -> None:
-        """Listen and be known."""
-        self._server = await listen(self._own_address, self, self._connections)
+        """Start listening and register."""
+        self._server = await listen(
+            self._listen_address, self, self._connections
+        )
         self._replicas.by_address[self.address] = self
 
     def stop(self) -> None:
-        """End at once, as in a crash."""
-        self.is_dead = True
+        """Stop abruptly, as in a crash."""
+        self.is_stopped = True
         if self._server is not None:
             self._server.close()
         for conn in tuple(self._connections):
@@ -115,7 +118,7 @@
             self._replicas.by_address.pop(self.address)
 
     def build_entry(self) -> bytes:
-        """Return its announcement."""
+        """Return the entry to publish in the service registry."""
         entry: dict[str, Any] = {
             'service': self.service,
             'address': self.address,
@@ -129,20 +132,20 @@
         return json.encode(entry)
 
     def get_limits(self) -> ClientLimits:
-        """Return what callers may send."""
+        """Return the request limits of the server."""
         return ClientLimits()
 
     def is_draining(self) -> bool:
-        """Return whether connections end after their answer."""
+        """Return whether connections are closed after each response."""
         return self.is_leaving
 
     def holds(self, layers: LayerRange) -> bool:
-        """Return whether it can do its part."""
-        mine = self.layers
-        return mine.first <= layers.first and layers.end <= mine.end
+        """Return whether the replica has loaded these layers."""
+        loaded = self.layers
+        return loaded.first <= layers.first and layers.end <= loaded.end
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer one call."""
+        """Handle one request."""
         if req.target == b'/report':
             conn.answer(_OK, [], json.encode(self._report()))
         elif req.target == b'/order':
@@ -155,69 +158,72 @@
         if expected != self.replica_id.encode():
             self._refuse(req, conn, _MISDIRECTED, self.address)
             return
-        self._check_leaving(req)
+        self._check_draining(req)
         if not self.kind:
             await self._answer_plain(req, conn)
             return
-        path = _parse_path(req.get(_PATH) or b'')
-        self._check_cover(req, path)
-        at_fault = self._find_missing(path)
+        pipeline = _parse_pipeline(req.get(_PIPELINE_HEADER) or b'')
+        self._check_coverage(req, pipeline)
+        at_fault = self._find_unavailable(pipeline)
         if at_fault:
             self._refuse(req, conn, _MISDIRECTED, at_fault)
             return
-        await self._stream(req, conn, path)
+        await self._stream(req, conn, pipeline)
 
     async def _answer_plain(self, req: Request, conn: CallerConnection) -> None:
         request_id = _read_id(req)
-        self._truth.note_run(request_id, self.replica_id, _read_account(req))
-        await asyncio.sleep(_PLAIN_S)
+        self._truth.record_run(request_id, self.replica_id, _read_account(req))
+        await asyncio.sleep(_SERVICE_TIME_S)
         body = f'{request_id} {self.service}'.encode()
-        conn.answer(_OK, self._sign(req), body)
+        conn.answer(_OK, self._build_headers(req), body)
 
     async def _stream(
         self,
         req: Request,
         conn: CallerConnection,
-        path: list[tuple[str, LayerRange]],
+        pipeline: list[tuple[str, LayerRange]],
     ) -> None:
         request_id = _read_id(req)
         first = int(req.get(b'last-event-id') or b'0') + 1
-        self._truth.note_run(request_id, self.replica_id, _read_account(req))
-        self._paths[request_id] = path
-        headers = [*self._sign(req), (b'content-type', b'text/event-stream')]
+        self._truth.record_run(request_id, self.replica_id, _read_account(req))
+        self._pipelines[request_id] = pipeline
+        headers = [
+            *self._build_headers(req),
+            (b'content-type', b'text/event-stream'),
+        ]
         conn.start_answer(_OK, headers, None)
         try:
             for number in range(first, count_events(request_id) + 1):
-                await asyncio.sleep(_EVENT_S)
-                if not await self._wait_for_parts(request_id):
+                await asyncio.sleep(_EVENT_INTERVAL_S)
+                if not await self._wait_for_stages(request_id):
                     conn.cut()
                     return
                 event = f'id: {number}\ndata: {request_id}-{number}\n\n'
                 conn.write_body(event.encode())
             conn.end_answer()
         finally:
-            self._paths.pop(request_id, None)
+            self._pipelines.pop(request_id, None)
 
-    async def _wait_for_parts(self, request_id: str) -> bool:
-        """Stall while a part is dead; return whether it came back."""
-        until = self._loop.time() + _STALL_S
-        while self._find_missing(self._paths[request_id]):
+    async def _wait_for_stages(self, request_id: str) -> bool:
+        """Wait for missing stages; return whether all are up in time."""
+        until = self._loop.time() + _STALL_TIMEOUT_S
+        while self._find_unavailable(self._pipelines[request_id]):
             if self._loop.time() >= until:
                 return False
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return True
 
-    def _find_missing(self, path: list[tuple[str, LayerRange]]) -> str:
-        """Return the address of a part that is not there, or empty."""
-        for address, layers in path:
-            part = self._replicas.find(address)
-            if part is None or not part.holds(layers):
+    def _find_unavailable(self, pipeline: list[tuple[str, LayerRange]]) -> str:
+        """Return the address of an unavailable stage, or an empty string."""
+        for address, layers in pipeline:
+            stage = self._replicas.find(address)
+            if stage is None or not stage.holds(layers):
                 return address
         return ''
 
     def _take_order(self, order: dict[str, Any]) -> int:
         if order['operation'] == 'repath':
-            return self._repath(order)
+            return self._change_pipeline(order)
         expected = order.get('expect')
         if expected is not None and expected != self.orders:
             return _CONFLICT
@@ -233,20 +239,20 @@
         if number == self.orders:
             self.layers = layers
 
-    def _repath(self, order: dict[str, Any]) -> int:
-        path = _parse_path(order['path'].encode())
-        if order['id'] not in self._paths:
+    def _change_pipeline(self, order: dict[str, Any]) -> int:
+        pipeline = _parse_pipeline(order['path'].encode())
+        if order['id'] not in self._pipelines:
             return _NOT_FOUND
-        if self._find_missing(path):
+        if self._find_unavailable(pipeline):
             return _CONFLICT
-        self._paths[order['id']] = path
+        self._pipelines[order['id']] = pipeline
         return _ACCEPTED
 
     def _report(self) -> dict[str, Any]:
         stalled = [
-            {'id': name, 'address': missing}
-            for name, path in self._paths.items()
-            if (missing := self._find_missing(path))
+            {'id': name, 'address': unavailable}
+            for name, pipeline in self._pipelines.items()
+            if (unavailable := self._find_unavailable(pipeline))
         ]
         return {
             'layers': _encode_layers(self.layers),
@@ -259,49 +265,51 @@
         self, req: Request, conn: CallerConnection, status: int, at_fault: str
     ) -> None:
         headers = [
-            (_ID, req.get(_ID) or b''),
+            (_REQUEST_ID_HEADER, req.get(_REQUEST_ID_HEADER) or b''),
             (b'x-samphirerill-not-executed', b'1'),
             (b'at-server', at_fault.encode()),
         ]
         conn.answer(status, headers, b'')
 
-    def _sign(self, req: Request) -> list[tuple[bytes, bytes]]:
+    def _build_headers(self, req: Request) -> list[tuple[bytes, bytes]]:
         return [
-            (_ID, req.get(_ID) or b''),
+            (_REQUEST_ID_HEADER, req.get(_REQUEST_ID_HEADER) or b''),
             (b'x-samphirerill-response-seal', self.replica_id.encode()),
         ]
 
-    def _check_leaving(self, req: Request) -> None:
-        """A replica that leaves gets nothing new after the bound."""
-        late_s = self._loop.time() - self.leaving_acked_at
-        if late_s > _LEAVING_BOUND_S and self._truth.is_calm(
-            self.leaving_acked_at, self._loop.time()
+    def _check_draining(self, req: Request) -> None:
+        """Check that a draining replica gets no new request after the bound."""
+        delay_s = self._loop.time() - self.leaving_since
+        if delay_s > _DRAIN_BOUND_S and self._truth.is_fault_free(
+            self.leaving_since, self._loop.time()
         ):
-            self._truth.break_promise(
-                f'{_read_id(req)}: sent to {self.replica_id} {late_s:.1f} s '
-                'after it began to leave'
+            self._truth.record_violation(
+                f'{_read_id(req)}: sent to {self.replica_id} {delay_s:.1f} s '
+                'after it started draining'
             )
 
-    def _check_cover(
-        self, req: Request, path: list[tuple[str, LayerRange]]
+    def _check_coverage(
+        self, req: Request, pipeline: list[tuple[str, LayerRange]]
     ) -> None:
-        """Every layer once, in order, beginning here."""
+        """Check that the pipeline runs each layer once, starting here."""
         position = 0
-        for _, layers in path:
+        for _, layers in pipeline:
             if layers.first != position or layers.end <= layers.first:
                 break
             position = layers.end
-        if position != LAYERS or path[0][0] != self.address:
-            self._truth.break_promise(f'{_read_id(req)}: layers of {path}')
+        if position != LAYERS or pipeline[0][0] != self.address:
+            self._truth.record_violation(
+                f'{_read_id(req)}: incomplete pipeline {pipeline}'
+            )
 
 
-def _parse_path(text: bytes) -> list[tuple[str, LayerRange]]:
-    path = []
-    for part in text.decode().split(','):
-        address, _, layers = part.partition('=')
+def _parse_pipeline(text: bytes) -> list[tuple[str, LayerRange]]:
+    pipeline = []
+    for stage in text.decode().split(','):
+        address, _, layers = stage.partition('=')
         first, _, end = layers.partition('-')
-        path.append((address, LayerRange(int(first), int(end))))
-    return path
+        pipeline.append((address, LayerRange(int(first), int(end))))
+    return pipeline
 
 
 def _encode_layers(layers: LayerRange) -> dict[str, int]:
@@ -309,7 +317,7 @@
 
 
 def _read_id(req: Request) -> str:
-    return (req.get(_ID) or b'').decode()
+    return (req.get(_REQUEST_ID_HEADER) or b'').decode()
 
 
 def _read_account(req: Request) -> str:
--- a/samphirerill/testing/soak/run.py
+++ b/samphirerill/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""Run the soak for one seed after another and report what was broken."""
+"""Run the soak test for each seed and report violated guarantees."""
 
 from __future__ import annotations
 
@@ -14,39 +14,41 @@
 
 from samphirerill.testing.soak.clients import (
     KINDS,
-    Balancer,
     Client,
+    LoadBalancer,
     VersionProbe,
 )
-from samphirerill.testing.soak.faults import Trouble
-from samphirerill.testing.soak.world import SoakWorld
+from samphirerill.testing.soak.environment import SoakEnvironment
+from samphirerill.testing.soak.faults import FaultInjector
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_CLIENTS = 10
-_START_S = 4.0
-# After the last fault, all must be well again within this time.
+_CLIENT_COUNT = 10
+_STARTUP_S = 4.0
+# Time allowed for recovery after the last fault.
 _RECOVERY_S = 6.0
-_CHECKED_S = 2.0
+_RECOVERY_CHECK_S = 2.0
 _PORTS = range(21_000, 28_000, 10)
-_PORTS_NEEDED = 6
-_MOST_SHOWN = 12
+_PORT_COUNT = 6
+_MAX_SHOWN = 12
 
 
 @dataclass(slots=True)
 class SoakReport:
-    """What came of one seed."""
+    """Result of one seed."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     counts: dict[str, int] = field(default_factory=dict)
 
     def format(self) -> str:
-        """Return it as text."""
-        verdict = f'{len(self.broken)} broken' if self.broken else 'kept'
+        """Return the report as text."""
+        verdict = (
+            f'{len(self.violations)} broken' if self.violations else 'kept'
+        )
         lines = [f'seed {self.seed}: {verdict}']
-        lines.extend(f'  {text}' for text in self.broken[:_MOST_SHOWN])
+        lines.extend(f'  {text}' for text in self.violations[:_MAX_SHOWN])
         counts = ', '.join(
             f'{name} {count}' for name, count in sorted(self.counts.items())
         )
@@ -55,21 +57,22 @@
 
 
 def run_seed(seed: int, length_s: float, folder: Path) -> SoakReport:
-    """Run one seed; settings and logs of the nodes lie in `folder`."""
+    """Run one seed; the nodes' settings and logs are written to `folder`."""
     return asyncio.run(_run(seed, length_s, folder))
 
 
 def run_seeds(seeds: Iterator[int], length_s: float, keep: str) -> int:
-    """Run seeds in turn; return how many broke a promise.
+    """Run seeds in turn; return how many violated a guarantee.
 
     Parameters
     ----------
     seeds : iterator of int
-        What to run.
+        The seeds to run.
     length_s : float
-        How long faults last for each of them.
+        Duration of fault injection for each seed.
     keep : str
-        A folder for the logs of those that failed; empty for none.
+        Directory in which the logs of each seed are kept; empty to discard
+        them.
     """
     failed = 0
     for seed in seeds:
@@ -77,7 +80,7 @@
             folder = Path(keep) / f'seed-{seed}' if keep else Path(scratch)
             folder.mkdir(parents=True, exist_ok=True)
             report = run_seed(seed, length_s, folder)
-        failed += bool(report.broken)
+        failed += bool(report.violations)
         sys.stdout.write(f'{report.format()}\n')
         sys.stdout.flush()
     return failed
@@ -85,58 +88,63 @@
 
 async def _run(seed: int, length_s: float, folder: Path) -> SoakReport:
     random = Random(seed)
-    world = SoakWorld(folder, _find_ports(random))
+    environment = SoakEnvironment(folder, _find_ports(random))
     try:
-        await _harm(world, random, length_s)
+        await _inject_faults(environment, random, length_s)
     finally:
-        await world.stop()
-    return SoakReport(seed, world.truth.broken, dict(world.truth.counts))
-
-
-async def _harm(world: SoakWorld, random: Random, length_s: float) -> None:
-    """Let clients ask while trouble is made, and look how it ends."""
-    await world.start()
-    balancer = Balancer(world)
+        await environment.stop()
+    return SoakReport(
+        seed, environment.truth.violations, dict(environment.truth.counts)
+    )
+
+
+async def _inject_faults(
+    environment: SoakEnvironment, random: Random, length_s: float
+) -> None:
+    """Run clients while faults are injected, then check recovery."""
+    await environment.start()
+    balancer = LoadBalancer(environment)
     tasks = [asyncio.create_task(balancer.run())]
-    await asyncio.sleep(_START_S)
+    await asyncio.sleep(_STARTUP_S)
     checkers: list[Client | VersionProbe] = [
-        Client(world, balancer, Random(random.random()))
-        for _ in range(_CLIENTS)
+        Client(environment, balancer, Random(random.random()))
+        for _ in range(_CLIENT_COUNT)
     ]
-    checkers.append(VersionProbe(world, Random(random.random())))
+    checkers.append(VersionProbe(environment, Random(random.random())))
     tasks.extend(asyncio.create_task(item.run()) for item in checkers)
     until = asyncio.get_running_loop().time() + length_s
-    await Trouble(world, random).run(until)
-    await _check_recovery(world)
-    await _end_tasks(tasks)
+    await FaultInjector(environment, random).run(until)
+    await _check_recovery(environment)
+    await _cancel_tasks(tasks)
 
 
-async def _check_recovery(world: SoakWorld) -> None:
-    """All requests must be answered again."""
+async def _check_recovery(environment: SoakEnvironment) -> None:
+    """Check that every request succeeds once the faults have ended."""
     await asyncio.sleep(_RECOVERY_S)
-    before = _count_answers(world)
-    await asyncio.sleep(_CHECKED_S)
-    new = _count_answers(world)
+    before = _count_statuses(environment)
+    await asyncio.sleep(_RECOVERY_CHECK_S)
+    new = _count_statuses(environment)
     new.subtract(before)
     answered = new.pop('200', 0)
     if not answered or new.total():
-        world.truth.break_promise(
-            f'not recovered: {answered} answered, {new.total()} not'
+        environment.truth.record_violation(
+            f'not recovered: {answered} requests succeeded, '
+            f'{new.total()} failed'
         )
 
 
-def _count_answers(world: SoakWorld) -> Counter[str]:
-    """Return how many requests ended with each status."""
+def _count_statuses(environment: SoakEnvironment) -> Counter[str]:
+    """Return the number of requests by status."""
     statuses: Counter[str] = Counter()
-    for name, count in world.truth.counts.items():
+    for name, count in environment.truth.counts.items():
         kind, _, status = name.partition('.')
         if kind in KINDS:
             statuses[status] += count
     return statuses
 
 
-async def _end_tasks(tasks: list[asyncio.Task[None]]) -> None:
-    """End the checkers; one that has ended by itself checked nothing more."""
+async def _cancel_tasks(tasks: list[asyncio.Task[None]]) -> None:
+    """Cancel the checkers; raise the error of one that failed early."""
     for task in tasks:
         if task.done():
             task.result()
@@ -145,13 +153,13 @@
 
 
 def _find_ports(random: Random) -> int:
-    """Return the first of some ports that are free on all addresses."""
+    """Return the start of a range of ports that are free on all addresses."""
     starts = list(_PORTS)
     random.shuffle(starts)
     for start in starts:
-        if all(_is_free(start + at) for at in range(_PORTS_NEEDED)):
+        if all(_is_free(start + offset) for offset in range(_PORT_COUNT)):
             return start
-    raise RuntimeError(f'got no free ports, expected {_PORTS_NEEDED} in a row')
+    raise RuntimeError(f'found no {_PORT_COUNT} consecutive free ports')
 
 
 def _is_free(port: int) -> bool:
--- a/samphirerill/testing/soak/seeds.py
+++ b/samphirerill/testing/soak/seeds.py
@@ -1,14 +1,13 @@
-"""Seeds that once broke a promise, with the cause; all of them are kept."""
+"""Regression seeds: seeds that once violated a guarantee, with the cause."""
 
 from __future__ import annotations
 
-# An engine broke off between the head of its answer and the first event; the
-# stream was resumed after event -1, and began with an event 0.
-NOTHING_TO_RESUME = (101, 111, 130, 131)
+# An engine closed the connection between the response head and the first event;
+# the stream was resumed after event -1 and started with an event 0.
+EMPTY_RESUME = (101, 111, 130, 131)
 
-# Beside 15 busy processes on five cores: nodes that were killed five times took 23 s
-# to start, and stand-ins of different replicas answered nothing for the same two
-# seconds. Not traced further.
-BESIDE_LOAD = (678581, 678583)
+# Only under heavy CPU load: slow node restarts and a stall of several replicas at
+# once. Cause unknown.
+CPU_CONTENTION = (678581, 678583)
 
-REGRESSIONS = NOTHING_TO_RESUME + BESIDE_LOAD
+REGRESSIONS = EMPTY_RESUME + CPU_CONTENTION
--- a/samphirerill/testing/soak/truth.py
+++ b/samphirerill/testing/soak/truth.py
@@ -1,7 +1,7 @@
-"""What really happened, and every promise that was broken.
+"""Ground truth of a soak run, and the guarantees that were violated.
 
-Stand-ins and clients write here what they saw; nothing in it comes from the
-nodes themselves.
+Fake replicas and clients record here what they observed. Nothing is taken
+from the nodes under test.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Fault:
-    """A fault from `since` until `until`; ``inf`` while it lasts."""
+    """An injected fault; `until` is ``inf`` while it is active."""
 
     name: str
     since: float
@@ -20,11 +20,11 @@
 
 
 @dataclass(slots=True)
-class Truth:
-    """Runs, refusals, faults and broken promises.
+class GroundTruth:
+    """Executions, refusals, injected faults and violated guarantees.
 
-    `runs` holds, for each request, the replicas that ran it. `refused` holds
-    requests whose client was told that nothing ran.
+    `runs` maps a request to the replicas that executed it. `refused` contains
+    the requests whose client was told that they were not executed.
     """
 
     runs: dict[str, list[str]] = field(
@@ -32,36 +32,46 @@
     )
     accounts: dict[str, str] = field(default_factory=dict)
     refused: set[str] = field(default_factory=set)
-    once_only: set[str] = field(default_factory=set)
-    broken: list[str] = field(default_factory=list)
+    non_idempotent: set[str] = field(default_factory=set)
+    violations: list[str] = field(default_factory=list)
     faults: list[Fault] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=lambda: defaultdict(int))
 
-    def note_run(self, request_id: str, replica_id: str, account: str) -> None:
-        """A replica begins to run a request."""
+    def record_run(
+        self, request_id: str, replica_id: str, account: str
+    ) -> None:
+        """Record that a replica starts to execute a request."""
         runs = self.runs[request_id]
         runs.append(replica_id)
         if request_id not in self.accounts:
-            self.break_promise(f'{request_id}: nobody sent it')
+            self.record_violation(
+                f'{request_id}: executed, but sent by no client'
+            )
         elif self.accounts[request_id] != account:
-            self.break_promise(f'{request_id}: run for account {account!r}')
+            self.record_violation(
+                f'{request_id}: executed for account {account!r}'
+            )
         if request_id in self.refused:
-            self.break_promise(f'{request_id}: ran after "not run"')
-        if len(runs) > 1 and request_id in self.once_only:
-            self.break_promise(f'{request_id}: ran more than once on {runs}')
+            self.record_violation(
+                f'{request_id}: executed after "not executed"'
+            )
+        if len(runs) > 1 and request_id in self.non_idempotent:
+            self.record_violation(
+                f'{request_id}: executed more than once, on {runs}'
+            )
 
-    def note_refused(self, request_id: str) -> None:
-        """A client was told that nothing ran."""
+    def record_refusal(self, request_id: str) -> None:
+        """Record that a client was told "not executed"."""
         self.refused.add(request_id)
         if self.runs.get(request_id):
-            self.break_promise(f'{request_id}: "not run", but it has')
+            self.record_violation(f'{request_id}: "not executed", but it was')
 
-    def break_promise(self, text: str) -> None:
-        """Keep what was broken."""
-        self.broken.append(text)
+    def record_violation(self, description: str) -> None:
+        """Add a description of a violated guarantee."""
+        self.violations.append(description)
 
-    def is_calm(self, since: float, until: float) -> bool:
-        """Return whether no fault touched a span."""
+    def is_fault_free(self, since: float, until: float) -> bool:
+        """Return whether no fault was active within an interval."""
         return not any(
             fault.since <= until and fault.until >= since
             for fault in self.faults
--- a/samphirerill/tests/test_soak.py
+++ b/samphirerill/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, always with the same seed."""
+"""A short soak run with a fixed seed, and tests of its checker."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 from unittest import TestCase
 
 from samphirerill.testing.soak.run import run_seed
-from samphirerill.testing.soak.truth import Fault, Truth
+from samphirerill.testing.soak.truth import Fault, GroundTruth
 
 _SEED = 7
-_LENGTH_S = 8.0
+_FAULT_DURATION_S = 8.0
 
 
 class TestSoak(TestCase):
-    """Real nodes as processes, with faults from outside."""
+    """Node processes under externally injected faults."""
 
-    def test_every_promise_is_kept(self) -> None:
+    def test_no_guarantee_is_violated(self) -> None:
         with TemporaryDirectory() as folder:
-            report = run_seed(_SEED, _LENGTH_S, Path(folder))
-        self.assertEqual(report.broken, [])
+            report = run_seed(_SEED, _FAULT_DURATION_S, Path(folder))
+        self.assertEqual(report.violations, [])
         self.assertGreater(report.counts['notes.200'], 0)
 
 
-class TestTruth(TestCase):
-    """A checker that can't fail checks nothing."""
+class TestGroundTruth(TestCase):
+    """The checker detects each kind of violation."""
 
     def setUp(self) -> None:
-        self.truth = Truth()
+        self.truth = GroundTruth()
         self.truth.accounts['r1'] = 'suva'
 
-    def test_a_second_run_of_once_only_work_is_found(self) -> None:
-        self.truth.once_only.add('r1')
-        self.truth.note_run('r1', 'desk-1', 'suva')
-        self.assertEqual(self.truth.broken, [])
-        self.truth.note_run('r1', 'desk-2', 'suva')
-        self.assertEqual(len(self.truth.broken), 1)
+    def test_second_run_of_non_idempotent_request(self) -> None:
+        self.truth.non_idempotent.add('r1')
+        self.truth.record_run('r1', 'desk-1', 'suva')
+        self.assertEqual(self.truth.violations, [])
+        self.truth.record_run('r1', 'desk-2', 'suva')
+        self.assertEqual(len(self.truth.violations), 1)
 
-    def test_a_run_after_not_run_is_found(self) -> None:
-        self.truth.note_refused('r1')
-        self.truth.note_run('r1', 'desk-1', 'suva')
-        self.assertEqual(len(self.truth.broken), 1)
+    def test_run_after_refusal(self) -> None:
+        self.truth.record_refusal('r1')
+        self.truth.record_run('r1', 'desk-1', 'suva')
+        self.assertEqual(len(self.truth.violations), 1)
 
-    def test_another_account_is_found(self) -> None:
-        self.truth.note_run('r1', 'desk-1', 'nadi')
-        self.assertEqual(len(self.truth.broken), 1)
+    def test_run_for_another_account(self) -> None:
+        self.truth.record_run('r1', 'desk-1', 'nadi')
+        self.assertEqual(len(self.truth.violations), 1)
 
-    def test_calm_is_where_no_fault_is(self) -> None:
+    def test_fault_free_intervals(self) -> None:
         self.truth.faults.append(Fault('node killed', 10, 12))
-        self.assertTrue(self.truth.is_calm(1, 9))
-        self.assertFalse(self.truth.is_calm(11, 13))
-        self.assertTrue(self.truth.is_calm(13, 20))
+        self.assertTrue(self.truth.is_fault_free(1, 9))
+        self.assertFalse(self.truth.is_fault_free(11, 13))
+        self.assertTrue(self.truth.is_fault_free(13, 20))
