--- a/samphirerill/properties/agreement.py
+++ b/samphirerill/properties/agreement.py
@@ -1,9 +1,9 @@
-"""Stateful fuzzing of what is agreed through the platform's service.
+"""Stateful tests of configuration replication and leader election.
 
-Operators race with patches through nodes whose views are late; the service
-loses answers; changes reach nodes in any order, twice, from the service or a
-peer; nodes are replaced; commanders are paused past their lease. The oracle
-keeps its own list of what was accepted.
+Operators submit concurrent patches through nodes with stale views; the store
+loses replies; changes reach nodes out of order or twice, from the store or from
+peers; nodes are replaced; leaders are paused past their lease. The test keeps
+its own record of the accepted patches.
 """
 
 from __future__ import annotations
@@ -30,59 +30,59 @@
 
 NODES = 3
 _PREFIX = '/p/'
-_OFFICE = '/p/shared/commander'
+_LEADER_KEY = '/p/shared/commander'
 _NODES = st.integers(0, NODES - 1)
 
 
-class UnreliableStore(MemoryStore):
-    """Loses the answers to its next commits, as often as told."""
+class FaultyStore(MemoryStore):
+    """A store that loses the replies to a given number of commits."""
 
     def __init__(self, rules: Rules) -> None:
         super().__init__(rules)
-        self.lose_next = 0
+        self.replies_to_lose = 0
         self.before_commit: Callable[[], None] | None = None
 
     def commit(self, transaction: Transaction) -> Any:
-        """Commit; another may come just before, the answer may be lost."""
-        race = self.before_commit
+        """Run the concurrent write, then commit; the reply may be lost."""
+        rival_write = self.before_commit
         self.before_commit = None
-        if race is not None:
-            race()
-        if self.lose_next:
-            self.lose_next -= 1
+        if rival_write is not None:
+            rival_write()
+        if self.replies_to_lose:
+            self.replies_to_lose -= 1
             self.lose_replies = 1
         return super().commit(transaction)
 
 
-class FuzzedNode:
-    """One node: its client of the service, its view, its tenure."""
+class NodeModel:
+    """A node's store client, configuration view and leadership term."""
 
     def __init__(self, name: str, rules: Rules) -> None:
         self.name = name
-        self.store = UnreliableStore(rules)
+        self.store = FaultyStore(rules)
         self.log = ConfigurationLog(self.store, _PREFIX, settle_pause_s=0)
         self.view = ConfigurationView()
         self.tenure: Tenure | None = None
         self.lease = ''
-        self.newest = 0
+        self.highest_version = 0
 
 
-class AgreementMachine(RuleBasedStateMachine):
-    """Three nodes, racing operators and an unreliable service."""
+class CoordinationMachine(RuleBasedStateMachine):
+    """Three nodes, concurrent operators and an unreliable store."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.service = Rules()
+        self.store_state = Rules()
         self.now = 0.0
-        self.starts = 0
+        self.start_count = 0
         self.nodes = [self._start_node() for _ in range(NODES)]
         self.accepted: dict[int, str] = {}
-        self.number = 0
-        self.reads: list[Loaded] = []
+        self.patch_count = 0
+        self.past_reads: list[Loaded] = []
 
     @rule(node=_NODES, lose=st.integers(0, 2), rival=st.booleans())
     def submit(self, node: int, lose: int, rival: bool) -> None:
-        """An operator patches what one node shows; a rival may be quicker."""
+        """Submit a patch based on a node's view, maybe after a rival patch."""
         chosen = self.nodes[node]
         base = chosen.view.version
         if rival:
@@ -92,21 +92,21 @@
 
     @rule(node=_NODES)
     def read_whole(self, node: int) -> None:
-        """A node reads the whole configuration, as at its start."""
+        """Load the full configuration on a node, as at startup."""
         loaded = self.nodes[node].log.load()
-        self.reads.append(loaded)
+        self.past_reads.append(loaded)
         self.nodes[node].view.install(loaded.version, loaded.document)
 
     @rule(node=_NODES, pick=st.integers(0, 50))
     def read_stale(self, node: int, pick: int) -> None:
-        """A read that was answered long ago arrives only now."""
-        if self.reads:
-            loaded = self.reads[pick % len(self.reads)]
+        """Deliver the result of an earlier read with a delay."""
+        if self.past_reads:
+            loaded = self.past_reads[pick % len(self.past_reads)]
             self.nodes[node].view.install(loaded.version, loaded.document)
 
     @rule(node=_NODES, picks=st.lists(st.integers(0, 50), max_size=4))
     def hear_changes(self, node: int, picks: list[int]) -> None:
-        """Changes reach a node in any order, some of them twice."""
+        """Deliver changes to a node out of order, some of them twice."""
         changes = self._read_log()
         for pick in picks:
             if changes:
@@ -115,7 +115,7 @@
 
     @rule(node=_NODES, peer=_NODES)
     def hear_peer(self, node: int, peer: int) -> None:
-        """A peer tells what a node lacks, or the whole."""
+        """Send a node the changes it lacks, or the full document."""
         theirs = self.nodes[peer].view
         ours = self.nodes[node].view
         if theirs.version <= ours.version:
@@ -129,22 +129,23 @@
 
     @rule(node=_NODES)
     def replace(self, node: int) -> None:
-        """A node is killed and another takes its place."""
+        """Kill a node and start a new one in its place."""
         self.nodes[node] = self._start_node()
 
     @rule(node=_NODES, delay_s=st.sampled_from((0.0, 0.5, 3.0)))
     def hold_office(self, node: int, delay_s: float) -> None:
-        """A node tries to become the commander, or renews; answers are slow.
+        """Let a node campaign for leadership or renew it, with a delay.
 
-        A node for which this rule is not drawn is paused, unaware.
+        A leader for which this rule is not drawn behaves like a paused
+        process: it does not renew its lease.
         """
         chosen = self.nodes[node]
         asked_at = self.now
         if chosen.tenure is None:
-            self._win_office(chosen, asked_at, delay_s)
+            self._campaign(chosen, asked_at, delay_s)
             return
-        answer = self.service.keep_alive({'ID': chosen.lease}, self.now)
-        self._pass(delay_s)
+        answer = self.store_state.keep_alive({'ID': chosen.lease}, self.now)
+        self._advance_time(delay_s)
         if int(answer['result']['TTL']) > 0:
             chosen.tenure.renew(asked_at)
         else:
@@ -152,94 +153,115 @@
 
     @rule(seconds=st.sampled_from((0.5, 2.0, 6.0, 15.0)))
     def wait(self, seconds: float) -> None:
-        """Time passes; leases lapse."""
-        self._pass(seconds)
+        """Advance the clock and expire leases."""
+        self._advance_time(seconds)
 
     @invariant()
     def views_follow_what_was_accepted(self) -> None:
-        """No node shows what nobody accepted, or goes back."""
-        truth = self._read_truth()
+        """Check that views only show accepted changes and never revert."""
+        accepted = self._read_accepted()
         for node in self.nodes:
             version = node.view.version
-            expect(version >= node.newest, f'{node.name} went back')
-            node.newest = version
-            shown = sorted(node.view.document.get('accounts', {}))
-            wanted = sorted(truth[at] for at in truth if at <= version)
-            expect(shown == wanted, f'{node.name}: {shown}, not {wanted}')
+            expect(
+                version >= node.highest_version,
+                f'{node.name} reverted to version {version}',
+            )
+            node.highest_version = version
+            actual = sorted(node.view.document.get('accounts', {}))
+            expected = sorted(accepted[at] for at in accepted if at <= version)
+            expect(
+                actual == expected,
+                f'{node.name} shows {actual}, accepted: {expected}',
+            )
 
     @invariant()
     def one_commander_at_a_time(self) -> None:
-        """Of all nodes, at most one may order an engine without fencing."""
-        commanding = [
+        """Check that at most one node may give orders without fencing."""
+        leaders = [
             node.name
             for node in self.nodes
             if node.tenure is not None
             and node.tenure.may_order(self.now, checks_fencing=False)
         ]
-        expect(len(commanding) <= 1, f'{commanding} command at once')
+        expect(len(leaders) <= 1, f'several leaders at once: {leaders}')
 
-    def _win_office(
-        self, node: FuzzedNode, asked_at: float, delay_s: float
+    def _campaign(
+        self, node: NodeModel, asked_at: float, delay_s: float
     ) -> None:
-        node.lease = self.service.grant({'TTL': LEASE_S}, self.now)['ID']
-        office = Transaction(
-            conditions=[Absent(_OFFICE)],
-            puts=[Put(_OFFICE, node.name, node.lease)],
+        node.lease = self.store_state.grant({'TTL': LEASE_S}, self.now)['ID']
+        campaign = Transaction(
+            conditions=[Absent(_LEADER_KEY)],
+            puts=[Put(_LEADER_KEY, node.name, node.lease)],
         )
-        done = MemoryStore(self.service).commit(office)
-        self._pass(delay_s)
+        done = MemoryStore(self.store_state).commit(campaign)
+        self._advance_time(delay_s)
         if done.succeeded:
             node.tenure = Tenure.begin(done.revision, asked_at, self.now)
 
-    def _submit(self, node: FuzzedNode, base: int, lose: int) -> None:
-        self.number += 1
-        mark = f'mark-{self.number}'
-        node.store.lose_next = lose
+    def _submit(self, node: NodeModel, base: int, lose: int) -> None:
+        self.patch_count += 1
+        patch_name = f'mark-{self.patch_count}'
+        node.store.replies_to_lose = lose
         try:
             change = node.log.submit(
-                self._build_patch(base, mark), base, 'operator'
+                self._build_patch(base, patch_name), base, 'operator'
             )
         except StaleBaseError as exc:
-            expect(base != exc.current, f'{mark} refused as stale by {exc}')
-            held = self._read_truth().get(base + 1)
-            expect(held not in {None, mark}, f'{mark} refused, but is in force')
+            expect(
+                base != exc.current, f'{patch_name} was refused as stale: {exc}'
+            )
+            accepted_patch = self._read_accepted().get(base + 1)
+            expect(
+                accepted_patch not in {None, patch_name},
+                f'{patch_name} was refused, but is in force',
+            )
             return
         finally:
-            node.store.lose_next = 0
+            node.store.replies_to_lose = 0
             node.store.before_commit = None
-        taken = self.accepted.get(change.version)
-        expect(taken is None, f'{mark} accepted over {taken}')
-        self.accepted[change.version] = mark
+        existing = self.accepted.get(change.version)
+        expect(
+            existing is None,
+            f'{patch_name} was accepted with the version of {existing}',
+        )
+        self.accepted[change.version] = patch_name
 
-    def _build_patch(self, base: int, mark: str) -> list[dict[str, Any]]:
-        account = {'keys': [f'sha256:{self.number:064x}'], 'routes': []}
+    def _build_patch(self, base: int, patch_name: str) -> list[dict[str, Any]]:
+        account = {'keys': [f'sha256:{self.patch_count:064x}'], 'routes': []}
         if base == 0:
-            whole = {'accounts': {mark: account}}
+            whole = {'accounts': {patch_name: account}}
             return [{'op': 'replace', 'path': '', 'value': whole}]
-        place = f'/accounts/{mark}'
-        return [{'op': 'add', 'path': place, 'value': account}]
+        path = f'/accounts/{patch_name}'
+        return [{'op': 'add', 'path': path, 'value': account}]
 
     def _read_log(self) -> list[Any]:
-        log = ConfigurationLog(MemoryStore(self.service), _PREFIX)
+        log = ConfigurationLog(MemoryStore(self.store_state), _PREFIX)
         return log.read_changes(0)
 
-    def _read_truth(self) -> dict[int, str]:
-        """Return the marks in the log; they bear out what operators heard."""
-        marks = {}
+    def _read_accepted(self) -> dict[int, str]:
+        """Return the patch names in the log by version.
+
+        Also checks that no patch is lost whose acceptance was
+        confirmed to an operator.
+        """
+        patch_names = {}
         for change in self._read_log():
             operation = change.patch[0]
-            mark = operation['path'].rpartition('/')[2]
-            marks[change.version] = mark or next(
+            patch_name = operation['path'].rpartition('/')[2]
+            patch_names[change.version] = patch_name or next(
                 iter(operation['value']['accounts'])
             )
-        for version, mark in self.accepted.items():
-            expect(marks.get(version) == mark, f'{mark} was lost')
-        return marks
+        for version, patch_name in self.accepted.items():
+            expect(
+                patch_names.get(version) == patch_name,
+                f'accepted patch {patch_name} is lost',
+            )
+        return patch_names
 
-    def _pass(self, seconds: float) -> None:
+    def _advance_time(self, seconds: float) -> None:
         self.now += seconds
-        self.service.expire(self.now)
+        self.store_state.expire(self.now)
 
-    def _start_node(self) -> FuzzedNode:
-        self.starts += 1
-        return FuzzedNode(f'n{self.starts}', self.service)
+    def _start_node(self) -> NodeModel:
+        self.start_count += 1
+        return NodeModel(f'n{self.start_count}', self.store_state)
--- a/samphirerill/properties/long_run.py
+++ b/samphirerill/properties/long_run.py
@@ -1,7 +1,7 @@
-"""The long run of the stateful fuzzing, apart from the tests.
+"""Long run of the stateful tests, with counts of what was covered.
 
-``make fuzz`` runs it; ``EXAMPLES`` and ``SEED`` in the environment change how
-much and which.
+Started by ``make fuzz``. The environment variables ``EXAMPLES`` and ``SEED`` set
+the number of examples and the random seed.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis.stateful import invariant, run_state_machine_as_test
 
-from samphirerill.properties.agreement import AgreementMachine
+from samphirerill.properties.agreement import CoordinationMachine
 from samphirerill.properties.machine import RouterMachine
 
-_STEPS = 80
-_EXAMPLES = 1500
+_STEP_COUNT = 80
+_EXAMPLE_COUNT = 1500
 
 
 class _CountingRouter(RouterMachine):
-    """Counts the steps, and how requests ended."""
+    """Counts steps and the outcomes of requests."""
 
     counts: ClassVar[Counter[str]] = Counter()
 
@@ -33,13 +33,13 @@
         self.counts['steps'] += 1
 
     def teardown(self) -> None:
-        """Count how the example's requests ended."""
-        for asked in self.world.asked.values():
-            self.counts.update(asked.ends or ('open at the end',))
+        """Count the outcomes of the example's requests."""
+        for request in self.simulation.requests.values():
+            self.counts.update(request.outcomes or ('open at the end',))
 
 
-class _CountingAgreement(AgreementMachine):
-    """Counts the steps, and what was accepted."""
+class _CountingCoordination(CoordinationMachine):
+    """Counts steps, and submitted and accepted patches."""
 
     counts: ClassVar[Counter[str]] = Counter()
 
@@ -49,30 +49,30 @@
         self.counts['steps'] += 1
 
     def teardown(self) -> None:
-        """Count the patches that were accepted and those submitted."""
+        """Count the submitted and the accepted patches."""
         self.counts['accepted'] += len(self.accepted)
-        self.counts['submitted'] += self.number
+        self.counts['submitted'] += self.patch_count
 
 
 def run_long() -> int:
-    """Fuzz until done; a broken promise ends it with its shortest story."""
-    examples = int(os.environ.get('EXAMPLES', _EXAMPLES))
+    """Run all examples; a violation fails with a minimal example."""
+    examples = int(os.environ.get('EXAMPLES', _EXAMPLE_COUNT))
     number = int(os.environ.get('SEED', '0'))
-    chosen = settings(
+    run_settings = settings(
         max_examples=examples,
-        stateful_step_count=_STEPS,
+        stateful_step_count=_STEP_COUNT,
         deadline=None,
         database=None,
         phases=(Phase.generate, Phase.shrink),
         suppress_health_check=list(HealthCheck),
     )
-    for machine in (_CountingRouter, _CountingAgreement):
+    for machine in (_CountingRouter, _CountingCoordination):
         started = time.monotonic()
-        run_state_machine_as_test(seed(number)(machine), settings=chosen)
+        run_state_machine_as_test(seed(number)(machine), settings=run_settings)
         spent_s = time.monotonic() - started
         sys.stdout.write(
             f'{machine.__name__}, seed {number}: {examples} examples, '
-            f'{spent_s:.0f} s, 0 broken promises, {dict(machine.counts)}\n'
+            f'{spent_s:.0f} s, 0 violations, {dict(machine.counts)}\n'
         )
     return 0
 
--- a/samphirerill/properties/machine.py
+++ b/samphirerill/properties/machine.py
@@ -1,8 +1,7 @@
-"""Stateful fuzzing of the decision core against the oracle.
+"""Stateful tests of the decision core, checked by the oracle.
 
-Few rules, each of many kinds: hypothesis picks between rules evenly, so rare
-upsets share one rule and a bounded number, or they would drown the work that
-they are meant to upset.
+Hypothesis chooses between rules uniformly. Rare disturbances therefore share one
+rule with a limited number of uses, so that most steps still make progress.
 """
 
 from __future__ import annotations
@@ -17,31 +16,31 @@
 )
 
 from samphirerill.core import events
-from samphirerill.properties.oracle import check_world
-from samphirerill.properties.world import CROSSED, TOKENS, World
+from samphirerill.properties.oracle import check_guarantees
+from samphirerill.properties.world import FOREIGN_TEXT, TOKENS, Simulation
 from samphirerill.testing.memory_store import MemoryStore
 
 NODES = 2
 ROUTES = ('plans', 'fittings', 'once', 'lookups', 'notices')
-KEYED_ROUTES = frozenset(('once', 'notices'))
-UPSETS = ('leaves', 'reconfigure', 'restart', 'doubt', 'stale', 'report')
-_MOST_UPSETS = 4
+NON_IDEMPOTENT_ROUTES = frozenset(('once', 'notices'))
+DISTURBANCES = ('leaves', 'reconfigure', 'restart', 'doubt', 'stale', 'report')
+_MAX_DISTURBANCES = 4
 _PICKS = st.integers(0, 1000)
 _NODES = st.integers(0, NODES - 1)
 
 
 class RouterMachine(RuleBasedStateMachine):
-    """Two nodes under every fault of the brief, in any order."""
+    """Two routers under all supported faults, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(NODES, MemoryStore())
-        self._upsets = 0
+        self.simulation = Simulation(NODES, MemoryStore())
+        self._disturbance_count = 0
 
     @initialize()
     def configure_first(self) -> None:
-        """Accept a first configuration."""
-        self.world.configure((0, 1, 2, 3, 4))
+        """Deliver an initial configuration."""
+        self.simulation.configure((0, 1, 2, 3, 4))
 
     @rule(
         node=_NODES,
@@ -60,29 +59,31 @@
         wait_s: float,
         count: int,
     ) -> None:
-        """Callers ask; non-idempotent routes get one of few keys."""
-        used = key if route in KEYED_ROUTES else ''
+        """Submit requests; non-idempotent routes use one of two keys."""
+        used_key = key if route in NON_IDEMPOTENT_ROUTES else ''
         for at in range(count):
-            self.world.ask((node + at) % NODES, route, account, used, wait_s)
+            self.simulation.submit_request(
+                (node + at) % NODES, route, account, used_key, wait_s
+            )
 
-    @precondition(lambda self: self.world.list_open())
+    @precondition(lambda self: self.simulation.list_open())
     @rule(pick=_PICKS, steps=st.integers(1, TOKENS + 1))
     def progress(self, pick: int, steps: int) -> None:
-        """One attempt is sent, runs, gives next tokens or its answer."""
+        """Advance one attempt: send it, or produce tokens or its response."""
         attempt_id = self._pick_open(pick)
         for _ in range(steps):
-            if attempt_id in self.world.list_open():
-                self.world.step(attempt_id)
+            if attempt_id in self.simulation.list_open():
+                self.simulation.step(attempt_id)
 
-    @precondition(lambda self: self.world.list_open())
+    @precondition(lambda self: self.simulation.list_open())
     @rule()
     def progress_all(self) -> None:
-        """Every attempt takes one step."""
-        for attempt_id in self.world.list_open():
-            if attempt_id in self.world.list_open():
-                self.world.step(attempt_id)
+        """Advance every open attempt by one step."""
+        for attempt_id in self.simulation.list_open():
+            if attempt_id in self.simulation.list_open():
+                self.simulation.step(attempt_id)
 
-    @precondition(lambda self: self.world.list_open())
+    @precondition(lambda self: self.simulation.list_open())
     @rule(
         pick=_PICKS,
         kind=st.sampled_from(('break', 'break', 'refuse')),
@@ -90,105 +91,105 @@
         ran=st.booleans(),
     )
     def fault(self, pick: int, kind: str, stage: int, ran: bool) -> None:
-        """A stage dies, before or after it started, or refuses."""
+        """Fail a stage before or after it started, or refuse the attempt."""
         attempt_id = self._pick_open(pick)
-        work = self.world.work[attempt_id]
+        attempt = self.simulation.attempts[attempt_id]
         if kind == 'refuse':
-            if work.sent and not work.ran:
+            if attempt.sent and not attempt.ran:
                 detail = 'leaving' if stage > 1 else 'full'
                 refused = events.AttemptRefused(attempt_id, detail)
-                work.refused = True
-                self.world.apply(work.node, refused)
+                attempt.refused = True
+                self.simulation.apply(attempt.node, refused)
             return
-        if work.sent and ran:
-            self.world.run(attempt_id)
-        broke = events.AttemptBroke(attempt_id, 'died', stage, work.sent)
-        self.world.apply(work.node, broke)
+        if attempt.sent and ran:
+            self.simulation.run(attempt_id)
+        broke = events.AttemptBroke(attempt_id, 'died', stage, attempt.sent)
+        self.simulation.apply(attempt.node, broke)
 
-    @precondition(lambda self: self.world.list_sent())
+    @precondition(lambda self: self.simulation.list_sent())
     @rule(pick=_PICKS, index=st.integers(0, TOKENS), epoch=st.integers(0, 2))
     def late_or_crossed(self, pick: int, index: int, epoch: int) -> None:
-        """An attempt that is gone, or another epoch, gives a token."""
-        found = self.world.list_sent()
+        """Deliver a token of a cancelled attempt, wrong epoch or index."""
+        found = self.simulation.list_sent()
         attempt_id = found[pick % len(found)]
-        work = self.world.work[attempt_id]
-        self.world.run(attempt_id)
-        is_own = epoch == work.command.epoch and not work.cancelled
-        if is_own and index == work.next_token:
+        attempt = self.simulation.attempts[attempt_id]
+        self.simulation.run(attempt_id)
+        is_current = epoch == attempt.command.epoch and not attempt.cancelled
+        if is_current and index == attempt.next_token:
             return
-        token = events.TokenArrived(attempt_id, epoch, index, CROSSED)
-        self.world.apply(work.node, token)
+        token = events.TokenArrived(attempt_id, epoch, index, FOREIGN_TEXT)
+        self.simulation.apply(attempt.node, token)
 
-    @precondition(lambda self: self.world.claims)
+    @precondition(lambda self: self.simulation.pending_claims)
     @rule(pick=_PICKS, kind=st.sampled_from(('write', 'lose', 'fail')))
     def claim(self, pick: int, kind: str) -> None:
-        """The platform's service handles a claim, or loses its reply."""
-        claims = sorted(self.world.claims)
+        """Commit or fail a claim, or lose the reply to the commit."""
+        claims = sorted(self.simulation.pending_claims)
         request_id = claims[pick % len(claims)]
         if kind == 'fail':
-            self.world.fail_claim(request_id)
+            self.simulation.fail_claim(request_id)
         else:
-            self.world.write_claim(request_id, lose_reply=kind == 'lose')
+            self.simulation.commit_claim(request_id, lose_reply=kind == 'lose')
 
     @rule(alive=st.booleans())
     def settle(self, alive: bool) -> None:
-        """Outcomes are recorded and probes answered."""
-        self.world.write_settlements()
-        self.world.answer_probes(alive=alive)
+        """Commit settled outcomes and answer probes."""
+        self.simulation.commit_settlements()
+        self.simulation.answer_probes(alive=alive)
 
     @rule(seconds=st.sampled_from((0.01, 0.6, 3.5, 12.0)))
     def wait(self, seconds: float) -> None:
-        """Time passes; silent attempts are noticed."""
-        self.world.pass_time(seconds)
+        """Advance the clock, so that silent attempts time out."""
+        self.simulation.advance_time(seconds)
 
-    @precondition(lambda self: self.world.list_waiting())
+    @precondition(lambda self: self.simulation.list_waiting())
     @rule(pick=_PICKS)
     def caller_leaves(self, pick: int) -> None:
-        """A caller closes its connection."""
-        found = self.world.list_waiting()
+        """Close a caller's connection."""
+        found = self.simulation.list_waiting()
         request_id = found[pick % len(found)]
-        asked = self.world.asked[request_id]
-        asked.left = True
-        self.world.apply(asked.node, events.CallerLeft(request_id))
+        request = self.simulation.requests[request_id]
+        request.has_left = True
+        self.simulation.apply(request.node, events.CallerLeft(request_id))
 
-    @precondition(lambda self: self._upsets < _MOST_UPSETS)
+    @precondition(lambda self: self._disturbance_count < _MAX_DISTURBANCES)
     @rule(
-        kind=st.sampled_from(UPSETS),
+        kind=st.sampled_from(DISTURBANCES),
         node=_NODES,
         pick=st.integers(0, 4),
         kinds=st.lists(st.integers(0, 4), max_size=3),
     )
     def upset(self, kind: str, node: int, pick: int, kinds: list[int]) -> None:
-        """Something befalls the fleet."""
-        self._upsets += 1
+        """Apply a rare disturbance of the fleet or the configuration."""
+        self._disturbance_count += 1
         if kind == 'leaves':
-            self.world.leave(f'e{pick}')
+            self.simulation.mark_leaving(f'e{pick}')
         elif kind == 'reconfigure':
-            self.world.configure((*kinds, 4, 4, 4))
+            self.simulation.configure((*kinds, 4, 4, 4))
         elif kind == 'restart':
-            self.world.restart(node)
+            self.simulation.restart(node)
         else:
-            self.world.apply(node, self._build_upset(kind, pick))
+            self.simulation.apply(node, self._build_disturbance(kind, pick))
 
     @rule(node=_NODES)
     def trust(self, node: int) -> None:
-        """A node that was cut off hears from the others again."""
-        self.world.apply(node, events.ServingAllowed())
+        """Allow a node to serve again after it was isolated."""
+        self.simulation.apply(node, events.ServingAllowed())
 
     @invariant()
     def promises_hold(self) -> None:
-        """No promise is broken, at any step."""
-        check_world(self.world)
+        """Check all guarantees after every step."""
+        check_guarantees(self.simulation)
 
-    def _build_upset(self, kind: str, pick: int) -> object:
+    def _build_disturbance(self, kind: str, pick: int) -> object:
         if kind == 'doubt':
             return events.ServingForbidden('cut off')
         if kind == 'report':
             return events.LoadReported(f'e{pick}', pick, pick // 2)
-        old = self.world.build((4,))
-        old.version = max(0, self.world.version - 1)
+        old = self.simulation.build((4,))
+        old.version = max(0, self.simulation.version - 1)
         return events.ConfigurationAccepted(old)
 
     def _pick_open(self, pick: int) -> str:
-        found = self.world.list_open()
+        found = self.simulation.list_open()
         return found[pick % len(found)]
--- a/samphirerill/properties/oracle.py
+++ b/samphirerill/properties/oracle.py
@@ -1,8 +1,8 @@
-"""The promises, held against what happened in the world.
+"""Test oracle: checks the router's guarantees against the simulation.
 
-The oracle compares what callers were told with what really ran. It knows
-nothing of how the decision core works, but for one thing: the core's own books
-have to balance, since an error in them shows only much later.
+The oracle compares what callers were told with what was executed, independently
+of the decision core's implementation. It also checks the core's internal
+counters, because a wrong counter affects requests only much later.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from samphirerill.core.commands import Stage
     from samphirerill.core.router import Router
-    from samphirerill.properties.world import World
+    from samphirerill.properties.world import Simulation
 
-_ONCE = ('once', 'notices')
+_NON_IDEMPOTENT_ROUTES = ('once', 'notices')
 
 
-class BrokenPromiseError(AssertionError):
-    """A promise was broken."""
+class GuaranteeViolatedError(AssertionError):
+    """A guarantee of the router was violated."""
 
 
-def expect(holds: bool, what: str) -> None:  # noqa: FBT001
-    """Raise ``BrokenPromiseError`` if something does not hold."""
-    if not holds:
-        raise BrokenPromiseError(what)
+def expect(condition: bool, message: str) -> None:  # noqa: FBT001
+    """Raise ``GuaranteeViolatedError`` if a condition does not hold."""
+    if not condition:
+        raise GuaranteeViolatedError(message)
 
 
-def check_cover(stages: tuple[Stage, ...], layers: int) -> None:
-    """A pipeline runs every layer once, in order."""
+def check_coverage(stages: tuple[Stage, ...], layers: int) -> None:
+    """Check that a pipeline runs every layer once, in order."""
     covered = [
         layer
         for stage in stages
@@ -37,43 +37,55 @@
     ]
     expect(
         covered == list(range(layers)),
-        f'layers not each once, in order: {stages}',
+        f'stages do not cover each layer once, in order: {stages}',
     )
 
 
-def check_world(world: World) -> None:
-    """Hold every promise against what has happened so far."""
-    for asked in world.asked.values():
-        expect(len(asked.ends) <= 1, f'ended twice: {asked}')
-        overdue = not asked.ends and world.now > asked.deadline
-        expect(asked.left or not overdue, f'outlived its deadline: {asked}')
-    for key, runs in world.runs.items():
-        is_once = key.split('/')[1] in _ONCE
-        expect(not is_once or runs <= 1, f'{key} ran {runs} times')
-    for request_id in world.held:
-        node = world.asked[request_id].node
-        is_open = request_id in world.routers[node].state.requests
-        expect(is_open, f'claim of {request_id} forgotten')
-    for router in world.routers:
+def check_guarantees(simulation: Simulation) -> None:
+    """Check all guarantees against the current state of a simulation."""
+    for request in simulation.requests.values():
+        expect(
+            len(request.outcomes) <= 1,
+            f'more than one final outcome: {request}',
+        )
+        is_overdue = not request.outcomes and simulation.now > request.deadline
+        expect(
+            request.has_left or not is_overdue,
+            f'no outcome by the deadline: {request}',
+        )
+    for key, runs in simulation.executions.items():
+        is_non_idempotent = key.split('/')[1] in _NON_IDEMPOTENT_ROUTES
+        expect(
+            not is_non_idempotent or runs <= 1,
+            f'{key} was executed {runs} times',
+        )
+    for request_id in simulation.won_claims:
+        node = simulation.requests[request_id].node
+        is_open = request_id in simulation.routers[node].state.requests
+        expect(
+            is_open, f'claim of {request_id} is held without an open request'
+        )
+    for router in simulation.routers:
         _check_endpoints(router)
         _check_requests(router)
-        _check_phases(router, world)
+        _check_phases(router, simulation)
 
 
 def _check_endpoints(router: Router) -> None:
-    """No endpoint is counted busier than the attempts make it."""
+    """Check that no endpoint counts more requests than it has attempts."""
     counted: Counter[str] = Counter()
     for attempt in router.state.attempts.values():
         counted.update(stage.endpoint for stage in attempt.stages)
-    for name, found in router.state.endpoints.items():
+    for name, endpoint in router.state.endpoints.items():
         expect(
-            found.in_flight <= counted[name],
-            f'{name} has {found.in_flight}, not {counted[name]}',
+            endpoint.in_flight <= counted[name],
+            f'{name} counts {endpoint.in_flight} in flight, '
+            f'attempts: {counted[name]}',
         )
 
 
 def _check_requests(router: Router) -> None:
-    """Accounts and queues are counted as the requests make them."""
+    """Check the counters of accounts and queues against the requests."""
     state = router.state
     running = Counter(
         req.account
@@ -82,19 +94,22 @@
     )
     expect(
         running == state.running_by_account,
-        f'{state.running_by_account} run, not {running}',
+        f'counted as running: {state.running_by_account}, actual: {running}',
     )
     waiting = sum(pool.size() for pool in state.pools.values())
     queued = len(state.requests) - running.total()
-    expect(waiting == queued, f'{waiting} wait, not {queued}')
+    expect(
+        waiting == queued,
+        f'in queues: {waiting}, requests in phase queued: {queued}',
+    )
 
 
-def _check_phases(router: Router, world: World) -> None:
-    """Every open request waits for something that will come."""
+def _check_phases(router: Router, simulation: Simulation) -> None:
+    """Check that every open request is queued, claiming or has an attempt."""
     for req in router.state.requests.values():
-        waits = {
+        is_progressing = {
             'queued': True,
-            'claiming': req.request_id in world.claims,
+            'claiming': req.request_id in simulation.pending_claims,
             'running': req.attempt_id in router.state.attempts,
         }
-        expect(waits[req.phase.value], f'waits in vain: {req}')
+        expect(is_progressing[req.phase.value], f'request is stuck: {req}')
--- a/samphirerill/properties/test_promises.py
+++ b/samphirerill/properties/test_promises.py
@@ -1,13 +1,13 @@
-"""The short run of the stateful fuzzing; the long one is ``make fuzz``."""
+"""Short run of the stateful tests; ``make fuzz`` does a long one."""
 
 from __future__ import annotations
 
 from hypothesis import HealthCheck, settings
 
-from samphirerill.properties.agreement import AgreementMachine
+from samphirerill.properties.agreement import CoordinationMachine
 from samphirerill.properties.machine import RouterMachine
 
-_SHORT = settings(
+_SHORT_RUN = settings(
     max_examples=200,
     stateful_step_count=40,
     deadline=None,
@@ -16,8 +16,8 @@
     suppress_health_check=list(HealthCheck),
 )
 
-TestPromises = RouterMachine.TestCase
-TestPromises.settings = _SHORT
+TestRouterGuarantees = RouterMachine.TestCase
+TestRouterGuarantees.settings = _SHORT_RUN
 
-TestAgreement = AgreementMachine.TestCase
-TestAgreement.settings = _SHORT
+TestCoordination = CoordinationMachine.TestCase
+TestCoordination.settings = _SHORT_RUN
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -1,9 +1,9 @@
-"""The world around the decision core, and the oracle of its promises.
+"""Simulated environment of the decision core for stateful tests.
 
-The world carries out the core's commands as engines, services and the
-platform's service would, at a pace and with faults that the fuzzer chooses.
-It alone knows what really ran. The oracle compares that with what callers
-were told; it knows nothing of how the core works.
+The simulation executes the core's commands in place of engines, services and
+the key-value store, with timing and faults chosen by the test. It keeps the
+ground truth of what was executed, which the oracle compares with what callers
+were told.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
     build_transaction,
     read_verdicts,
 )
-from samphirerill.core import commands as told
+from samphirerill.core import commands as core_commands
 from samphirerill.core import events
 from samphirerill.core.commands import Outcome
 from samphirerill.core.model import Configuration, build_configuration
 from samphirerill.core.router import Router
-from samphirerill.properties.oracle import check_cover, expect
+from samphirerill.properties.oracle import check_coverage, expect
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import KeyValueStore
 
 LAYERS = 6
 TOKENS = 3
-GOOD = 'good'
-CROSSED = 'crossed'
+VALID_TEXT = 'good'
+FOREIGN_TEXT = 'crossed'
 _RANGES = ((0, 2), (1, 3), (3, 5), (2, 5), (0, 5))
 
 
 @dataclass(slots=True)
-class Work:
-    """One attempt as the outside sees it.
+class AttemptRecord:
+    """Ground truth about one attempt.
 
-    `ran` is the truth: whether the endpoint started on it.
+    `ran` tells whether the endpoint started to execute it.
     """
 
     node: int
-    command: told.OpenAttempt
+    command: core_commands.OpenAttempt
     sent: bool = False
     ran: bool = False
     cancelled: bool = False
@@ -55,8 +55,8 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One caller's request and what its caller was told."""
+class RequestRecord:
+    """A caller's request and what the caller received for it."""
 
     node: int
     route: str
@@ -64,13 +64,13 @@
     key: str
     deadline: float
     delivered: list[int] = field(default_factory=list)
-    ends: list[str] = field(default_factory=list)
-    left: bool = False
+    outcomes: list[str] = field(default_factory=list)
+    has_left: bool = False
 
 
 @dataclass(slots=True)
-class Told:
-    """A claim command that the platform's service has not settled yet."""
+class PendingClaim:
+    """A claim that has not been committed to the store yet."""
 
     node: int
     claim: Claim
@@ -79,7 +79,7 @@
 def build_document(
     kinds: tuple[int, ...] = (0, 1, 2, 3, 4),
 ) -> dict[str, object]:
-    """Return a small configuration with overlapping stages."""
+    """Return a small configuration document with overlapping stages."""
     endpoints = {
         f'e{index}': {
             'kind': 'engine',
@@ -122,55 +122,59 @@
     }
 
 
-class World:
-    """Nodes' cores, endpoints and the platform's service, step by step.
+class Simulation:
+    """Routers of several nodes with simulated endpoints and a store.
 
     Parameters
     ----------
     nodes : int
-        How many cores share the endpoints.
+        Number of nodes that share the endpoints.
     store : KeyValueStore
-        Where claims are kept.
+        Stores the claims.
     """
 
     def __init__(self, nodes: int, store: KeyValueStore) -> None:
         self.now = 0.0
         self.store = store
-        self.starts = [0] * nodes
-        self.routers = [Router(self.holder(at), seed=at) for at in range(nodes)]
-        self.asked: dict[str, Asked] = {}
-        self.work: dict[str, Work] = {}
-        self.claims: dict[str, Told] = {}
-        self.held: dict[str, Claim] = {}
-        self.settled: list[Settlement] = []
+        self.restart_counts = [0] * nodes
+        self.routers = [
+            Router(self.get_process_id(at), seed=at) for at in range(nodes)
+        ]
+        self.requests: dict[str, RequestRecord] = {}
+        self.attempts: dict[str, AttemptRecord] = {}
+        self.pending_claims: dict[str, PendingClaim] = {}
+        self.won_claims: dict[str, Claim] = {}
+        self.unsaved_settlements: list[Settlement] = []
         self.probes: list[tuple[int, str]] = []
-        self.runs: Counter[str] = Counter()
-        self.leaving: set[str] = set()
+        self.executions: Counter[str] = Counter()
+        self.leaving_endpoints: set[str] = set()
         self.dead_nodes: set[str] = set()
         self.version = 0
-        self.current = Configuration(version=0)
-        self.count = 0
+        self.configuration = Configuration(version=0)
+        self.request_count = 0
 
     def configure(self, kinds: tuple[int, ...]) -> None:
-        """Accept a new configuration and tell every node."""
+        """Create a configuration version and deliver it to every node."""
         self.version += 1
-        self.current = self.build(kinds)
-        event = events.ConfigurationAccepted(self.current)
+        self.configuration = self.build(kinds)
+        event = events.ConfigurationAccepted(self.configuration)
         for node in range(len(self.routers)):
             self.apply(node, event)
 
     def build(self, kinds: tuple[int, ...]) -> Configuration:
-        """Return a configuration with the present version."""
+        """Build a configuration with the current version number."""
         return build_configuration(build_document(kinds), self.version)
 
-    def ask(
+    def submit_request(
         self, node: int, route: str, account: str, key: str, wait_s: float
     ) -> str:
-        """Send a caller's request to a node."""
-        self.count += 1
-        request_id = f'r{self.count}'
+        """Submit a caller's request to a node; return the request id."""
+        self.request_count += 1
+        request_id = f'r{self.request_count}'
         deadline = self.now + wait_s
-        self.asked[request_id] = Asked(node, route, account, key, deadline)
+        self.requests[request_id] = RequestRecord(
+            node, route, account, key, deadline
+        )
         self.apply(
             node,
             events.RequestArrived(
@@ -186,88 +190,92 @@
         return request_id
 
     def apply(self, node: int, event: object) -> None:
-        """Let a core handle an event and carry out its commands."""
+        """Apply an event to a node's router and execute its commands."""
         router = self.routers[node]
         before = router.state.configuration.version
         for command in router.apply(event, self.now):
             self._carry_out(node, command)
         expect(
             router.state.configuration.version >= before,
-            'a configuration reverted',
+            'configuration reverted to an older version',
         )
 
-    def pass_time(self, seconds: float) -> None:
-        """Let time pass for every node."""
+    def advance_time(self, seconds: float) -> None:
+        """Advance the clock of every node."""
         self.now += seconds
         for node in range(len(self.routers)):
             self.apply(node, events.TimePassed())
 
     def restart(self, node: int) -> None:
-        """Kill a node and start another in its place.
+        """Kill a node and start a new process in its place.
 
-        Its callers see their connections break; what it had sent may have
-        run. Nothing it knew survives.
+        Its callers' connections break, requests that it sent may have been
+        executed, and its state is lost.
         """
-        self.dead_nodes.add(self.holder(node))
-        for asked in self.asked.values():
-            if asked.node == node and not asked.ends:
-                asked.ends.append('connection broke')
-        for work in self.work.values():
-            if work.node == node:
-                work.cancelled = True
-        for request_id, asked in self.asked.items():
-            if asked.node == node:
-                self.claims.pop(request_id, None)
-                self.held.pop(request_id, None)
+        self.dead_nodes.add(self.get_process_id(node))
+        for request in self.requests.values():
+            if request.node == node and not request.outcomes:
+                request.outcomes.append('connection broke')
+        for attempt in self.attempts.values():
+            if attempt.node == node:
+                attempt.cancelled = True
+        for request_id, request in self.requests.items():
+            if request.node == node:
+                self.pending_claims.pop(request_id, None)
+                self.won_claims.pop(request_id, None)
         self.probes = [probe for probe in self.probes if probe[0] != node]
-        self.starts[node] += 1
-        self.routers[node] = Router(self.holder(node), seed=self.starts[node])
+        self.restart_counts[node] += 1
+        self.routers[node] = Router(
+            self.get_process_id(node), seed=self.restart_counts[node]
+        )
         self.apply(
             node,
-            events.VmListRead(frozenset(), frozenset(self.leaving)),
+            events.VmListRead(frozenset(), frozenset(self.leaving_endpoints)),
         )
-        self.apply(node, events.ConfigurationAccepted(self.current))
+        self.apply(node, events.ConfigurationAccepted(self.configuration))
 
-    def holder(self, node: int) -> str:
-        """Return the id of a node's present process."""
-        return f'n{node}.{self.starts[node]}'
+    def get_process_id(self, node: int) -> str:
+        """Return the id of a node's current process."""
+        return f'n{node}.{self.restart_counts[node]}'
 
     def send(self, attempt_id: str) -> None:
-        """Connect an attempt: its first byte goes out and may run."""
-        work = self.work[attempt_id]
-        work.sent = True
-        self.apply(work.node, events.AttemptSent(attempt_id))
+        """Mark an attempt as sent; from now on it may be executed."""
+        attempt = self.attempts[attempt_id]
+        attempt.sent = True
+        self.apply(attempt.node, events.AttemptSent(attempt_id))
 
     def run(self, attempt_id: str) -> None:
-        """Let an endpoint start on an attempt."""
-        work = self.work[attempt_id]
-        if work.ran:
+        """Start the execution of an attempt at its endpoint."""
+        attempt = self.attempts[attempt_id]
+        if attempt.ran:
             return
-        work.ran = True
-        asked = self.asked[work.command.request_id]
-        if asked.key:
-            self.runs[f'{asked.account}/{asked.route}/{asked.key}'] += 1
+        attempt.ran = True
+        request = self.requests[attempt.command.request_id]
+        if request.key:
+            self.executions[
+                f'{request.account}/{request.route}/{request.key}'
+            ] += 1
 
     def step(self, attempt_id: str) -> None:
-        """Send an attempt, or let it give its next token or its answer."""
-        work = self.work[attempt_id]
-        if not work.sent:
+        """Send an attempt, or produce its next token or its response."""
+        attempt = self.attempts[attempt_id]
+        if not attempt.sent:
             self.send(attempt_id)
             return
         self.run(attempt_id)
-        if work.command.is_service:
-            self.apply(work.node, events.ServiceAnswered(attempt_id, 200))
+        if attempt.command.is_service:
+            self.apply(attempt.node, events.ServiceAnswered(attempt_id, 200))
             return
-        index = work.next_token
-        work.next_token += 1
-        finish = 'stop' if work.next_token >= TOKENS else ''
+        index = attempt.next_token
+        attempt.next_token += 1
+        finish = 'stop' if attempt.next_token >= TOKENS else ''
         token = events.TokenArrived(
-            attempt_id, work.command.epoch, index, GOOD, finish
+            attempt_id, attempt.command.epoch, index, VALID_TEXT, finish
         )
-        self.apply(work.node, token)
+        self.apply(attempt.node, token)
 
     def list_open(self) -> list[str]:
-        """Return the attempts that their node still waits for."""
+        """Return the attempts that are open at their node."""
         return [
             attempt_id
             for router in self.routers
@@ -275,46 +283,52 @@
         ]
 
     def list_sent(self) -> list[str]:
-        """Return all model attempts that went out, even long ago."""
+        """Return all model attempts that were ever sent and not refused."""
         return [
             attempt_id
-            for attempt_id, work in self.work.items()
-            if work.sent and not (work.refused or work.command.is_service)
+            for attempt_id, attempt in self.attempts.items()
+            if attempt.sent
+            and not (attempt.refused or attempt.command.is_service)
         ]
 
     def list_waiting(self) -> list[str]:
-        """Return the requests whose callers still wait."""
+        """Return the requests whose callers are still waiting."""
         return [
             request_id
-            for request_id, asked in self.asked.items()
-            if not asked.ends and not asked.left
+            for request_id, request in self.requests.items()
+            if not request.outcomes and not request.has_left
         ]
 
-    def leave(self, endpoint: str) -> None:
-        """Let the platform's list say that an endpoint leaves."""
-        self.leaving.add(endpoint)
-        event = events.VmListRead(frozenset(), frozenset(self.leaving))
+    def mark_leaving(self, endpoint: str) -> None:
+        """Report an endpoint as leaving in the platform's VM list."""
+        self.leaving_endpoints.add(endpoint)
+        event = events.VmListRead(
+            frozenset(), frozenset(self.leaving_endpoints)
+        )
         for node in range(len(self.routers)):
             self.apply(node, event)
 
     def answer_probes(self, *, alive: bool) -> None:
-        """Answer every probe that is under way."""
+        """Answer every outstanding probe."""
         probes, self.probes = self.probes, []
         for node, endpoint in probes:
             self.apply(node, events.ProbeAnswered(endpoint, alive))
 
-    def write_claim(self, request_id: str, *, lose_reply: bool) -> None:
-        """Let the platform's service handle a claim."""
-        item = self.claims[request_id]
+    def commit_claim(self, request_id: str, *, lose_reply: bool) -> None:
+        """Commit a pending claim and deliver the verdict to its node.
+
+        With `lose_reply` the claim is committed, but no verdict delivered.
+        """
+        item = self.pending_claims[request_id]
         transaction = build_transaction(Batch([item.claim]), '')
         done = self.store.commit(transaction)
         if lose_reply:
             return
         verdicts, _ = read_verdicts([item.claim], done)
-        self.claims.pop(request_id)
+        self.pending_claims.pop(request_id)
         for verdict in verdicts:
             if verdict.state == 'won':
-                self.held[request_id] = item.claim
+                self.won_claims[request_id] = item.claim
                 self.apply(item.node, events.ClaimWon(request_id))
                 continue
             alive = verdict.holder not in self.dead_nodes
@@ -322,87 +336,104 @@
             self.apply(item.node, taken)
 
     def fail_claim(self, request_id: str) -> None:
-        """Let the writer give a claim up; nothing is sent for it."""
-        item = self.claims.pop(request_id)
+        """Fail a pending claim without sending it to the store."""
+        item = self.pending_claims.pop(request_id)
         self.apply(item.node, events.ClaimFailed(request_id))
 
-    def write_settlements(self) -> None:
-        """Let the platform's service record the outcomes so far."""
-        batch = Batch(settlements=self.settled)
+    def commit_settlements(self) -> None:
+        """Commit the outcomes of settled claims to the store."""
+        batch = Batch(settlements=self.unsaved_settlements)
         self.store.commit(build_transaction(batch, ''))
-        self.settled = []
+        self.unsaved_settlements = []
 
     def _carry_out(self, node: int, command: object) -> None:
         match command:
-            case told.OpenAttempt():
+            case core_commands.OpenAttempt():
                 self._open(node, command)
-            case told.CancelAttempt(attempt_id):
-                if attempt_id in self.work:
-                    self.work[attempt_id].cancelled = True
-            case told.DeliverToken(request_id, index, text):
-                expect(text == GOOD, f'{text} token delivered')
+            case core_commands.CancelAttempt(attempt_id):
+                if attempt_id in self.attempts:
+                    self.attempts[attempt_id].cancelled = True
+            case core_commands.DeliverToken(request_id, index, text):
+                expect(
+                    text == VALID_TEXT, f'delivered a token with text {text!r}'
+                )
                 self._deliver(request_id, index)
-            case told.FinishAnswer(request_id):
+            case core_commands.FinishAnswer(request_id):
                 self._finish(request_id)
-            case told.RefuseRequest(request_id, problem):
+            case core_commands.RefuseRequest(request_id, problem):
                 self._refuse(request_id, problem)
-            case told.ReplayAnswer(request_id):
-                self.asked[request_id].ends.append('replayed')
-            case told.WriteClaim(request_id):
-                claim = build_claim(command, self.holder(node), '/')
-                self.claims[request_id] = Told(node, claim)
-            case told.SettleClaim(request_id, outcome):
+            case core_commands.ReplayAnswer(request_id):
+                self.requests[request_id].outcomes.append('replayed')
+            case core_commands.WriteClaim(request_id):
+                claim = build_claim(command, self.get_process_id(node), '/')
+                self.pending_claims[request_id] = PendingClaim(node, claim)
+            case core_commands.SettleClaim(request_id, outcome):
                 self._settle(request_id, outcome)
-            case told.ProbeEndpoint(endpoint):
+            case core_commands.ProbeEndpoint(endpoint):
                 self.probes.append((node, endpoint))
 
     def _settle(self, request_id: str, outcome: Outcome) -> None:
-        claim = self.held.pop(request_id)
+        claim = self.won_claims.pop(request_id)
         if outcome is Outcome.NOT_RUN:
             self.store.commit(build_release(claim))
         else:
-            self.settled.append(Settlement(claim, outcome))
+            self.unsaved_settlements.append(Settlement(claim, outcome))
 
-    def _open(self, node: int, command: told.OpenAttempt) -> None:
-        expect(command.attempt_id not in self.work, 'attempt id again')
-        asked = self.asked[command.request_id]
-        expect(not asked.ends, f'work after the end: {asked}')
+    def _open(self, node: int, command: core_commands.OpenAttempt) -> None:
+        expect(command.attempt_id not in self.attempts, 'attempt id used twice')
+        request = self.requests[command.request_id]
+        expect(
+            not request.outcomes,
+            f'attempt opened after the final outcome: {request}',
+        )
         for stage in command.stages:
             expect(
-                stage.endpoint not in self.leaving,
-                f'new work to {stage.endpoint}, which is leaving',
+                stage.endpoint not in self.leaving_endpoints,
+                f'new attempt at leaving endpoint {stage.endpoint}',
             )
         if not command.is_service:
-            check_cover(command.stages, LAYERS)
+            check_coverage(command.stages, LAYERS)
             expect(
-                command.resume_at == len(asked.delivered),
-                f'resumed at {command.resume_at}: {asked}',
+                command.resume_at == len(request.delivered),
+                f'resumed at token {command.resume_at}: {request}',
             )
-        self.work[command.attempt_id] = Work(
+        self.attempts[command.attempt_id] = AttemptRecord(
             node, command, next_token=command.resume_at
         )
 
     def _deliver(self, request_id: str, index: int) -> None:
-        asked = self.asked[request_id]
-        expect(not asked.ends, f'a token after the end: {asked}')
-        expect(index == len(asked.delivered), f'token {index} of {asked}')
-        asked.delivered.append(index)
+        request = self.requests[request_id]
+        expect(
+            not request.outcomes,
+            f'token delivered after the final outcome: {request}',
+        )
+        expect(
+            index == len(request.delivered),
+            f'token {index} out of order: {request}',
+        )
+        request.delivered.append(index)
 
     def _finish(self, request_id: str) -> None:
-        asked = self.asked[request_id]
-        if asked.route in {'plans', 'fittings', 'once'}:
-            expect(len(asked.delivered) == TOKENS, f'not whole: {asked}')
-        asked.ends.append('answered')
-
-    def _refuse(self, request_id: str, problem: told.Problem) -> None:
-        asked = self.asked[request_id]
-        asked.ends.append(problem.outcome.value)
+        request = self.requests[request_id]
+        if request.route in {'plans', 'fittings', 'once'}:
+            expect(
+                len(request.delivered) == TOKENS,
+                f'response is incomplete: {request}',
+            )
+        request.outcomes.append('answered')
+
+    def _refuse(self, request_id: str, problem: core_commands.Problem) -> None:
+        request = self.requests[request_id]
+        request.outcomes.append(problem.outcome.value)
         if problem.outcome is not Outcome.NOT_RUN:
             return
         ran = any(
-            work.ran
-            for work in self.work.values()
-            if work.command.request_id == request_id
+            attempt.ran
+            for attempt in self.attempts.values()
+            if attempt.command.request_id == request_id
+        )
+        expect(not ran, f'reported as not executed, but was: {request}')
+        expect(
+            not request.delivered,
+            f'reported as not executed after tokens: {request}',
         )
-        expect(not ran, f'said not run, but it ran: {asked}')
-        expect(not asked.delivered, f'not run with tokens: {asked}')
