--- a/samphirerill/testing/chain.py
+++ b/samphirerill/testing/chain.py
@@ -1,8 +1,9 @@
-"""How the engine stand-ins pass a step's frame from stage to stage.
+"""Pipeline protocol between fake engines: one frame per generation step.
 
-A frame is one line of JSON on a connection that stays open. Each stage runs
-its layers, passes the frame on and sends the answer back the same way. Both
-protocols share the engine's port: a frame starts with ``{``, HTTP does not.
+A frame is one line of JSON on a persistent connection. Each stage runs its
+layers, forwards the frame to the next stage and returns the response on the
+same connection. Frames and HTTP share the engine's port: a frame starts with
+``{``, an HTTP request does not.
 """
 
 from __future__ import annotations
@@ -19,43 +20,43 @@
     from samphirerill.testing.httpd import Connection
 
 _FRAME_TIMEOUT_S = 0.3
-Path = tuple[tuple[str, int, int], ...]
-StageRun = list[Any]
+Pipeline = tuple[tuple[str, int, int], ...]
+StageExecution = list[Any]
 
 
 @dataclass(slots=True)
-class Work:
-    """What became of one frame: who ran which layers, and how long hops took.
+class FrameResult:
+    """Result of one frame: layers run by each stage, and the hop latencies.
 
-    `failed_stage` is the pipeline position that did not answer, or -1.
+    `failed_stage` is the index of the stage that did not respond, or -1.
     """
 
     address: str
     failed_stage: int = -1
-    layers: list[StageRun] = field(default_factory=list)
+    layers: list[StageExecution] = field(default_factory=list)
     hops_ms: list[float] = field(default_factory=list)
 
 
-class _Peer(asyncio.Protocol):
-    """The sending end of a connection to the next stage."""
+class _StageConnection(asyncio.Protocol):
+    """Client side of a connection to the next stage."""
 
     def __init__(self) -> None:
         self.transport: Any = None
         self.pending: dict[int, asyncio.Future[dict[str, Any]]] = {}
         self.closed = False
-        self._rest = b''
+        self._buffer = b''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        lines = (self._rest + data).split(b'\n')
-        self._rest = lines.pop()
+        lines = (self._buffer + data).split(b'\n')
+        self._buffer = lines.pop()
         for line in lines:
-            answer = json.loads(line)
-            fut = self.pending.pop(answer['frame'], None)
+            response = json.loads(line)
+            fut = self.pending.pop(response['frame'], None)
             if fut is not None and not fut.done():
-                fut.set_result(answer)
+                fut.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
@@ -64,114 +65,122 @@
                 fut.set_exception(ConnectionResetError())
 
 
-class Chain:
-    """Runs one stage's part of a frame and passes the rest on."""
+class StageRunner:
+    """Runs an engine's own stage and forwards frames to the next one."""
 
     def __init__(self) -> None:
-        self._peers: dict[str, _Peer] = {}
-        self._numbers = itertools.count()
+        self._connections: dict[str, _StageConnection] = {}
+        self._frame_numbers = itertools.count()
 
     async def run(
-        self, engine: EngineStandIn, path: Path, position: int, size: int
-    ) -> Work:
-        """Run the layers of one stage, then let the next ones run theirs."""
-        address, first, last = path[position]
+        self,
+        engine: EngineStandIn,
+        pipeline: Pipeline,
+        position: int,
+        size: int,
+    ) -> FrameResult:
+        """Run the layers of one stage, then those of the following stages."""
+        address, first, last = pipeline[position]
         await asyncio.sleep((last - first + 1) * engine.layer_ms / 1000)
         engine.counts['layers'] += size * (last - first + 1)
-        here = [engine.address, first, last]
-        if position + 1 == len(path):
-            return Work(address, layers=[here])
-        work = await self._pass_on(path, position + 1, size)
-        work.layers.insert(0, here)
-        return work
-
-    async def _pass_on(self, path: Path, position: int, size: int) -> Work:
-        """Send a frame on; a stage that fails or is silent is named."""
+        own_execution = [engine.address, first, last]
+        if position + 1 == len(pipeline):
+            return FrameResult(address, layers=[own_execution])
+        result = await self._forward(pipeline, position + 1, size)
+        result.layers.insert(0, own_execution)
+        return result
+
+    async def _forward(
+        self, pipeline: Pipeline, position: int, size: int
+    ) -> FrameResult:
+        """Forward a frame; the result names a stage that fails or times out."""
         started = time.monotonic()
-        number = next(self._numbers)
+        number = next(self._frame_numbers)
         frame = {
             'frame': number,
-            'path': path,
+            'path': pipeline,
             'position': position,
             'size': size,
         }
-        wait_s = _FRAME_TIMEOUT_S * (len(path) - position)
+        timeout_s = _FRAME_TIMEOUT_S * (len(pipeline) - position)
         try:
-            answer = await asyncio.wait_for(
-                self._ask(path[position][0], number, frame), wait_s
+            response = await asyncio.wait_for(
+                self._exchange(pipeline[position][0], number, frame), timeout_s
             )
         except (OSError, TimeoutError):
-            self._peers.pop(path[position][0], None)
-            return Work('', failed_stage=position)
+            self._connections.pop(pipeline[position][0], None)
+            return FrameResult('', failed_stage=position)
         spent_ms = (time.monotonic() - started) * 1000
-        hop_ms = max(0, spent_ms - answer['spent_ms'])
-        return Work(
+        hop_ms = max(0, spent_ms - response['spent_ms'])
+        return FrameResult(
             '',
-            answer['failed_stage'],
-            answer['layers'],
-            [hop_ms, *answer['hops_ms']],
+            response['failed_stage'],
+            response['layers'],
+            [hop_ms, *response['hops_ms']],
         )
 
-    async def _ask(
+    async def _exchange(
         self, address: str, number: int, frame: dict[str, Any]
     ) -> dict[str, Any]:
-        peer = self._peers.get(address)
+        connection = self._connections.get(address)
         loop = asyncio.get_running_loop()
-        if peer is None or peer.closed:
+        if connection is None or connection.closed:
             host, _, port = address.rpartition(':')
-            _, peer = await loop.create_connection(_Peer, host, int(port))
-            self._peers[address] = peer
+            _, connection = await loop.create_connection(
+                _StageConnection, host, int(port)
+            )
+            self._connections[address] = connection
         fut: asyncio.Future[dict[str, Any]] = loop.create_future()
-        peer.pending[number] = fut
-        peer.transport.write(json.dumps(frame).encode() + b'\n')
+        connection.pending[number] = fut
+        connection.transport.write(json.dumps(frame).encode() + b'\n')
         return await fut
 
 
 class StageServer:
     """Serves frames and HTTP on one port."""
 
-    def __init__(self, engine: EngineStandIn, chain: Chain) -> None:
+    def __init__(self, engine: EngineStandIn, chain: StageRunner) -> None:
         self._engine = engine
         self._chain = chain
 
-    def build_protocol(self, http: Connection) -> _EitherProtocol:
-        """Return a protocol that decides by the first byte."""
-        return _EitherProtocol(self, http)
+    def build_protocol(self, http: Connection) -> _ProtocolSwitch:
+        """Return a protocol that detects frames by the first byte."""
+        return _ProtocolSwitch(self, http)
 
-    async def answer(self, transport: Any, line: bytes) -> None:
-        """Run one frame and answer it."""
+    async def respond(self, transport: Any, line: bytes) -> None:
+        """Run one frame and send its response."""
         frame = json.loads(line)
         arrived = time.monotonic()
         faults = self._engine.faults
         if faults.frozen:
             return
-        path = tuple(tuple(stage) for stage in frame['path'])
+        pipeline = tuple(tuple(stage) for stage in frame['path'])
         if faults.link_ms:
             await asyncio.sleep(faults.link_ms / 1000)
             arrived = time.monotonic()
-        work = await self._chain.run(
-            self._engine, path, frame['position'], frame['size']
+        result = await self._chain.run(
+            self._engine, pipeline, frame['position'], frame['size']
         )
-        answer = {
+        response = {
             'frame': frame['frame'],
-            'failed_stage': work.failed_stage,
-            'layers': work.layers,
-            'hops_ms': work.hops_ms,
+            'failed_stage': result.failed_stage,
+            'layers': result.layers,
+            'hops_ms': result.hops_ms,
             'spent_ms': (time.monotonic() - arrived) * 1000,
         }
         if not transport.is_closing() and not faults.frozen:
-            transport.write(json.dumps(answer).encode() + b'\n')
+            transport.write(json.dumps(response).encode() + b'\n')
 
 
-class _EitherProtocol(asyncio.Protocol):
-    """Hands a connection to HTTP or, if it starts with ``{``, to frames."""
+class _ProtocolSwitch(asyncio.Protocol):
+    """Treats a connection as HTTP, or as frames if it starts with ``{``."""
 
     def __init__(self, stages: StageServer, http: Connection) -> None:
         self._stages = stages
         self._http = http
         self._transport: Any = None
         self._is_frames: bool | None = None
-        self._rest = b''
+        self._buffer = b''
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -184,11 +193,11 @@
         if not self._is_frames:
             self._http.data_received(data)
             return
-        lines = (self._rest + data).split(b'\n')
-        self._rest = lines.pop()
+        lines = (self._buffer + data).split(b'\n')
+        self._buffer = lines.pop()
         for line in lines:
-            work = self._stages.answer(self._transport, line)
-            task = asyncio.ensure_future(work)
+            handling = self._stages.respond(self._transport, line)
+            task = asyncio.ensure_future(handling)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -196,5 +205,5 @@
         self._http.connection_lost(exc)
 
     def abort(self) -> None:
-        """Drop the connection without a word."""
+        """Abort the connection without a response."""
         self._transport.abort()
--- a/samphirerill/testing/engine.py
+++ b/samphirerill/testing/engine.py
@@ -1,14 +1,14 @@
-"""A stand-in for a model engine that holds a range of layers.
+"""A fake model engine that serves a range of layers.
 
-Callers of an engine speak the completions protocol with server-sent events.
-Beside the usual fields, the body's ``samphirerill`` object carries the attempt
-id, the epoch, the whole pipeline and the index to resume at. The first stage
-of a pipeline batches its sequences: once each ``step_ms`` it sends one frame
-through the other stages, each of which runs its layers, and then streams one
-token of each sequence. A token's text depends on the prompt and its index
-alone, so that a test knows the right answer.
+Clients use the completions protocol with server-sent events. In addition to the
+usual fields, the ``samphirerill`` object of the body contains the attempt id, the
+epoch, the whole pipeline and the token index to resume at. The first stage of a
+pipeline batches its sequences: every ``step_ms`` it sends one frame through the
+other stages, each of which runs its layers, and then streams one token of each
+sequence. A token's text depends only on the prompt and the token's index, so
+that tests can compute the expected response.
 
-``POST /control`` makes an engine misbehave; see :class:`Faults`.
+``POST /control`` injects faults; see :class:`Faults`.
 """
 
 from __future__ import annotations
@@ -21,9 +21,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.testing.chain import Chain, Path, StageServer, Work
+from samphirerill.testing.chain import (
+    FrameResult,
+    Pipeline,
+    StageRunner,
+    StageServer,
+)
 from samphirerill.testing.httpd import Connection
-from samphirerill.testing.order_taker import OrderTaker
+from samphirerill.testing.order_taker import OrderHandler
 from samphirerill.testing.prefix_cache import PrefixCache
 
 if TYPE_CHECKING:
@@ -58,17 +63,17 @@
     'pin',
 ]
 _KEEP_ALIVE_S = 0.1
-_HOPS_EVERY = 8
+_HOPS_INTERVAL_TOKENS = 8
 
 
 @dataclass(slots=True)
 class Faults:
-    """How an engine misbehaves.
+    """Faults to inject into an engine.
 
-    `frozen` accepts and never answers; `refuse` runs nothing and says so
-    with this detail; `crossed` sends another attempt's tokens;
-    `repeat` sends each token twice; `die_after` drops everything after that
-    many more tokens; `link_ms` adds to the time of each frame received.
+    `frozen`: accept connections and never respond; `refuse`: refuse requests
+    as not executed, with this reason; `crossed`: label tokens with another
+    attempt's id; `repeat`: send each token twice; `die_after`: crash after
+    that many more tokens; `link_ms`: additional latency of received frames.
     """
 
     frozen: bool = False
@@ -81,7 +86,7 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """One answer in generation at the first stage."""
+    """One response that the first stage generates."""
 
     attempt: str
     epoch: int
@@ -90,30 +95,30 @@
     index: int
     end: int
     priority: int
-    path: Path
+    pipeline: Pipeline
     is_chat: bool
     trace: bool
     connection: Connection
-    work: Work = field(default_factory=lambda: Work('', 0))
+    result: FrameResult = field(default_factory=lambda: FrameResult('', 0))
 
 
 def make_token(prompt: str, index: int) -> str:
-    """Return the text of a token; the same for every engine and attempt."""
-    pick = zlib.crc32(f'{prompt}/{index}'.encode()) % len(_WORDS)
-    return f'{_WORDS[pick]} '
+    """Return the text of a token, which is the same on every engine."""
+    word_index = zlib.crc32(f'{prompt}/{index}'.encode()) % len(_WORDS)
+    return f'{_WORDS[word_index]} '
 
 
 class EngineStandIn:
-    """One engine behind one port.
+    """A fake engine on one port.
 
     Parameters
     ----------
     slots : int
-        How many sequences it generates at once as a first stage.
+        Maximum number of concurrent sequences as a first stage.
     step_ms : float
-        The least time between two tokens of a sequence.
+        Minimum time between two tokens of a sequence.
     layer_ms : float
-        The time one layer takes for one frame.
+        Time that one layer takes for one frame.
     """
 
     def __init__(
@@ -126,60 +131,60 @@
         self.counts: Counter[str] = Counter()
         self.prompts: set[str] = set()
         self.cache = PrefixCache()
-        self.orders = OrderTaker()
+        self.orders = OrderHandler()
         self.last_start = 0.0
         self.address = ''
-        self._running: dict[Path, list[Sequence]] = {}
+        self._running: dict[Pipeline, list[Sequence]] = {}
         self._waiting: list[Sequence] = []
-        self._chain = Chain()
-        self._stages = StageServer(self, self._chain)
+        self._stage_runner = StageRunner()
+        self._stages = StageServer(self, self._stage_runner)
         self._server: asyncio.Server | None = None
-        self._open: set[Any] = set()
+        self._protocols: set[Any] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, host: str, port: int) -> str:
-        """Listen and return the address; port 0 picks a free one."""
+        """Start listening and return the address; port 0 picks a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._connect, host, port)
         name = self._server.sockets[0].getsockname()
         self.address = f'{name[0]}:{name[1]}'
         return self.address
 
-    def die(self) -> None:
-        """Close the port and drop every connection, as a killed VM does."""
+    def crash(self) -> None:
+        """Close the port and abort every connection, like a killed VM."""
         if self._server is not None:
             self._server.close()
-        for protocol in tuple(self._open):
+        for protocol in tuple(self._protocols):
             protocol.abort()
         self._running.clear()
         self._waiting.clear()
 
     def running(self) -> int:
-        """Return how many sequences are in generation."""
+        """Return the number of sequences being generated."""
         return sum(len(group) for group in self._running.values())
 
     async def handle(self, request: Request) -> None:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         if request.path == '/control':
-            await self._control(request)
+            await self._apply_control(request)
         elif self.faults.frozen:
             self.counts['ignored'] += 1
         elif request.path.startswith('/v1/'):
             self._start_sequence(request)
         elif request.path == '/orders':
-            status = self.orders.take(request.read_json())
+            status = self.orders.apply(request.read_json())
             request.connection.answer_json({'status': status}, status)
         else:
             request.connection.answer_json(self._describe(request.path))
 
-    async def _control(self, request: Request) -> None:
-        orders = request.read_json()
-        if orders.pop('die', False):
+    async def _apply_control(self, request: Request) -> None:
+        changes = request.read_json()
+        if changes.pop('die', False):
             request.connection.answer_json({'ok': True})
             await asyncio.sleep(0)
-            self.die()
+            self.crash()
             return
-        for name, setting in orders.items():
+        for name, setting in changes.items():
             setattr(self.faults, name, setting)
         request.connection.answer_json({'ok': True})
 
@@ -199,63 +204,68 @@
             'endpoint-load-metrics': json.dumps(self._describe_load()),
         }
         request.connection.start_chunks(headers)
-        request.connection.on_close = lambda: self._forget(sequence)
+        request.connection.on_close = lambda: self._cancel(sequence)
         self._waiting.append(sequence)
         self._waiting.sort(key=lambda item: item.priority)
         self._admit()
         if sequence in self._waiting:
-            self._keep(self._comfort(sequence))
+            self._spawn(self._send_keep_alives(sequence))
 
     def _admit(self) -> None:
         while self._waiting and self.running() < self.slots:
             sequence = self._waiting.pop(0)
-            group = self._running.setdefault(sequence.path, [])
+            group = self._running.setdefault(sequence.pipeline, [])
             group.append(sequence)
             if len(group) == 1:
-                self._keep(self._generate(sequence.path, group))
+                self._spawn(self._generate(sequence.pipeline, group))
 
-    def _keep(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _comfort(self, sequence: Sequence) -> None:
-        """Tell a waiting caller that the engine is there."""
+    async def _send_keep_alives(self, sequence: Sequence) -> None:
+        """Send keep-alive comments while a sequence waits for a slot."""
         while sequence in self._waiting:
             if not self.faults.frozen:
                 sequence.connection.send_chunk(b': waiting\n\n')
             await asyncio.sleep(_KEEP_ALIVE_S)
 
-    async def _generate(self, path: Path, group: list[Sequence]) -> None:
-        """Run steps until no sequence of this pipeline is left."""
-        while group and self._running.get(path) is group:
+    async def _generate(
+        self, pipeline: Pipeline, group: list[Sequence]
+    ) -> None:
+        """Run generation steps until the pipeline has no more sequences."""
+        while group and self._running.get(pipeline) is group:
             started = time.monotonic()
             batch = tuple(group)
-            work = await self._chain.run(self, path, 0, len(batch))
+            result = await self._stage_runner.run(self, pipeline, 0, len(batch))
             if not self.faults.frozen:
-                self._emit_step(group, batch, work)
+                self._emit_step(group, batch, result)
             spent_s = time.monotonic() - started
             await asyncio.sleep(max(0, self.step_s - spent_s))
-        if self._running.get(path) is group:
-            self._running.pop(path)
+        if self._running.get(pipeline) is group:
+            self._running.pop(pipeline)
         self._admit()
 
     def _emit_step(
-        self, group: list[Sequence], batch: tuple[Sequence, ...], work: Work
+        self,
+        group: list[Sequence],
+        batch: tuple[Sequence, ...],
+        result: FrameResult,
     ) -> None:
-        if work.failed_stage >= 0:
-            self._report_failure(group, work.failed_stage)
+        if result.failed_stage >= 0:
+            self._report_stage_failure(group, result.failed_stage)
             return
         for sequence in batch:
             if sequence in group:
-                self._emit(sequence, group, work)
+                self._emit(sequence, group, result)
 
     def _emit(
-        self, sequence: Sequence, group: list[Sequence], work: Work
+        self, sequence: Sequence, group: list[Sequence], result: FrameResult
     ) -> None:
-        if self._count_down_to_death():
+        if self._crash_if_due():
             return
-        chunk = self._build_chunk(sequence, work)
+        chunk = self._build_chunk(sequence, result)
         sequence.connection.send_chunk(chunk)
         if self.faults.repeat:
             sequence.connection.send_chunk(chunk)
@@ -268,15 +278,15 @@
             sequence.connection.send_chunk(b'')
             self._admit()
 
-    def _count_down_to_death(self) -> bool:
+    def _crash_if_due(self) -> bool:
         if self.faults.die_after > 0:
             self.faults.die_after -= 1
         elif self.faults.die_after == 0:
-            self.die()
+            self.crash()
             return True
         return False
 
-    def _build_chunk(self, sequence: Sequence, work: Work) -> bytes:
+    def _build_chunk(self, sequence: Sequence, result: FrameResult) -> bytes:
         attempt = sequence.attempt
         if self.faults.crossed:
             attempt = f'{attempt}-other'
@@ -297,12 +307,12 @@
             'choices': [choice],
         }
         if sequence.trace:
-            chunk['layers'] = work.layers
-        if sequence.index % _HOPS_EVERY == 0:
-            chunk['hops_ms'] = work.hops_ms
+            chunk['layers'] = result.layers
+        if sequence.index % _HOPS_INTERVAL_TOKENS == 0:
+            chunk['hops_ms'] = result.hops_ms
         return b'data: %b\n\n' % json.dumps(chunk).encode()
 
-    def _report_failure(self, group: list[Sequence], stage: int) -> None:
+    def _report_stage_failure(self, group: list[Sequence], stage: int) -> None:
         refusal = {'error': {'code': 'stage_failed', 'stage': stage}}
         body = b'data: %b\n\n' % json.dumps(refusal).encode()
         for sequence in tuple(group):
@@ -311,9 +321,9 @@
             sequence.connection.send_chunk(b'')
         group.clear()
 
-    def _forget(self, sequence: Sequence) -> None:
-        """Stop a sequence whose caller closed its connection."""
-        group = self._running.get(sequence.path, [])
+    def _cancel(self, sequence: Sequence) -> None:
+        """Cancel a sequence whose client closed its connection."""
+        group = self._running.get(sequence.pipeline, [])
         if sequence in group:
             group.remove(sequence)
             self.counts['cancelled'] += 1
@@ -327,14 +337,17 @@
             return self.orders.describe()
         if path.startswith('/load'):
             after = int(path.partition('cache_after=')[2] or 0)
-            return {**self._describe_load(), 'cache': self.cache.tell(after)}
+            return {
+                **self._describe_load(),
+                'cache': self.cache.list_events(after),
+            }
         if path != '/stats':
             return {'healthy': True}
         return {
             **self.counts,
             'last_start': self.last_start,
-            'orders': self.orders.taken,
-            'most_loads': OrderTaker.most_loads,
+            'orders': self.orders.accepted,
+            'most_loads': OrderHandler.max_concurrent_loads,
             'prompts': sorted(self.prompts),
         }
 
@@ -344,7 +357,7 @@
 
     def _connect(self) -> asyncio.Protocol:
         protocol = self._stages.build_protocol(Connection(self.handle))
-        self._open.add(protocol)
+        self._protocols.add(protocol)
         return protocol
 
 
@@ -355,7 +368,7 @@
     prompt = body.get('prompt', '')
     if is_chat:
         prompt = '\n'.join(turn['content'] for turn in body['messages'])
-    path = tuple(
+    pipeline = tuple(
         (stage['address'], stage['first'], stage['last'])
         for stage in plan['stages']
     )
@@ -367,7 +380,7 @@
         index=plan['resume_at'],
         end=int(body.get('max_tokens', 16)),
         priority=int(body.get('priority', 0)),
-        path=path,
+        pipeline=pipeline,
         is_chat=is_chat,
         trace=bool(plan.get('trace')),
         connection=request.connection,
--- a/samphirerill/testing/host.py
+++ b/samphirerill/testing/host.py
@@ -1,11 +1,11 @@
-"""Run stand-ins in one process until its standard input closes.
+"""Run fakes in one process until its standard input closes.
 
 The specification is a JSON object::
 
     {"kv": true, "vm_list": true, "services": ["s1"],
      "engines": {"e1": {"slots": 8, "step_ms": 26, "layer_ms": 0.1}}}
 
-When all listen, one line of JSON names their addresses.
+Once all of them listen, their addresses are printed as one line of JSON.
 """
 
 from __future__ import annotations
@@ -16,37 +16,46 @@
 from typing import Any
 
 from samphirerill.testing.engine import EngineStandIn
-from samphirerill.testing.kv import KeyValueStandIn
-from samphirerill.testing.services import ServiceStandIn, VmListStandIn
+from samphirerill.testing.kv import FakeKeyValueService
+from samphirerill.testing.services import FakeService, FakeVmList
 
 _HOST = '127.0.0.1'
 
 
 async def start_stand_ins(spec: dict[str, Any]) -> dict[str, Any]:
-    """Start what the specification names; return the addresses."""
-    found: dict[str, Any] = {}
+    """Start the specified fakes; return their addresses."""
+    addresses: dict[str, Any] = {}
     if spec.get('kv'):
-        found['kv'] = _name(await KeyValueStandIn().start(_HOST, 0))
+        addresses['kv'] = _get_address(
+            await FakeKeyValueService().start(_HOST, 0)
+        )
     if spec.get('vm_list'):
         lag_s = spec.get('vm_list_lag_s', 0)
-        found['vm_list'] = _name(await VmListStandIn(lag_s).start(_HOST, 0))
+        addresses['vm_list'] = _get_address(
+            await FakeVmList(lag_s).start(_HOST, 0)
+        )
     services = spec.get('services', ())
     servers = await asyncio.gather(
-        *(ServiceStandIn().start(_HOST, 0) for _ in services)
+        *(FakeService().start(_HOST, 0) for _ in services)
+    )
+    addresses['services'] = dict(
+        zip(services, map(_get_address, servers), strict=True)
     )
-    found['services'] = dict(zip(services, map(_name, servers), strict=True))
     engines = spec.get('engines', {})
-    addresses = await asyncio.gather(
-        *(EngineStandIn(**shape).start(_HOST, 0) for shape in engines.values())
+    engine_addresses = await asyncio.gather(
+        *(
+            EngineStandIn(**options).start(_HOST, 0)
+            for options in engines.values()
+        )
     )
-    found['engines'] = dict(zip(engines, addresses, strict=True))
-    return found
+    addresses['engines'] = dict(zip(engines, engine_addresses, strict=True))
+    return addresses
 
 
 async def run_host(spec: dict[str, Any]) -> None:
-    """Start the stand-ins, print their addresses, serve until told to end."""
-    found = await start_stand_ins(spec)
-    sys.stdout.write(f'{json.dumps(found)}\n')
+    """Start the fakes, print their addresses, serve until stdin closes."""
+    addresses = await start_stand_ins(spec)
+    sys.stdout.write(f'{json.dumps(addresses)}\n')
     sys.stdout.flush()
     loop = asyncio.get_running_loop()
     await loop.run_in_executor(None, sys.stdin.read)
@@ -57,7 +66,7 @@
     asyncio.run(run_host(json.loads(sys.argv[1])))
 
 
-def _name(server: asyncio.Server) -> str:
+def _get_address(server: asyncio.Server) -> str:
     host, port = server.sockets[0].getsockname()[:2]
     return f'{host}:{port}'
 
--- a/samphirerill/testing/httpd.py
+++ b/samphirerill/testing/httpd.py
@@ -1,6 +1,6 @@
-"""A small HTTP/1.1 server for the stand-ins, on asyncio and httptools.
+"""A small HTTP/1.1 server for fakes, on asyncio and httptools.
 
-Only stand-ins use it; the nodes' own HTTP is served by CherryPy.
+Nodes do not use it; their own HTTP server is CherryPy.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request, whole; `headers` has lower-case names."""
+    """A complete request; header names are lower-case."""
 
     method: str
     path: str
@@ -33,12 +33,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection; requests on it are handled one after the other.
+    """A server connection that handles its requests sequentially.
 
     Parameters
     ----------
     handler : callable
-        Awaited with each request; answers by the connection's methods.
+        Awaited with each request; responds through the connection's methods.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -51,38 +51,38 @@
         self._reset()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start handling the connection's requests."""
+        """Start handling requests."""
         self.transport = transport
         self._task = asyncio.ensure_future(self._serve())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop; tell whoever streams on this connection."""
+        """Stop handling requests and call `on_close`."""
         self.closed = True
         self._task.cancel()
         if self.on_close is not None:
             self.on_close()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser."""
+        """Feed the parser; close the connection on invalid input."""
         try:
             self._parser.feed_data(data)
         except HttpParserError:
             self.transport.close()
 
     def on_url(self, url: bytes) -> None:
-        """Take the request's target."""
+        """Add a part of the request target."""
         self._url += url.decode()
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Take one header."""
+        """Add a header."""
         self._headers[name.decode().lower()] = text.decode('latin-1')
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Add a part of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Queue the whole request."""
+        """Queue the complete request."""
         method = self._parser.get_method().decode()
         request = Request(
             method, self._url, self._headers, bytes(self._body), self
@@ -93,7 +93,7 @@
     def answer(
         self, status: int, body: bytes, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         lines = [f'HTTP/1.1 {status} Status', f'Content-Length: {len(body)}']
         lines.extend(_format_headers(headers))
         head = '\r\n'.join([*lines, '', '']).encode()
@@ -101,24 +101,24 @@
             self.transport.write(head + body)
 
     def answer_json(self, document: Any, status: int = 200) -> None:
-        """Send a whole JSON answer."""
+        """Send a complete JSON response."""
         body = json.dumps(document).encode()
         self.answer(status, body, {'Content-Type': 'application/json'})
 
     def start_chunks(self, headers: dict[str, str] | None = None) -> None:
-        """Send the head of a chunked answer."""
+        """Send the head of a chunked response."""
         lines = ['HTTP/1.1 200 OK', 'Transfer-Encoding: chunked']
         lines.extend(_format_headers(headers))
         if not self.closed:
             self.transport.write('\r\n'.join([*lines, '', '']).encode())
 
     def send_chunk(self, body: bytes) -> None:
-        """Send one chunk; an empty one ends the answer."""
+        """Send one chunk; an empty chunk ends the response."""
         if not self.closed:
             self.transport.write(b'%x\r\n%b\r\n' % (len(body), body))
 
     def abort(self) -> None:
-        """Drop the connection without a word."""
+        """Abort the connection without a response."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/samphirerill/testing/kv.py
+++ b/samphirerill/testing/kv.py
@@ -1,9 +1,9 @@
-"""A stand-in for the platform's key-value service.
+"""A fake of the platform's key-value service.
 
-It speaks the JSON form of the etcd v3 API. ``POST /control`` makes it
-misbehave: ``down`` refuses all, ``silent`` never answers, ``slow_s`` delays,
-``lose_replies`` carries out that many writes and drops their answers.
-``GET /stats`` counts the calls, a waiting watch as one.
+It implements the JSON form of the etcd v3 API. ``POST /control`` injects faults:
+``down`` aborts all connections, ``silent`` never responds, ``slow_s`` delays
+responses, ``lose_replies`` applies that many writes without responding.
+``GET /stats`` returns call counts; a watch counts as one call.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.testing.httpd import Connection
-from samphirerill.testing.kv_rules import RefusedError, Rules
+from samphirerill.testing.kv_rules import InvalidCallError, Rules
 
 if TYPE_CHECKING:
     from samphirerill.testing.httpd import Request
 
-_EXPIRE_EVERY_S = 0.1
+_EXPIRY_INTERVAL_S = 0.1
 _WRITES = frozenset(
     (
         '/v3/kv/put',
@@ -34,30 +34,30 @@
 )
 
 
-class KeyValueStandIn:
-    """The service behind one listening port."""
+class FakeKeyValueService:
+    """The key-value service on one port."""
 
     def __init__(self) -> None:
         self.rules = Rules()
         self.calls: Counter[str] = Counter()
-        self.by_second: dict[int, Counter[str]] = defaultdict(Counter)
+        self.calls_by_second: dict[int, Counter[str]] = defaultdict(Counter)
         self.down = False
         self.silent = False
         self.slow_s = 0.0
         self.lose_replies = 0
         self._changed = asyncio.Event()
-        self._open: set[Connection] = set()
+        self._connections: set[Connection] = set()
 
     async def start(self, host: str, port: int) -> asyncio.Server:
-        """Listen; port 0 picks a free one."""
+        """Start listening; port 0 picks a free port."""
         loop = asyncio.get_running_loop()
         self._expiry = asyncio.ensure_future(self._expire_leases())
         return await loop.create_server(self._connect, host, port)
 
     async def handle(self, request: Request) -> None:
-        """Answer one call."""
+        """Handle one API call."""
         if request.path == '/control':
-            self._control(request)
+            self._apply_control(request)
         elif request.path == '/stats':
             request.connection.answer_json(self._describe())
         elif self.down:
@@ -67,24 +67,24 @@
 
     def _connect(self) -> Connection:
         connection = Connection(self.handle)
-        self._open.add(connection)
+        self._connections.add(connection)
         return connection
 
     async def _answer(self, request: Request) -> None:
         if self.slow_s:
             await asyncio.sleep(self.slow_s)
         is_write = request.path in _WRITES
-        self._count(request.path, is_write=is_write)
+        self._count_call(request.path, is_write=is_write)
         if request.path == '/v3/watch':
             await self._watch(request)
             return
         try:
             document = self._run(request.path, request.read_json())
-        except RefusedError as exc:
+        except InvalidCallError as exc:
             refusal = {'error': str(exc), 'code': 3, 'message': str(exc)}
             request.connection.answer_json(refusal, 400)
             return
-        self._wake_watches()
+        self._notify_watches()
         if is_write and self.lose_replies > 0:
             self.lose_replies -= 1
             request.connection.abort()
@@ -98,16 +98,16 @@
             return self.rules.grant(call, now)
         if path == '/v3/lease/keepalive':
             return self.rules.keep_alive(call, now)
-        plain = {
+        handlers = {
             '/v3/kv/range': self.rules.find_range,
             '/v3/kv/put': self.rules.put,
             '/v3/kv/txn': self.rules.run_txn,
             '/v3/kv/deleterange': self.rules.delete,
             '/v3/lease/revoke': self.rules.revoke,
         }
-        if path not in plain:
-            raise RefusedError(f'unknown path {path}')
-        return plain[path](call)
+        if path not in handlers:
+            raise InvalidCallError(f'unknown path {path}')
+        return handlers[path](call)
 
     async def _watch(self, request: Request) -> None:
         call = request.read_json()['create_request']
@@ -124,10 +124,10 @@
                 start = self.rules.revision + 1
                 if found:
                     self._send_watch(connection, {'events': found})
-            await self._wait_change(changed)
+            await self._wait_for_change(changed)
         connection.abort()
 
-    async def _wait_change(self, changed: asyncio.Event) -> None:
+    async def _wait_for_change(self, changed: asyncio.Event) -> None:
         with suppress(TimeoutError):
             await asyncio.wait_for(changed.wait(), timeout=1)
 
@@ -138,34 +138,34 @@
         body = {'result': {'header': header, **document}}
         connection.send_chunk(json.dumps(body).encode() + b'\n')
 
-    def _wake_watches(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _control(self, request: Request) -> None:
-        orders = request.read_json()
-        for name, setting in orders.items():
+    def _apply_control(self, request: Request) -> None:
+        changes = request.read_json()
+        for name, setting in changes.items():
             setattr(self, name, setting)
         if self.down:
-            self._drop_all(request.connection)
-        self._wake_watches()
+            self._abort_connections(request.connection)
+        self._notify_watches()
         request.connection.answer_json({'ok': True})
 
-    def _drop_all(self, spared: Connection) -> None:
-        for connection in tuple(self._open):
+    def _abort_connections(self, excluded: Connection) -> None:
+        for connection in tuple(self._connections):
             if connection.closed:
-                self._open.discard(connection)
-            elif connection is not spared:
+                self._connections.discard(connection)
+            elif connection is not excluded:
                 connection.abort()
 
-    def _count(self, path: str, *, is_write: bool) -> None:
+    def _count_call(self, path: str, *, is_write: bool) -> None:
         kind = 'writes' if is_write else 'reads'
         self.calls[kind] += 1
         self.calls[path] += 1
-        self.by_second[int(time.monotonic())][kind] += 1
+        self.calls_by_second[int(time.monotonic())][kind] += 1
 
     def _describe(self) -> dict[str, Any]:
-        seconds = list(self.by_second.values())
+        seconds = list(self.calls_by_second.values())
         return {
             'calls': dict(self.calls),
             'most_writes_in_a_second': max(
@@ -179,8 +179,8 @@
 
     async def _expire_leases(self) -> None:
         while True:
-            await asyncio.sleep(_EXPIRE_EVERY_S)
+            await asyncio.sleep(_EXPIRY_INTERVAL_S)
             before = self.rules.revision
             self.rules.expire(time.monotonic())
             if self.rules.revision != before:
-                self._wake_watches()
+                self._notify_watches()
--- a/samphirerill/testing/kv_rules.py
+++ b/samphirerill/testing/kv_rules.py
@@ -1,7 +1,7 @@
-"""The rules of the key-value stand-in: revisions, transactions, leases.
+"""In-memory etcd model: revisions, transactions, leases and watches.
 
-The subset of the etcd v3 API that the project uses. Numbers travel as strings
-and keys and values as base64, as in that API's JSON form.
+Implements the subset of the etcd v3 API that the project uses. As in that API's
+JSON form, numbers are strings, and keys and values are base64.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 MAX_VALUE = 1_048_576
 
 
-class RefusedError(Exception):
-    """The service refuses a call, as the real one would."""
+class InvalidCallError(Exception):
+    """The call is invalid; the message is that of etcd."""
 
 
 @dataclass(slots=True)
 class Entry:
-    """One key's present value; all strings stay in base64."""
+    """Current value of a key, in base64, and its revisions."""
 
     text: str
     create_revision: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """One change for watchers; `entry` is nothing for a deletion."""
+    """A change to report to watches; `entry` is None for a deletion."""
 
     revision: int
     key: str
@@ -39,7 +39,7 @@
 
 
 class Rules:
-    """The state of the service, changed by one call at a time."""
+    """State of the service; calls are applied one at a time."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -49,7 +49,7 @@
         self._next_lease = 1000
 
     def find_range(self, call: Json) -> Json:
-        """Answer a range call."""
+        """Return the entries of a key range."""
         keys = self._select(call)
         limit = int(call.get('limit', 0)) or len(keys)
         found = [self._describe(key) for key in keys[:limit]]
@@ -59,10 +59,10 @@
         """Set one key."""
         text = call.get('value', '')
         if len(text) * 3 // 4 > MAX_VALUE:
-            raise RefusedError('etcdserver: request is too large')
+            raise InvalidCallError('etcdserver: request is too large')
         lease = str(call.get('lease', '0'))
         if lease != '0' and lease not in self.leases:
-            raise RefusedError('etcdserver: requested lease not found')
+            raise InvalidCallError('etcdserver: requested lease not found')
         key = _decode(call['key'])
         self.revision += 1
         old = self.entries.get(key)
@@ -74,7 +74,7 @@
             lease,
         )
         self.entries[key] = entry
-        self._note(key, entry)
+        self._log_change(key, entry)
         return {}
 
     def delete(self, call: Json) -> Json:
@@ -83,16 +83,18 @@
         for key in keys:
             self.revision += 1
             self.entries.pop(key)
-            self._note(key, None)
+            self._log_change(key, None)
         return {'deleted': str(len(keys))}
 
     def run_txn(self, call: Json) -> Json:
-        """Compare, then carry out one of two lists of operations."""
-        held = all(self._compare(item) for item in call.get('compare', ()))
-        steps = call.get('success' if held else 'failure', ())
+        """Run the success or failure operations, depending on the comparisons."""
+        succeeded = all(self._compare(item) for item in call.get('compare', ()))
+        operations = call.get('success' if succeeded else 'failure', ())
         return {
-            'succeeded': held,
-            'responses': [self._run_step(step) for step in steps],
+            'succeeded': succeeded,
+            'responses': [
+                self._run_operation(operation) for operation in operations
+            ],
         }
 
     def grant(self, call: Json, now: float) -> Json:
@@ -104,7 +106,7 @@
         return {'ID': name, 'TTL': str(int(ttl_s))}
 
     def keep_alive(self, call: Json, now: float) -> Json:
-        """Renew a lease; TTL 0 says that it is gone."""
+        """Renew a lease; a TTL of 0 in the response means that it expired."""
         name = str(call['ID'])
         if name not in self.leases:
             return {'result': {'ID': name, 'TTL': '0'}}
@@ -113,24 +115,24 @@
         return {'result': {'ID': name, 'TTL': str(int(ttl_s))}}
 
     def revoke(self, call: Json) -> Json:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         name = str(call['ID'])
         self.leases.pop(name, None)
         for key, entry in tuple(self.entries.items()):
             if entry.lease == name:
                 self.revision += 1
                 self.entries.pop(key)
-                self._note(key, None)
+                self._log_change(key, None)
         return {}
 
     def expire(self, now: float) -> None:
-        """End the leases whose time has come."""
+        """Revoke all leases whose deadline has passed."""
         for name, (deadline, _) in tuple(self.leases.items()):
             if deadline <= now:
                 self.revoke({'ID': name})
 
     def list_changes(self, call: Json) -> list[Json]:
-        """Return the events a watch has to send, from its start revision."""
+        """Return the watch events of a range from a start revision."""
         start = int(call.get('start_revision', 0))
         first, last = _find_bounds(call)
         return [
@@ -139,8 +141,8 @@
             if change.revision >= start and first <= key < last
         ]
 
-    def _run_step(self, step: Json) -> Json:
-        kind, call = next(iter(step.items()))
+    def _run_operation(self, operation: Json) -> Json:
+        kind, call = next(iter(operation.items()))
         run = {
             'request_put': self.put,
             'request_range': self.find_range,
@@ -159,10 +161,10 @@
             'VERSION': 'version',
         }[item['target']]
         actual = getattr(entry, field) if entry else 0
-        wanted = int(item.get(field, 0))
+        expected = int(item.get(field, 0))
         if item.get('result', 'EQUAL') == 'GREATER':
-            return actual > wanted
-        return actual == wanted
+            return actual > expected
+        return actual == expected
 
     def _select(self, call: Json) -> list[bytes]:
         first, last = _find_bounds(call)
@@ -173,7 +175,7 @@
     def _describe(self, key: bytes) -> Json:
         return _describe_entry(_encode(key), self.entries[key])
 
-    def _note(self, key: bytes, entry: Entry | None) -> None:
+    def _log_change(self, key: bytes, entry: Entry | None) -> None:
         change = Change(self.revision, _encode(key), entry)
         self.changes.append((key, change))
 
@@ -197,8 +199,8 @@
 
 def _describe_change(change: Change) -> Json:
     if change.entry is None:
-        gone = {'key': change.key, 'mod_revision': str(change.revision)}
-        return {'type': 'DELETE', 'kv': gone}
+        deleted = {'key': change.key, 'mod_revision': str(change.revision)}
+        return {'type': 'DELETE', 'kv': deleted}
     return {'kv': _describe_entry(change.key, change.entry)}
 
 
--- a/samphirerill/testing/layout.py
+++ b/samphirerill/testing/layout.py
@@ -1,4 +1,4 @@
-"""Small configurations for stand-ins: which engine holds which layers."""
+"""Layouts of fake engines and services, and their configurations."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class EngineShape:
-    """One engine of a layout."""
+    """Layer range and performance of one engine."""
 
     first: int
     last: int
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Layout:
-    """Engines by name, plain services, and the limits in force."""
+    """Fake engines and services, with limits, accounts and routes."""
 
     layers: int
     engines: dict[str, EngineShape]
@@ -38,7 +38,7 @@
     routes: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     def to_spec(self) -> dict[str, Any]:
-        """Return what the stand-ins' host needs to know."""
+        """Return the specification for `samphirerill.testing.host`."""
         return {
             'kv': True,
             'vm_list': True,
@@ -55,7 +55,7 @@
         }
 
     def to_document(self, addresses: dict[str, Any]) -> dict[str, Any]:
-        """Return the configuration for stand-ins at these addresses."""
+        """Return the router configuration for fakes at these addresses."""
         endpoints = {
             name: self._describe_engine(name, address)
             for name, address in addresses['engines'].items()
@@ -67,7 +67,7 @@
                 'data_centre': 'a',
                 'slots': 64,
             }
-        routes = {**self._default_routes(), **self.routes}
+        routes = {**self._build_default_routes(), **self.routes}
         return {
             'models': {'strength': {'layers': self.layers}},
             'endpoints': endpoints,
@@ -88,7 +88,7 @@
             'layer_ms': shape.layer_ms,
         }
 
-    def _default_routes(self) -> dict[str, dict[str, Any]]:
+    def _build_default_routes(self) -> dict[str, dict[str, Any]]:
         routes: dict[str, dict[str, Any]] = {
             'plans': {'kind': 'model', 'model': 'strength'},
             'fittings': {
@@ -120,7 +120,7 @@
 
 
 def build_three_stages(replicas: int = 2, **shape: Any) -> Layout:
-    """Return a layout of three overlapping stages over twelve layers."""
+    """Return a layout of three overlapping stages with twelve layers."""
     ranges = ((0, 4), (3, 8), (7, 11))
     engines = {
         f'stage{stage}-{replica}': EngineShape(first, last, **shape)
--- a/samphirerill/testing/memory_store.py
+++ b/samphirerill/testing/memory_store.py
@@ -1,7 +1,7 @@
-"""The key-value service in memory, with faults that tests switch on.
+"""An in-memory key-value store client with fault injection.
 
-It goes through the very encoding and rules of the stand-in, without sockets,
-so that property tests can take thousands of steps a second.
+It uses the same encoding and state model as the fake service, but no sockets, so
+that property tests run thousands of steps per second.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
     WatchBatch,
 )
 from samphirerill.settings.model import StoreSettings
-from samphirerill.testing.kv_rules import RefusedError, Rules
+from samphirerill.testing.kv_rules import InvalidCallError, Rules
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
 
 class MemoryStore(EtcdStore):
-    """A client and the service behind it, in one object.
+    """A store client that calls the state model directly.
 
     Parameters
     ----------
     rules : Rules, optional
-        Shared by clients that are to see the same service.
+        State of the service, to be shared by several clients.
     """
 
     def __init__(self, rules: Rules | None = None) -> None:
@@ -39,20 +39,22 @@
         self.calls = 0
 
     def watch(self, prefix: str, revision: int) -> Iterator[WatchBatch]:
-        """Refuse: tests hand changes over themselves."""
-        raise StoreUnreachableError('no watch', may_have_applied=False)
+        """Raise, because tests deliver changes themselves."""
+        raise StoreUnreachableError(
+            'watch is not supported', may_have_applied=False
+        )
 
     def _call(self, path: str, call: dict[str, Any]) -> dict[str, Any]:
         self.calls += 1
         if self.down:
-            raise StoreUnreachableError('down', may_have_applied=False)
+            raise StoreUnreachableError('store is down', may_have_applied=False)
         try:
             answer = self._run(path, call)
-        except RefusedError as exc:
+        except InvalidCallError as exc:
             raise StoreRefusedError(str(exc)) from exc
         if self.lose_replies:
             self.lose_replies -= 1
-            raise StoreUnreachableError('lost', may_have_applied=True)
+            raise StoreUnreachableError('reply lost', may_have_applied=True)
         answer['header'] = {'revision': str(self.rules.revision)}
         return answer
 
@@ -60,9 +62,9 @@
         now = time.monotonic()
         name = path.rpartition('/')[2]
         if name in {'grant', 'keepalive'}:
-            timed = self.rules.grant if name == 'grant' else None
-            timed = timed or self.rules.keep_alive
-            return timed(call, now)
+            handler = self.rules.grant if name == 'grant' else None
+            handler = handler or self.rules.keep_alive
+            return handler(call, now)
         return {
             'range': self.rules.find_range,
             'put': self.rules.put,
--- a/samphirerill/testing/order_taker.py
+++ b/samphirerill/testing/order_taker.py
@@ -1,4 +1,4 @@
-"""How an engine stand-in takes orders and loads from the weight store."""
+"""Placement orders and simulated weight loading of a fake engine."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from typing import Any, ClassVar
 
 _OK = 200
-_STALE = 409
+_CONFLICT = 409
 
 
-class OrderTaker:
-    """One engine's loaded state and the orders it has carried out.
+class OrderHandler:
+    """An engine's loaded state and the orders that it accepted.
 
-    `checks_fencing` makes it refuse an order with an older number than one
-    it has seen; else it obeys whatever comes. `most_loads` counts, over all
-    engines of the process, how many loaded at once.
+    With `checks_fencing` it rejects orders with a lower fencing token than the
+    highest seen; otherwise it accepts every order. `max_concurrent_loads` is
+    the maximum of simultaneous loads over all engines of the process.
     """
 
-    loads: ClassVar[int] = 0
-    most_loads: ClassVar[int] = 0
+    concurrent_loads: ClassVar[int] = 0
+    max_concurrent_loads: ClassVar[int] = 0
 
     def __init__(self, load_s: float = 0.4) -> None:
         self.checks_fencing = True
-        self.taken: list[dict[str, Any]] = []
+        self.accepted: list[dict[str, Any]] = []
         self._load_s = load_s
-        self._fence = 0
+        self._fencing_token = 0
         self._loading = False
         self._state: dict[str, Any] = {
             'version': '',
@@ -36,22 +36,24 @@
         """Return the engine's status."""
         return {**self._state, 'loading': self._loading}
 
-    def take(self, order: dict[str, Any]) -> int:
-        """Carry out an order; return the status to answer with."""
-        if self.checks_fencing and order['fence'] < self._fence:
-            return _STALE
-        self._fence = max(self._fence, order['fence'])
-        self.taken.append(order)
+    def apply(self, order: dict[str, Any]) -> int:
+        """Apply an order; return the HTTP status of the response."""
+        if self.checks_fencing and order['fence'] < self._fencing_token:
+            return _CONFLICT
+        self._fencing_token = max(self._fencing_token, order['fence'])
+        self.accepted.append(order)
         state = {name: order[name] for name in self._state}
         if state != self._state:
             self._loading = True
-            OrderTaker.loads += 1
-            OrderTaker.most_loads = max(OrderTaker.most_loads, OrderTaker.loads)
+            OrderHandler.concurrent_loads += 1
+            OrderHandler.max_concurrent_loads = max(
+                OrderHandler.max_concurrent_loads, OrderHandler.concurrent_loads
+            )
             loop = asyncio.get_running_loop()
-            loop.call_later(self._load_s, self._finish, state)
+            loop.call_later(self._load_s, self._finish_load, state)
         return _OK
 
-    def _finish(self, state: dict[str, Any]) -> None:
+    def _finish_load(self, state: dict[str, Any]) -> None:
         self._state = state
         self._loading = False
-        OrderTaker.loads -= 1
+        OrderHandler.concurrent_loads -= 1
--- a/samphirerill/testing/prefix_cache.py
+++ b/samphirerill/testing/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prompt-prefix cache of an engine stand-in, and its late, gappy news."""
+"""Prompt-prefix cache of a fake engine, with a bounded log of its events."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-_KEPT_EVENTS = 64
+_MAX_EVENTS = 64
 
 
 @dataclass(slots=True)
 class _Event:
-    """One numbered event; `stored` is false for an eviction."""
+    """A numbered cache event; `stored` is false for an eviction."""
 
     number: int
     digest: str
@@ -19,46 +19,49 @@
 
 
 class PrefixCache:
-    """A few prefixes in limited memory, and the events it can still tell.
+    """An LRU cache of prefix digests that keeps its latest events.
 
     Parameters
     ----------
-    most : int
-        How many prefixes fit.
+    capacity : int
+        Maximum number of prefixes.
     """
 
-    def __init__(self, most: int = 256) -> None:
-        self._most = most
-        self._held: OrderedDict[str, bool] = OrderedDict()
-        self._events: deque[_Event] = deque(maxlen=_KEPT_EVENTS)
-        self._last = 0
+    def __init__(self, capacity: int = 256) -> None:
+        self._capacity = capacity
+        self._cached: OrderedDict[str, bool] = OrderedDict()
+        self._events: deque[_Event] = deque(maxlen=_MAX_EVENTS)
+        self._last_number = 0
 
     def use(self, plan: dict[str, Any]) -> bool:
-        """Serve a request's prefixes; return whether its longest was held."""
+        """Store a request's prefixes; return whether the longest was cached."""
         prefixes: list[str] = plan.get('prefixes') or []
-        hit = bool(prefixes) and prefixes[-1] in self._held
+        hit = bool(prefixes) and prefixes[-1] in self._cached
         for digest in prefixes:
-            if digest not in self._held:
-                self._note('stored', digest)
-            self._held[digest] = True
-            self._held.move_to_end(digest)
-        while len(self._held) > self._most:
-            oldest = next(iter(self._held))
-            self._held.pop(oldest)
-            self._note('evicted', oldest)
+            if digest not in self._cached:
+                self._log_event('stored', digest)
+            self._cached[digest] = True
+            self._cached.move_to_end(digest)
+        while len(self._cached) > self._capacity:
+            oldest = next(iter(self._cached))
+            self._cached.pop(oldest)
+            self._log_event('evicted', oldest)
         return hit
 
-    def tell(self, after: int) -> dict[str, Any]:
-        """Return the events after a number, as far as they are kept."""
+    def list_events(self, after: int) -> dict[str, Any]:
+        """Return the events after a number that are still in the log.
+
+        `first` shows whether older events are missing.
+        """
         kept = [event for event in self._events if event.number > after]
-        first = kept[0].number if kept else self._last + 1
+        first = kept[0].number if kept else self._last_number + 1
         return {
             'first': first,
-            'last': self._last,
+            'last': self._last_number,
             'stored': [event.digest for event in kept if event.stored],
             'evicted': [event.digest for event in kept if not event.stored],
         }
 
-    def _note(self, kind: str, digest: str) -> None:
-        self._last += 1
-        self._events.append(_Event(self._last, digest, kind == 'stored'))
+    def _log_event(self, kind: str, digest: str) -> None:
+        self._last_number += 1
+        self._events.append(_Event(self._last_number, digest, kind == 'stored'))
--- a/samphirerill/testing/services.py
+++ b/samphirerill/testing/services.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a plain service and for the platform's VM list."""
+"""Fakes of a plain service and of the platform's VM list."""
 
 from __future__ import annotations
 
@@ -13,51 +13,52 @@
     from samphirerill.testing.httpd import Request
 
 
-class StandIn:
-    """Something that listens and handles one HTTP request after another."""
+class FakeServer:
+    """Base class of fakes: an HTTP server with one handler."""
 
     async def start(self, host: str, port: int) -> asyncio.Server:
-        """Listen; port 0 picks a free one."""
+        """Start listening; port 0 picks a free port."""
         loop = asyncio.get_running_loop()
         return await loop.create_server(
             lambda: Connection(self.handle), host, port
         )
 
     async def handle(self, request: Request) -> None:
-        """Answer one request."""
+        """Handle one request."""
         raise NotImplementedError
 
 
-class ServiceStandIn(StandIn):
-    """A plain service that counts how often each thing was run.
+class FakeService(FakeServer):
+    """A plain service that counts the executions of each request.
 
-    A run is named by the ``Idempotency-Key`` header, else by the body.
-    ``POST /control`` sets ``fault``: ``silent`` runs and never answers,
-    ``cut`` runs and drops the connection halfway through the answer.
+    Requests are identified by the ``Idempotency-Key`` header, otherwise by the
+    body. ``POST /control`` sets ``fault``: ``silent`` executes a request
+    without responding, ``cut`` closes the connection halfway through the
+    response; it also sets ``delay_s``.
     """
 
     def __init__(self) -> None:
-        self.runs: Counter[str] = Counter()
+        self.executions: Counter[str] = Counter()
         self.fault = ''
         self.delay_s = 0.0
 
     async def handle(self, request: Request) -> None:
-        """Run one call and answer it as told."""
+        """Handle one request, with the fault that is set."""
         if request.path == '/control':
-            orders = request.read_json()
-            self.fault = orders.get('fault', self.fault)
-            self.delay_s = orders.get('delay_s', self.delay_s)
+            changes = request.read_json()
+            self.fault = changes.get('fault', self.fault)
+            self.delay_s = changes.get('delay_s', self.delay_s)
             request.connection.answer_json({'ok': True})
         elif request.path == '/stats':
-            request.connection.answer_json(dict(self.runs))
+            request.connection.answer_json(dict(self.executions))
         elif request.path == '/health':
             request.connection.answer(200, b'ok')
         else:
-            await self._run(request)
+            await self._execute(request)
 
-    async def _run(self, request: Request) -> None:
+    async def _execute(self, request: Request) -> None:
         name = request.headers.get('idempotency-key', '')
-        self.runs[name or request.body.decode('latin-1')] += 1
+        self.executions[name or request.body.decode('latin-1')] += 1
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         if self.fault == 'silent':
@@ -77,13 +78,13 @@
         request.connection.answer_json(answer)
 
 
-class VmListStandIn(StandIn):
-    """The platform's lagging list of VMs.
+class FakeVmList(FakeServer):
+    """The platform's list of VMs, whose updates are delayed.
 
-    ``GET /vms`` answers in the form of the Prometheus HTTP service
-    discovery: a list of objects with ``targets`` and ``labels``. The label
-    ``state`` is ``live`` or ``leaving``. ``POST /control`` sets states, in
-    force after ``lag_s``.
+    ``GET /vms`` returns the format of Prometheus HTTP service discovery: a list
+    of objects with ``targets`` and ``labels``. The label ``state`` is ``live``
+    or ``leaving``. ``POST /control`` sets states, which take effect after
+    ``lag_s``.
     """
 
     def __init__(self, lag_s: float = 0) -> None:
@@ -91,7 +92,7 @@
         self.states: dict[str, str] = {}
 
     async def handle(self, request: Request) -> None:
-        """Answer the list, or change it."""
+        """Return the list, or change it."""
         if request.path == '/control':
             states = request.read_json()
             loop = asyncio.get_running_loop()
