--- a/samphirerill/testing/chain.py
+++ b/samphirerill/testing/chain.py
@@ -139,9 +139,9 @@
 class StageServer:
     """Serves frames and HTTP on one port."""
 
-    def __init__(self, engine: EngineStandIn, chain: StageRunner) -> None:
+    def __init__(self, engine: EngineStandIn, runner: StageRunner) -> None:
         self._engine = engine
-        self._chain = chain
+        self._runner = runner
 
     def build_protocol(self, http: Connection) -> _ProtocolSwitch:
         """Return a protocol that detects frames by the first byte."""
@@ -158,7 +158,7 @@
         if faults.link_ms:
             await asyncio.sleep(faults.link_ms / 1000)
             arrived = time.monotonic()
-        result = await self._chain.run(
+        result = await self._runner.run(
             self._engine, pipeline, frame['position'], frame['size']
         )
         response = {
@@ -175,8 +175,8 @@
 class _ProtocolSwitch(asyncio.Protocol):
     """Treats a connection as HTTP, or as frames if it starts with ``{``."""
 
-    def __init__(self, stages: StageServer, http: Connection) -> None:
-        self._stages = stages
+    def __init__(self, server: StageServer, http: Connection) -> None:
+        self._server = server
         self._http = http
         self._transport: Any = None
         self._is_frames: bool | None = None
@@ -196,7 +196,7 @@
         lines = (self._buffer + data).split(b'\n')
         self._buffer = lines.pop()
         for line in lines:
-            handling = self._stages.respond(self._transport, line)
+            handling = self._server.respond(self._transport, line)
             task = asyncio.ensure_future(handling)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
--- a/samphirerill/testing/clients.py
+++ b/samphirerill/testing/clients.py
@@ -1,4 +1,4 @@
-"""Callers and operators for the demo, for measurements and for tests."""
+"""HTTP clients of callers and operators, for demo, benchmarks and tests."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from urllib3 import HTTPConnectionPool, Timeout
 from urllib3.exceptions import HTTPError
 
-_DATA = b'data: '
-_BAD = 400
-StageRuns = list[list[Any]]
+_DATA_PREFIX = b'data: '
+_FIRST_ERROR_STATUS = 400
+StageExecutions = list[list[Any]]
 
 
 class CallError(OSError):
-    """A call got no answer or one that says it failed."""
+    """A call got no response, or one with an error status."""
 
     def __init__(self, detail: str, document: Any = None) -> None:
         super().__init__(detail)
@@ -24,12 +24,12 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller got; `broken` says that the connection ended early."""
+    """A caller's response; `broken` if the connection ended early."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     texts: list[str] = field(default_factory=list)
-    layers: list[StageRuns] = field(default_factory=list)
+    layers: list[StageExecutions] = field(default_factory=list)
     outcome: str = ''
     problem: dict[str, Any] = field(default_factory=dict)
     body: bytes = b''
@@ -37,17 +37,19 @@
 
     @property
     def text(self) -> str:
-        """The whole text."""
+        """The complete text."""
         return ''.join(self.texts)
 
 
 def call_json(address: str, target: str, key: str, document: Any = None) -> Any:
-    """Call with or without a JSON body and return the JSON answer.
+    """Send a JSON request and return the JSON response.
+
+    The method is POST with a document, GET without one.
 
     Raises
     ------
     CallError
-        No answer came, or one with a status of 400 or above.
+        There was no response, or its status is 400 or above.
     """
     body = None if document is None else json.dumps(document)
     try:
@@ -58,9 +60,9 @@
             headers={'Authorization': f'Bearer {key}'},
         )
     except HTTPError as exc:
-        raise CallError(f'no answer from {address}: {exc}') from exc
+        raise CallError(f'no response from {address}: {exc}') from exc
     answer = json.loads(response.data or b'null')
-    if response.status >= _BAD:
+    if response.status >= _FIRST_ERROR_STATUS:
         raise CallError(f'status {response.status}: {answer}', answer)
     return answer
 
@@ -76,7 +78,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 60,
 ) -> Answer:
-    """Ask for a completion and return everything that came of it."""
+    """Request a completion and return the response."""
     body = {
         'model': route,
         'prompt': prompt,
@@ -103,7 +105,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 60,
 ) -> Answer:
-    """Send one request and read its answer, streamed or whole."""
+    """Send one request and read its response, streamed or complete."""
     answer = Answer()
     pool = _open_pool(address, timeout_s)
     try:
@@ -118,7 +120,7 @@
         answer.headers = {
             name.lower(): text for name, text in response.headers.items()
         }
-        _read(response, answer)
+        _read_response(response, answer)
     except HTTPError:
         answer.broken = True
     finally:
@@ -136,24 +138,24 @@
     )
 
 
-def _read(response: Any, answer: Answer) -> None:
-    kind = answer.headers.get('content-type', '')
-    if kind.startswith('text/event-stream'):
-        rest = b''
+def _read_response(response: Any, answer: Answer) -> None:
+    content_type = answer.headers.get('content-type', '')
+    if content_type.startswith('text/event-stream'):
+        buffer = b''
         for part in response.stream(None):
-            *events, rest = (rest + part).split(b'\n\n')
+            *events, buffer = (buffer + part).split(b'\n\n')
             for event in events:
                 _read_event(event, answer)
         return
     answer.body = response.read()
     answer.outcome = answer.headers.get('samphirerill-outcome', '')
-    if kind == 'application/problem+json':
+    if content_type == 'application/problem+json':
         answer.problem = json.loads(answer.body)
-    elif kind == 'application/json':
-        _read_whole(json.loads(answer.body), answer)
+    elif content_type == 'application/json':
+        _read_completion(json.loads(answer.body), answer)
 
 
-def _read_whole(document: Any, answer: Answer) -> None:
+def _read_completion(document: Any, answer: Answer) -> None:
     if isinstance(document, dict) and document.get('choices'):
         choice = document['choices'][0]
         text = choice.get('text')
@@ -163,14 +165,14 @@
 
 
 def _read_event(event: bytes, answer: Answer) -> None:
-    payload = event.removeprefix(_DATA)
+    payload = event.removeprefix(_DATA_PREFIX)
     if payload == b'[DONE]':
         return
     document = json.loads(payload)
-    failure = document.get('error')
-    if failure:
-        answer.problem = failure
-        answer.outcome = failure['outcome']
+    error = document.get('error')
+    if error:
+        answer.problem = error
+        answer.outcome = error['outcome']
     elif document['choices']:
         choice = document['choices'][0]
         text = choice.get('text')
--- a/samphirerill/testing/cluster.py
+++ b/samphirerill/testing/cluster.py
@@ -1,7 +1,7 @@
-"""Start stand-ins and nodes as processes on loopback, and end them again.
+"""Start and stop a local cluster: fakes in one process, nodes in others.
 
-Used by the demo, by measurements and by the end-to-end tests. Only processes that
-were started here are ended, by the handle they were started with.
+Used by the demo, benchmarks and end-to-end tests. Only processes that were
+started here are stopped, by their own handles.
 """
 
 from __future__ import annotations
@@ -23,29 +23,28 @@
     from samphirerill.testing.layout import Layout
 
 _HOST = '127.0.0.1'
-_READY_S = 20.0
-_STEP_S = 0.05
-_END_S = 10.0
+_READY_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.05
+_EXIT_TIMEOUT_S = 10.0
 
 
 class ClusterError(Exception):
-    """A process of the cluster did not do what was expected."""
+    """The cluster did not reach an expected state."""
 
 
 class NodeProcess:
     """One running node.
 
-    Its settings name port 0 everywhere, and the addresses are read from its
-    log. Ports chosen beforehand may be taken by any outgoing connection
-    before the node listens, which one would see as a start that fails now
-    and then.
+    Its settings use port 0, and the addresses are read from its log. A port
+    chosen in advance could be taken by an outgoing connection before the node
+    listens, which would make tests flaky.
 
     Parameters
     ----------
     settings : dict
         The node's settings document.
     folder : Path
-        Where its settings and log files go.
+        Directory for its settings and log files.
     """
 
     def __init__(self, settings: dict[str, Any], folder: Path) -> None:
@@ -63,7 +62,7 @@
             )
 
     def wait_listening(self) -> None:
-        """Wait until the node has said where it listens."""
+        """Wait until the log shows the addresses that the node listens on."""
         wait_for(self._is_listening, f'{self.name} to listen')
 
     def read_state(self) -> dict[str, Any]:
@@ -71,7 +70,7 @@
         return dict(call_json(self.operators, '/state', OPERATOR_KEY))
 
     def is_ready(self, version: int) -> bool:
-        """Tell whether the node serves with this version or a newer one."""
+        """Return whether the node serves with this version or a newer one."""
         try:
             state = self.read_state()
         except OSError:
@@ -79,36 +78,36 @@
         return bool(state['core']['configuration_version'] >= version)
 
     def stop(self, number: int = signal.SIGTERM) -> int:
-        """Signal the process and wait for its end; return its exit code."""
+        """Signal the process, wait until it exits and return its exit code."""
         if self.process.poll() is None:
             self.process.send_signal(number)
         try:
-            return self.process.wait(_END_S)
+            return self.process.wait(_EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
-            return self.process.wait(_END_S)
+            return self.process.wait(_EXIT_TIMEOUT_S)
 
     def _is_listening(self) -> bool:
-        found = read_serving(self.log_path)
-        if not found:
+        event = read_serving(self.log_path)
+        if not event:
             return False
-        self.callers = f'{_HOST}:{found["callers"]}'
-        self.operators = f'{_HOST}:{found["operators"]}'
-        self.peers = f'{_HOST}:{found["peers"]}'
+        self.callers = f'{_HOST}:{event["callers"]}'
+        self.operators = f'{_HOST}:{event["operators"]}'
+        self.peers = f'{_HOST}:{event["peers"]}'
         return True
 
 
 class Cluster:
-    """Stand-ins in one process and nodes in others.
+    """Fakes in one process and nodes in others.
 
     Parameters
     ----------
     layout : Layout
-        The engines and services to stand in for.
+        The fake engines and services.
     nodes : int
-        How many nodes to start.
+        Number of nodes to start.
     overrides : dict, optional
-        Settings members that replace the usual ones in every node.
+        Settings, by section, that override the defaults of every node.
     """
 
     def __init__(
@@ -118,17 +117,17 @@
         overrides: dict[str, Any] | None = None,
     ) -> None:
         self._layout = layout
-        self._count = nodes
+        self._node_count = nodes
         self._overrides = overrides or {}
         self._folder = tempfile.TemporaryDirectory(prefix='samphirerill-')
-        self._host: subprocess.Popen[str] | None = None
-        self._started = 0
+        self._fakes_process: subprocess.Popen[str] | None = None
+        self._nodes_started = 0
         self.addresses: dict[str, Any] = {}
         self.nodes: list[NodeProcess] = []
         self.version = 0
 
     def __enter__(self) -> Cluster:
-        """Start all and wait until every node is ready."""
+        """Start the cluster and wait until every node is ready."""
         try:
             self.start()
         except BaseException:
@@ -137,18 +136,18 @@
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """End all."""
+        """Stop the cluster."""
         self.stop()
 
     @property
     def folder(self) -> Path:
-        """Where settings and logs are."""
+        """Directory of settings and logs."""
         return Path(self._folder.name)
 
     def start(self) -> None:
-        """Start stand-ins and nodes, and accept the first configuration."""
+        """Start fakes and nodes, and submit the first configuration."""
         self.start_stand_ins()
-        for _ in range(self._count):
+        for _ in range(self._node_count):
             self._launch_node([])
         for node in self.nodes:
             node.wait_listening()
@@ -158,8 +157,8 @@
         self.wait_ready(self.version)
 
     def start_stand_ins(self) -> None:
-        """Start the stand-ins alone."""
-        self._host = subprocess.Popen(
+        """Start only the fakes."""
+        self._fakes_process = subprocess.Popen(
             _build_command(
                 'samphirerill.testing.host', json.dumps(self._layout.to_spec())
             ),
@@ -167,72 +166,72 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        if self._host.stdout is None:
-            raise ClusterError('the stand-ins have no output')
-        self.addresses = json.loads(self._host.stdout.readline())
+        if self._fakes_process.stdout is None:
+            raise ClusterError('the process of the fakes has no stdout')
+        self.addresses = json.loads(self._fakes_process.stdout.readline())
 
     def add_node(self, seeds: list[str] | None = None) -> NodeProcess:
-        """Start one more node; `seeds` are peers it knows from the start."""
+        """Start another node; `seeds` are the addresses of initial peers."""
         node = self._launch_node(seeds or [])
         node.wait_listening()
         return node
 
     def submit(self, patch: list[Any]) -> int:
-        """Submit a patch against the version last accepted here."""
-        order = {'base': self.version, 'patch': patch}
+        """Submit a patch against the version that was last accepted."""
+        request = {'base': self.version, 'patch': patch}
         answer = call_json(
-            self.nodes[0].operators, '/patch', OPERATOR_KEY, order
+            self.nodes[0].operators, '/patch', OPERATOR_KEY, request
         )
         self.version = int(answer['version'])
         return self.version
 
     def wait_ready(self, version: int) -> None:
-        """Wait until every node has a version in force."""
+        """Wait until every node serves with a version or a newer one."""
         wait_for(
             lambda: all(node.is_ready(version) for node in self.nodes),
-            f'every node with version {version}',
+            f'every node to serve with version {version}',
         )
 
     def wait_ready_of(self, node: NodeProcess) -> None:
-        """Wait until one node has the newest version in force."""
+        """Wait until one node serves with the latest version."""
         wait_for(lambda: node.is_ready(self.version), node.name)
 
     def control(self, address: str, **orders: Any) -> None:
-        """Tell a stand-in how to behave."""
+        """Set the behaviour of a fake."""
         call_json(address, '/control', '', orders)
 
     def read_stats(self, address: str) -> dict[str, Any]:
-        """Return what a stand-in has counted."""
+        """Return the counters of a fake."""
         return dict(call_json(address, '/stats', ''))
 
     def stop(self) -> None:
-        """End every process started here."""
+        """Stop every process started here."""
         for node in self.nodes:
             if node.process.poll() is None:
                 node.process.kill()
-                node.process.wait(_END_S)
-        if self._host is not None:
-            self._end_host(self._host)
+                node.process.wait(_EXIT_TIMEOUT_S)
+        if self._fakes_process is not None:
+            self._stop_fakes(self._fakes_process)
         self._folder.cleanup()
 
     def _launch_node(self, seeds: list[str]) -> NodeProcess:
-        self._started += 1
-        settings = self._build_settings(f'n{self._started}')
+        self._nodes_started += 1
+        settings = self._build_settings(f'n{self._nodes_started}')
         settings['peers']['seeds'] = seeds
         node = NodeProcess(settings, self.folder)
         self.nodes.append(node)
         return node
 
-    def _end_host(self, host: subprocess.Popen[str]) -> None:
-        if host.stdin is not None:
-            host.stdin.close()
+    def _stop_fakes(self, process: subprocess.Popen[str]) -> None:
+        if process.stdin is not None:
+            process.stdin.close()
         try:
-            host.wait(_END_S)
+            process.wait(_EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            host.kill()
-            host.wait(_END_S)
-        if host.stdout is not None:
-            host.stdout.close()
+            process.kill()
+            process.wait(_EXIT_TIMEOUT_S)
+        if process.stdout is not None:
+            process.stdout.close()
 
     def _build_settings(self, name: str) -> dict[str, Any]:
         settings: dict[str, Any] = {
@@ -244,28 +243,32 @@
             },
             'shutdown': {'notice_s': 0.2, 'finish_s': 20},
         }
-        for part, members in self._overrides.items():
-            settings[part] = {**settings.get(part, {}), **members}
+        for section, changes in self._overrides.items():
+            settings[section] = {**settings.get(section, {}), **changes}
         return settings
 
 
-def wait_for(condition: Any, what: str, limit_s: float = _READY_S) -> None:
+def wait_for(
+    condition: Any, what: str, limit_s: float = _READY_TIMEOUT_S
+) -> None:
     """Wait until a condition holds.
 
     Raises
     ------
     ClusterError
-        It did not hold in time.
+        The condition did not hold in time.
     """
-    give_up_at = time.monotonic() + limit_s
+    deadline = time.monotonic() + limit_s
     while not condition():
-        if time.monotonic() > give_up_at:
-            raise ClusterError(f'waited {limit_s} s in vain for {what}')
-        time.sleep(_STEP_S)
+        if time.monotonic() > deadline:
+            raise ClusterError(
+                f'timed out after {limit_s} s waiting for {what}'
+            )
+        time.sleep(_POLL_INTERVAL_S)
 
 
 def build_listening(name: str) -> dict[str, Any]:
-    """Return the settings of a node that listens on any free ports."""
+    """Return the settings of a node that listens on free ports."""
     return {
         'node': {'name': name, 'data_centre': 'a'},
         'callers': {'host': _HOST, 'port': 0},
@@ -281,7 +284,7 @@
 
 
 def read_serving(log_path: Path) -> dict[str, Any]:
-    """Return what a node's log says of its ports, or nothing yet."""
+    """Return the event with the ports from a node's log, or an empty dict."""
     for line in log_path.read_text(encoding='utf-8').splitlines():
         if '"event": "serving"' in line:
             return dict(json.loads(line))
--- a/samphirerill/testing/demo.py
+++ b/samphirerill/testing/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a streamed answer that outlives one of its stages."""
+"""Demo: a streamed response continues after one of its stages is killed."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 from samphirerill.testing.engine import make_token
 from samphirerill.testing.layout import COACH_KEY, build_three_stages
 
-_NODES = 3
-_TOKENS = 60
+_NODE_COUNT = 3
+_TOKEN_COUNT = 60
 _KILL_AFTER_S = 0.6
 Group = tuple[int, int, Any]
 _PROMPT = 'Draft a training block after a knee injury.'
 
 
 def run_demo() -> int:
-    """Run the demonstration; return 0 if each token came exactly once."""
+    """Run the demo; return 0 if each token arrived exactly once."""
     layout = build_three_stages()
-    _say(f'Starting stand-ins and {_NODES} nodes on loopback.')
-    with Cluster(layout, _NODES) as cluster:
+    _print_line(f'Starting fake engines and {_NODE_COUNT} nodes on loopback.')
+    with Cluster(layout, _NODE_COUNT) as cluster:
         names = {
             address: name
             for name, address in cluster.addresses['engines'].items()
         }
-        _say('One streamed request; a stage in use is killed halfway.')
-        killer = threading.Timer(_KILL_AFTER_S, _kill_stage, (cluster,))
-        killer.start()
+        _print_line('Sending one streamed request and killing a stage in use.')
+        kill_timer = threading.Timer(_KILL_AFTER_S, _kill_stage, (cluster,))
+        kill_timer.start()
         answer = complete(
             cluster.nodes[0].callers,
             COACH_KEY,
             'plans',
             _PROMPT,
-            _TOKENS,
+            _TOKEN_COUNT,
             headers={'Samphirerill-Trace': '1'},
         )
-        killer.join()
-    return _report(answer, names)
+        kill_timer.join()
+    return _report_response(answer, names)
 
 
 def _kill_stage(cluster: Cluster) -> None:
-    """Kill the middle stage that the stream runs through."""
+    """Kill the middle stage that serves the stream."""
     state = cluster.nodes[0].read_state()
     busy = [
         name
@@ -52,31 +52,35 @@
     ]
     for name in busy:
         cluster.control(cluster.addresses['engines'][name], die=True)
-        _say(f'Killed {name}.')
+        _print_line(f'Killed {name}.')
 
 
-def _report(answer: Answer, names: dict[str, str]) -> int:
-    _say(f'Answer: {answer.text}')
+def _report_response(answer: Answer, names: dict[str, str]) -> int:
+    _print_line(f'Response: {answer.text}')
     for group in _group_layers(answer.layers):
-        _say(_describe_group(group, names))
-    expected = [make_token(_PROMPT, index) for index in range(_TOKENS)]
-    whole = answer.texts == expected
-    moved = len(_group_layers(answer.layers)) > 1
-    _say(f'Outcome: {answer.outcome}. Every token once, in order: {whole}.')
-    return 0 if whole and moved and answer.outcome == 'answered' else 1
+        _print_line(_describe_group(group, names))
+    expected = [make_token(_PROMPT, index) for index in range(_TOKEN_COUNT)]
+    is_complete = answer.texts == expected
+    was_moved = len(_group_layers(answer.layers)) > 1
+    _print_line(
+        f'Outcome: {answer.outcome}. Every token once, in order: {is_complete}.'
+    )
+    return (
+        0 if is_complete and was_moved and answer.outcome == 'answered' else 1
+    )
 
 
 def _describe_group(group: Group, names: dict[str, str]) -> str:
     first, last, stages = group
-    shown = ', '.join(
+    description = ', '.join(
         f'{names[address]} ran layers {low}-{high}'
         for address, low, high in stages
     )
-    return f'Tokens {first}-{last}: {shown}.'
+    return f'Tokens {first}-{last}: {description}.'
 
 
 def _group_layers(layers: list[Any]) -> list[Group]:
-    """Join neighbouring tokens that the same stages ran."""
+    """Group consecutive tokens that the same stages ran."""
     groups: list[Group] = []
     for index, stages in enumerate(layers):
         if groups and groups[-1][2] == stages:
@@ -86,7 +90,7 @@
     return groups
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
--- a/samphirerill/testing/ending_replica.py
+++ b/samphirerill/testing/ending_replica.py
@@ -1,4 +1,4 @@
-"""A stand-in for a replica that some requests end, as a fault of its own does."""
+"""A fake replica that crashes on marked requests."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
     from samphirerill.relay.server import CallerConnection, Request
 
-_NEVER_S = 60.0
+_CANCEL_TIMEOUT_S = 60.0
 
 
 class EndingReplica(StandInReplica):
-    """Ends as it works on a request whose body holds a mark.
+    """Crashes while it executes a request whose body contains a marker.
 
     Parameters
     ----------
     replica_id : str
-        Its id.
+        Id of the replica.
     mark : bytes
-        What the body of such a request holds.
+        Marker in the body of requests that crash the replica.
     on_marked : callable
-        Called when such a request reaches it.
+        Called when a marked request arrives.
     on_end : callable
-        Ends the process; takes the replica's id.
+        Called with the replica id to end its process.
     """
 
     def __init__(
@@ -38,10 +38,10 @@
         on_end: Callable[[str], None],
     ) -> None:
         super().__init__(replica_id)
-        # Events that the replica still sends.
+        # Number of events sent before the crash.
         self.ends_after = 1
-        # How long it is at work on a plain request before it ends.
-        self.works_s = 0.02
+        # Execution time of a plain request before the crash.
+        self.execution_s = 0.02
         self._mark = mark
         self._on_marked = on_marked
         self._on_end = on_end
@@ -54,15 +54,15 @@
     async def _wait_for_answer(self, req: Request) -> None:
         await super()._wait_for_answer(req)
         if self._mark in req.body:
-            await asyncio.sleep(self.works_s)
-            await self._end()
+            await asyncio.sleep(self.execution_s)
+            await self._crash()
 
     async def _wait_for_event(self, req: Request, done: int) -> None:
         await super()._wait_for_event(req, done)
         if self._mark in req.body and done == self.ends_after:
-            await self._end()
+            await self._crash()
 
-    async def _end(self) -> None:
+    async def _crash(self) -> None:
         self._on_end(self.replica_id)
-        # The handler ends with its connection.
-        await asyncio.sleep(_NEVER_S)
+        # The handler is cancelled when its connection closes.
+        await asyncio.sleep(_CANCEL_TIMEOUT_S)
--- a/samphirerill/testing/engine.py
+++ b/samphirerill/testing/engine.py
@@ -137,7 +137,7 @@
         self._running: dict[Pipeline, list[Sequence]] = {}
         self._waiting: list[Sequence] = []
         self._stage_runner = StageRunner()
-        self._stages = StageServer(self, self._stage_runner)
+        self._stage_server = StageServer(self, self._stage_runner)
         self._server: asyncio.Server | None = None
         self._protocols: set[Any] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -356,7 +356,7 @@
         return {'named_metrics': figures}
 
     def _connect(self) -> asyncio.Protocol:
-        protocol = self._stages.build_protocol(Connection(self.handle))
+        protocol = self._stage_server.build_protocol(Connection(self.handle))
         self._protocols.add(protocol)
         return protocol
 
--- a/samphirerill/testing/platform_replicas.py
+++ b/samphirerill/testing/platform_replicas.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the platform's replicas: engines with layers, plain services.
+"""Fakes of the platform's replicas: engines with layers, and plain services.
 
-An engine streams events with ids; it can be told to stop in the middle of one,
-to fall silent, to refuse, or to answer somebody else first.
+An engine streams events with ids. Tests can make it close the connection within
+an event, stop sending, refuse requests, or reset connections.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 _OK = 200
 _ACCEPTED = 202
-_REFUSED = 503
-_FAILED = 500
+_UNAVAILABLE = 503
+_SERVER_ERROR = 500
 
 
 class StandInReplica:
-    """One replica; what it got is kept in `seen`."""
+    """A fake replica; `seen` contains the requests that it received."""
 
     def __init__(self, replica_id: str, events: int = 5) -> None:
         self.replica_id = replica_id
@@ -36,35 +36,35 @@
         self.silent_after = 0
         self.cut_after_head = False
         self.refuses = False
-        # After so many runs it refuses; 0 for never.
+        # Number of requests after which it refuses; 0 for no limit.
         self.most_runs = 0
         self.fails = 0
         self.answers_other_first = False
-        # Cleared, it neither sends events nor answers anything until set.
+        # While cleared, the replica sends neither events nor responses.
         self.free = asyncio.Event()
         self.free.set()
-        # Cleared, it sends no events, but answers questions.
+        # While cleared, it sends no events, but responds to orders and reports.
         self.goes_on = asyncio.Event()
         self.goes_on.set()
-        # So long it reads a prompt before its answer begins.
+        # Time to process a prompt before the response starts.
         self.begins_after_s = 0.0
         self.order_status = _ACCEPTED
-        # So many calls it resets instead of answering.
+        # Number of requests to reset instead of responding.
         self.resets = 0
-        # So many bytes more are in a plain answer.
+        # Number of bytes added to a plain response.
         self.padding = 0
         self.cancelled = 0
 
     def get_limits(self) -> ClientLimits:
-        """Return what callers may send."""
+        """Return the request limits of the server."""
         return ClientLimits()
 
     def is_draining(self) -> bool:
-        """Return whether connections end after their answer."""
+        """Return whether connections are closed after each response."""
         return False
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if req.target in (b'/report', b'/order'):
             await self.free.wait()
         if req.target == b'/report':
@@ -92,16 +92,16 @@
             self.resets -= 1
             conn.cut()
             return
-        is_full = 0 < self.most_runs < len(self.seen)
-        if self.refuses or is_full:
+        is_limit_reached = 0 < self.most_runs < len(self.seen)
+        if self.refuses or is_limit_reached:
             headers.append((b'X-Samphirerill-Not-Executed', b'1'))
-            conn.answer(_REFUSED, headers, b'')
+            conn.answer(_UNAVAILABLE, headers, b'')
             return
         seal = f'seal-{self.replica_id}'.encode()
         headers.append((b'X-Samphirerill-Response-Seal', seal))
         if self.fails:
             self.fails -= 1
-            conn.answer(_FAILED, headers, b'failed')
+            conn.answer(_SERVER_ERROR, headers, b'failed')
         elif req.get(b'x-samphirerill-hop-count') is None:
             await self._wait_for_answer(req)
             body = b'plain ' + req.body + bytes(self.padding)
@@ -126,7 +126,7 @@
         for number in range(first, self.events + 1):
             await self._wait_for_event(req, number - first)
             if self.stop_after and number > self.stop_after:
-                # Half an event, then the end without a last chunk.
+                # Half an event, then a close without the last chunk.
                 conn.write_body(b'id: %d\ndata: to' % number)
                 await asyncio.sleep(self.gap_s)
                 conn.cut()
@@ -137,11 +137,11 @@
         conn.end_answer()
 
     async def _wait_for_answer(self, req: Request) -> None:
-        """Be at work on a plain request."""
+        """Wait as long as a plain request takes to execute."""
         await self.free.wait()
 
     async def _wait_for_event(self, req: Request, done: int) -> None:
-        """Be at work on a stream's next event; so many are done."""
+        """Wait as long as the next event takes; `done` events were sent."""
         await asyncio.sleep(self.gap_s)
         await self.free.wait()
         await self.goes_on.wait()
--- a/samphirerill/testing/platform_store.py
+++ b/samphirerill/testing/platform_store.py
@@ -1,6 +1,7 @@
-"""A stand-in for the platform's key-value service, over its published calls.
+"""A fake of the platform's key-value service, with its published HTTP API.
 
-It can be told to misbehave: to answer 503, to lose answers, to fall deaf.
+Tests can make it respond with 503, lose responses, or withhold changes from
+watches.
 """
 
 from __future__ import annotations
@@ -18,57 +19,61 @@
     from samphirerill.relay.server import CallerConnection, Request
 
 _OK = 200
-_BAD_CALL = 400
+_BAD_REQUEST = 400
 _NOT_FOUND = 404
-_LEAST_TTL_MS = 1000
-_MOST_TTL_MS = 600_000
+_MIN_TTL_MS = 1000
+_MAX_TTL_MS = 600_000
 _GONE = 410
-_CONFLICT = 412
-_BUSY = 503
+_PRECONDITION_FAILED = 412
+_UNAVAILABLE = 503
 _MS_PER_S = 1000
 Json = dict[str, Any]
 _ABSENT: Json = {'revision': 0}
 
 
 class StandInStore:
-    """Keys, leases and history of the service, in memory."""
+    """In-memory keys, leases and change history of the service.
+
+    `busy` responds with 503; `deaf` withholds changes from watches;
+    `lose_answers` is a number of requests to apply without responding.
+    """
 
     def __init__(self) -> None:
         self.keys: dict[str, Json] = {}
         self.events: list[Json] = []
         self.revision = 0
-        self.oldest = 0
+        self.compacted_revision = 0
         self.calls = 0
         self.busy = False
         self.deaf = False
         self.lose_answers = 0
         self.page = 500
         self._leases: dict[int, set[str]] = {}
-        self._lease_until: dict[int, float] = {}
+        self._lease_deadlines: dict[int, float] = {}
         self._ttl_s: dict[int, float] = {}
         self._next_lease = 1
         self._changed = asyncio.Condition()
 
     def get_limits(self) -> ClientLimits:
-        """Return what callers may send."""
+        """Return the request limits of the server."""
         return ClientLimits()
 
     def is_draining(self) -> bool:
-        """Return whether connections end after their answer."""
+        """Return whether connections are closed after each response."""
         return False
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
-        """Answer one call."""
+        """Handle one API call."""
         self.calls += 1
         if self.busy:
-            conn.answer(_BUSY, [], b'')
+            conn.answer(_UNAVAILABLE, [], b'')
             return
         parts = urlsplit(req.target.decode())
         query = {
             name: texts[0] for name, texts in parse_qs(parts.query).items()
         }
         body = json.decode(req.body) if req.body else {}
-        status, answer = await self._answer(parts.path, query, body)
+        status, answer = await self._dispatch(parts.path, query, body)
         if self.lose_answers:
             self.lose_answers -= 1
             conn.cut()
@@ -76,57 +81,59 @@
         conn.answer(status, [], json.encode(answer))
 
     async def put(self, key: str, text: bytes, lease: int = 0) -> int:
-        """Write a key as the operator or a replica does."""
+        """Write a key directly, in place of an operator or replica."""
         self._put(key, text, lease)
-        await self._tell()
+        await self._notify_watches()
         return self.revision
 
     async def delete(self, key: str) -> None:
-        """Delete a key."""
+        """Delete a key directly."""
         self._delete(key)
-        await self._tell()
+        await self._notify_watches()
 
     def forget_history(self) -> None:
-        """Drop all history: watches from before get 410."""
-        self.oldest = self.revision
+        """Compact the history: watches from older revisions get 410."""
+        self.compacted_revision = self.revision
 
     async def end_leases(self) -> None:
-        """Let all leases lapse."""
+        """Expire all leases."""
         for lease in tuple(self._leases):
-            self._end_lease(lease)
-        await self._tell()
+            self._expire_lease(lease)
+        await self._notify_watches()
 
-    async def end_overdue(self) -> None:
-        """Let the leases lapse that were not renewed in time."""
+    async def expire_overdue_leases(self) -> None:
+        """Expire the leases that were not renewed in time."""
         now = asyncio.get_running_loop().time()
         overdue = [
-            lease for lease, until in self._lease_until.items() if until < now
+            lease
+            for lease, deadline in self._lease_deadlines.items()
+            if deadline < now
         ]
         for lease in overdue:
-            self._end_lease(lease)
+            self._expire_lease(lease)
         if overdue:
-            await self._tell()
+            await self._notify_watches()
 
-    async def _answer(
+    async def _dispatch(
         self, path: str, query: dict[str, str], body: Json
     ) -> tuple[int, Json]:
         if path == '/kv-key':
-            return self._read(query['key'])
+            return self._read_key(query['key'])
         if path == '/kv-range':
-            return self._range(query)
+            return self._list_range(query)
         if path == '/kv-watch':
             return await self._watch(query)
         if path == '/kv-txn':
-            return await self._transact(body)
-        return await self._lease_call(path, body)
+            return await self._run_transaction(body)
+        return await self._handle_lease_call(path, body)
 
-    def _read(self, key: str) -> tuple[int, Json]:
+    def _read_key(self, key: str) -> tuple[int, Json]:
         found = self.keys.get(key)
         if found is None:
             return _NOT_FOUND, {}
         return _OK, {**found, 'currentRev': self.revision}
 
-    def _range(self, query: dict[str, str]) -> tuple[int, Json]:
+    def _list_range(self, query: dict[str, str]) -> tuple[int, Json]:
         names = sorted(
             key
             for key in self.keys
@@ -142,7 +149,7 @@
 
     async def _watch(self, query: dict[str, str]) -> tuple[int, Json]:
         after = int(query['after'])
-        if after < self.oldest:
+        if after < self.compacted_revision:
             return _GONE, {}
         try:
             async with asyncio.timeout(int(query['waitMs']) / _MS_PER_S):
@@ -155,11 +162,11 @@
         events = [item for item in self.events if item['revision'] > after]
         return _OK, {'events': events, 'currentRev': self.revision}
 
-    async def _transact(self, body: Json) -> tuple[int, Json]:
+    async def _run_transaction(self, body: Json) -> tuple[int, Json]:
         for row in body['expect']:
             found = self.keys.get(row['key'], _ABSENT)
             if found['revision'] != row['revision']:
-                return _CONFLICT, {'items': []}
+                return _PRECONDITION_FAILED, {'items': []}
         for row in body['puts']:
             lease = row.get('lease', 0)
             if lease and lease not in self._leases:
@@ -167,13 +174,15 @@
             self._put(row['key'], b64decode(row['value']), lease)
         for key in body['remove']:
             self._delete(key)
-        await self._tell()
+        await self._notify_watches()
         return _OK, {'revision': self.revision}
 
-    async def _lease_call(self, path: str, body: Json) -> tuple[int, Json]:
+    async def _handle_lease_call(
+        self, path: str, body: Json
+    ) -> tuple[int, Json]:
         if path == '/kv-lease':
-            if not _LEAST_TTL_MS <= body['ttlMs'] <= _MOST_TTL_MS:
-                return _BAD_CALL, {}
+            if not _MIN_TTL_MS <= body['ttlMs'] <= _MAX_TTL_MS:
+                return _BAD_REQUEST, {}
             lease = self._next_lease
             self._next_lease += 1
             self._leases[lease] = set()
@@ -185,8 +194,8 @@
             return _NOT_FOUND, {}
         self._renew(lease)
         if path.startswith('/kv-lease-end/'):
-            self._end_lease(lease)
-            await self._tell()
+            self._expire_lease(lease)
+            await self._notify_watches()
         return _OK, {'ttlMs': 1000}
 
     def _put(self, key: str, text: bytes, lease: int) -> None:
@@ -212,14 +221,14 @@
 
     def _renew(self, lease: int) -> None:
         now = asyncio.get_running_loop().time()
-        self._lease_until[lease] = now + self._ttl_s[lease]
+        self._lease_deadlines[lease] = now + self._ttl_s[lease]
 
-    def _end_lease(self, lease: int) -> None:
-        self._lease_until.pop(lease, None)
+    def _expire_lease(self, lease: int) -> None:
+        self._lease_deadlines.pop(lease, None)
         self._ttl_s.pop(lease, None)
         for key in self._leases.pop(lease):
             self._delete(key)
 
-    async def _tell(self) -> None:
+    async def _notify_watches(self) -> None:
         async with self._changed:
             self._changed.notify_all()
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -1,4 +1,4 @@
-"""A node on a small platform of stand-ins, all in one loop."""
+"""Test harness: nodes, fake store and fake replicas in one event loop."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 _HOST = '127.0.0.1'
 _ANY_PORT = f'{_HOST}:0'
-# Only ends a test that hangs: on a busy machine a stream of two seconds takes six.
-_PATIENCE_S = 20.0
-_STEP_S = 0.01
+# Ends a test that hangs; generous, for loaded machines.
+_TEST_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.01
 
 
 class PlatformWorld:
-    """The store, replicas and one node; `start` runs them.
+    """A fake store, fake replicas and one or more nodes.
 
     Parameters
     ----------
     ports : tuple of int
-        Where nodes take datagrams and calls of other nodes, the same on each;
-        by default a node is alone.
+        Ports for datagrams and for calls between nodes, the same on each node;
+        by default nodes do not communicate.
     """
 
     def __init__(self, ports: tuple[int, int] = (0, 0)) -> None:
@@ -50,7 +50,7 @@
         self.process: EdgeProcess | None = None
 
     async def start(self) -> None:
-        """Start the store and the node."""
+        """Start the store and the first node."""
         server = await listen(_ANY_PORT, self.service, self._connections)
         self._servers[''] = server
         port = server.sockets[0].getsockname()[1]
@@ -58,7 +58,7 @@
         self.process = self.start_node()
 
     def start_node(self) -> EdgeProcess:
-        """Start one more node, at an address of its own."""
+        """Start another node, on its own loopback address."""
         host = f'127.0.0.{1 + len(self._nodes)}'
         exchange_port, peers_port = self._ports
         settings = EdgeSettings(
@@ -80,7 +80,7 @@
         return process
 
     async def stop_node(self, process: EdgeProcess) -> None:
-        """End a node at once, as when it is killed."""
+        """Stop a node abruptly, as if it was killed."""
         for known, task in self._nodes:
             if known is process:
                 task.cancel()
@@ -88,7 +88,7 @@
                 process.close()
 
     async def stop(self) -> None:
-        """End the nodes and all stand-ins."""
+        """Stop the nodes and all fakes."""
         for process, _ in self._nodes:
             await self.stop_node(process)
         for server in self._servers.values():
@@ -102,13 +102,13 @@
         await asyncio.sleep(0.02)
 
     async def add(self, name: str, events: int = 5) -> StandInReplica:
-        """Start a replica; it is announced by the test itself."""
+        """Start a replica without registering it; tests write its entry."""
         replica = StandInReplica(name, events)
         await self.run_replica(replica)
         return replica
 
     async def run_replica(self, replica: StandInReplica) -> None:
-        """Let a replica listen."""
+        """Start listening for a replica."""
         name = replica.replica_id
         connections: set[CallerConnection] = set()
         server = await listen(_ANY_PORT, replica, connections)
@@ -119,40 +119,40 @@
         self.replicas[name] = replica
 
     def end_replica(self, name: str) -> None:
-        """End a replica's process: nobody listens, all connections are cut."""
+        """Stop a replica abruptly: close its port and all its connections."""
         self._servers[name].close()
         for conn in tuple(self._replica_connections.pop(name, ())):
             conn.cut()
 
     def expect_process(self) -> EdgeProcess:
-        """Return the node, ready or not."""
+        """Return the first node, ready or not."""
         if self.process is None:
-            raise RuntimeError('the node is not there: call start() first')
+            raise RuntimeError('no node is running: call start() first')
         return self.process
 
     async def until_ready(
         self, process: EdgeProcess | None = None
     ) -> EdgeProcess:
-        """Wait until a node, by default the first, takes requests."""
+        """Wait until a node, by default the first, is ready."""
         node = process or self.expect_process()
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
             while not node.is_ready():
-                await asyncio.sleep(_STEP_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
         return node
 
     async def until_known(
         self, count: int, process: EdgeProcess | None = None
     ) -> None:
-        """Wait until a node, by default the first, knows so many replicas."""
+        """Wait until a node, by default the first, knows `count` replicas."""
         process = await self.until_ready(process)
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
             while len(process.state.view.known) != count:
-                await asyncio.sleep(_STEP_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def connect(
         self, process: EdgeProcess | None = None
     ) -> HttpConnection:
-        """Return a client's connection to a node, by default the first."""
+        """Open a client connection to a node, by default the first."""
         node = await self.until_ready(process)
         host = node.state.settings.host
         conn = HttpConnection(f'{host}:{node.get_port()}')
@@ -166,11 +166,11 @@
         body: bytes = b'',
         process: EdgeProcess | None = None,
     ) -> tuple[int, bytes]:
-        """Send one request; return the status and the whole body."""
+        """Send one request; return the status and the complete body."""
         conn = await self.connect(process)
         try:
             conn.send(build_call(b'POST', target, headers, body))
-            deadline = asyncio.get_running_loop().time() + _PATIENCE_S
+            deadline = asyncio.get_running_loop().time() + _TEST_TIMEOUT_S
             return await read_answer(conn, deadline)
         finally:
             conn.close()
--- a/samphirerill/testing/playground.py
+++ b/samphirerill/testing/playground.py
@@ -1,4 +1,4 @@
-"""A small fleet on loopback to try things on, until interrupted."""
+"""A small local cluster for manual experiments, until interrupted."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
     build_three_stages,
 )
 
-_NODES = 3
+_NODE_COUNT = 3
 
 
 def run_playground() -> int:
-    """Start stand-ins and nodes, say where they are, wait for Ctrl-C."""
-    ended = threading.Event()
-    signal.signal(signal.SIGINT, lambda *_: ended.set())
-    signal.signal(signal.SIGTERM, lambda *_: ended.set())
-    with Cluster(build_three_stages(), _NODES) as cluster:
+    """Start fakes and nodes, print their addresses, wait for Ctrl-C."""
+    stopped = threading.Event()
+    signal.signal(signal.SIGINT, lambda *_: stopped.set())
+    signal.signal(signal.SIGTERM, lambda *_: stopped.set())
+    with Cluster(build_three_stages(), _NODE_COUNT) as cluster:
         for node in cluster.nodes:
-            _say(f'{node.name}: callers {node.callers}')
-            _say(f'    operators {node.operators}')
+            _print_line(f'{node.name}: callers {node.callers}')
+            _print_line(f'    operators {node.operators}')
         for account, key in ACCOUNT_KEYS.items():
-            _say(f'account {account}: key {key}')
-        _say(f'operators: key {OPERATOR_KEY}')
-        _say('routes: plans, fittings, notices (needs a key), lookups')
-        _say('Ctrl-C ends it.')
-        ended.wait()
+            _print_line(f'account {account}: key {key}')
+        _print_line(f'operators: key {OPERATOR_KEY}')
+        _print_line(
+            'routes: plans, fittings, lookups, notices (with Idempotency-Key)'
+        )
+        _print_line('Press Ctrl-C to stop.')
+        stopped.wait()
     return 0
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
--- a/samphirerill/testing/run_tests.py
+++ b/samphirerill/testing/run_tests.py
@@ -1,10 +1,9 @@
-"""Run all tests; pass over those that are known to fail, and print them.
+"""Run all tests; report known failures without failing the run.
 
-A fault that is found gets its test before it is mended. `KNOWN-RED.txt` names the
-tests of faults that are not mended yet, one a line: the test's full name, then, each
-after a bar, the cause, the command and seed, what was seen and the open issue.
-The listed tests run too, so that what they say is seen; only their outcome
-does not count.
+`KNOWN-RED.txt` lists the tests of bugs that are not fixed yet, one per line and
+separated by bars: the full name of the test, the cause, the command and seed, the
+observed behaviour and the open issue. Listed tests are run and printed, but their
+result does not affect the exit code.
 """
 
 from __future__ import annotations
@@ -19,24 +18,24 @@
 
 _PACKAGE = 'samphirerill'
 _PATTERN = 'test_*.py'
-_LIST = Path('KNOWN-RED.txt')
-# Longer lists hide what is broken.
-MOST_KNOWN = 3
+_KNOWN_FAILURES_FILE = Path('KNOWN-RED.txt')
+# A long list would hide new failures.
+MAX_KNOWN_FAILURES = 3
 _FIELDS = ('test', 'cause', 'command and seed', 'what was seen', 'issue')
 _COMMENT = '#'
 
 
-class KnownRedError(Exception):
-    """The list of known failures is not as it should be."""
+class KnownFailuresError(Exception):
+    """The list of known failures is invalid."""
 
 
-def read_known_red(text: str) -> dict[str, str]:
-    """Return the listed tests, each with its line.
+def read_known_failures(text: str) -> dict[str, str]:
+    """Return the listed tests by name, each with its line.
 
     Raises
     ------
     KnownRedError
-        A line lacks a field, or there are too many.
+        A line lacks a field, or the list is too long.
     """
     lines = map(str.strip, text.splitlines())
     known = {
@@ -44,10 +43,10 @@
         for line in lines
         if line and not line.startswith(_COMMENT)
     }
-    if len(known) > MOST_KNOWN:
-        raise KnownRedError(
-            f'got {len(known)} known failures, expected {MOST_KNOWN} at most; '
-            'mend one first'
+    if len(known) > MAX_KNOWN_FAILURES:
+        raise KnownFailuresError(
+            f'got {len(known)} known failures, '
+            f'expected {MAX_KNOWN_FAILURES} at most; fix one first'
         )
     return known
 
@@ -55,8 +54,8 @@
 def _read_name(line: str) -> str:
     fields = [part.strip() for part in line.split('|')]
     if len(fields) != len(_FIELDS) or not all(fields):
-        raise KnownRedError(
-            f'got {line!r}, expected {" | ".join(_FIELDS)}; fill all in'
+        raise KnownFailuresError(
+            f'got {line!r}, expected {" | ".join(_FIELDS)}; fill in all fields'
         )
     return fields[0]
 
@@ -64,25 +63,25 @@
 def split_tests(
     tests: Iterable[TestCase], known: Iterable[str]
 ) -> tuple[TestSuite, TestSuite]:
-    """Return the tests that must pass, and those that are known to fail.
+    """Split tests into those that must pass and known failures.
 
     Raises
     ------
     KnownRedError
         A listed test does not exist.
     """
-    left = set(known)
+    unmatched = set(known)
     must_pass = TestSuite()
-    passed_over = TestSuite()
+    known_failures = TestSuite()
     for test in tests:
-        is_known = test.id() in left
-        (passed_over if is_known else must_pass).addTest(test)
-        left.discard(test.id())
-    if left:
-        raise KnownRedError(
-            f'got {sorted(left)}, expected names of tests; correct the list'
+        is_listed = test.id() in unmatched
+        (known_failures if is_listed else must_pass).addTest(test)
+        unmatched.discard(test.id())
+    if unmatched:
+        raise KnownFailuresError(
+            f'got {sorted(unmatched)}, expected names of existing tests'
         )
-    return must_pass, passed_over
+    return must_pass, known_failures
 
 
 def _list_tests(suite: TestSuite) -> Iterator[TestCase]:
@@ -93,32 +92,38 @@
             yield test
 
 
-def _run_known(known: dict[str, str], passed_over: TestSuite) -> None:
-    """Run the known failures and print what became of them."""
+def _run_known_failures(
+    known: dict[str, str], known_failures: TestSuite
+) -> None:
+    """Run the known failures and print their results."""
     for line in known.values():
         sys.stdout.write(f'KNOWN RED: {line}\n')
-    outcome = TextTestRunner(stream=sys.stdout).run(passed_over)
-    red = len(outcome.failures) + len(outcome.errors)
+    result = TextTestRunner(stream=sys.stdout).run(known_failures)
+    failed = len(result.failures) + len(result.errors)
     sys.stdout.write(
-        f'KNOWN RED: {red} of {outcome.testsRun} listed tests failed, '
-        'passed over; take one that passes off the list with its mend\n'
+        f'KNOWN RED: {failed} of {result.testsRun} listed tests failed and were '
+        'ignored; remove a test from the list in the commit that fixes it\n'
     )
 
 
 def main() -> int:
-    """Run everything; return the exit code."""
-    found = TestLoader().discover(_PACKAGE, _PATTERN, '.')
-    text = _LIST.read_text() if _LIST.exists() else ''
+    """Run all tests; return the exit code."""
+    discovered = TestLoader().discover(_PACKAGE, _PATTERN, '.')
+    text = (
+        _KNOWN_FAILURES_FILE.read_text()
+        if _KNOWN_FAILURES_FILE.exists()
+        else ''
+    )
     try:
-        known = read_known_red(text)
-        must_pass, passed_over = split_tests(_list_tests(found), known)
-    except KnownRedError as exc:
-        sys.stderr.write(f'{_LIST}: {exc}\n')
+        known = read_known_failures(text)
+        must_pass, known_failures = split_tests(_list_tests(discovered), known)
+    except KnownFailuresError as exc:
+        sys.stderr.write(f'{_KNOWN_FAILURES_FILE}: {exc}\n')
         return 2
-    outcome = TextTestRunner().run(must_pass)
+    result = TextTestRunner().run(must_pass)
     if known:
-        _run_known(known, passed_over)
-    return 0 if outcome.wasSuccessful() else 1
+        _run_known_failures(known, known_failures)
+    return 0 if result.wasSuccessful() else 1
 
 
 if __name__ == '__main__':
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -225,7 +225,7 @@
         while True:
             for slot in self.slots:
                 await self._publish_entry(slot)
-            await self.service.end_overdue()
+            await self.service.expire_overdue_leases()
             await asyncio.sleep(_PUBLISH_INTERVAL_S)
 
     async def _publish_entry(self, slot: ReplicaSlot) -> None:
--- a/samphirerill/testing/virtual_time.py
+++ b/samphirerill/testing/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock moves on as soon as nothing is left to do.
+"""An event loop with a virtual clock that skips idle time.
 
-Timers fire in order and at once, so that seconds of a fleet pass in a moment and
-alike on an idle machine and a busy one. For code without sockets of its own.
+Timers fire in order without waiting, so that simulated time passes fast and does
+not depend on the load of the machine. Only for code without sockets.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
     from selectors import SelectorKey
     from typing import TypeVar
 
-    Outcome = TypeVar('Outcome')
+    Result = TypeVar('Result')
 
-# Some points on the clock are held as 0 for "never".
-_FIRST_S = 1000.0
+# Not 0, which some timestamps use for "never".
+_START_TIME_S = 1000.0
 
 
-class _Waiter(DefaultSelector):
-    """Adds up the time that the loop would have waited for its next timer."""
+class _VirtualSelector(DefaultSelector):
+    """Selector that advances a virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.now = _FIRST_S
+        self.now = _START_TIME_S
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[SelectorKey, int]]:
-        """Let the time pass; return what is ready without it."""
+        """Advance the clock by the timeout; return what is ready now."""
         self.now += timeout or 0.0
         return super().select(0)
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs on a clock of its own."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """Event loop on a virtual clock."""
 
     def __init__(self) -> None:
-        self._waiter = _Waiter()
-        super().__init__(self._waiter)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        """Return seconds on the loop's clock."""
-        return self._waiter.now
+        """Return the virtual time in seconds."""
+        return self._virtual_selector.now
 
 
-def run_virtually(work: Coroutine[None, None, Outcome]) -> Outcome:
-    """Run something to its end on a clock of its own."""
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(work)
+def run_virtually(coroutine: Coroutine[None, None, Result]) -> Result:
+    """Run a coroutine to completion on a virtual clock."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
+        return runner.run(coroutine)
--- a/samphirerill/tests/support.py
+++ b/samphirerill/tests/support.py
@@ -1,4 +1,4 @@
-"""What several test modules need: one small cluster and shared checks."""
+"""Shared base class of end-to-end tests: a small cluster and assertions."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start stand-ins and nodes."""
+        """Start fakes and nodes."""
         cls.cluster = Cluster(build_three_stages(), cls.nodes, cls.overrides)
         cls.addClassCleanup(cls.cluster.stop)
         cls.cluster.start()
 
     @property
     def callers(self) -> str:
-        """Where callers reach the first node."""
+        """Address of the first node for callers."""
         return self.cluster.nodes[0].callers
 
     def assert_whole(self, texts: list[str], prompt: str, count: int) -> None:
-        """Every token came once, in order."""
+        """Assert that each token arrived once, in order."""
         expected = [make_token(prompt, index) for index in range(count)]
         self.assertEqual(texts, expected)
 
     def assert_refused(self, answer: Any, status: int, code: str) -> None:
-        """The answer is a problem document that says nothing was run."""
+        """Assert a problem document with the outcome "not-run"."""
         self.assertEqual(answer.status, status)
         self.assertEqual(answer.problem.get('title'), code.replace('-', ' '))
         self.assertEqual(answer.problem.get('outcome'), 'not-run')
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Faults of endpoints and of the platform, over real sockets and processes."""
+"""End-to-end tests of endpoint, node and store failures."""
 
 from __future__ import annotations
 
@@ -31,47 +31,46 @@
 from samphirerill.tests.support import ClusterCase
 
 
-class _Asking(threading.Thread):
-    """A caller in a thread of its own."""
+class _CompletionThread(threading.Thread):
+    """Requests a completion in a thread of its own."""
 
     def __init__(self, address: str, prompt: str, tokens: int) -> None:
         super().__init__()
         self.answer = Answer()
-        self._asked = (address, COACH_KEY, 'plans', prompt, tokens)
+        self._request = (address, COACH_KEY, 'plans', prompt, tokens)
 
     def run(self) -> None:
-        """Ask and keep the answer."""
-        self.answer = complete(*self._asked)
+        """Send the request and keep the response."""
+        self.answer = complete(*self._request)
 
 
-class TestSilence(ClusterCase):
-    """Connections that go silent for good are noticed and replaced."""
+class TestFrozenEngine(ClusterCase):
+    """An endpoint that stops responding is detected and replaced."""
 
-    def test_first_stage_that_goes_silent(self) -> None:
-        """The stream carries on over another first stage.
+    def test_first_stage_freezes(self) -> None:
+        """A stream continues when its first stage freezes.
 
-        Symptom: an answer stops for ever, without an error.
-        Sequence: the engine freezes; its connections stay open.
-        Cause: only a closed connection was taken for a failure.
+        Guards against detecting failures only by closed connections: the
+        connections of a frozen engine stay open.
         """
-        asking = _Asking(self.callers, 'silent', 80)
-        asking.start()
-        busy = self._wait_busy('stage0')
+        caller = _CompletionThread(self.callers, 'silent', 80)
+        caller.start()
+        busy = self._wait_for_busy_engines('stage0')
         for name in busy:
             address = self.cluster.addresses['engines'][name]
             self.cluster.control(address, frozen=True)
-        asking.join()
-        self.assert_whole(asking.answer.texts, 'silent', 80)
+        caller.join()
+        self.assert_whole(caller.answer.texts, 'silent', 80)
         state = self.cluster.nodes[0].read_state()
         self.assertGreaterEqual(state['core']['counters']['attempts.silent'], 1)
         for name in busy:
             health = state['core']['endpoints'][name]['health']
             self.assertEqual(health, 'suspect')
 
-    def _wait_busy(self, start: str) -> list[str]:
+    def _wait_for_busy_engines(self, start: str) -> list[str]:
         found: list[str] = []
 
-        def look() -> bool:
+        def find_busy() -> bool:
             endpoints = self.cluster.nodes[0].read_state()['core']['endpoints']
             found[:] = [
                 name
@@ -80,67 +79,66 @@
             ]
             return bool(found)
 
-        wait_for(look, 'a busy stage')
+        wait_for(find_busy, 'a stage with a request in flight')
         return found
 
 
-class TestPlainServices(ClusterCase):
-    """Calls that may not be repeated run at most once."""
+class TestNonIdempotentRequests(ClusterCase):
+    """Non-idempotent requests are executed at most once."""
 
     nodes = 2
 
-    def test_answer_cut_halfway_may_have_run(self) -> None:
-        """It ran, its answer is lost; it is neither repeated nor denied.
+    def test_interrupted_response_may_have_run(self) -> None:
+        """A request whose response breaks off is reported as may-have-run.
 
-        Symptom: a bride gets two reminders, or none and 'not run'.
-        Sequence: the service runs the call and dies during its answer.
-        Cause: a broken answer was taken for a call that did not run.
+        Guards against treating an interrupted response as a request that was
+        not executed, which would be repeated or reported as not run.
         """
         self._set_fault('cut')
-        answer = self._notify('cut-1')
+        answer = self._send_notice('cut-1')
         self.assertEqual(answer.outcome, 'may-have-run')
         self.assertEqual(answer.status, 502)
-        again = self._notify('cut-1', node=1)
-        self.assertEqual(again.outcome, 'may-have-run')
+        retry = self._send_notice('cut-1', node=1)
+        self.assertEqual(retry.outcome, 'may-have-run')
         self._set_fault('')
-        self.assertEqual(self._notify('cut-1').outcome, 'may-have-run')
+        self.assertEqual(self._send_notice('cut-1').outcome, 'may-have-run')
         self.assertEqual(self._count_runs(), [1])
 
-    def test_retry_through_another_node_gets_the_first_answer(self) -> None:
-        """The same bytes come back, and nothing runs again."""
+    def test_retry_through_another_node_gets_first_response(self) -> None:
+        """The stored response is returned without a second execution."""
         before = len(self._count_runs())
-        first = self._notify('twice')
+        first = self._send_notice('twice')
         wait_for(
-            lambda: self._notify('twice', node=1).status == 200,
-            'the first answer through the other node',
+            lambda: self._send_notice('twice', node=1).status == 200,
+            'the stored response through the other node',
         )
-        again = self._notify('twice', node=1)
-        self.assertEqual(again.body, first.body)
+        retry = self._send_notice('twice', node=1)
+        self.assertEqual(retry.body, first.body)
         self.assertEqual(len(self._count_runs()), before + 1)
 
     def test_key_reused_for_another_body(self) -> None:
-        """The second request is refused and did not run."""
-        self._notify('reused')
-        answer = self._notify('reused', body=b'{"other": 1}')
+        """A key with a different body is refused without execution."""
+        self._send_notice('reused')
+        answer = self._send_notice('reused', body=b'{"other": 1}')
         self.assert_refused(answer, 422, 'key-reused')
 
-    def test_outage_refuses_only_what_needs_agreement(self) -> None:
-        """Keyed work is refused as not run; all else goes on."""
+    def test_store_outage_refuses_only_keyed_requests(self) -> None:
+        """A store outage refuses requests with a key; others are served."""
         store = self.cluster.addresses['kv']
         self.cluster.control(store, down=True)
         self.addCleanup(self.cluster.control, store, down=False)
-        answer = self._notify('outage')
+        answer = self._send_notice('outage')
         self.assert_refused(answer, 503, 'claim-unavailable')
         self.assertIn('retry-after', answer.headers)
-        plan = complete(self.callers, COACH_KEY, 'plans', 'outage', 4)
-        self.assert_whole(plan.texts, 'outage', 4)
+        completion = complete(self.callers, COACH_KEY, 'plans', 'outage', 4)
+        self.assert_whole(completion.texts, 'outage', 4)
         with self.assertRaises(CallError) as caught:
             self.cluster.submit([])
         self.assertEqual(
             caught.exception.document['title'], 'store unavailable'
         )
 
-    def _notify(
+    def _send_notice(
         self, key: str, node: int = 0, body: bytes = b'{"notice": 1}'
     ) -> Answer:
         return call_raw(
@@ -160,15 +158,14 @@
         return list(self.cluster.read_stats(desk).values())
 
 
-class TestCallersThatLeave(ClusterCase):
-    """Work that nobody waits for is stopped at the engine."""
+class TestCallerDisconnects(ClusterCase):
+    """Requests of disconnected callers are cancelled at the engine."""
 
     def test_cancellation_reaches_the_engine(self) -> None:
-        """The engine's slot is free again at once.
+        """The engine's slot is freed when a caller disconnects.
 
-        Symptom: engines are busy with answers that nobody reads.
-        Sequence: a caller closes its connection in the middle of a stream.
-        Cause: only the connection to the caller was dropped.
+        Guards against closing only the connection to the caller, while the
+        engine continues to generate.
         """
         host, _, port = self.callers.rpartition(':')
         body = '{"model":"plans","prompt":"x","max_tokens":500,"stream":true}'
@@ -180,7 +177,7 @@
         with socket.create_connection((host, int(port)), timeout=5) as sock:
             sock.sendall(request.encode())
             self.assertTrue(sock.recv(100))
-        wait_for(self._is_cancelled, 'the engine to stop')
+        wait_for(self._is_cancelled, 'an engine to report the cancellation')
         state = self.cluster.nodes[0].read_state()
         self.assertEqual(state['core']['attempts'], 0)
 
@@ -192,51 +189,53 @@
 
 
 class TestKilledNode(ClusterCase):
-    """A killed node takes only what was in flight on it with it."""
+    """Killing a node affects only the requests in flight on it."""
 
     nodes = 2
 
-    def test_keyed_work_on_a_killed_node_is_not_run_again(self) -> None:
-        """The retry is told that it may have run, and nothing else suffers.
+    def test_keyed_request_of_killed_node_is_not_repeated(self) -> None:
+        """A retry through another node is refused as may-have-run.
 
-        Symptom: a retry after a node's death sends a second reminder.
-        Sequence: a node has sent the call; it is killed; the caller retries
-        through another node.
-        Cause: the knowledge that it was sent died with the node.
+        Guards against keeping the fact that a request was sent only in the
+        memory of a node: after the node is killed, a retry would execute the
+        request a second time.
         """
         desk = self.cluster.addresses['services']['desk']
         self.cluster.control(desk, delay_s=1.5)
-        doomed = self.cluster.nodes[0]
-        calling = threading.Thread(
+        killed_node = self.cluster.nodes[0]
+        caller = threading.Thread(
             target=call_raw,
-            args=(doomed.callers, '/svc/notices/x', BRIDAL_KEY, b'{}'),
+            args=(killed_node.callers, '/svc/notices/x', BRIDAL_KEY, b'{}'),
             kwargs={'headers': {'Idempotency-Key': 'doomed'}},
         )
-        calling.start()
-        wait_for(lambda: self.cluster.read_stats(desk), 'the call to run')
-        doomed.stop(signal.SIGKILL)
-        calling.join()
+        caller.start()
+        wait_for(
+            lambda: self.cluster.read_stats(desk),
+            'the service to execute the request',
+        )
+        killed_node.stop(signal.SIGKILL)
+        caller.join()
         self.cluster.control(desk, delay_s=0)
         other = self.cluster.nodes[1].callers
-        again = call_raw(
+        retry = call_raw(
             other,
             '/svc/notices/x',
             BRIDAL_KEY,
             b'{}',
             headers={'Idempotency-Key': 'doomed'},
         )
-        self.assertEqual(again.status, 409)
-        self.assertEqual(again.outcome, 'may-have-run')
+        self.assertEqual(retry.status, 409)
+        self.assertEqual(retry.outcome, 'may-have-run')
         self.assertEqual(list(self.cluster.read_stats(desk).values()), [1])
-        plan = complete(other, COACH_KEY, 'plans', 'after', 4)
-        self.assert_whole(plan.texts, 'after', 4)
+        completion = complete(other, COACH_KEY, 'plans', 'after', 4)
+        self.assert_whole(completion.texts, 'after', 4)
 
 
-class TestCrossedAnswers(ClusterCase):
-    """No token of one answer reaches another."""
+class TestMisattributedTokens(ClusterCase):
+    """Tokens of one response never appear in another."""
 
-    def test_crossed_and_repeated_tokens_are_dropped(self) -> None:
-        """Engines that mix answers up cost time, not truth."""
+    def test_foreign_and_repeated_tokens_are_dropped(self) -> None:
+        """Tokens with a wrong attempt id, or sent twice, are dropped."""
         engines = self.cluster.addresses['engines']
         self.cluster.control(engines['stage0-0'], crossed=True)
         self.cluster.control(engines['stage0-1'], repeat=True)
@@ -246,49 +245,52 @@
             self.assert_whole(answer.texts, prompt, 10)
 
 
-class TestLeaving(ClusterCase):
-    """A leaving endpoint gets no new work, and keeps what it has."""
+class TestLeavingEndpoint(ClusterCase):
+    """A leaving endpoint gets no new requests and finishes running ones."""
 
     nodes = 2
 
-    def test_no_new_work_after_a_moment(self) -> None:
-        """All nodes learn of it, though only the list is told."""
+    def test_leaving_endpoint_gets_no_new_requests(self) -> None:
+        """All nodes read from the VM list that an endpoint is leaving."""
         engines = self.cluster.addresses['engines']
-        asking = _Asking(self.callers, 'stays', 60)
-        asking.start()
+        caller = _CompletionThread(self.callers, 'stays', 60)
+        caller.start()
         time.sleep(0.3)
         vms = self.cluster.addresses['vm_list']
         self.cluster.control(vms, **{'stage0-0': 'leaving'})
-        wait_for(self._is_known_everywhere, 'leaving known to both nodes')
-        before = self._count(engines['stage0-0'])
+        wait_for(
+            self._is_leaving_on_all_nodes,
+            'both nodes to see the endpoint as leaving',
+        )
+        before = self._count_sequences(engines['stage0-0'])
         for node in self.cluster.nodes:
             answer = complete(node.callers, COACH_KEY, 'plans', 'new', 3)
             self.assertEqual(answer.outcome, 'answered')
-        self.assertEqual(self._count(engines['stage0-0']), before)
-        asking.join()
-        self.assert_whole(asking.answer.texts, 'stays', 60)
+        self.assertEqual(self._count_sequences(engines['stage0-0']), before)
+        caller.join()
+        self.assert_whole(caller.answer.texts, 'stays', 60)
 
-    def _is_known_everywhere(self) -> bool:
+    def _is_leaving_on_all_nodes(self) -> bool:
         return all(
             node.read_state()['core']['endpoints']['stage0-0']['health']
             == 'leaving'
             for node in self.cluster.nodes
         )
 
-    def _count(self, address: str) -> int:
+    def _count_sequences(self, address: str) -> int:
         return int(self.cluster.read_stats(address).get('sequences', 0))
 
 
 class TestShutdown(ClusterCase):
-    """A graceful shutdown cuts nothing."""
+    """Graceful and forced shutdown of a node."""
 
     nodes = 2
 
-    def test_running_answers_end_and_the_exit_is_clean(self) -> None:
-        """The health check fails first; what runs is finished."""
+    def test_running_requests_finish_before_exit(self) -> None:
+        """SIGTERM fails the health check; running requests finish."""
         node = self.cluster.nodes[1]
-        asking = _Asking(node.callers, 'last', 60)
-        asking.start()
+        caller = _CompletionThread(node.callers, 'last', 60)
+        caller.start()
         time.sleep(0.3)
         node.process.send_signal(signal.SIGTERM)
         wait_for(
@@ -298,33 +300,33 @@
             ),
             'a failing health check',
         )
-        asking.join()
-        self.assert_whole(asking.answer.texts, 'last', 60)
-        self.assertEqual(asking.answer.outcome, 'answered')
+        caller.join()
+        self.assert_whole(caller.answer.texts, 'last', 60)
+        self.assertEqual(caller.answer.outcome, 'answered')
         self.assertEqual(node.process.wait(10), 0)
 
-    def test_second_signal_ends_at_once_and_says_what_was_cut(self) -> None:
-        """The exit code and the log tell."""
+    def test_second_signal_exits_and_reports_cut_requests(self) -> None:
+        """A second SIGTERM cuts requests; exit code and log report it."""
         node = self.cluster.add_node()
         self.cluster.wait_ready_of(node)
-        asking = _Asking(node.callers, 'cut', 200)
-        asking.start()
+        caller = _CompletionThread(node.callers, 'cut', 200)
+        caller.start()
         time.sleep(0.3)
         node.process.send_signal(signal.SIGTERM)
         time.sleep(0.1)
         node.process.send_signal(signal.SIGTERM)
         self.assertEqual(node.process.wait(10), 3)
-        asking.join()
-        self.assertTrue(asking.answer.broken)
+        caller.join()
+        self.assertTrue(caller.answer.broken)
         self.assertIn('"cut": 1', node.log_path.read_text(encoding='utf-8'))
         self.cluster.nodes.remove(node)
 
 
-class TestStart(ClusterCase):
-    """Starting under bad circumstances is said, not guessed."""
+class TestStartup(ClusterCase):
+    """Startup with the store down or a port in use."""
 
-    def test_node_that_starts_in_an_outage_learns_from_a_peer(self) -> None:
-        """The peer's configuration is an accepted one."""
+    def test_node_starting_in_outage_loads_from_peer(self) -> None:
+        """A node that starts without the store loads a peer's configuration."""
         store = self.cluster.addresses['kv']
         seed = self.cluster.nodes[0].read_state()['members']
         self.assertEqual(seed, {})
@@ -338,10 +340,10 @@
         answer = complete(node.callers, COACH_KEY, 'plans', 'seed', 3)
         self.assert_whole(answer.texts, 'seed', 3)
 
-    def test_service_that_is_not_there_is_waited_for(self) -> None:
-        """Until a configuration is known, all is refused as not run."""
+    def test_unreachable_store_refuses_requests(self) -> None:
+        """Without a configuration all requests are refused as not run."""
         with TemporaryDirectory() as folder:
-            node = NodeProcess(_build_alone(0), Path(folder))
+            node = NodeProcess(_build_settings_without_store(0), Path(folder))
             self.addCleanup(node.stop)
             node.wait_listening()
             answer = complete(node.callers, COACH_KEY, 'plans', 'x', 2)
@@ -349,33 +351,35 @@
             self.assertIn('retry-after', answer.headers)
             self.assertEqual(node.stop(), 0)
 
-    def test_port_in_use_is_named(self) -> None:
-        """The message says which port and what to do."""
+    def test_port_in_use_is_reported(self) -> None:
+        """The error message contains the port and the remedy."""
         with TemporaryDirectory() as folder, socket.socket() as taken:
             taken.bind(('127.0.0.1', 0))
             taken.listen()
             port = int(taken.getsockname()[1])
-            node = NodeProcess(_build_alone(port), Path(folder))
+            node = NodeProcess(
+                _build_settings_without_store(port), Path(folder)
+            )
             self.assertEqual(node.process.wait(20), 1)
             log = node.log_path.read_text(encoding='utf-8')
         self.assertIn(f'127.0.0.1:{port}, expected a free port', log)
 
 
-def _build_alone(callers: int) -> dict[str, Any]:
-    """Return the settings of a node whose service is not there."""
+def _build_settings_without_store(callers: int) -> dict[str, Any]:
+    """Return the settings of a node whose store is unreachable."""
     settings = build_listening('alone')
     settings['callers']['port'] = callers
     settings['store'] = {'addresses': ['127.0.0.1:1']}
     return settings
 
 
-class TestProofOfForce(ClusterCase):
-    """Operators can ask which node runs which version."""
+class TestConfigurationVersion(ClusterCase):
+    """The operator API reports each node's configuration version."""
 
     nodes = 3
 
-    def test_every_node_names_its_version(self) -> None:
-        """After a patch all have it within a moment."""
+    def test_every_node_reports_its_version(self) -> None:
+        """After a patch all nodes report the new version."""
         patch = [
             {'op': 'add', 'path': '/accounts/viti/weight', 'value': 3},
         ]
