--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -148,7 +148,7 @@
         self.probes: list[tuple[int, str]] = []
         self.executions: Counter[str] = Counter()
         self.leaving_endpoints: set[str] = set()
-        self.dead_nodes: set[str] = set()
+        self.killed_processes: set[str] = set()
         self.version = 0
         self.configuration = Configuration(version=0)
         self.request_count = 0
@@ -194,7 +194,7 @@
         router = self.routers[node]
         before = router.state.configuration.version
         for command in router.apply(event, self.now):
-            self._carry_out(node, command)
+            self._execute(node, command)
         expect(
             router.state.configuration.version >= before,
             'configuration reverted to an older version',
@@ -212,7 +212,7 @@
         Its callers' connections break, requests that it sent may have been
         executed, and its state is lost.
         """
-        self.dead_nodes.add(self.get_process_id(node))
+        self.killed_processes.add(self.get_process_id(node))
         for request in self.requests.values():
             if request.node == node and not request.outcomes:
                 request.outcomes.append('connection broke')
@@ -331,7 +331,7 @@
                 self.won_claims[request_id] = item.claim
                 self.apply(item.node, events.ClaimWon(request_id))
                 continue
-            alive = verdict.holder not in self.dead_nodes
+            alive = verdict.holder not in self.killed_processes
             taken = events.ClaimTaken(request_id, verdict.state, alive)
             self.apply(item.node, taken)
 
@@ -346,10 +346,10 @@
         self.store.commit(build_transaction(batch, ''))
         self.unsaved_settlements = []
 
-    def _carry_out(self, node: int, command: object) -> None:
+    def _execute(self, node: int, command: object) -> None:
         match command:
             case core_commands.OpenAttempt():
-                self._open(node, command)
+                self._open_attempt(node, command)
             case core_commands.CancelAttempt(attempt_id):
                 if attempt_id in self.attempts:
                     self.attempts[attempt_id].cancelled = True
@@ -357,29 +357,31 @@
                 expect(
                     text == VALID_TEXT, f'delivered a token with text {text!r}'
                 )
-                self._deliver(request_id, index)
+                self._deliver_token(request_id, index)
             case core_commands.FinishAnswer(request_id):
-                self._finish(request_id)
+                self._finish_response(request_id)
             case core_commands.RefuseRequest(request_id, problem):
-                self._refuse(request_id, problem)
+                self._refuse_request(request_id, problem)
             case core_commands.ReplayAnswer(request_id):
                 self.requests[request_id].outcomes.append('replayed')
             case core_commands.WriteClaim(request_id):
                 claim = build_claim(command, self.get_process_id(node), '/')
                 self.pending_claims[request_id] = PendingClaim(node, claim)
             case core_commands.SettleClaim(request_id, outcome):
-                self._settle(request_id, outcome)
+                self._settle_claim(request_id, outcome)
             case core_commands.ProbeEndpoint(endpoint):
                 self.probes.append((node, endpoint))
 
-    def _settle(self, request_id: str, outcome: Outcome) -> None:
+    def _settle_claim(self, request_id: str, outcome: Outcome) -> None:
         claim = self.won_claims.pop(request_id)
         if outcome is Outcome.NOT_RUN:
             self.store.commit(build_release(claim))
         else:
             self.unsaved_settlements.append(Settlement(claim, outcome))
 
-    def _open(self, node: int, command: core_commands.OpenAttempt) -> None:
+    def _open_attempt(
+        self, node: int, command: core_commands.OpenAttempt
+    ) -> None:
         expect(command.attempt_id not in self.attempts, 'attempt id used twice')
         request = self.requests[command.request_id]
         expect(
@@ -401,7 +403,7 @@
             node, command, next_token=command.resume_at
         )
 
-    def _deliver(self, request_id: str, index: int) -> None:
+    def _deliver_token(self, request_id: str, index: int) -> None:
         request = self.requests[request_id]
         expect(
             not request.outcomes,
@@ -413,7 +415,7 @@
         )
         request.delivered.append(index)
 
-    def _finish(self, request_id: str) -> None:
+    def _finish_response(self, request_id: str) -> None:
         request = self.requests[request_id]
         if request.route in {'plans', 'fittings', 'once'}:
             expect(
@@ -422,7 +424,9 @@
             )
         request.outcomes.append('answered')
 
-    def _refuse(self, request_id: str, problem: core_commands.Problem) -> None:
+    def _refuse_request(
+        self, request_id: str, problem: core_commands.Problem
+    ) -> None:
         request = self.requests[request_id]
         request.outcomes.append(problem.outcome.value)
         if problem.outcome is not Outcome.NOT_RUN:
--- a/samphirerill/testing/cluster.py
+++ b/samphirerill/testing/cluster.py
@@ -192,7 +192,7 @@
             f'every node to serve with version {version}',
         )
 
-    def wait_ready_of(self, node: NodeProcess) -> None:
+    def wait_node_ready(self, node: NodeProcess) -> None:
         """Wait until one node serves with the latest version."""
         wait_for(lambda: node.is_ready(self.version), node.name)
 
--- a/samphirerill/testing/host.py
+++ b/samphirerill/testing/host.py
@@ -22,7 +22,7 @@
 _HOST = '127.0.0.1'
 
 
-async def start_stand_ins(spec: dict[str, Any]) -> dict[str, Any]:
+async def start_fakes(spec: dict[str, Any]) -> dict[str, Any]:
     """Start the specified fakes; return their addresses."""
     addresses: dict[str, Any] = {}
     if spec.get('kv'):
@@ -54,7 +54,7 @@
 
 async def run_host(spec: dict[str, Any]) -> None:
     """Start the fakes, print their addresses, serve until stdin closes."""
-    addresses = await start_stand_ins(spec)
+    addresses = await start_fakes(spec)
     sys.stdout.write(f'{json.dumps(addresses)}\n')
     sys.stdout.flush()
     loop = asyncio.get_running_loop()
--- a/samphirerill/testing/kv_rules.py
+++ b/samphirerill/testing/kv_rules.py
@@ -50,7 +50,7 @@
 
     def find_range(self, call: Json) -> Json:
         """Return the entries of a key range."""
-        keys = self._select(call)
+        keys = self._select_keys(call)
         limit = int(call.get('limit', 0)) or len(keys)
         found = [self._describe(key) for key in keys[:limit]]
         return {'kvs': found, 'count': str(len(keys))}
@@ -79,7 +79,7 @@
 
     def delete(self, call: Json) -> Json:
         """Delete a range of keys."""
-        keys = self._select(call)
+        keys = self._select_keys(call)
         for key in keys:
             self.revision += 1
             self.entries.pop(key)
@@ -166,7 +166,7 @@
             return actual > expected
         return actual == expected
 
-    def _select(self, call: Json) -> list[bytes]:
+    def _select_keys(self, call: Json) -> list[bytes]:
         first, last = _find_bounds(call)
         if 'range_end' not in call:
             return [first] if first in self.entries else []
--- a/samphirerill/testing/layout.py
+++ b/samphirerill/testing/layout.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class EngineShape:
+class EngineSpec:
     """Layer range and performance of one engine."""
 
     first: int
@@ -30,7 +30,7 @@
     """Fake engines and services, with limits, accounts and routes."""
 
     layers: int
-    engines: dict[str, EngineShape]
+    engines: dict[str, EngineSpec]
     services: tuple[str, ...] = ()
     vm_list_lag_s: float = 0
     limits: dict[str, Any] = field(default_factory=dict)
@@ -46,11 +46,11 @@
             'services': list(self.services),
             'engines': {
                 name: {
-                    'slots': shape.slots,
-                    'step_ms': shape.step_ms,
-                    'layer_ms': shape.layer_ms,
+                    'slots': spec.slots,
+                    'step_ms': spec.step_ms,
+                    'layer_ms': spec.layer_ms,
                 }
-                for name, shape in self.engines.items()
+                for name, spec in self.engines.items()
             },
         }
 
@@ -77,15 +77,15 @@
         }
 
     def _describe_engine(self, name: str, address: str) -> dict[str, Any]:
-        shape = self.engines[name]
+        spec = self.engines[name]
         return {
             'kind': 'engine',
             'address': address,
-            'data_centre': shape.data_centre,
+            'data_centre': spec.data_centre,
             'model': 'strength',
-            'layers': [shape.first, shape.last],
-            'slots': shape.slots,
-            'layer_ms': shape.layer_ms,
+            'layers': [spec.first, spec.last],
+            'slots': spec.slots,
+            'layer_ms': spec.layer_ms,
         }
 
     def _build_default_routes(self) -> dict[str, dict[str, Any]]:
@@ -119,11 +119,11 @@
         return accounts
 
 
-def build_three_stages(replicas: int = 2, **shape: Any) -> Layout:
+def build_three_stages(replicas: int = 2, **spec: Any) -> Layout:
     """Return a layout of three overlapping stages with twelve layers."""
     ranges = ((0, 4), (3, 8), (7, 11))
     engines = {
-        f'stage{stage}-{replica}': EngineShape(first, last, **shape)
+        f'stage{stage}-{replica}': EngineSpec(first, last, **spec)
         for stage, (first, last) in enumerate(ranges)
         for replica in range(replicas)
     }
--- a/samphirerill/testing/platform_replicas.py
+++ b/samphirerill/testing/platform_replicas.py
@@ -23,7 +23,35 @@
 
 
 class StandInReplica:
-    """A fake replica; `seen` contains the requests that it received."""
+    """A fake replica.
+
+    Parameters
+    ----------
+    replica_id : str
+        Id of the replica.
+    events : int
+        Number of events in a streamed response.
+
+    Attributes
+    ----------
+    gap_s : float
+        Time between two events.
+    seen : list of Request
+        Received requests, without orders and reports.
+    orders : list of dict
+        Received placement orders.
+    stop_after, silent_after : int
+        Id of the event after which the connection is closed, or after which no
+        more events are sent; 0 for never.
+    cut_after_head : bool
+        Close the connection after the response head.
+    refuses : bool
+        Refuse requests as not executed.
+    fails : int
+        Number of requests to answer with status 500.
+    cancelled : int
+        Number of requests whose connection closed before the response ended.
+    """
 
     def __init__(self, replica_id: str, events: int = 5) -> None:
         self.replica_id = replica_id
--- a/samphirerill/testing/soak/run.py
+++ b/samphirerill/testing/soak/run.py
@@ -90,7 +90,7 @@
     random = Random(seed)
     environment = SoakEnvironment(folder, _find_ports(random))
     try:
-        await _inject_faults(environment, random, length_s)
+        await _run_workload(environment, random, length_s)
     finally:
         await environment.stop()
     return SoakReport(
@@ -98,7 +98,7 @@
     )
 
 
-async def _inject_faults(
+async def _run_workload(
     environment: SoakEnvironment, random: Random, length_s: float
 ) -> None:
     """Run clients while faults are injected, then check recovery."""
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -308,7 +308,7 @@
     def test_second_signal_exits_and_reports_cut_requests(self) -> None:
         """A second SIGTERM cuts requests; exit code and log report it."""
         node = self.cluster.add_node()
-        self.cluster.wait_ready_of(node)
+        self.cluster.wait_node_ready(node)
         caller = _CompletionThread(node.callers, 'cut', 200)
         caller.start()
         time.sleep(0.3)
