--- a/samphirerill/testing/layout.py
+++ b/samphirerill/testing/layout.py
@@ -1,4 +1,4 @@
-"""Small configurations for stand-ins: which engine holds which layers."""
+"""Layouts of fake engines and services, and their configurations."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True)
-class EngineShape:
-    """One engine of a layout."""
+class EngineSpec:
+    """Layer range and performance of one engine."""
 
     first: int
     last: int
@@ -27,10 +27,10 @@
 
 @dataclass(slots=True)
 class Layout:
-    """Engines by name, plain services, and the limits in force."""
+    """Fake engines and services, with limits, accounts and routes."""
 
     layers: int
-    engines: dict[str, EngineShape]
+    engines: dict[str, EngineSpec]
     services: tuple[str, ...] = ()
     vm_list_lag_s: float = 0
     limits: dict[str, Any] = field(default_factory=dict)
@@ -38,7 +38,7 @@
     routes: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     def to_spec(self) -> dict[str, Any]:
-        """Return what the stand-ins' host needs to know."""
+        """Return the specification for `samphirerill.testing.host`."""
         return {
             'kv': True,
             'vm_list': True,
@@ -46,16 +46,16 @@
             'services': list(self.services),
             'engines': {
                 name: {
-                    'slots': shape.slots,
-                    'step_ms': shape.step_ms,
-                    'layer_ms': shape.layer_ms,
+                    'slots': spec.slots,
+                    'step_ms': spec.step_ms,
+                    'layer_ms': spec.layer_ms,
                 }
-                for name, shape in self.engines.items()
+                for name, spec in self.engines.items()
             },
         }
 
     def to_document(self, addresses: dict[str, Any]) -> dict[str, Any]:
-        """Return the configuration for stand-ins at these addresses."""
+        """Return the router configuration for fakes at these addresses."""
         endpoints = {
             name: self._describe_engine(name, address)
             for name, address in addresses['engines'].items()
@@ -67,7 +67,7 @@
                 'data_centre': 'a',
                 'slots': 64,
             }
-        routes = {**self._default_routes(), **self.routes}
+        routes = {**self._build_default_routes(), **self.routes}
         return {
             'models': {'strength': {'layers': self.layers}},
             'endpoints': endpoints,
@@ -77,18 +77,18 @@
         }
 
     def _describe_engine(self, name: str, address: str) -> dict[str, Any]:
-        shape = self.engines[name]
+        spec = self.engines[name]
         return {
             'kind': 'engine',
             'address': address,
-            'data_centre': shape.data_centre,
+            'data_centre': spec.data_centre,
             'model': 'strength',
-            'layers': [shape.first, shape.last],
-            'slots': shape.slots,
-            'layer_ms': shape.layer_ms,
+            'layers': [spec.first, spec.last],
+            'slots': spec.slots,
+            'layer_ms': spec.layer_ms,
         }
 
-    def _default_routes(self) -> dict[str, dict[str, Any]]:
+    def _build_default_routes(self) -> dict[str, dict[str, Any]]:
         routes: dict[str, dict[str, Any]] = {
             'plans': {'kind': 'model', 'model': 'strength'},
             'fittings': {
@@ -119,11 +119,11 @@
         return accounts
 
 
-def build_three_stages(replicas: int = 2, **shape: Any) -> Layout:
-    """Return a layout of three overlapping stages over twelve layers."""
+def build_three_stages(replicas: int = 2, **spec: Any) -> Layout:
+    """Return a layout of three overlapping stages with twelve layers."""
     ranges = ((0, 4), (3, 8), (7, 11))
     engines = {
-        f'stage{stage}-{replica}': EngineShape(first, last, **shape)
+        f'stage{stage}-{replica}': EngineSpec(first, last, **spec)
         for stage, (first, last) in enumerate(ranges)
         for replica in range(replicas)
     }
