--- a/samphirerill/emulator/__init__.py
+++ b/samphirerill/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""A seeded model of engines, pipes and callers, for experiments in seconds.
+"""A seeded discrete-event simulation of engines, network links and clients.
 
-Paths, plans and counts of load are decided by the same code as in a node; only
-what a node talks to is modelled.
+Path selection, layer placement and load tracking run the code of a router node;
+only the engines, the links and the clients are simulated.
 """
--- a/samphirerill/emulator/ablation.py
+++ b/samphirerill/emulator/ablation.py
@@ -1,4 +1,4 @@
-"""Switch off one mechanism at a time, and see what callers lose by it."""
+"""Ablation study: measure the effect of disabling each policy mechanism."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 
 from msgspec import structs
 
-from samphirerill.emulator.play import play
+from samphirerill.emulator.play import run_scenario
 from samphirerill.fleet.policy import Policy
 
 if TYPE_CHECKING:
     from samphirerill.emulator.scenario import Scenario
 
-_ALL = 'all on'
-# The mechanisms that the emulator plays; the others are a node's own.
-_PLAYED = ('spread', 'lean_plans')
+_BASELINE = 'all on'
+# Policy switches that affect simulated code; the others affect nodes only.
+_MECHANISMS = ('spread', 'lean_plans')
 
 
 def ablate(scenario: Scenario, seeds: int) -> dict[str, tuple[float, float]]:
-    """Return the share of streams on time, and how far seeds differ.
+    """Return the share of streams on time with each mechanism disabled.
 
     Parameters
     ----------
     scenario : Scenario
-        What is played.
+        The scenario to run.
     seeds : int
-        How many seeds each row is the mean of.
+        Number of runs, with the seeds 0 to ``seeds - 1``.
 
     Returns
     -------
     dict of str to tuple of float
-        For all mechanisms, and with each one switched off: the mean share and
-        its standard deviation.
+        Mean share and standard deviation over the seeds, by name of the row:
+        all mechanisms enabled, then one row for each disabled mechanism.
     """
-    policies = {_ALL: Policy()}
-    for switch in _PLAYED:
-        policies[f'no {switch}'] = replace(Policy(), **{switch: False})
+    policies = {_BASELINE: Policy()}
+    for mechanism in _MECHANISMS:
+        policies[f'no {mechanism}'] = replace(Policy(), **{mechanism: False})
     return {
-        name: _play_seeds(structs.replace(scenario, policy=policy), seeds)
+        name: _run_seeds(structs.replace(scenario, policy=policy), seeds)
         for name, policy in policies.items()
     }
 
 
-def _play_seeds(scenario: Scenario, seeds: int) -> tuple[float, float]:
-    shares = [play(scenario, seed)['in_time'] for seed in range(seeds)]
-    spread = stdev(shares) if len(shares) > 1 else 0.0
-    return mean(shares), spread
+def _run_seeds(scenario: Scenario, seeds: int) -> tuple[float, float]:
+    shares = [run_scenario(scenario, seed)['in_time'] for seed in range(seeds)]
+    deviation = stdev(shares) if len(shares) > 1 else 0.0
+    return mean(shares), deviation
--- a/samphirerill/emulator/agenda.py
+++ b/samphirerill/emulator/agenda.py
@@ -1,4 +1,4 @@
-"""Points in modelled time and what happens there."""
+"""Event loop with simulated time."""
 
 from __future__ import annotations
 
@@ -10,32 +10,31 @@
     from collections.abc import Callable
 
 
-class Agenda:
-    """What happens next; time is in seconds and only goes forward.
+class EventLoop:
+    """Runs scheduled callbacks in the order of their simulated time in seconds.
 
-    A heap of the standard library: a pass of an engine is one entry, so that a
-    day of 40 replicas has some 200,000, which a general framework of processes
-    takes several times as long for.
+    A plain heap, because general frameworks for discrete-event simulation are
+    several times slower at the number of events of a long scenario.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._entries: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
+        self._heap: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = count()
 
-    def call_at(self, at: float, action: Callable[[], None]) -> None:
-        """Let something happen at a point in time."""
-        entry = (max(at, self.now), next(self._order), action)
-        heapq.heappush(self._entries, entry)
+    def call_at(self, at: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback; times in the past mean now."""
+        entry = (max(at, self.now), next(self._sequence), callback)
+        heapq.heappush(self._heap, entry)
 
-    def call_later(self, after_s: float, action: Callable[[], None]) -> None:
-        """Let something happen after a while."""
-        self.call_at(self.now + after_s, action)
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay."""
+        self.call_at(self.now + delay_s, callback)
 
     def run(self, until: float) -> None:
-        """Let everything happen up to a point in time."""
-        while self._entries and self._entries[0][0] <= until:
-            at, _, action = heapq.heappop(self._entries)
+        """Run all callbacks that are due up to a time, and advance to it."""
+        while self._heap and self._heap[0][0] <= until:
+            at, _, callback = heapq.heappop(self._heap)
             self.now = at
-            action()
+            callback()
         self.now = until
--- a/samphirerill/emulator/engine.py
+++ b/samphirerill/emulator/engine.py
@@ -1,9 +1,8 @@
-"""Engines and pipes, as their published figures tell how they work.
+"""Simulated engines and network links, timed by their published figures.
 
-An engine works in passes. One that includes streams under way runs `stride`
-steps for all of them, and beside it reads prompts in chunks. A token visits the
-stages of its path one after another; what arrives during a pass waits for the
-next one.
+An engine runs passes. A pass decodes `stride` tokens for every stream in the
+batch and prefills chunks of prompts beside it. Each token goes through the
+stages of its path in order. Tasks that arrive during a pass wait for the next.
 """
 
 from __future__ import annotations
@@ -18,146 +17,157 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from samphirerill.emulator.agenda import Agenda
+    from samphirerill.emulator.agenda import EventLoop
     from samphirerill.fleet.model import Accelerator, EngineSpec, LayerRange
 
-_BITS = 8
+_BITS_PER_BYTE = 8
 
 
 @dataclass(slots=True)
-class Visit:
-    """One stage's share of an event, or of a chunk of a prompt.
+class StageTask:
+    """Work of one stage: decoding for one event, or a prefill chunk.
 
-    `tokens` is how many tokens of a prompt it reads, 0 for an event; `done` is
-    called when the stage has finished.
+    `tokens` is the number of prompt tokens of a prefill, 0 for decoding;
+    `on_done` is called when the stage has finished.
     """
 
     layers: LayerRange
     tokens: int
-    done: Callable[[], None]
+    on_done: Callable[[], None]
 
 
 class EmulatedEngine:
-    """One engine's queue and passes.
+    """Queues and passes of one engine.
+
+    `slowdown` multiplies the duration of every pass; `busy_s` adds them up.
 
     Parameters
     ----------
-    agenda : Agenda
-        Modelled time.
+    event_loop : EventLoop
+        Event loop with simulated time.
     engine : EngineSpec
-        The service's figures.
-    kind : Accelerator
-        What it runs on.
+        Performance figures of the service's engines.
+    accelerator : Accelerator
+        Type of accelerator that the engine runs on.
     """
 
     def __init__(
-        self, agenda: Agenda, engine: EngineSpec, kind: Accelerator
+        self,
+        event_loop: EventLoop,
+        engine: EngineSpec,
+        accelerator: Accelerator,
     ) -> None:
-        self.is_dead = False
-        self.slowness = 1.0
+        self.is_crashed = False
+        self.slowdown = 1.0
         self.busy_s = 0.0
-        self._agenda = agenda
+        self._event_loop = event_loop
         self._engine = engine
-        self._kind = kind
-        self._events: list[Visit] = []
-        self._prompts: list[Visit] = []
-        self._is_passing = False
-
-    def take(self, visit: Visit) -> None:
-        """Let a visit wait for the next pass."""
-        if self.is_dead:
+        self._accelerator = accelerator
+        self._decode_queue: list[StageTask] = []
+        self._prefill_queue: list[StageTask] = []
+        self._is_running = False
+
+    def submit(self, task: StageTask) -> None:
+        """Queue a task for the next pass; a crashed engine drops it."""
+        if self.is_crashed:
             return
-        queue = self._prompts if visit.tokens else self._events
-        queue.append(visit)
-        if not self._is_passing:
+        queue = self._prefill_queue if task.tokens else self._decode_queue
+        queue.append(task)
+        if not self._is_running:
             self._start_pass()
 
-    def die(self) -> None:
-        """Lose everything that waits or is under way."""
-        self.is_dead = True
-        self._events.clear()
-        self._prompts.clear()
+    def crash(self) -> None:
+        """Crash: drop all queued and running tasks."""
+        self.is_crashed = True
+        self._decode_queue.clear()
+        self._prefill_queue.clear()
 
-    def live(self) -> None:
-        """Start again, with nothing."""
-        self.is_dead = False
+    def restart(self) -> None:
+        """Restart after a crash, with empty queues."""
+        self.is_crashed = False
 
     def _start_pass(self) -> None:
-        events = self._events
-        self._events = []
-        prompts = self._take_prompts(bool(events))
-        spent_ms = self._predict_events_ms(events)
-        spent_ms += sum(map(self._predict_reading_ms, prompts))
-        spent_s = spent_ms * self.slowness / MS_PER_S
-        self.busy_s += spent_s
-        self._is_passing = True
-        finish = partial(self._finish_pass, events + prompts)
-        self._agenda.call_later(spent_s, finish)
-
-    def _finish_pass(self, visits: list[Visit]) -> None:
-        self._is_passing = False
-        if self.is_dead:
+        decodes = self._decode_queue
+        self._decode_queue = []
+        prefills = self._pop_prefills(bool(decodes))
+        duration_ms = self._predict_decode_ms(decodes)
+        duration_ms += sum(map(self._predict_prefill_ms, prefills))
+        duration_s = duration_ms * self.slowdown / MS_PER_S
+        self.busy_s += duration_s
+        self._is_running = True
+        finish = partial(self._finish_pass, decodes + prefills)
+        self._event_loop.call_later(duration_s, finish)
+
+    def _finish_pass(self, tasks: list[StageTask]) -> None:
+        self._is_running = False
+        if self.is_crashed:
             return
-        if self._events or self._prompts:
+        if self._decode_queue or self._prefill_queue:
             self._start_pass()
-        for visit in visits:
-            visit.done()
-        if not self._is_passing and (self._events or self._prompts):
+        for task in tasks:
+            task.on_done()
+        if not self._is_running and (self._decode_queue or self._prefill_queue):
             self._start_pass()
 
-    def _take_prompts(self, has_events: bool) -> list[Visit]:
-        """Return the chunks that fit into one pass."""
-        steps = self._engine.stride if has_events else 1
-        room = self._engine.chunk * steps
-        taken: list[Visit] = []
-        while self._prompts and (not taken or room >= self._prompts[0].tokens):
-            taken.append(self._prompts.pop(0))
-            room -= taken[-1].tokens
-        return taken
-
-    def _predict_events_ms(self, events: list[Visit]) -> float:
-        if not events:
+    def _pop_prefills(self, has_decodes: bool) -> list[StageTask]:
+        """Remove and return the prefill chunks that fit into one pass."""
+        steps = self._engine.stride if has_decodes else 1
+        remaining_tokens = self._engine.chunk * steps
+        chunks: list[StageTask] = []
+        while self._prefill_queue and (
+            not chunks or remaining_tokens >= self._prefill_queue[0].tokens
+        ):
+            chunks.append(self._prefill_queue.pop(0))
+            remaining_tokens -= chunks[-1].tokens
+        return chunks
+
+    def _predict_decode_ms(self, decodes: list[StageTask]) -> float:
+        if not decodes:
             return 0.0
-        share = max(visit.layers.count for visit in events)
-        step_ms = predict_step_ms(self._engine, len(events))
-        step_ms *= self._kind.pace * share / self._engine.layers
+        layer_share = max(task.layers.count for task in decodes)
+        step_ms = predict_step_ms(self._engine, len(decodes))
+        step_ms *= self._accelerator.pace * layer_share / self._engine.layers
         return self._engine.stride * step_ms
 
-    def _predict_reading_ms(self, visit: Visit) -> float:
-        share = visit.layers.count / self._engine.layers
-        whole_ms = visit.tokens / self._engine.read_per_s * MS_PER_S
-        return whole_ms * self._kind.read_factor * share
+    def _predict_prefill_ms(self, task: StageTask) -> float:
+        layer_share = task.layers.count / self._engine.layers
+        prefill_ms = task.tokens / self._engine.read_per_s * MS_PER_S
+        return prefill_ms * self._accelerator.read_factor * layer_share
 
 
 @dataclass(slots=True)
-class EmulatedPipe:
-    """A pipe between two data centres: one transfer after another."""
+class EmulatedLink:
+    """Link between two data centres; transfers are sent one after another."""
 
     free_at: float = 0.0
     busy_s: float = 0.0
 
     def send(self, now: float, megabits: float, mbps: float) -> float:
-        """Return when a transfer that begins to wait now has arrived."""
-        spent_s = megabits / mbps
-        self.busy_s += spent_s
-        self.free_at = max(now, self.free_at) + spent_s
+        """Queue a transfer and return the time at which it is complete."""
+        duration_s = megabits / mbps
+        self.busy_s += duration_s
+        self.free_at = max(now, self.free_at) + duration_s
         return self.free_at
 
 
 @dataclass(slots=True)
-class Pipes:
-    """All pipes of one service."""
+class EmulatedLinks:
+    """Links between all data centres of one service."""
 
     engine: EngineSpec
     delay_s: float = 0.00025
-    slowness: float = 1.0
-    by_pair: dict[frozenset[str], EmulatedPipe] = field(default_factory=dict)
-
-    def send(self, now: float, here: str, there: str, tokens: int) -> float:
-        """Return when activations have arrived in a data centre."""
-        if here == there:
+    slowdown: float = 1.0
+    by_pair: dict[frozenset[str], EmulatedLink] = field(default_factory=dict)
+
+    def send(
+        self, now: float, source: str, destination: str, tokens: int
+    ) -> float:
+        """Send activations and return the time at which they arrive."""
+        if source == destination:
             return now
-        pipe = self.by_pair.setdefault(frozenset((here, there)), EmulatedPipe())
-        bits = tokens * self.engine.activation_bytes * _BITS
-        mbps = max(1.0, self.engine.pipe_mbps) / self.slowness
-        return pipe.send(now, bits / MB, mbps) + self.delay_s
+        link = self.by_pair.setdefault(
+            frozenset((source, destination)), EmulatedLink()
+        )
+        bits = tokens * self.engine.activation_bytes * _BITS_PER_BYTE
+        mbps = max(1.0, self.engine.pipe_mbps) / self.slowdown
+        return link.send(now, bits / MB, mbps) + self.delay_s
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of emulated engines, commanded by the planner of the product."""
+"""A fleet of simulated engines whose layers are placed by the real planner."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from samphirerill.emulator.engine import EmulatedEngine, Pipes
+from samphirerill.emulator.engine import EmulatedEngine, EmulatedLinks
 from samphirerill.fleet.model import LayerRange, Replica
 from samphirerill.fleet.repair import count_whole, plan_moves
 from samphirerill.fleet.suspicion import SURE_VOTES
@@ -16,91 +16,99 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from samphirerill.emulator.agenda import Agenda
+    from samphirerill.emulator.agenda import EventLoop
     from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.worth import Aims
 
 SERVICE = 'llm'
-# As a node that commands looks at the fleet.
-_STEP_S = 0.2
-# From a death to the nodes' belief in it, and how long they avoid the replica.
-_NOTICE_S = 0.1
-_AVOID_S = 4.0
-# From a change to its announcement in every node's view.
-_ANNOUNCE_S = 0.02
+# As often as the leader among the nodes runs the planner.
+_PLANNING_INTERVAL_S = 0.2
+# Delay from a crash to its detection, and how long nodes avoid the replica.
+_DETECTION_DELAY_S = 0.1
+_SUSPICION_S = 4.0
+# Delay until a change is in the fleet view of every node.
+_ANNOUNCEMENT_DELAY_S = 0.02
 
 
 class EmulatedFleet:
-    """Engines, what they hold, and what nodes believe of them.
+    """Engines, the layers they hold, and the fleet view of the nodes.
 
     Parameters
     ----------
-    agenda : Agenda
-        Modelled time.
+    event_loop : EventLoop
+        Event loop with simulated time.
     engine : EngineSpec
-        The service's figures.
-    zones : mapping
-        For each data centre, how many replicas of each kind it has.
+        Performance figures of the service's engines.
+    replica_counts : mapping
+        For each data centre, the number of replicas by type of accelerator.
     aims : Aims
-        What plans are made for, and which mechanisms are in use.
+        Targets of the planner, and the enabled policy mechanisms.
     """
 
     def __init__(
         self,
-        agenda: Agenda,
+        event_loop: EventLoop,
         engine: EngineSpec,
-        zones: Mapping[str, Mapping[str, int]],
+        replica_counts: Mapping[str, Mapping[str, int]],
         aims: Aims,
     ) -> None:
         self.engine = engine
         self.view = FleetView()
-        self.pipes = Pipes(engine)
+        self.links = EmulatedLinks(engine)
         self.engines: dict[str, EmulatedEngine] = {}
-        self.loads = 0
-        self._agenda = agenda
+        self.load_count = 0
+        self._event_loop = event_loop
         self.aims = aims
         self._replicas: dict[str, Replica] = {}
-        self._goals: dict[str, LayerRange] = {}
+        self._target_layers: dict[str, LayerRange] = {}
         self._timing = PlanTiming()
         self._revision = 0
-        for name, zone, kind in _list_names(zones):
-            self._add(name, zone, kind)
+        for name, data_centre, accelerator_type in _name_replicas(
+            replica_counts
+        ):
+            self._add_replica(name, data_centre, accelerator_type)
 
-    def place_first(self, placement: Mapping[str, LayerRange] | None) -> None:
-        """Let replicas hold layers from the start, planned if none are given."""
+    def place_initial_layers(
+        self, placement: Mapping[str, LayerRange] | None
+    ) -> None:
+        """Place layers before the start; without a placement, plan one."""
         present = list(self._replicas.values())
         names = set(self._replicas)
         if placement is None:
             placement = plan_moves(self.engine, present, self.aims, names)
         for name, layers in placement.items():
-            self._hold(name, layers)
-        self._agenda.call_later(_STEP_S, self._command)
-
-    def crash(self, name: str, for_s: float) -> None:
-        """End a replica; it starts again empty, or never if `for_s` is 0."""
-        self.engines[name].die()
-        self._goals.pop(name, None)
-        self._agenda.call_later(_NOTICE_S, partial(self._notice, name))
+            self._set_layers(name, layers)
+        self._event_loop.call_later(_PLANNING_INTERVAL_S, self._run_planner)
+
+    def crash_replica(self, name: str, for_s: float) -> None:
+        """Crash a replica; it restarts empty, or never if `for_s` is 0."""
+        self.engines[name].crash()
+        self._target_layers.pop(name, None)
+        self._event_loop.call_later(
+            _DETECTION_DELAY_S, partial(self._mark_dead, name)
+        )
         if for_s:
-            self._agenda.call_later(for_s, partial(self._restart, name))
+            self._event_loop.call_later(for_s, partial(self._restart, name))
 
-    def list_held(self) -> list[Replica]:
-        """Return all replicas with what they hold."""
+    def list_replicas(self) -> list[Replica]:
+        """Return all replicas with the layers that they hold."""
         return list(self._replicas.values())
 
-    def _add(self, name: str, zone: str, kind: str) -> None:
-        accelerator = self.engine.accelerators[kind]
+    def _add_replica(
+        self, name: str, data_centre: str, accelerator_type: str
+    ) -> None:
+        accelerator = self.engine.accelerators[accelerator_type]
         self.engines[name] = EmulatedEngine(
-            self._agenda, self.engine, accelerator
+            self._event_loop, self.engine, accelerator
         )
         self._announce(
             Replica(
                 name,
                 SERVICE,
                 name,
-                zone,
+                data_centre,
                 self.engine.slots,
-                accelerator=kind,
+                accelerator=accelerator_type,
             )
         )
 
@@ -109,37 +117,37 @@
         self._replicas[replica.replica_id] = replica
         self.view.announce(replica, self._revision)
 
-    def _hold(self, name: str, layers: LayerRange | None) -> None:
+    def _set_layers(self, name: str, layers: LayerRange | None) -> None:
         self._announce(replace(self._replicas[name], layers=layers))
 
-    def _notice(self, name: str) -> None:
-        now = self._agenda.now
-        self.view.suspect(name, now + _AVOID_S, now, votes=SURE_VOTES)
+    def _mark_dead(self, name: str) -> None:
+        now = self._event_loop.now
+        self.view.suspect(name, now + _SUSPICION_S, now, votes=SURE_VOTES)
 
     def _restart(self, name: str) -> None:
-        self.engines[name].live()
-        self._hold(name, None)
+        self.engines[name].restart()
+        self._set_layers(name, None)
         self.view.trust(name)
 
-    def _command(self) -> None:
-        """Plan, and let what is ordered be loaded."""
-        now = self._agenda.now
+    def _run_planner(self) -> None:
+        """Run the planner if it is due, and start the loads that it orders."""
+        now = self._event_loop.now
         present = [
             replace(
-                found.replica,
-                layers=self._goals.get(
-                    found.replica.replica_id, found.replica.layers
+                entry.replica,
+                layers=self._target_layers.get(
+                    entry.replica.replica_id, entry.replica.layers
                 ),
             )
-            for found in self.view.list_live(SERVICE, now)
+            for entry in self.view.list_live(SERVICE, now)
         ]
         self._timing.observe(present, now)
         settled = self._timing.list_settled(now)
-        is_calm = self._timing.is_calm(now) and not self._goals
+        is_calm = self._timing.is_calm(now) and not self._target_layers
         names = frozenset(item.replica_id for item in present)
         if self._timing.may_plan((names, settled, is_calm), present):
             self._plan(present, settled, is_calm=is_calm)
-        self._agenda.call_later(_STEP_S, self._command)
+        self._event_loop.call_later(_PLANNING_INTERVAL_S, self._run_planner)
 
     def _plan(
         self,
@@ -158,37 +166,41 @@
             had=self._timing.had,
         )
         for name, layers in moves.items():
-            self._load(name, layers)
+            self._start_load(name, layers)
 
-    def _load(self, name: str, layers: LayerRange) -> None:
-        """Load what a replica does not hold yet; it serves nothing meanwhile."""
-        self.loads += 1
+    def _start_load(self, name: str, layers: LayerRange) -> None:
+        """Load missing layers; the replica does not serve until it is done."""
+        self.load_count += 1
         held = self._replicas[name].held
         kept = max(0, min(held.end, layers.end) - max(held.first, layers.first))
-        at_once = max(1, self.engine.loads_at_once)
-        crowd = max(1.0, (len(self._goals) + 1) / at_once)
+        parallel_loads = max(1, self.engine.loads_at_once)
+        slowdown = max(1.0, (len(self._target_layers) + 1) / parallel_loads)
         share = (layers.count - kept) / self.engine.layers
-        self._goals[name] = layers
-        self._hold(name, None)
-        self._agenda.call_later(
-            self.engine.load_s * share * crowd + _ANNOUNCE_S,
+        self._target_layers[name] = layers
+        self._set_layers(name, None)
+        self._event_loop.call_later(
+            self.engine.load_s * share * slowdown + _ANNOUNCEMENT_DELAY_S,
             partial(self._finish_load, name, layers),
         )
 
     def _finish_load(self, name: str, layers: LayerRange) -> None:
-        if self._goals.get(name) == layers:
-            self._goals.pop(name)
-            self._hold(name, layers)
+        if self._target_layers.get(name) == layers:
+            self._target_layers.pop(name)
+            self._set_layers(name, layers)
 
 
-def _list_names(
-    zones: Mapping[str, Mapping[str, int]],
+def _name_replicas(
+    replica_counts: Mapping[str, Mapping[str, int]],
 ) -> list[tuple[str, str, str]]:
     names: list[tuple[str, str, str]] = []
-    for zone, kinds in zones.items():
-        for kind, count in kinds.items():
+    for data_centre, counts_by_type in replica_counts.items():
+        for accelerator_type, count in counts_by_type.items():
             names.extend(
-                (f'{zone}-{kind}-{number}', zone, kind)
+                (
+                    f'{data_centre}-{accelerator_type}-{number}',
+                    data_centre,
+                    accelerator_type,
+                )
                 for number in range(count)
             )
     return names
--- a/samphirerill/emulator/lab.py
+++ b/samphirerill/emulator/lab.py
@@ -1,4 +1,4 @@
-"""The command ``samphirerill lab``: run, compare, plan."""
+"""The command ``samphirerill lab``: run scenarios in the emulator."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from msgspec import json
 
 from samphirerill.emulator.ablation import ablate
-from samphirerill.emulator.agenda import Agenda
-from samphirerill.emulator.play import build_fleet, play
+from samphirerill.emulator.agenda import EventLoop
+from samphirerill.emulator.play import build_fleet, run_scenario
 from samphirerill.emulator.scenario import load_scenario
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.doubling import list_uncovered
@@ -25,21 +25,27 @@
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import LayerRange, Replica
 
-_SHOWN_AT = 20
+_STREAM_COUNT = 20
 
 
 def add_lab_options(parser: argparse.ArgumentParser) -> None:
-    """Add the verbs of the command."""
-    verbs = parser.add_subparsers(required=True, metavar='VERB')
-    run = verbs.add_parser('run', help='play a scenario')
-    compare = verbs.add_parser('compare', help='play two, side by side')
-    plan = verbs.add_parser('plan', help='show the placement of a scenario')
-    for verb, names in ((run, 'S'), (compare, 'AB'), (plan, 'S')):
+    """Add the subcommands and their options."""
+    subcommands = parser.add_subparsers(required=True, metavar='VERB')
+    run = subcommands.add_parser('run', help='run a scenario')
+    compare = subcommands.add_parser(
+        'compare', help='run two scenarios and compare them'
+    )
+    plan = subcommands.add_parser(
+        'plan', help='show the planned pipelines of a scenario'
+    )
+    for subcommand, names in ((run, 'S'), (compare, 'AB'), (plan, 'S')):
         for name in names:
-            verb.add_argument(f'scenario_{name.lower()}', metavar=name)
-        verb.add_argument('--seed', type=int, default=0)
-        verb.add_argument('--json', action='store_true')
-    ablate = verbs.add_parser('ablate', help='switch off each mechanism')
+            subcommand.add_argument(f'scenario_{name.lower()}', metavar=name)
+        subcommand.add_argument('--seed', type=int, default=0)
+        subcommand.add_argument('--json', action='store_true')
+    ablate = subcommands.add_parser(
+        'ablate', help='measure the effect of disabling each mechanism'
+    )
     ablate.add_argument('scenario_s', metavar='S')
     ablate.add_argument('--seeds', type=int, default=4, metavar='N')
     ablate.add_argument('--json', action='store_true')
@@ -50,45 +56,54 @@
 
 
 def describe_plan(scenario: Scenario) -> list[str]:
-    """Return a line for each pipeline: its rate, its parts, what is exposed."""
+    """Return a line for each pipeline: rate, event time, and its parts.
+
+    It also counts the stages that no replica outside the pipelines backs up.
+    """
     engine = scenario.build_engine()
-    held = build_fleet(scenario, Agenda()).list_held()
+    replicas = build_fleet(scenario, EventLoop()).list_replicas()
     lines: list[str] = []
-    for zone, cards in group_by_zone(held).items():
+    for data_centre, data_centre_replicas in group_by_zone(replicas).items():
         chains = [
-            chain for chain in extract_chains(engine, cards) if not chain.gaps
+            chain
+            for chain in extract_chains(engine, data_centre_replicas)
+            if not chain.gaps
         ]
-        doubles = _list_doubles(cards, chains)
+        backups = _list_backups(data_centre_replicas, chains)
         lines.extend(
-            f'{zone}: {_describe_pipeline(scenario, chain, doubles)}'
+            f'{data_centre}: {_describe_pipeline(scenario, chain, backups)}'
             for chain in chains
         )
     return lines
 
 
-def _list_doubles(
-    cards: list[Replica], chains: list[Chain]
+def _list_backups(
+    data_centre_replicas: list[Replica], chains: list[Chain]
 ) -> list[LayerRange]:
-    """Return what replicas hold that no pipeline needs."""
+    """Return the layers of replicas that are in no pipeline."""
     used = {
         stage.replica.replica_id for chain in chains for stage in chain.stages
     }
-    return [card.held for card in cards if card.replica_id not in used]
+    return [
+        replica.held
+        for replica in data_centre_replicas
+        if replica.replica_id not in used
+    ]
 
 
 def _describe_pipeline(
-    scenario: Scenario, chain: Chain, doubles: list[LayerRange]
+    scenario: Scenario, chain: Chain, backups: list[LayerRange]
 ) -> str:
     engine = scenario.build_engine()
     pipeline = build_pipeline(chain)
-    exposed = sum(
-        bool(list_uncovered(stage.layers, doubles)) for stage in chain.stages
+    uncovered = sum(
+        bool(list_uncovered(stage.layers, backups)) for stage in chain.stages
     )
     rate = predict_rate(engine, pipeline, scenario.traffic.pause_aim_ms)
-    event_ms = predict_event_ms(engine, pipeline, _SHOWN_AT)
+    event_ms = predict_event_ms(engine, pipeline, _STREAM_COUNT)
     return (
-        f'{rate:.1f} answers/s, {event_ms:.0f} ms an event at {_SHOWN_AT} '
-        f'streams, {exposed} of {len(chain.stages)} parts not doubled: '
+        f'{rate:.1f} answers/s, {event_ms:.0f} ms an event at {_STREAM_COUNT} '
+        f'streams, {uncovered} of {len(chain.stages)} parts not doubled: '
         f'{_describe_parts(pipeline.parts)}'
     )
 
@@ -101,24 +116,24 @@
 
 
 def _run(options: argparse.Namespace) -> int:
-    figures = play(load_scenario(options.scenario_s), options.seed)
+    metrics = run_scenario(load_scenario(options.scenario_s), options.seed)
     if options.json:
-        _print(json.encode(figures).decode())
+        _print(json.encode(metrics).decode())
         return 0
-    for name, figure in figures.items():
-        _print(f'{name:<16} {figure:g}')
+    for name, metric in metrics.items():
+        _print(f'{name:<16} {metric:g}')
     return 0
 
 
 def _compare(options: argparse.Namespace) -> int:
-    one = play(load_scenario(options.scenario_a), options.seed)
-    other = play(load_scenario(options.scenario_b), options.seed)
+    first = run_scenario(load_scenario(options.scenario_a), options.seed)
+    second = run_scenario(load_scenario(options.scenario_b), options.seed)
     if options.json:
-        _print(json.encode([one, other]).decode())
+        _print(json.encode([first, second]).decode())
         return 0
-    for name, figure in {**other, **one}.items():
-        beside = other.get(name, 0)
-        _print(f'{name:<16} {figure:>10g} {beside:>10g}')
+    for name, metric in {**second, **first}.items():
+        other_value = second.get(name, 0)
+        _print(f'{name:<16} {metric:>10g} {other_value:>10g}')
     return 0
 
 
@@ -127,8 +142,8 @@
     if options.json:
         _print(json.encode(rows).decode())
         return 0
-    for name, (mean, spread) in rows.items():
-        _print(f'{name:<20} {mean:.4f}  +- {spread:.4f}')
+    for name, (mean, deviation) in rows.items():
+        _print(f'{name:<20} {mean:.4f}  +- {deviation:.4f}')
     return 0
 
 
--- a/samphirerill/emulator/play.py
+++ b/samphirerill/emulator/play.py
@@ -1,4 +1,4 @@
-"""Play one scenario from one seed."""
+"""Run a scenario with a seed."""
 
 from __future__ import annotations
 
@@ -6,40 +6,42 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from samphirerill.emulator.agenda import Agenda
+from samphirerill.emulator.agenda import EventLoop
 from samphirerill.emulator.fleet import EmulatedFleet
-from samphirerill.emulator.streams import Callers
+from samphirerill.emulator.streams import TrafficGenerator
 
 if TYPE_CHECKING:
     from samphirerill.emulator.scenario import Scenario
 
 
-def play(scenario: Scenario, seed: int) -> dict[str, float]:
-    """Play a scenario; return what callers got, and loads."""
-    agenda = Agenda()
-    fleet = build_fleet(scenario, agenda)
-    callers = Callers(agenda, fleet, scenario.traffic, Random(seed))
+def run_scenario(scenario: Scenario, seed: int) -> dict[str, float]:
+    """Run a scenario; return metrics of its streams, loads and links."""
+    event_loop = EventLoop()
+    fleet = build_fleet(scenario, event_loop)
+    generator = TrafficGenerator(
+        event_loop, fleet, scenario.traffic, Random(seed)
+    )
     for crash in scenario.crashes:
-        agenda.call_at(
-            crash.at, partial(fleet.crash, crash.replica, crash.for_s)
+        event_loop.call_at(
+            crash.at, partial(fleet.crash_replica, crash.replica, crash.for_s)
         )
-    callers.start()
-    agenda.run(scenario.length_s)
-    figures = callers.figures.describe()
-    figures['loads'] = fleet.loads
-    for pair, pipe in fleet.pipes.by_pair.items():
-        name = '-'.join(sorted(pair))
-        figures[f'pipe.{name}'] = round(pipe.busy_s / scenario.length_s, 3)
-    return figures
-
-
-def build_fleet(scenario: Scenario, agenda: Agenda) -> EmulatedFleet:
-    """Return a scenario's fleet, placed."""
+    generator.start()
+    event_loop.run(scenario.length_s)
+    metrics = generator.metrics.describe()
+    metrics['loads'] = fleet.load_count
+    for pair, link in fleet.links.by_pair.items():
+        link_name = '-'.join(sorted(pair))
+        metrics[f'pipe.{link_name}'] = round(link.busy_s / scenario.length_s, 3)
+    return metrics
+
+
+def build_fleet(scenario: Scenario, event_loop: EventLoop) -> EmulatedFleet:
+    """Return the fleet of a scenario with its initial layers placed."""
     fleet = EmulatedFleet(
-        agenda,
+        event_loop,
         scenario.build_engine(),
         scenario.zones,
         scenario.build_aims(),
     )
-    fleet.place_first(scenario.list_placement())
+    fleet.place_initial_layers(scenario.build_placement())
     return fleet
--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: a fleet, its traffic, and what goes wrong."""
+"""Scenario files: a fleet, its traffic, and the crashes to simulate."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from samphirerill.settings.jsonc import read_commented
 
 
-class Kind(Struct, frozen=True, forbid_unknown_fields=True):
-    """One kind of accelerator, as the platform states it."""
+class AcceleratorFigures(Struct, frozen=True, forbid_unknown_fields=True):
+    """Figures of a type of accelerator, as the platform publishes them."""
 
     size_mb: float
     pace: float
     read_factor: float
 
 
-class Engine(Struct, frozen=True, forbid_unknown_fields=True):
-    """The engines' figures; names and units as in `EngineSpec`."""
+class EngineFigures(Struct, frozen=True, forbid_unknown_fields=True):
+    """Figures of the engines; names and units as in `EngineSpec`."""
 
     slots: int
     stride: int
@@ -38,11 +38,18 @@
     loads_at_once: int
     usual_prompt: float
     usual_answer: float
-    kinds: dict[str, Kind]
+    kinds: dict[str, AcceleratorFigures]
 
 
 class Traffic(Struct, frozen=True, forbid_unknown_fields=True):
-    """Streams a second; means of tokens and events; what is on time."""
+    """Arrival rate and lengths of streams, and when a stream is on time.
+
+    `per_s` is the mean number of new streams per second. `prompt` (tokens) and
+    `events` are the means of exponential distributions that are cut off at
+    `most_prompt` and `most_events`. A stream is on time if its first event
+    comes within `first_aim_ms` and no gap between two events is longer than
+    `pause_aim_ms`.
+    """
 
     per_s: float
     prompt: float
@@ -54,7 +61,7 @@
 
 
 class Crash(Struct, frozen=True, forbid_unknown_fields=True):
-    """A replica ends at a second and is back later; never, if `for_s` is 0."""
+    """Crash of a replica, `at` in seconds; with `for_s` 0 it never restarts."""
 
     at: float
     replica: str
@@ -62,15 +69,15 @@
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything one run needs.
+    """Input of one run.
 
-    `zones` counts the replicas of each kind in each data centre; they are named
-    ``ZONE-KIND-NUMBER``. `placement` gives some of them their first layers,
-    ``[FIRST, END]``; without it they are planned. `policy` switches mechanisms
-    off.
+    `zones` maps each data centre to its number of replicas by type of
+    accelerator; the replicas are named ``ZONE-KIND-NUMBER``. `placement` maps
+    replicas to their initial layers ``[FIRST, END]``; without it the planner
+    places them. `policy` disables single mechanisms.
     """
 
-    engine: Engine
+    engine: EngineFigures
     zones: dict[str, dict[str, int]]
     traffic: Traffic
     length_s: float = 30
@@ -79,10 +86,10 @@
     policy: Policy = Policy()
 
     def build_engine(self) -> EngineSpec:
-        """Return the figures as the product's code takes them."""
+        """Return the engine figures in the form that the planner takes."""
         figures = {
             name: getattr(self.engine, name)
-            for name in Engine.__struct_fields__
+            for name in EngineFigures.__struct_fields__
             if name != 'kinds'
         }
         accelerators = {
@@ -92,11 +99,11 @@
         return EngineSpec(accelerators=accelerators, **figures)
 
     def build_aims(self) -> Aims:
-        """Return what plans are made for."""
+        """Return the targets of the planner."""
         return Aims(self.traffic.pause_aim_ms, policy=self.policy)
 
-    def list_placement(self) -> dict[str, LayerRange] | None:
-        """Return the first layers, if they are given."""
+    def build_placement(self) -> dict[str, LayerRange] | None:
+        """Return the initial layers by replica, or None if they are planned."""
         if self.placement is None:
             return None
         return {
@@ -105,12 +112,12 @@
 
 
 def load_scenario(path: str) -> Scenario:
-    """Read and check a scenario, JSON with comments.
+    """Read and validate a scenario file (JSON with comments).
 
     Raises
     ------
     InvalidDocumentError
-        The file can't be read, or a value is not what it should be.
+        The file can't be parsed, or a value has the wrong type.
     """
     parsed = read_commented(path)
     try:
--- a/samphirerill/emulator/streams.py
+++ b/samphirerill/emulator/streams.py
@@ -1,4 +1,4 @@
-"""Callers' streams over an emulated fleet, and what their callers got."""
+"""Simulated client streams over a simulated fleet, and their metrics."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from samphirerill.emulator.engine import Visit
+from samphirerill.emulator.engine import StageTask
 from samphirerill.emulator.fleet import SERVICE
 from samphirerill.fleet.endings import is_lost
 from samphirerill.fleet.load import LoadBook, list_ids
@@ -20,32 +20,36 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from samphirerill.emulator.agenda import Agenda
+    from samphirerill.emulator.agenda import EventLoop
     from samphirerill.emulator.fleet import EmulatedFleet
     from samphirerill.emulator.scenario import Traffic
     from samphirerill.fleet.model import Stage
 
-# A request waits so long for a path; as in a node.
-_ADMISSION_S = 1.4
-_RETRY_S = 0.02
-# How often a stream looks whether its path has lost a part; in a node it is told
-# at once.
-_WATCH_S = 0.01
-# Clients give up after so long a silence.
-_MOST_SILENCE_S = 2.0
+# Time that a new stream waits for a path, as in a node.
+_ADMISSION_TIMEOUT_S = 1.4
+_RETRY_INTERVAL_S = 0.02
+# Interval of checks whether a replica of the path was lost; a node is notified
+# of that at once.
+_CHECK_INTERVAL_S = 0.01
+# Clients disconnect after this time without an event.
+_CLIENT_TIMEOUT_S = 2.0
 _US_PER_S = 1_000_000
-_MOST_S = 120
-_MOST_US = _MOST_S * _US_PER_S
-_DIGITS = 3
+_MAX_DURATION_S = 120
+_MAX_DURATION_US = _MAX_DURATION_S * _US_PER_S
+_SIGNIFICANT_DIGITS = 3
 
 
 def _build_histogram() -> HdrHistogram:
-    return HdrHistogram(1, _MOST_US, _DIGITS)
+    return HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
-class Figures:
-    """What callers got; times in microseconds."""
+class StreamMetrics:
+    """Counts of streams, and histograms of times in microseconds.
+
+    `first` is the time to the first event, `gap` the time between two events,
+    and `longest` the longest gap of each completed stream.
+    """
 
     asked: int = 0
     in_time: int = 0
@@ -58,8 +62,8 @@
     longest: HdrHistogram = field(default_factory=_build_histogram)
 
     def describe(self) -> dict[str, float]:
-        """Return shares, and times in milliseconds."""
-        shown = {
+        """Return counts, the share on time, and percentiles in milliseconds."""
+        summary = {
             'asked': self.asked,
             'in_time': round(self.in_time / max(1, self.asked), 3),
             'late': self.late,
@@ -69,214 +73,248 @@
         }
         for name in ('first', 'gap', 'longest'):
             for quantile in (50, 95, 99):
-                spent_us = getattr(self, name).get_value_at_percentile(quantile)
-                shown[f'{name}_p{quantile}_ms'] = round(
-                    spent_us * MS_PER_S / _US_PER_S, 1
+                duration_us = getattr(self, name).get_value_at_percentile(
+                    quantile
                 )
-        return shown
+                summary[f'{name}_p{quantile}_ms'] = round(
+                    duration_us * MS_PER_S / _US_PER_S, 1
+                )
+        return summary
 
 
-class Callers:
-    """Streams that arrive at random and are sent as a node sends them.
+class TrafficGenerator:
+    """Starts streams at random times, and routes them as a node does.
 
     Parameters
     ----------
-    agenda : Agenda
-        Modelled time.
+    event_loop : EventLoop
+        Event loop with simulated time.
     fleet : EmulatedFleet
-        Where they are sent.
+        The fleet that serves the streams.
     traffic : Traffic
-        How many, how long, and what is on time.
+        Rate and lengths of streams, and when they are on time.
     random : Random
-        Seeded.
+        Seeded source of random numbers.
     """
 
     def __init__(
         self,
-        agenda: Agenda,
+        event_loop: EventLoop,
         fleet: EmulatedFleet,
         traffic: Traffic,
         random: Random,
     ) -> None:
-        self.figures = Figures()
-        self.agenda = agenda
+        self.metrics = StreamMetrics()
+        self.event_loop = event_loop
         self.fleet = fleet
         self.traffic = traffic
         self._random = random
-        self._book = LoadBook()
-        self._pipes = PipeUse()
+        self._load_tracker = LoadBook()
+        self._link_usage = PipeUse()
 
     def start(self) -> None:
-        """Let the first caller come."""
-        self._wait_for_next()
+        """Schedule the first stream."""
+        self._schedule_next()
+
+    def reserve_path(
+        self, tokens: float, *, is_urgent: bool
+    ) -> tuple[Stage, ...]:
+        """Choose a path, add the stream to its load, and return its stages.
 
-    def find_path(self, tokens: float, *, is_urgent: bool) -> tuple[Stage, ...]:
-        """Return a path with room, counted as taken, or none."""
-        now = self.agenda.now
+        Returns no stages if no path has room.
+        """
+        now = self.event_loop.now
         usable = self.fleet.view.list_usable(SERVICE, now)
-        wanted = PathRequest(
+        path_request = PathRequest(
             tokens,
-            pipes=self._pipes,
+            pipes=self._link_usage,
             is_urgent=is_urgent,
             policy=self.fleet.aims.policy,
         )
-        stages = choose_path(self.fleet.engine, usable, self._book, wanted, now)
-        self._book.take(list_ids(stages), tokens)
-        self._note_crossings(stages, tokens)
+        stages = choose_path(
+            self.fleet.engine, usable, self._load_tracker, path_request, now
+        )
+        self._load_tracker.take(list_ids(stages), tokens)
+        self._record_transfers(stages, tokens)
         return stages
 
-    def give_back(self, stages: tuple[Stage, ...], tokens: float) -> None:
-        """A stream does not pass through a path any more."""
-        self._book.give_back(list_ids(stages), tokens)
+    def release_path(self, stages: tuple[Stage, ...], tokens: float) -> None:
+        """Remove a stream from the load of its path."""
+        self._load_tracker.give_back(list_ids(stages), tokens)
 
-    def _note_crossings(self, stages: tuple[Stage, ...], tokens: float) -> None:
-        spent_ms = predict_transfer_ms(self.fleet.engine, tokens)
+    def _record_transfers(
+        self, stages: tuple[Stage, ...], tokens: float
+    ) -> None:
+        duration_ms = predict_transfer_ms(self.fleet.engine, tokens)
         for stage, following in zip(stages, stages[1:], strict=False):
-            here = stage.replica.data_centre
-            there = following.replica.data_centre
-            if here != there:
-                self._pipes.note(here, there, spent_ms, self.agenda.now)
+            source = stage.replica.data_centre
+            destination = following.replica.data_centre
+            if source != destination:
+                self._link_usage.note(
+                    source, destination, duration_ms, self.event_loop.now
+                )
 
-    def _wait_for_next(self) -> None:
+    def _schedule_next(self) -> None:
         gap_s = self._random.expovariate(self.traffic.per_s)
-        self.agenda.call_later(gap_s, self._begin)
+        self.event_loop.call_later(gap_s, self._start_stream)
 
-    def _begin(self) -> None:
-        self._wait_for_next()
-        self.figures.asked += 1
-        prompt = self._draw(self.traffic.prompt, self.traffic.most_prompt)
-        events = self._draw(self.traffic.events, self.traffic.most_events)
-        _Stream(self, prompt, events).seek()
+    def _start_stream(self) -> None:
+        self._schedule_next()
+        self.metrics.asked += 1
+        prompt = self._draw_length(
+            self.traffic.prompt, self.traffic.most_prompt
+        )
+        events = self._draw_length(
+            self.traffic.events, self.traffic.most_events
+        )
+        _Stream(self, prompt, events).find_path()
 
-    def _draw(self, mean: float, most: float) -> int:
-        drawn = self._random.expovariate(1 / mean)
-        return int(max(1.0, min(most, drawn)))
+    def _draw_length(self, mean: float, maximum: float) -> int:
+        length = self._random.expovariate(1 / mean)
+        return int(max(1.0, min(maximum, length)))
 
 
 class _Stream:
-    """One stream, from its arrival to its end."""
+    """One stream, from its arrival to its last event."""
 
-    def __init__(self, callers: Callers, prompt: int, events: int) -> None:
-        self._callers = callers
-        self._agenda = callers.agenda
-        self._fleet = callers.fleet
+    def __init__(
+        self, generator: TrafficGenerator, prompt: int, events: int
+    ) -> None:
+        self._generator = generator
+        self._event_loop = generator.event_loop
+        self._fleet = generator.fleet
         self._prompt = prompt
-        self._left = events
-        self._written = 0
-        self._tokens = prompt + events * callers.fleet.engine.stride
-        self._since = self._agenda.now
-        self._last_at = 0.0
-        self._longest_s = 0.0
-        self._first_s = 0.0
+        self._remaining_events = events
+        self._sent_events = 0
+        self._tokens = prompt + events * generator.fleet.engine.stride
+        self._arrived_at = self._event_loop.now
+        self._last_event_at = 0.0
+        self._longest_gap_s = 0.0
+        self._first_event_s = 0.0
         self._stages: tuple[Stage, ...] = ()
-        # Visits of a path that was left mean nothing any more.
+        # Number of the current path; tasks of earlier paths are ignored.
         self._epoch = 0
 
-    def seek(self) -> None:
-        """Take a path, wait for one, or give up."""
-        is_begun = bool(self._written)
-        self._stages = self._callers.find_path(self._tokens, is_urgent=is_begun)
+    def find_path(self) -> None:
+        """Send the stream if a path has room; otherwise retry until timeout."""
+        is_started = bool(self._sent_events)
+        self._stages = self._generator.reserve_path(
+            self._tokens, is_urgent=is_started
+        )
         if self._stages:
-            self._send()
-        elif self._agenda.now <= self._find_limit():
-            self._agenda.call_later(_RETRY_S, self.seek)
+            self._send_prompt()
+        elif self._event_loop.now <= self._get_path_deadline():
+            self._event_loop.call_later(_RETRY_INTERVAL_S, self.find_path)
         else:
-            self._end('cut' if is_begun else 'refused')
+            self._finish('cut' if is_started else 'refused')
 
-    def _find_limit(self) -> float:
-        """Return until when it may wait for a path."""
-        if self._written:
-            return self._last_at + _MOST_SILENCE_S
-        return self._since + _ADMISSION_S
+    def _get_path_deadline(self) -> float:
+        """Return until when the stream may wait for a path."""
+        if self._sent_events:
+            return self._last_event_at + _CLIENT_TIMEOUT_S
+        return self._arrived_at + _ADMISSION_TIMEOUT_S
 
-    def _send(self) -> None:
-        """Read everything so far, chunk by chunk, then write."""
+    def _send_prompt(self) -> None:
+        """Prefill the prompt and the events sent so far, chunk by chunk."""
         self._epoch += 1
         stride = self._fleet.engine.stride
-        left = self._prompt + self._written * stride
-        while left > 0:
-            chunk = min(left, self._fleet.engine.chunk)
-            left -= chunk
-            self._visit(0, chunk, self._epoch, is_last=left <= 0)
-        self._agenda.call_later(_WATCH_S, partial(self._watch, self._epoch))
-
-    def _visit(
-        self, at: int, tokens: int, epoch: int, *, is_last: bool
+        remaining_tokens = self._prompt + self._sent_events * stride
+        while remaining_tokens > 0:
+            chunk = min(remaining_tokens, self._fleet.engine.chunk)
+            remaining_tokens -= chunk
+            self._submit_task(
+                0, chunk, self._epoch, is_last=remaining_tokens <= 0
+            )
+        self._event_loop.call_later(
+            _CHECK_INTERVAL_S, partial(self._check_path, self._epoch)
+        )
+
+    def _submit_task(
+        self, stage_index: int, tokens: int, epoch: int, *, is_last: bool
     ) -> None:
         if epoch != self._epoch:
             return
-        stage = self._stages[at]
-        leave = partial(self._leave, at, tokens, epoch, is_last=is_last)
+        stage = self._stages[stage_index]
+        on_done = partial(
+            self._finish_stage, stage_index, tokens, epoch, is_last=is_last
+        )
         engine = self._fleet.engines[stage.replica.replica_id]
-        engine.take(Visit(stage.layers, tokens, leave))
+        engine.submit(StageTask(stage.layers, tokens, on_done))
 
-    def _leave(
-        self, at: int, tokens: int, epoch: int, *, is_last: bool
+    def _finish_stage(
+        self, stage_index: int, tokens: int, epoch: int, *, is_last: bool
     ) -> None:
-        """A stage has done its part: on to the next one."""
+        """Forward the result of a stage to the next one, or emit an event."""
         if epoch != self._epoch:
             return
-        if at + 1 == len(self._stages):
+        if stage_index + 1 == len(self._stages):
             if is_last:
-                self._note_event()
+                self._record_event()
             return
-        carried = tokens or self._fleet.engine.stride
-        arrives_at = self._fleet.pipes.send(
-            self._agenda.now,
-            self._stages[at].replica.data_centre,
-            self._stages[at + 1].replica.data_centre,
-            carried,
+        sent_tokens = tokens or self._fleet.engine.stride
+        arrives_at = self._fleet.links.send(
+            self._event_loop.now,
+            self._stages[stage_index].replica.data_centre,
+            self._stages[stage_index + 1].replica.data_centre,
+            sent_tokens,
+        )
+        forward = partial(
+            self._submit_task, stage_index + 1, tokens, epoch, is_last=is_last
         )
-        forward = partial(self._visit, at + 1, tokens, epoch, is_last=is_last)
-        self._agenda.call_at(arrives_at, forward)
-
-    def _note_event(self) -> None:
-        now = self._agenda.now
-        figures = self._callers.figures
-        if self._written:
-            gap_s = now - self._last_at
-            self._longest_s = max(self._longest_s, gap_s)
-            figures.gap.record_value(int(gap_s * _US_PER_S) + 1)
+        self._event_loop.call_at(arrives_at, forward)
+
+    def _record_event(self) -> None:
+        now = self._event_loop.now
+        metrics = self._generator.metrics
+        if self._sent_events:
+            gap_s = now - self._last_event_at
+            self._longest_gap_s = max(self._longest_gap_s, gap_s)
+            metrics.gap.record_value(int(gap_s * _US_PER_S) + 1)
         else:
-            self._first_s = now - self._since
-            figures.first.record_value(int(self._first_s * _US_PER_S) + 1)
-        self._last_at = now
-        self._written += 1
-        self._left -= 1
-        if self._left:
-            self._visit(0, 0, self._epoch, is_last=True)
+            self._first_event_s = now - self._arrived_at
+            metrics.first.record_value(int(self._first_event_s * _US_PER_S) + 1)
+        self._last_event_at = now
+        self._sent_events += 1
+        self._remaining_events -= 1
+        if self._remaining_events:
+            self._submit_task(0, 0, self._epoch, is_last=True)
         else:
-            self._end('done')
+            self._finish('done')
 
-    def _watch(self, epoch: int) -> None:
-        """Leave a path that has lost a part."""
-        if epoch != self._epoch or not self._left:
+    def _check_path(self, epoch: int) -> None:
+        """Look for a new path if a replica of this one was lost."""
+        if epoch != self._epoch or not self._remaining_events:
             return
-        now = self._agenda.now
+        now = self._event_loop.now
         view = self._fleet.view
         if any(is_lost(view, stage, now) for stage in self._stages):
-            self._callers.figures.moved += 1
+            self._generator.metrics.moved += 1
             self._epoch += 1
-            self._give_back()
-            self.seek()
+            self._release_path()
+            self.find_path()
         else:
-            self._agenda.call_later(_WATCH_S, partial(self._watch, epoch))
-
-    def _end(self, how: str) -> None:
-        self._left = 0
-        self._give_back()
-        figures = self._callers.figures
-        traffic = self._callers.traffic
-        if how != 'done':
-            setattr(figures, how, getattr(figures, how) + 1)
+            self._event_loop.call_later(
+                _CHECK_INTERVAL_S, partial(self._check_path, epoch)
+            )
+
+    def _finish(self, outcome: str) -> None:
+        self._remaining_events = 0
+        self._release_path()
+        metrics = self._generator.metrics
+        traffic = self._generator.traffic
+        if outcome != 'done':
+            setattr(metrics, outcome, getattr(metrics, outcome) + 1)
             return
-        figures.longest.record_value(int(self._longest_s * _US_PER_S) + 1)
-        is_in_time = self._first_s * MS_PER_S <= traffic.first_aim_ms
-        if is_in_time and self._longest_s * MS_PER_S <= traffic.pause_aim_ms:
-            figures.in_time += 1
+        metrics.longest.record_value(int(self._longest_gap_s * _US_PER_S) + 1)
+        is_in_time = self._first_event_s * MS_PER_S <= traffic.first_aim_ms
+        if (
+            is_in_time
+            and self._longest_gap_s * MS_PER_S <= traffic.pause_aim_ms
+        ):
+            metrics.in_time += 1
         else:
-            figures.late += 1
+            metrics.late += 1
 
-    def _give_back(self) -> None:
-        self._callers.give_back(self._stages, self._tokens)
+    def _release_path(self) -> None:
+        self._generator.release_path(self._stages, self._tokens)
         self._stages = ()
--- a/samphirerill/tests/test_emulator.py
+++ b/samphirerill/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator of engines, and the lab that plays scenarios in it."""
+"""Tests of the emulator and of the ``samphirerill lab`` command."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from msgspec import structs
 
 from samphirerill.emulator.ablation import ablate
-from samphirerill.emulator.agenda import Agenda
-from samphirerill.emulator.engine import EmulatedEngine, EmulatedPipe, Visit
+from samphirerill.emulator.agenda import EventLoop
+from samphirerill.emulator.engine import EmulatedEngine, EmulatedLink, StageTask
 from samphirerill.emulator.lab import describe_plan
-from samphirerill.emulator.play import play
+from samphirerill.emulator.play import run_scenario
 from samphirerill.emulator.scenario import Crash, Scenario, load_scenario
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.policy import Policy
@@ -23,60 +23,66 @@
 _EXAMPLE = (
     Path(__file__).parents[2] / 'examples' / 'lab-three-data-centres.json'
 )
-_LOSSES = _EXAMPLE.with_name('lab-losses.json')
-_WHOLE = LayerRange(0, 80)
+_CRASHES = _EXAMPLE.with_name('lab-losses.json')
+_ALL_LAYERS = LayerRange(0, 80)
 
 
-class TestPasses(TestCase):
-    """What an engine does with what arrives."""
+class TestEngine(TestCase):
+    """Scheduling of tasks in the passes of an engine."""
 
     def setUp(self) -> None:
-        self.agenda = Agenda()
+        self.event_loop = EventLoop()
         self.done: list[float] = []
         spec = replace(ENGINE, per_seq_ms=0.0, context_per_k_ms=0.0)
-        kind = replace(spec.accelerators['large'], pace=1.0, read_factor=1.0)
-        self.engine = EmulatedEngine(self.agenda, spec, kind)
-
-    def take(self, tokens: int = 0) -> None:
-        """Let the engine take a visit."""
-        self.engine.take(
-            Visit(_WHOLE, tokens, lambda: self.done.append(self.agenda.now))
+        accelerator = replace(
+            spec.accelerators['large'], pace=1.0, read_factor=1.0
+        )
+        self.engine = EmulatedEngine(self.event_loop, spec, accelerator)
+
+    def submit(self, tokens: int = 0) -> None:
+        """Submit a task to the engine."""
+        self.engine.submit(
+            StageTask(
+                _ALL_LAYERS,
+                tokens,
+                lambda: self.done.append(self.event_loop.now),
+            )
         )
 
-    def test_a_pass_runs_its_stride(self) -> None:
-        self.take()
-        self.agenda.run(1)
+    def test_pass_decodes_stride_tokens(self) -> None:
+        self.submit()
+        self.event_loop.run(1)
         self.assertAlmostEqual(self.done[0], 0.0017)
 
-    def test_what_arrives_during_a_pass_waits_for_the_next(self) -> None:
-        self.take()
-        self.agenda.call_at(0.001, self.take)
-        self.agenda.run(1)
+    def test_task_submitted_during_a_pass_waits_for_the_next(self) -> None:
+        self.submit()
+        self.event_loop.call_at(0.001, self.submit)
+        self.event_loop.run(1)
         self.assertAlmostEqual(self.done[1], 0.0034)
 
-    def test_prompts_are_read_beside_events(self) -> None:
-        self.take(196)
-        self.agenda.run(1)
+    def test_prompts_are_prefilled_in_a_pass(self) -> None:
+        self.submit(196)
+        self.event_loop.run(1)
         self.assertAlmostEqual(self.done[0], 0.001)
 
-    def test_a_dead_engine_does_nothing(self) -> None:
-        self.take()
-        self.engine.die()
-        self.agenda.run(1)
+    def test_crashed_engine_finishes_no_task(self) -> None:
+        self.submit()
+        self.engine.crash()
+        self.event_loop.run(1)
         self.assertEqual(self.done, [])
 
 
-class TestPipes(TestCase):
-    """Transfers go one after another."""
+class TestLinks(TestCase):
+    """Queueing of transfers on a link."""
 
-    def test_a_transfer_waits_for_those_before_it(self) -> None:
-        pipe = EmulatedPipe()
-        self.assertEqual(pipe.send(0, 100, 1000), 0.1)
-        self.assertAlmostEqual(pipe.send(0.05, 100, 1000), 0.2)
+    def test_transfers_are_sequential(self) -> None:
+        link = EmulatedLink()
+        self.assertEqual(link.send(0, 100, 1000), 0.1)
+        self.assertAlmostEqual(link.send(0.05, 100, 1000), 0.2)
 
 
 class TestLab(TestCase):
-    """Scenarios as the command plays them."""
+    """Scenarios, as the command runs them."""
 
     def setUp(self) -> None:
         example = load_scenario(str(_EXAMPLE))
@@ -84,35 +90,42 @@
             example, length_s=5, crashes=[]
         )
 
-    def test_a_calm_day_is_served_in_time(self) -> None:
-        figures = play(self.scenario, 1)
-        self.assertEqual(figures['refused'] + figures['late'], 0)
-        self.assertLess(figures['gap_p50_ms'], 40)
+    def test_streams_are_on_time_without_crashes(self) -> None:
+        metrics = run_scenario(self.scenario, 1)
+        self.assertEqual(metrics['refused'] + metrics['late'], 0)
+        self.assertLess(metrics['gap_p50_ms'], 40)
 
-    def test_the_same_seed_gives_the_same_figures(self) -> None:
-        self.assertEqual(play(self.scenario, 2), play(self.scenario, 2))
+    def test_same_seed_gives_same_metrics(self) -> None:
+        self.assertEqual(
+            run_scenario(self.scenario, 2), run_scenario(self.scenario, 2)
+        )
 
-    def test_a_lost_part_is_survived(self) -> None:
+    def test_no_stream_is_cut_by_a_crash(self) -> None:
         crash = Crash(at=2, replica='b-middle-0')
-        harmed = structs.replace(self.scenario, crashes=[crash])
-        figures = play(harmed, 1)
-        self.assertEqual(figures['cut'], 0)
-        self.assertGreater(figures['loads'], 0)
-
-    def test_few_parts_and_small_crowds_keep_streams_on_time(self) -> None:
-        """Symptom: with five crashes in 12 s 35 of 100 streams are late, now 29.
-
-        Sequence: a part is lost under the streams that pass through it; the
-        more parts a path has and the more streams share them, the more are
-        read elsewhere, one after another. Cause: plans gave all replicas to
-        capacity that nobody asked for, and all streams took one path. Played
-        with both mechanisms and without them, two seeds each.
+        with_crash = structs.replace(self.scenario, crashes=[crash])
+        metrics = run_scenario(with_crash, 1)
+        self.assertEqual(metrics['cut'], 0)
+        self.assertGreater(metrics['loads'], 0)
+
+    def test_lean_plans_and_spread_reduce_late_streams(self) -> None:
+        """Guards against too many late streams after crashes.
+
+        A crash interrupts more streams if pipelines have needlessly many stages
+        or all streams share one path.
         """
-        losses = structs.replace(load_scenario(str(_LOSSES)), length_s=12)
-        plain = replace(Policy(), spread=False, lean_plans=False)
-        before = structs.replace(losses, policy=plain)
-        late_before = sum(1 - play(before, seed)['in_time'] for seed in (1, 2))
-        late = sum(1 - play(losses, seed)['in_time'] for seed in (1, 2))
+        crashes_scenario = structs.replace(
+            load_scenario(str(_CRASHES)), length_s=12
+        )
+        disabled = replace(Policy(), spread=False, lean_plans=False)
+        without_mechanisms = structs.replace(crashes_scenario, policy=disabled)
+        late_before = sum(
+            1 - run_scenario(without_mechanisms, seed)['in_time']
+            for seed in (1, 2)
+        )
+        late = sum(
+            1 - run_scenario(crashes_scenario, seed)['in_time']
+            for seed in (1, 2)
+        )
         self.assertLess(late, late_before * 0.9)
 
     def test_ablation_has_a_row_for_each_mechanism(self) -> None:
@@ -120,11 +133,11 @@
         rows = ablate(short, 1)
         self.assertEqual(list(rows), ['all on', 'no spread', 'no lean_plans'])
 
-    def test_a_plan_is_told_line_by_line(self) -> None:
+    def test_plan_has_a_line_for_each_pipeline(self) -> None:
         lines = describe_plan(self.scenario)
         self.assertEqual([line[0] for line in lines], ['a', 'b', 'c'])
 
-    def test_a_faulty_scenario_says_what_is_wrong(self) -> None:
+    def test_invalid_scenario_raises(self) -> None:
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'odd.json'
             path.write_text('{"zones": 5}')
