--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Rerun everything that docs/CAPACITY.md quotes, and compare.
+"""Repeat the measurements in docs/CAPACITY.md, and compare the results.
 
-``make bench`` measures the slopes again, works them out for the planned size
-and fails if a figure on the page differs by more than ``FACTOR``. With
-``--write`` the page's tables are written anew instead.
+``make bench`` measures the costs, extrapolates them to the planned size, and
+fails if a value on the page differs by more than a factor of ``MAX_RATIO``.
+With ``--write`` the tables on the page are replaced instead.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from samphirerill.bench import slopes
-from samphirerill.bench.slopes import US, fit_line
+from samphirerill.bench.slopes import US_PER_S, fit_line
 from samphirerill.node.claim_carriers import COLLECTORS
 from samphirerill.node.claim_writer import FLEET_WRITES_PER_S
 from samphirerill.node.follower import FLEET_READS_PER_S, LEAST_POLL_S
@@ -24,25 +24,28 @@
 from samphirerill.node.vm_reader import FLEET_READERS
 from samphirerill.settings.model import StoreSettings
 
-PAGE = Path('docs/CAPACITY.md')
-FACTOR = 3.0
+PAGE_PATH = Path('docs/CAPACITY.md')
+MAX_RATIO = 3.0
+# The planned size of the fleet and its load.
 NODES = 400
 REPLICAS = 770
 ACCOUNTS = 1100
-REQUESTS_S = 4400
-TOKENS_S = 1_200_000
-CHANGES_A_DAY = 4200
-REPLACED_A_DAY = 151
-KEYED_SHARE = 0.05
+REQUESTS_PER_S = 4400
+TOKENS_PER_S = 1_200_000
+CONFIGURATION_CHANGES_A_DAY = 4200
+NODES_REPLACED_A_DAY = 151
+IDEMPOTENCY_KEY_SHARE = 0.05
 _DAY_S = 86_400
-_ROW = re.compile(r'^\| `(?P<key>[a-z_.0-9]+)` \| (?P<figure>[-0-9.e+]+) \|')
-_STREAMS = 100
-_TEST_LEASE_S = 3
+_TABLE_ROW = re.compile(
+    r'^\| `(?P<key>[a-z_.0-9]+)` \| (?P<value>[-0-9.e+]+) \|'
+)
+_STREAM_COUNT = 100
+_MEASURED_LEASE_S = 3
 
 
 @dataclass(slots=True)
 class Row:
-    """One figure: `how` names what it was worked out from."""
+    """One value; `how` says what it was measured or computed from."""
 
     key: str
     figure: float
@@ -51,7 +54,7 @@
     budget: float = 0
 
     def format(self) -> str:
-        """Return the row of a table; over budget is marked."""
+        """Return a row of the Markdown table, marked if it is over budget."""
         verdict = ''
         if self.budget:
             over = self.figure > self.budget
@@ -63,48 +66,48 @@
         )
 
 
-def measure_slopes() -> list[Row]:
-    """Measure every slope; takes some minutes."""
+def measure_costs() -> list[Row]:
+    """Run all measurements; takes some minutes."""
     return [
-        *_measure_path(),
+        *_measure_streams(),
         *_measure_core(),
-        *_measure_control(),
+        *_measure_control_plane(),
     ]
 
 
-def work_out(measured: list[Row]) -> list[Row]:
-    """Return what the slopes come to at the planned size, for each role."""
-    known = {row.key: row.figure for row in measured}
+def extrapolate(measured: list[Row]) -> list[Row]:
+    """Extrapolate the measured costs to the planned size."""
+    costs = {row.key: row.figure for row in measured}
     return [
-        *_work_out_path(known),
-        *_work_out_store(known),
-        *_work_out_node(known),
+        *_extrapolate_requests(costs),
+        *_extrapolate_store(costs),
+        *_extrapolate_node(costs),
     ]
 
 
-def _measure_path() -> list[Row]:
+def _measure_streams() -> list[Row]:
     points = {}
     for tokens in (50, 150, 300):
-        _tell(f'streams of {tokens} tokens')
-        found = slopes.measure_streams(_STREAMS, tokens)
-        points[found['tokens']] = found['cpu_s']
+        _report_progress(f'streams of {tokens} tokens')
+        measurements = slopes.measure_streams(_STREAM_COUNT, tokens)
+        points[measurements['tokens']] = measurements['cpu_s']
     line = fit_line(points)
-    memory = {}
+    memory_mb = {}
     for streams in (50, 200, 400):
-        _tell(f'{streams} streams at once')
-        found = slopes.measure_streams(streams, 100)
-        memory[float(streams)] = found['memory_mb']
+        _report_progress(f'{streams} concurrent streams')
+        measurements = slopes.measure_streams(streams, 100)
+        memory_mb[float(streams)] = measurements['memory_mb']
     return [
-        Row('path.token_us', line.slope * US, 'µs a token', '3 lengths'),
+        Row('path.token_us', line.slope * US_PER_S, 'µs a token', '3 lengths'),
         Row(
             'path.request_ms',
-            line.base * 1000 / _STREAMS,
+            line.base * 1000 / _STREAM_COUNT,
             'ms a request',
             'same line, at no tokens',
         ),
         Row(
             'path.stream_kb',
-            fit_line(memory).slope * 1024,
+            fit_line(memory_mb).slope * 1024,
             'KB a live stream',
             '50, 200, 400 streams',
         ),
@@ -112,84 +115,103 @@
 
 
 def _measure_core() -> list[Row]:
-    request = {}
-    memory = {}
-    change = {}
-    found = {}
+    request_us = {}
+    memory_mb = {}
+    change_ms = {}
+    measurements = {}
     for replicas, accounts in ((192, 275), (384, 550), (REPLICAS, ACCOUNTS)):
-        _tell(f'one core with {replicas} replicas')
-        decided = slopes.measure_decisions(replicas, accounts)
-        request[float(replicas)] = decided['request_us']
-        memory[float(replicas)] = slopes.measure_core_memory(replicas, accounts)
-        found = slopes.measure_change(replicas, accounts)
-        change[float(replicas)] = found['change_ms']
-    how = '192, 384, 770 replicas with 275, 550, 1,100 accounts'
+        _report_progress(f'one router core with {replicas} replicas')
+        decisions = slopes.measure_decisions(replicas, accounts)
+        request_us[float(replicas)] = decisions['request_us']
+        memory_mb[float(replicas)] = slopes.measure_core_memory(
+            replicas, accounts
+        )
+        measurements = slopes.measure_change(replicas, accounts)
+        change_ms[float(replicas)] = measurements['change_ms']
+    source = '192, 384, 770 replicas with 275, 550, 1,100 accounts'
     return [
         Row(
             'core.request_us',
-            fit_line(request).at(REPLICAS),
+            fit_line(request_us).at(REPLICAS),
             'µs a request at full size',
-            how,
+            source,
         ),
-        Row('core.token_us', decided['token_us'], 'µs a token', how),
+        Row('core.token_us', decisions['token_us'], 'µs a token', source),
         Row(
             'core.memory_mb',
-            fit_line(memory).at(REPLICAS),
+            fit_line(memory_mb).at(REPLICAS),
             'MB at full size',
-            how,
+            source,
         ),
         Row(
             'config.change_ms',
-            fit_line(change).at(REPLICAS),
+            fit_line(change_ms).at(REPLICAS),
             'ms a change at full size',
-            how,
+            source,
+        ),
+        Row(
+            'config.change_bytes', measurements['change_bytes'], 'bytes', source
+        ),
+        Row(
+            'config.document_bytes',
+            measurements['document_bytes'],
+            'bytes',
+            source,
         ),
-        Row('config.change_bytes', found['change_bytes'], 'bytes', how),
-        Row('config.document_bytes', found['document_bytes'], 'bytes', how),
     ]
 
 
-def _measure_control() -> list[Row]:
-    idle = {}
+def _measure_control_plane() -> list[Row]:
+    idle_nodes = {}
     for nodes in (2, 4, 8):
-        _tell(f'{nodes} idle nodes')
-        idle[nodes] = slopes.measure_idle(nodes)
+        _report_progress(f'{nodes} idle nodes')
+        idle_nodes[nodes] = slopes.measure_idle(nodes)
     gossip = {}
     for nodes in (50, 100, 200, NODES):
         gossip[nodes] = slopes.measure_gossip(nodes)
-    group = {
-        float(size): slopes.measure_claim_group(size)['bytes']
+    claim_bytes = {
+        float(size): slopes.measure_claim_batch(size)['bytes']
         for size in (1, 10, 50)
     }
-    _tell('a node that knows the whole fleet')
-    full = slopes.measure_full_node()
+    _report_progress('a node with the whole planned fleet')
+    full_node = slopes.measure_full_node()
     polls = slopes.measure_polls()
-    how = '2, 4, 8 idle nodes'
-    talk = '50, 100, 200, 400 nodes without sockets'
-    fleet = '770 endpoints, 1,100 accounts, 1 node'
+    source = '2, 4, 8 idle nodes'
+    gossip_source = '50, 100, 200, 400 nodes without sockets'
+    fleet_source = '770 endpoints, 1,100 accounts, 1 node'
     return [
-        Row('idle.cpu', _mean(idle, 'cpu_share'), 'of a core', how),
-        Row('idle.reads_s', _mean(idle, 'reads_s'), 'a node and second', how),
+        Row('idle.cpu', _mean(idle_nodes, 'cpu_share'), 'of a core', source),
+        Row(
+            'idle.reads_s',
+            _mean(idle_nodes, 'reads_s'),
+            'a node and second',
+            source,
+        ),
         Row(
             'idle.writes_s',
-            _mean(idle, 'writes_s'),
+            _mean(idle_nodes, 'writes_s'),
             'a node and second, leases of 3 s',
-            how,
+            source,
         ),
-        Row('idle.memory_mb', _mean(idle, 'memory_mb'), 'MB', how),
-        Row('full.cpu', full['cpu_share'], 'of a core', fleet),
-        Row('full.memory_mb', full['memory_mb'], 'MB', fleet),
-        Row('peers.rounds', gossip[NODES]['rounds'], 'rounds', talk),
+        Row('idle.memory_mb', _mean(idle_nodes, 'memory_mb'), 'MB', source),
+        Row('full.cpu', full_node['cpu_share'], 'of a core', fleet_source),
+        Row('full.memory_mb', full_node['memory_mb'], 'MB', fleet_source),
+        Row('peers.rounds', gossip[NODES]['rounds'], 'rounds', gossip_source),
         Row(
             'peers.round_bytes',
             gossip[NODES]['bytes_a_round'],
             'bytes a round',
-            talk,
+            gossip_source,
+        ),
+        Row(
+            'peers.round_us',
+            gossip[NODES]['us_a_round'],
+            'µs a round',
+            gossip_source,
         ),
-        Row('peers.round_us', gossip[NODES]['us_a_round'], 'µs a round', talk),
         Row(
             'claims.bytes',
-            fit_line(group).slope,
+            fit_line(claim_bytes).slope,
             'bytes a claim and its outcome',
             'groups of 1, 10, 50',
         ),
@@ -198,10 +220,10 @@
     ]
 
 
-def _work_out_path(known: dict[str, float]) -> list[Row]:
-    tokens = TOKENS_S / NODES * known['path.token_us'] / US
-    requests = REQUESTS_S / NODES * known['path.request_ms'] / 1000
-    live = TOKENS_S / NODES / (1 / 0.026)
+def _extrapolate_requests(costs: dict[str, float]) -> list[Row]:
+    tokens = TOKENS_PER_S / NODES * costs['path.token_us'] / US_PER_S
+    requests = REQUESTS_PER_S / NODES * costs['path.request_ms'] / 1000
+    live_streams = TOKENS_PER_S / NODES / (1 / 0.026)
     return [
         Row(
             'at.entry_cpu',
@@ -211,28 +233,32 @@
         ),
         Row(
             'at.decisions_cpu',
-            REQUESTS_S / NODES * known['core.request_us'] / US
-            + TOKENS_S / NODES * known['core.token_us'] / US,
+            REQUESTS_PER_S / NODES * costs['core.request_us'] / US_PER_S
+            + TOKENS_PER_S / NODES * costs['core.token_us'] / US_PER_S,
             'of a core, part of the above',
             'core.request_us, core.token_us',
         ),
         Row(
             'at.streams_mb',
-            live * known['path.stream_kb'] / 1024,
-            f'MB for {live:.0f} live streams',
+            live_streams * costs['path.stream_kb'] / 1024,
+            f'MB for {live_streams:.0f} live streams',
             'path.stream_kb',
         ),
     ]
 
 
-def _work_out_store(known: dict[str, float]) -> list[Row]:
+def _extrapolate_store(costs: dict[str, float]) -> list[Row]:
     lease_s = StoreSettings().lease_s
-    renewals = known['idle.writes_s'] * _TEST_LEASE_S / lease_s
+    renewals = costs['idle.writes_s'] * _MEASURED_LEASE_S / lease_s
     poll_s = max(LEAST_POLL_S, NODES / FLEET_READS_PER_S)
-    keyed = REQUESTS_S * KEYED_SHARE
-    gap_s = COLLECTORS / FLEET_WRITES_PER_S
-    changes = CHANGES_A_DAY / _DAY_S
-    writes = NODES * renewals + min(FLEET_WRITES_PER_S, 2 * keyed) + changes
+    keyed_requests_per_s = REQUESTS_PER_S * IDEMPOTENCY_KEY_SHARE
+    claim_wait_s = COLLECTORS / FLEET_WRITES_PER_S
+    changes_per_s = CONFIGURATION_CHANGES_A_DAY / _DAY_S
+    writes_per_s = (
+        NODES * renewals
+        + min(FLEET_WRITES_PER_S, 2 * keyed_requests_per_s)
+        + changes_per_s
+    )
     return [
         Row(
             'at.lease_writes_s',
@@ -243,22 +269,22 @@
         ),
         Row(
             'at.claim_writes_s',
-            min(FLEET_WRITES_PER_S, 2 * keyed),
+            min(FLEET_WRITES_PER_S, 2 * keyed_requests_per_s),
             'writes a second, the fleet',
-            f'{KEYED_SHARE:.0%} of requests keyed',
+            f'{IDEMPOTENCY_KEY_SHARE:.0%} of requests keyed',
         ),
         Row(
             'at.claim_wait_s',
-            gap_s,
+            claim_wait_s,
             's until a claim is written, at worst',
             f'{COLLECTORS} nodes gather, {FLEET_WRITES_PER_S} writes a '
             'second for all',
             budget=0.3,
         ),
-        Row('at.writes_s', writes, 'writes a second', 'all', budget=300),
+        Row('at.writes_s', writes_per_s, 'writes a second', 'all', budget=300),
         Row(
             'at.reads_s',
-            NODES / poll_s + NODES * REPLACED_A_DAY / _DAY_S / NODES * 3,
+            NODES / poll_s + NODES * NODES_REPLACED_A_DAY / _DAY_S / NODES * 3,
             'reads a second',
             f'one small read each {poll_s:g} s and node, 3 a start',
             budget=2000,
@@ -267,47 +293,56 @@
     ]
 
 
-def _work_out_node(known: dict[str, float]) -> list[Row]:
-    changes = CHANGES_A_DAY / _DAY_S
-    config = changes * known['config.change_bytes'] * 4 / 3
-    peers = known['peers.round_bytes'] / EVERY_S
-    polls = POLLS_PER_S * known['polls.bytes']
-    vms = REPLICAS * known['vms.entry_bytes'] / (NODES / FLEET_READERS)
-    cpu = known['full.cpu'] + changes * known['config.change_ms'] / 1000
+def _extrapolate_node(costs: dict[str, float]) -> list[Row]:
+    changes_per_s = CONFIGURATION_CHANGES_A_DAY / _DAY_S
+    config_bytes_s = changes_per_s * costs['config.change_bytes'] * 4 / 3
+    peer_bytes_s = costs['peers.round_bytes'] / EVERY_S
+    poll_bytes_s = POLLS_PER_S * costs['polls.bytes']
+    vm_bytes_s = REPLICAS * costs['vms.entry_bytes'] / (NODES / FLEET_READERS)
+    cpu_share = (
+        costs['full.cpu'] + changes_per_s * costs['config.change_ms'] / 1000
+    )
     return [
-        Row('at.config_bytes_s', config, 'bytes a second', 'changes, base64'),
+        Row(
+            'at.config_bytes_s',
+            config_bytes_s,
+            'bytes a second',
+            'changes, base64',
+        ),
         Row(
             'at.peer_bytes_s',
-            peers,
+            peer_bytes_s,
             'bytes a second',
             f'{PARTNERS} partners each {EVERY_S:g} s, payload',
         ),
-        Row('at.poll_bytes_s', polls, 'bytes a second', 'load polls'),
-        Row('at.vm_bytes_s', vms, 'bytes a second', 'the VM list, shared'),
+        Row('at.poll_bytes_s', poll_bytes_s, 'bytes a second', 'load polls'),
+        Row(
+            'at.vm_bytes_s', vm_bytes_s, 'bytes a second', 'the VM list, shared'
+        ),
         Row(
             'at.control_bytes_s',
-            config + peers + polls + vms,
+            config_bytes_s + peer_bytes_s + poll_bytes_s + vm_bytes_s,
             'bytes a second, payload',
             'all of the above',
             budget=9000,
         ),
         Row(
             'at.control_cpu',
-            cpu,
+            cpu_share,
             'of a core',
             'full.cpu and changes',
             budget=0.044,
         ),
         Row(
             'at.memory_mb',
-            known['full.memory_mb'],
+            costs['full.memory_mb'],
             'MB, whole process, no streams',
             'full.memory_mb',
             budget=64,
         ),
         Row(
             'at.in_force_s',
-            known['peers.rounds'] * EVERY_S,
+            costs['peers.rounds'] * EVERY_S,
             's until in force, by peers alone',
             'peers.rounds',
             budget=5,
@@ -316,26 +351,27 @@
 
 
 def compare(page: str, rows: list[Row]) -> list[str]:
-    """Return every figure on the page that the run does not bear out."""
-    quoted = {
-        match['key']: float(match['figure'])
+    """Return a line for each value on the page that differs from the run."""
+    page_values = {
+        match['key']: float(match['value'])
         for line in page.splitlines()
-        if (match := _ROW.match(line))
+        if (match := _TABLE_ROW.match(line))
     }
-    complaints = []
+    differences = []
     for row in rows:
-        was = quoted.get(row.key)
-        if was is None:
-            complaints.append(f'{row.key} is not on the page')
-        elif not _is_near(was, row.figure):
-            complaints.append(
-                f'{row.key}: the page says {was:g}, the run {row.figure:.4g}'
+        page_value = page_values.get(row.key)
+        if page_value is None:
+            differences.append(f'{row.key} is not on the page')
+        elif not _is_close(page_value, row.figure):
+            differences.append(
+                f'{row.key}: the page says {page_value:g}, '
+                f'measured {row.figure:.4g}'
             )
-    return complaints
+    return differences
 
 
 def write_tables(page: str, tables: dict[str, list[Row]]) -> str:
-    """Return the page with the tables between its markers replaced."""
+    """Return the page with the tables between the markers replaced."""
     head = '| figure | value | unit | from | budget |\n|---|---|---|---|---|\n'
     for name, rows in tables.items():
         body = '\n'.join(row.format() for row in rows)
@@ -346,31 +382,31 @@
 
 
 def main() -> int:
-    """Measure, then compare with the page or write it."""
-    measured = measure_slopes()
-    planned = work_out(measured)
-    page = PAGE.read_text(encoding='utf-8')
-    for row in measured + planned:
+    """Run the measurements, then compare the page or update it."""
+    measured = measure_costs()
+    extrapolated = extrapolate(measured)
+    page = PAGE_PATH.read_text(encoding='utf-8')
+    for row in measured + extrapolated:
         sys.stdout.write(f'{row.format()}\n')
     if '--write' in sys.argv:
-        tables = {'slopes': measured, 'planned': planned}
-        PAGE.write_text(write_tables(page, tables), encoding='utf-8')
+        tables = {'slopes': measured, 'planned': extrapolated}
+        PAGE_PATH.write_text(write_tables(page, tables), encoding='utf-8')
         return 0
-    complaints = compare(page, measured + planned)
-    sys.stdout.write(f'{json.dumps(complaints, indent=1)}\n')
-    return 1 if complaints else 0
+    differences = compare(page, measured + extrapolated)
+    sys.stdout.write(f'{json.dumps(differences, indent=1)}\n')
+    return 1 if differences else 0
 
 
-def _is_near(one: float, other: float) -> bool:
-    small, large = sorted((abs(one), abs(other)))
-    return large <= FACTOR * small or large - small < 1e-3
+def _is_close(first: float, second: float) -> bool:
+    small, large = sorted((abs(first), abs(second)))
+    return large <= MAX_RATIO * small or large - small < 1e-3
 
 
-def _mean(found: dict[int, dict[str, float]], name: str) -> float:
-    return sum(item[name] for item in found.values()) / len(found)
+def _mean(measurements: dict[int, dict[str, float]], name: str) -> float:
+    return sum(item[name] for item in measurements.values()) / len(measurements)
 
 
-def _tell(line: str) -> None:
+def _report_progress(line: str) -> None:
     sys.stderr.write(f'measuring {line}\n')
 
 
--- a/samphirerill/bench/catalogue.py
+++ b/samphirerill/bench/catalogue.py
@@ -1,4 +1,4 @@
-"""Every bench by name: its stand-ins, its size and what it runs."""
+"""Catalogue of the benchmarks: function, layout and number of nodes."""
 
 from __future__ import annotations
 
@@ -7,126 +7,126 @@
 from typing import Any
 
 from samphirerill.bench import overhead, scenes, state_scenes
-from samphirerill.bench.scenes import Scene, build_layout
-from samphirerill.bench.targets import OurTarget, RivalTarget, Target
+from samphirerill.bench.scenes import BenchmarkResult, build_layout
+from samphirerill.bench.targets import BaselineTarget, NodesTarget, Target
 from samphirerill.testing.layout import Layout
 
 
 @dataclass(slots=True, frozen=True)
-class Bench:
-    """One bench; `summary` is one line of help."""
+class Benchmark:
+    """A benchmark; `summary` is its line in the list of benchmarks."""
 
     name: str
     summary: str
-    run: Callable[[Target, int], Scene]
+    run: Callable[[Target, int], BenchmarkResult]
     layout: Callable[[], Layout] = build_layout
     nodes: int = 1
     overrides: dict[str, Any] = field(default_factory=dict)
 
 
-def _build_wide() -> Layout:
+def _build_three_replicas() -> Layout:
     return build_layout(3)
 
 
-_NOTES = 20
+_MAX_NOTES = 20
 
 
-def _build_lagging() -> Layout:
+def _build_lagging_vm_list() -> Layout:
     layout = build_layout(3)
     layout.vm_list_lag_s = 1
     return layout
 
 
-BENCHES = {
-    bench.name: bench
-    for bench in (
-        Bench(
+BENCHMARKS = {
+    benchmark.name: benchmark
+    for benchmark in (
+        Benchmark(
             'throughput',
-            'goodput at the bound; times and processor cost below it',
+            'goodput at full load; latency and CPU cost below it',
             scenes.run_throughput,
         ),
-        Bench(
+        Benchmark(
             'overhead',
-            'what a node adds to direct calls, at 1 to 200 live streams',
+            'latency and CPU cost added to direct calls, 1 to 200 streams',
             overhead.run_overhead,
             overhead.build_overhead_layout,
         ),
-        Bench(
+        Benchmark(
             'overload',
-            'twice the bound, priorities and a small account',
+            'twice the maximum load, with priorities and a small account',
             scenes.run_overload,
             scenes.build_overload_layout,
         ),
-        Bench(
+        Benchmark(
             'stage-death',
-            'a middle stage is killed under load',
+            'a replica of the middle stage is killed under load',
             scenes.run_stage_death,
-            _build_wide,
+            _build_three_replicas,
         ),
-        Bench(
+        Benchmark(
             'silent-link',
-            'a first stage goes silent for good',
+            'a replica of the first stage stops answering',
             scenes.run_silent_link,
-            _build_wide,
+            _build_three_replicas,
         ),
-        Bench(
+        Benchmark(
             'two-faults',
-            'a stage dies and another goes silent in a store outage',
+            'one replica dies and one stops answering in a store outage',
             scenes.run_two_faults,
-            _build_wide,
+            _build_three_replicas,
         ),
-        Bench(
+        Benchmark(
             'slow-link',
-            'a link degrades without warning',
+            'the latency of a link rises',
             scenes.run_slow_link,
-            _build_wide,
+            _build_three_replicas,
         ),
-        Bench(
+        Benchmark(
             'crossed-answers',
-            'engines cross answers and repeat tokens',
-            scenes.run_crossed,
-            _build_wide,
+            'engines mix up answers and repeat tokens',
+            scenes.run_crossed_answers,
+            _build_three_replicas,
         ),
-        Bench(
+        Benchmark(
             'at-most-once',
-            'keyed notices sent twice, through faults and an outage',
+            'requests with idempotency keys sent twice, during faults',
             state_scenes.run_at_most_once,
             nodes=3,
         ),
-        Bench(
+        Benchmark(
             'kv-outage',
-            'the key-value service goes and comes back',
-            state_scenes.run_kv_outage,
+            'an outage of the key-value store',
+            state_scenes.run_store_outage,
             nodes=2,
         ),
-        Bench(
+        Benchmark(
             'patch-race',
-            'operators race with patches to one number',
+            'operators patch the same number concurrently',
             state_scenes.run_patch_race,
             nodes=8,
         ),
-        Bench(
+        Benchmark(
             'leaving',
-            'an endpoint leaves under load; the list lags by a second',
-            state_scenes.run_leaving,
-            _build_lagging,
+            'an endpoint drains under load; the VM list lags by a second',
+            state_scenes.run_draining,
+            _build_lagging_vm_list,
             nodes=3,
         ),
-        Bench(
+        Benchmark(
             'shutdown',
             'one of two nodes is shut down under load',
             state_scenes.run_shutdown,
             nodes=2,
         ),
-        Bench(
+        Benchmark(
             'node-kill',
-            'one of three nodes is killed without a warning',
+            'one of three nodes is killed',
             state_scenes.run_node_kill,
             nodes=3,
         ),
-        Bench(
+        Benchmark(
             'restart-all',
-            'every node is replaced, one by one, under load',
+            'all nodes are replaced one after another under load',
             state_scenes.run_restart_all,
             nodes=3,
         ),
@@ -134,25 +134,27 @@
 }
 
 
-def run_bench(
-    name: str, seed: int, tell: Callable[[str], None]
+def run_benchmark(
+    name: str, seed: int, report: Callable[[str], None]
 ) -> dict[str, Any]:
-    """Run a bench for our nodes and for the rival; return its document."""
-    bench = BENCHES[name]
-    tell(f'{name}: our nodes ({bench.nodes})')
-    with OurTarget(bench.layout(), bench.nodes, bench.overrides) as ours:
-        scene = bench.run(ours, seed)
-    tell(f'{name}: the rival')
-    with RivalTarget(bench.layout(), bench.nodes) as rival:
-        baseline = bench.run(rival, seed)
+    """Run a benchmark for our nodes and the baseline; return its results."""
+    benchmark = BENCHMARKS[name]
+    report(f'{name}: running our nodes ({benchmark.nodes})')
+    with NodesTarget(
+        benchmark.layout(), benchmark.nodes, benchmark.overrides
+    ) as nodes_target:
+        result = benchmark.run(nodes_target, seed)
+    report(f'{name}: running the baseline')
+    with BaselineTarget(benchmark.layout(), benchmark.nodes) as baseline_target:
+        baseline = benchmark.run(baseline_target, seed)
     return {
         'name': name,
         'seed': seed,
-        'violations': scene.verdict.violations,
-        'figures': scene.figures,
+        'violations': result.verdict.violations,
+        'figures': result.metrics,
         'baseline': {
-            **baseline.figures,
+            **baseline.metrics,
             'violations': baseline.verdict.violations,
         },
-        'notes': scene.verdict.notes[:_NOTES],
+        'notes': result.verdict.notes[:_MAX_NOTES],
     }
--- a/samphirerill/bench/command.py
+++ b/samphirerill/bench/command.py
@@ -1,4 +1,4 @@
-"""The ``bench`` command: list, run, a table and the figures as JSON."""
+"""The command ``samphirerill bench``: list and run benchmarks."""
 
 from __future__ import annotations
 
@@ -10,74 +10,80 @@
     import argparse
 
 EXIT_OK = 0
-EXIT_BROKEN = 1
-_WIDTH = 28
+EXIT_FAILED = 1
+_NAME_WIDTH = 28
 
 
 def add_bench_options(parser: argparse.ArgumentParser) -> None:
-    """Add the bench's own commands and options."""
+    """Add the subcommands and their options."""
     actions = parser.add_subparsers(required=True, metavar='ACTION')
-    listing = actions.add_parser('list', help='name every bench')
-    listing.set_defaults(command=_list_benches)
-    run = actions.add_parser(
+    list_parser = actions.add_parser('list', help='list all benchmarks')
+    list_parser.set_defaults(command=_list_benchmarks)
+    run_parser = actions.add_parser(
         'run',
-        help='run one bench beside the simplest rival',
-        description='Starts stand-ins and nodes on loopback. Exits 1 if the '
-        'oracle found a promise broken.',
+        help='run a benchmark and a baseline for comparison',
+        description='Starts simulated endpoints and nodes on loopback. Exits 1 '
+        'if results violate a guarantee.',
     )
-    run.add_argument('name', metavar='NAME')
-    run.add_argument('--seed', type=int, default=0, metavar='N')
-    run.add_argument('--json', metavar='FILE', help='write the figures there')
-    run.add_argument(
-        '--plot', metavar='FILE', help='draw the figures (needs matplotlib)'
+    run_parser.add_argument('name', metavar='NAME')
+    run_parser.add_argument('--seed', type=int, default=0, metavar='N')
+    run_parser.add_argument(
+        '--json', metavar='FILE', help='write the metrics to this file'
     )
-    run.set_defaults(command=_run_one)
+    run_parser.add_argument(
+        '--plot', metavar='FILE', help='plot the metrics (needs matplotlib)'
+    )
+    run_parser.set_defaults(command=_run)
 
 
-def _list_benches(options: argparse.Namespace) -> int:
-    from samphirerill.bench.catalogue import BENCHES
+def _list_benchmarks(options: argparse.Namespace) -> int:
+    from samphirerill.bench.catalogue import BENCHMARKS
 
-    for bench in BENCHES.values():
-        _say(f'{bench.name:<18}{bench.summary}')
+    for benchmark in BENCHMARKS.values():
+        _print_line(f'{benchmark.name:<18}{benchmark.summary}')
     return EXIT_OK
 
 
-def _run_one(options: argparse.Namespace) -> int:
-    from samphirerill.bench.catalogue import BENCHES, run_bench
+def _run(options: argparse.Namespace) -> int:
+    from samphirerill.bench.catalogue import BENCHMARKS, run_benchmark
 
-    if options.name not in BENCHES:
-        known = ', '.join(BENCHES)
-        sys.stderr.write(f'got bench {options.name!r}, expected {known}\n')
-        return EXIT_BROKEN
-    document = run_bench(options.name, options.seed, _say)
+    if options.name not in BENCHMARKS:
+        known_names = ', '.join(BENCHMARKS)
+        sys.stderr.write(
+            f'unknown benchmark {options.name!r}, expected {known_names}\n'
+        )
+        return EXIT_FAILED
+    document = run_benchmark(options.name, options.seed, _print_line)
     print_table(document)
     if options.json:
         with open(options.json, 'w', encoding='utf-8') as stream:
             json.dump(document, stream, indent=1)
     if options.plot:
-        from samphirerill.bench.plot import draw_figures
+        from samphirerill.bench.plot import plot_metrics
 
-        draw_figures(document, options.plot)
-    return EXIT_BROKEN if document['violations'] else EXIT_OK
+        plot_metrics(document, options.plot)
+    return EXIT_FAILED if document['violations'] else EXIT_OK
 
 
 def print_table(document: dict[str, Any]) -> None:
-    """Print a bench's figures beside the rival's."""
-    _say(f'{"figure":<{_WIDTH}}{"samphirerill":>14}{"rival":>14}')
+    """Print the metrics of a benchmark next to those of the baseline."""
+    _print_line(f'{"figure":<{_NAME_WIDTH}}{"samphirerill":>14}{"rival":>14}')
     rows = {'violations': document['violations'], **document['figures']}
-    for name, figure in rows.items():
-        other = document['baseline'].get(name)
-        _say(f'{name:<{_WIDTH}}{_show(figure):>14}{_show(other):>14}')
+    for name, metric in rows.items():
+        baseline = document['baseline'].get(name)
+        _print_line(
+            f'{name:<{_NAME_WIDTH}}{_format(metric):>14}{_format(baseline):>14}'
+        )
     for note in document['notes']:
-        _say(f'note: {note}')
+        _print_line(f'note: {note}')
 
 
-def _show(figure: Any) -> str:
-    if figure is None:
+def _format(metric: Any) -> str:
+    if metric is None:
         return '-'
-    return f'{figure:.4g}' if isinstance(figure, float) else str(figure)
+    return f'{metric:.4g}' if isinstance(metric, float) else str(metric)
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
--- a/samphirerill/bench/figures.py
+++ b/samphirerill/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures out of what callers got."""
+"""Latency metrics from the results of requests."""
 
 from __future__ import annotations
 
@@ -9,48 +9,50 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.bench.calls import Got
+    from samphirerill.bench.calls import RequestResult
 
-_HIGHEST_US = 600_000_000
-_US = 1_000_000
-_DIGITS = 3
-P95 = 95
+_MAX_DURATION_US = 600_000_000
+_US_PER_S = 1_000_000
+_SIGNIFICANT_DIGITS = 3
+_P95 = 95
 
 
-def read_p95_s(seconds: Iterable[float]) -> float:
-    """Return the 95th percentile; 0 of nothing."""
-    histogram = HdrHistogram(1, _HIGHEST_US, _DIGITS)
+def compute_p95_s(seconds: Iterable[float]) -> float:
+    """Return the 95th percentile of durations, 0 if there are none."""
+    histogram = HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
     for duration in seconds:
-        histogram.record_value(max(1, int(duration * _US)))
-    return float(histogram.get_value_at_percentile(P95)) / _US
+        histogram.record_value(max(1, int(duration * _US_PER_S)))
+    return float(histogram.get_value_at_percentile(_P95)) / _US_PER_S
 
 
-def list_gaps(found: list[Got]) -> list[float]:
-    """Return the seconds between neighbouring tokens of all answers."""
+def list_token_gaps(results: list[RequestResult]) -> list[float]:
+    """Return the seconds between consecutive tokens of all answers."""
     return [
         later - earlier
-        for got in found
+        for result in results
         for earlier, later in zip(
-            got.token_times, got.token_times[1:], strict=False
+            result.token_times, result.token_times[1:], strict=False
         )
     ]
 
 
-def list_recoveries(found: list[Got], at: float, least_s: float) -> list[float]:
-    """Return the gaps that a fault at a time left in running answers.
+def list_interruptions(
+    results: list[RequestResult], fault_at: float, min_gap_s: float
+) -> list[float]:
+    """Return the interruptions of running answers by a fault, in seconds.
 
-    A recovery runs from the last token before the fault was felt to the
-    first after it; `least_s` tells it from an ordinary gap.
+    For each answer that had started at the time of the fault, this is its
+    longest gap between two tokens after it, if longer than `min_gap_s`.
     """
-    recoveries = []
-    for got in found:
-        times = got.token_times
+    interruptions = []
+    for result in results:
+        times = result.token_times
         gaps = [
             later - earlier
             for earlier, later in zip(times, times[1:], strict=False)
-            if later >= at
+            if later >= fault_at
         ]
-        worst = max(gaps, default=0)
-        if times and times[0] < at and worst > least_s:
-            recoveries.append(worst)
-    return recoveries
+        longest = max(gaps, default=0)
+        if times and times[0] < fault_at and longest > min_gap_s:
+            interruptions.append(longest)
+    return interruptions
--- a/samphirerill/bench/load.py
+++ b/samphirerill/bench/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load: arrivals do not wait for answers.
+"""Open-loop load generator: arrivals do not wait for earlier answers.
 
-Were a request only sent once an earlier one was answered, a stall would delay
-the requests that should have met it, and so hide itself.
+A closed loop would send fewer requests during a stall and so underestimate
+latency (coordinated omission).
 """
 
 from __future__ import annotations
@@ -12,164 +12,174 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.bench.calls import Ask, Got, send_ask
+from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_LIMIT_S = 20.0
-_HEALTH_EVERY_S = 0.25
-_HEALTH_LIMIT_S = 0.5
-_OK_LINE = b'HTTP/1.1 200'
+_REQUEST_TIMEOUT_S = 20.0
+_HEALTH_CHECK_INTERVAL_S = 0.25
+_HEALTH_CHECK_TIMEOUT_S = 0.5
+_OK_STATUS_LINE = b'HTTP/1.1 200'
 
 
 @dataclass(slots=True)
-class Caller:
-    """One account's part of a load: `share` of all arrivals."""
+class LoadAccount:
+    """A client account that sends the fraction `share` of all requests."""
 
-    key: str
+    api_key: str
     route: str
     share: float
 
 
 @dataclass(slots=True)
-class Plan:
-    """How much to ask for, by whom and for how long."""
+class LoadPlan:
+    """Rate, duration and composition of a load.
+
+    `rate` is in requests per second, `tokens` the length of each answer.
+    """
 
     rate: float
     seconds: float
     tokens: int
-    callers: list[Caller]
+    accounts: list[LoadAccount]
     seed: int = 0
     name: str = 'load'
 
 
 @dataclass(slots=True)
-class Results:
-    """Everything a load got back."""
+class LoadRun:
+    """Start time and all results of a load."""
 
     started_at: float
-    got: list[Got] = field(default_factory=list)
+    results: list[RequestResult] = field(default_factory=list)
 
-    def list_answered(self) -> list[Got]:
-        """Return the answers that were whole by their own word."""
-        return [got for got in self.got if got.is_answered]
+    def list_answered(self) -> list[RequestResult]:
+        """Return the results that state that they are complete."""
+        return [result for result in self.results if result.is_answered]
 
     def count_tokens(self, first_s: float, last_s: float) -> int:
-        """Count tokens that came between two times since the start."""
+        """Count the tokens that arrived between two times since the start."""
         first = self.started_at + first_s
         last = self.started_at + last_s
         return sum(
             1
-            for got in self.got
-            for at in got.token_times
+            for result in self.results
+            for at in result.token_times
             if first <= at < last
         )
 
 
-class Balancer:
-    """The platform's balancer as the callers see it.
+class LoadBalancer:
+    """Load balancer in front of the nodes: round robin with health checks.
 
-    Sends each request to the next node whose health check passes; a node
-    that can't be connected to is skipped, as nothing was sent.
+    A node that refuses the connection is skipped, as nothing was sent to it.
     """
 
     def __init__(self, addresses: Callable[[], list[str]]) -> None:
         self._addresses = addresses
         self._healthy: list[str] = addresses()
-        self._turn = 0
+        self._next_index = 0
 
-    async def watch(self) -> None:
-        """Check the nodes' health for ever."""
+    async def check_health(self) -> None:
+        """Check the health of the nodes periodically, until cancelled."""
         while True:
             addresses = self._addresses()
-            found = await asyncio.gather(*map(_is_healthy, addresses))
+            statuses = await asyncio.gather(*map(_is_healthy, addresses))
             self._healthy = [
                 address
-                for address, healthy in zip(addresses, found, strict=True)
+                for address, healthy in zip(addresses, statuses, strict=True)
                 if healthy
             ]
-            await asyncio.sleep(_HEALTH_EVERY_S)
-
-    async def send(self, ask: Ask) -> Got:
-        """Send one request through the next node that takes it."""
-        got = Got(ask)
-        for address in self._rotate():
-            got.address = address
-            if await send_ask(address, ask, got, _LIMIT_S):
-                return got
-        got.broken = True
-        got.code = 'no node'
-        got.ended_at = time.monotonic()
-        return got
-
-    def _rotate(self) -> list[str]:
+            await asyncio.sleep(_HEALTH_CHECK_INTERVAL_S)
+
+    async def send(self, request: ClientRequest) -> RequestResult:
+        """Send a request to the next node that accepts the connection."""
+        result = RequestResult(request)
+        for address in self._list_candidates():
+            result.address = address
+            if await send_request(address, request, result, _REQUEST_TIMEOUT_S):
+                return result
+        result.is_broken = True
+        result.code = 'no node'
+        result.ended_at = time.monotonic()
+        return result
+
+    def _list_candidates(self) -> list[str]:
         nodes = self._healthy or self._addresses()
-        self._turn += 1
-        start = self._turn % len(nodes)
+        self._next_index += 1
+        start = self._next_index % len(nodes)
         return nodes[start:] + nodes[:start]
 
 
-def build_asks(plan: Plan, started_at: float) -> list[Ask]:
-    """Return a plan's arrivals: seeded, at random times, each its own prompt."""
-    chance = random.Random(plan.seed)  # noqa: S311
-    asks: list[Ask] = []
+def build_requests(plan: LoadPlan, started_at: float) -> list[ClientRequest]:
+    """Return the requests of a load: random times, a unique prompt each."""
+    rng = random.Random(plan.seed)  # noqa: S311
+    requests: list[ClientRequest] = []
     at = 0.0
     while at < plan.seconds:
-        at += chance.expovariate(plan.rate)
-        caller = chance.choices(
-            plan.callers, [item.share for item in plan.callers]
+        at += rng.expovariate(plan.rate)
+        account = rng.choices(
+            plan.accounts, [item.share for item in plan.accounts]
         )[0]
-        prompt = f'{plan.name} {plan.seed} {len(asks)}'
-        asks.append(
-            Ask(started_at + at, prompt, plan.tokens, caller.key, caller.route)
+        prompt = f'{plan.name} {plan.seed} {len(requests)}'
+        requests.append(
+            ClientRequest(
+                started_at + at,
+                prompt,
+                plan.tokens,
+                account.api_key,
+                account.route,
+            )
         )
-    return asks
+    return requests
 
 
 async def run_load(
     addresses: Callable[[], list[str]],
-    plan: Plan,
-    upset: Callable[[], None] | None = None,
-    upset_at_s: float = 0,
-) -> Results:
-    """Send a load and wait until every request has ended.
+    plan: LoadPlan,
+    inject_fault: Callable[[], None] | None = None,
+    fault_at_s: float = 0,
+) -> LoadRun:
+    """Send the requests of a load and wait until all have ended.
 
     Parameters
     ----------
     addresses : callable
-        Returns the nodes' present addresses.
+        Returns the current addresses of the nodes.
     plan : Plan
-        The load.
-    upset : callable, optional
-        Run in a thread `upset_at_s` after the start, to cause a fault.
+        Rate, duration and composition of the load.
+    inject_fault : callable, optional
+        Called in a thread `fault_at_s` after the start.
     """
     loop = asyncio.get_running_loop()
-    balancer = Balancer(addresses)
-    watching = asyncio.ensure_future(balancer.watch())
-    results = Results(time.monotonic())
-    sending = [
-        asyncio.ensure_future(_send_when_due(balancer, ask))
-        for ask in build_asks(plan, results.started_at)
+    balancer = LoadBalancer(addresses)
+    health_checks = asyncio.ensure_future(balancer.check_health())
+    run = LoadRun(time.monotonic())
+    tasks = [
+        asyncio.ensure_future(_send_when_due(balancer, request))
+        for request in build_requests(plan, run.started_at)
     ]
-    if upset is not None:
-        await asyncio.sleep(upset_at_s)
-        await loop.run_in_executor(None, upset)
-    results.got = list(await asyncio.gather(*sending))
-    watching.cancel()
-    return results
+    if inject_fault is not None:
+        await asyncio.sleep(fault_at_s)
+        await loop.run_in_executor(None, inject_fault)
+    run.results = list(await asyncio.gather(*tasks))
+    health_checks.cancel()
+    return run
 
 
-async def _send_when_due(balancer: Balancer, ask: Ask) -> Got:
-    await asyncio.sleep(max(0, ask.due_at - time.monotonic()))
-    return await balancer.send(ask)
+async def _send_when_due(
+    balancer: LoadBalancer, request: ClientRequest
+) -> RequestResult:
+    await asyncio.sleep(max(0, request.due_at - time.monotonic()))
+    return await balancer.send(request)
 
 
 async def _is_healthy(address: str) -> bool:
     host, _, port = address.rpartition(':')
     try:
         return await asyncio.wait_for(
-            _check_health(host, int(port)), _HEALTH_LIMIT_S
+            _check_health(host, int(port)), _HEALTH_CHECK_TIMEOUT_S
         )
     except (OSError, TimeoutError):
         return False
@@ -180,4 +190,4 @@
     writer.write(b'GET /health HTTP/1.1\r\nHost: bench\r\n\r\n')
     line = await reader.readline()
     writer.close()
-    return line.startswith(_OK_LINE)
+    return line.startswith(_OK_STATUS_LINE)
--- a/samphirerill/bench/oracle.py
+++ b/samphirerill/bench/oracle.py
@@ -1,8 +1,8 @@
-"""Hold what callers got against what was promised.
+"""Test oracle: check the results of requests against the guarantees.
 
-The stand-ins' tokens depend on the prompt and the index alone, and each
-request has a prompt of its own, so the right answer is known, a foreign token
-is recognised, and the engines can be asked which prompts they ran.
+The tokens of the simulated engines depend on prompt and index alone, and every
+request has a unique prompt. So the correct answer is known, tokens of other
+requests are recognised, and engines can report which prompts they executed.
 """
 
 from __future__ import annotations
@@ -13,60 +13,78 @@
 from samphirerill.testing.engine import make_token
 
 if TYPE_CHECKING:
-    from samphirerill.bench.calls import Got
+    from samphirerill.bench.calls import RequestResult
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Broken promises by kind; `leaked` counts foreign or wrong tokens."""
+    """Number of violated guarantees by kind.
 
-    leaked: int = 0
-    not_whole: int = 0
-    untrue_refusals: int = 0
-    without_end: int = 0
+    `wrong_tokens` counts answers with wrong tokens or those of other requests,
+    `incomplete` answers that wrongly claim to be complete, `false_refusals`
+    requests that were executed although the client was told otherwise, and
+    `missing_outcomes` responses without an outcome. Duplicate executions and
+    lost updates count as `incomplete` too.
+    """
+
+    wrong_tokens: int = 0
+    incomplete: int = 0
+    false_refusals: int = 0
+    missing_outcomes: int = 0
     notes: list[str] = field(default_factory=list)
 
     @property
     def violations(self) -> int:
-        """All broken promises."""
+        """Total number of violations."""
         return (
-            self.leaked
-            + self.not_whole
-            + self.untrue_refusals
-            + self.without_end
+            self.wrong_tokens
+            + self.incomplete
+            + self.false_refusals
+            + self.missing_outcomes
         )
 
 
-def judge(found: list[Got], ran: set[str]) -> Verdict:
-    """Return the promises that a load saw broken.
+def check_results(
+    results: list[RequestResult], executed_prompts: set[str]
+) -> Verdict:
+    """Return the violations in the results of a load.
 
     Parameters
     ----------
-    found : list of Got
-        What callers got.
-    ran : set of str
-        The prompts that any engine started on.
+    results : list of RequestResult
+        Results of all requests.
+    executed_prompts : set of str
+        Prompts whose execution was started by any engine.
     """
     verdict = Verdict()
-    for got in found:
-        _judge_one(got, ran, verdict)
+    for result in results:
+        _check_result(result, executed_prompts, verdict)
     return verdict
 
 
-def _judge_one(got: Got, ran: set[str], verdict: Verdict) -> None:
-    ask = got.ask
-    expected = [make_token(ask.prompt, at) for at in range(ask.tokens)]
-    if got.texts != expected[: len(got.texts)]:
-        verdict.leaked += 1
-        verdict.notes.append(f'wrong tokens for {ask.prompt!r}')
-    elif got.is_answered and len(got.texts) != ask.tokens:
-        verdict.not_whole += 1
+def _check_result(
+    result: RequestResult, executed_prompts: set[str], verdict: Verdict
+) -> None:
+    request = result.request
+    expected = [
+        make_token(request.prompt, index)
+        for index in range(request.token_count)
+    ]
+    if result.texts != expected[: len(result.texts)]:
+        verdict.wrong_tokens += 1
+        verdict.notes.append(f'wrong tokens for {request.prompt!r}')
+    elif result.is_answered and len(result.texts) != request.token_count:
+        verdict.incomplete += 1
+        verdict.notes.append(
+            f'{request.prompt!r} answered with {len(result.texts)} tokens'
+        )
+    elif result.outcome == 'not-run' and request.prompt in executed_prompts:
+        verdict.false_refusals += 1
+        verdict.notes.append(
+            f'{request.prompt!r} was executed, but reported as not run'
+        )
+    elif not result.outcome:
+        verdict.missing_outcomes += 1
         verdict.notes.append(
-            f'{ask.prompt!r} answered with {len(got.texts)} tokens'
+            f'{request.prompt!r} has no outcome: {result.code}'
         )
-    elif got.outcome == 'not-run' and ask.prompt in ran:
-        verdict.untrue_refusals += 1
-        verdict.notes.append(f'{ask.prompt!r} ran, but was told not run')
-    elif not got.outcome:
-        verdict.without_end += 1
-        verdict.notes.append(f'{ask.prompt!r} has no outcome: {got.code}')
--- a/samphirerill/bench/overhead.py
+++ b/samphirerill/bench/overhead.py
@@ -1,4 +1,4 @@
-"""What a node adds to direct calls of an engine, at several live streams."""
+"""Latency and CPU time that a node adds to direct calls of an engine."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.bench.calls import Ask, Got, send_ask
-from samphirerill.bench.figures import list_gaps, read_p95_s
-from samphirerill.bench.oracle import judge
-from samphirerill.bench.scenes import Scene
-from samphirerill.bench.targets import list_ran
+from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
+from samphirerill.bench.figures import compute_p95_s, list_token_gaps
+from samphirerill.bench.oracle import check_results
+from samphirerill.bench.scenes import BenchmarkResult
+from samphirerill.bench.targets import list_executed_prompts
 from samphirerill.testing.layout import (
     COACH_KEY,
     Layout,
@@ -25,68 +25,77 @@
 
 STREAMS = (1, 50, 100, 200)
 _TOKENS = 120
-_PACE_S = 0.01
-_LIMIT_S = 30.0
+_SEND_INTERVAL_S = 0.01
+_TIMEOUT_S = 30.0
 
 
 def build_overhead_layout() -> Layout:
-    """Return stand-ins with room for every stream at once."""
+    """Return a layout with enough slots for all streams at once."""
     return build_three_stages(2, slots=max(STREAMS), step_ms=26)
 
 
-def run_overhead(target: Target, seed: int) -> Scene:
-    """Measure through the target and, beside it, directly."""
-    figures: dict[str, Any] = {}
-    everything: list[Got] = []
+def run_overhead(target: Target, seed: int) -> BenchmarkResult:
+    """Measure requests through the target, and direct ones for comparison."""
+    metrics: dict[str, Any] = {}
+    all_results: list[RequestResult] = []
     for count in STREAMS:
         name = f'{seed}-{count}'
-        direct = _run(_plan_direct(target, name, count))
-        cpu_s = target.read_cpu_s()
-        through = _run(_plan_through(target, name, count))
-        spent_s = target.read_cpu_s() - cpu_s
-        everything += through
-        tokens = sum(len(got.texts) for got in through)
-        first_s = _read_first_s(through)
-        figures |= {
+        direct = _run_requests(_build_direct_requests(target, name, count))
+        cpu_before_s = target.read_cpu_s()
+        routed = _run_requests(_build_routed_requests(target, name, count))
+        used_cpu_s = target.read_cpu_s() - cpu_before_s
+        all_results += routed
+        tokens = sum(len(result.texts) for result in routed)
+        first_token_p95_s = _compute_first_token_p95_s(routed)
+        metrics |= {
             f'added_first_token_p95_ms.{count}': 1000
-            * (first_s - _read_first_s(direct)),
-            f'token_gap_p95_ms.{count}': 1000 * read_p95_s(list_gaps(through)),
-            f'direct_gap_p95_ms.{count}': 1000 * read_p95_s(list_gaps(direct)),
-            f'cpu_us_per_token.{count}': 1e6 * spent_s / max(1, tokens),
+            * (first_token_p95_s - _compute_first_token_p95_s(direct)),
+            f'token_gap_p95_ms.{count}': 1000
+            * compute_p95_s(list_token_gaps(routed)),
+            f'direct_gap_p95_ms.{count}': 1000
+            * compute_p95_s(list_token_gaps(direct)),
+            f'cpu_us_per_token.{count}': 1e6 * used_cpu_s / max(1, tokens),
         }
-    return Scene(figures, judge(everything, list_ran(target)))
+    return BenchmarkResult(
+        metrics, check_results(all_results, list_executed_prompts(target))
+    )
 
 
-def _plan_through(
+def _build_routed_requests(
     target: Target, name: str, count: int
-) -> list[tuple[str, Ask]]:
+) -> list[tuple[str, ClientRequest]]:
     address = target.list_addresses()[0]
     return [
-        (address, Ask(0, f'through {name} {at}', _TOKENS, COACH_KEY))
-        for at in range(count)
+        (
+            address,
+            ClientRequest(0, f'through {name} {index}', _TOKENS, COACH_KEY),
+        )
+        for index in range(count)
     ]
 
 
-def _plan_direct(
+def _build_direct_requests(
     target: Target, name: str, count: int
-) -> list[tuple[str, Ask]]:
-    """Return calls that name a pipeline and go to its first stage."""
+) -> list[tuple[str, ClientRequest]]:
+    """Return requests with a given pipeline, sent to its first stage."""
     engines = target.cluster.addresses['engines']
     pipelines = itertools.cycle(_list_pipelines(engines))
-    plan = []
-    for at in range(count):
+    requests = []
+    for index in range(count):
         stages = next(pipelines)
         extra = {
             'samphirerill': {
-                'attempt': f'direct-{name}-{at}',
+                'attempt': f'direct-{name}-{index}',
                 'epoch': 0,
                 'resume_at': 0,
                 'stages': stages,
             },
         }
-        ask = Ask(0, f'direct {name} {at}', _TOKENS, '', extra=extra)
-        plan.append((stages[0]['address'], ask))
-    return plan
+        request = ClientRequest(
+            0, f'direct {name} {index}', _TOKENS, '', extra=extra
+        )
+        requests.append((stages[0]['address'], request))
+    return requests
 
 
 def _list_pipelines(engines: dict[str, str]) -> Iterator[list[dict[str, Any]]]:
@@ -102,22 +111,28 @@
         ]
 
 
-def _run(plan: list[tuple[str, Ask]]) -> list[Got]:
-    return asyncio.run(_send_all(plan))
+def _run_requests(
+    requests: list[tuple[str, ClientRequest]],
+) -> list[RequestResult]:
+    return asyncio.run(_send_all(requests))
 
 
-async def _send_all(plan: list[tuple[str, Ask]]) -> list[Got]:
-    got = []
-    sending = []
-    for address, ask in plan:
-        ask.due_at = time.monotonic()
-        got.append(Got(ask))
-        work = send_ask(address, ask, got[-1], _LIMIT_S)
-        sending.append(asyncio.ensure_future(work))
-        await asyncio.sleep(_PACE_S)
-    await asyncio.gather(*sending)
-    return got
+async def _send_all(
+    requests: list[tuple[str, ClientRequest]],
+) -> list[RequestResult]:
+    results = []
+    tasks = []
+    for address, request in requests:
+        request.due_at = time.monotonic()
+        results.append(RequestResult(request))
+        call = send_request(address, request, results[-1], _TIMEOUT_S)
+        tasks.append(asyncio.ensure_future(call))
+        await asyncio.sleep(_SEND_INTERVAL_S)
+    await asyncio.gather(*tasks)
+    return results
 
 
-def _read_first_s(found: list[Got]) -> float:
-    return read_p95_s(got.first_token_s for got in found if got.texts)
+def _compute_first_token_p95_s(results: list[RequestResult]) -> float:
+    return compute_p95_s(
+        result.first_token_s for result in results if result.texts
+    )
--- a/samphirerill/bench/rival.py
+++ b/samphirerill/bench/rival.py
@@ -1,7 +1,7 @@
-"""The simplest rival: round robin over the replicas, no retry, no queue.
+"""Baseline for the benchmarks: round robin without retries or queues.
 
-It runs as one process beside the nodes, over the same stand-ins, so that each
-bench can show the same figures for both in one run.
+It runs as a process of its own over the same stand-ins as the nodes, so that
+each benchmark reports the same metrics for both.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from samphirerill.core.commands import Stage
 from samphirerill.testing.httpd import Connection, Request
 
-_CHUNK = 65_536
-_SERVICE = '/svc/'
+_CHUNK_BYTES = 65_536
+_SERVICE_PREFIX = '/svc/'
 
 
-class Rival:
-    """Forwards each request over the next pipeline in turn."""
+class RoundRobinProxy:
+    """Reverse proxy that sends requests to all pipelines in turn."""
 
     def __init__(self, document: dict[str, Any]) -> None:
-        self._turns: dict[tuple[int, int], itertools.cycle[Any]] = {}
-        self._numbers = itertools.count()
+        self._stages_by_range: dict[tuple[int, int], itertools.cycle[Any]] = {}
+        self._attempt_numbers = itertools.count()
         by_range: dict[tuple[int, int], list[Stage]] = {}
         for name, spec in document['endpoints'].items():
             if spec['kind'] == 'engine':
@@ -37,11 +37,11 @@
             for name, spec in document['endpoints'].items()
             if spec['kind'] == 'service'
         )
-        for held, stages in by_range.items():
-            self._turns[held] = itertools.cycle(stages)
+        for layer_range, stages in by_range.items():
+            self._stages_by_range[layer_range] = itertools.cycle(stages)
 
     async def handle(self, request: Request) -> None:
-        """Forward one request and pump its answer back."""
+        """Forward one request and relay its response."""
         connection = request.connection
         if request.path == '/health':
             connection.answer(200, b'ok')
@@ -54,41 +54,41 @@
             connection.answer(502, b'{"title": "no endpoint"}')
             return
         writer.write(payload)
-        await _pump(reader, connection)
+        await _relay_response(reader, connection)
         writer.close()
         connection.transport.close()
 
     def _route(self, request: Request) -> tuple[str, bytes]:
-        if request.path.startswith(_SERVICE):
+        if request.path.startswith(_SERVICE_PREFIX):
             stage = next(self._services)
-            keys = request.headers.get('idempotency-key', '')
+            idempotency_key = request.headers.get('idempotency-key', '')
             payload = build_request(
                 request.method,
-                f'/{request.path.removeprefix(_SERVICE)}',
+                f'/{request.path.removeprefix(_SERVICE_PREFIX)}',
                 stage,
-                [('Idempotency-Key', keys)],
+                [('Idempotency-Key', idempotency_key)],
                 request.body,
             )
             return stage.address, payload
         stages = self._next_pipeline()
-        return stages[0].address, self._build(request, stages)
+        return stages[0].address, self._build_payload(request, stages)
 
     def _next_pipeline(self) -> list[Stage]:
-        """Return the next replica of each range, cut to cover each layer."""
+        """Return the next replica of each layer range, trimmed of overlaps."""
         stages = []
         position = 0
-        for held in sorted(self._turns):
-            stage = next(self._turns[held])
+        for layer_range in sorted(self._stages_by_range):
+            stage = next(self._stages_by_range[layer_range])
             stages.append(
                 Stage(stage.endpoint, stage.address, position, stage.last)
             )
             position = stage.last + 1
         return stages
 
-    def _build(self, request: Request, stages: list[Stage]) -> bytes:
+    def _build_payload(self, request: Request, stages: list[Stage]) -> bytes:
         body = request.read_json()
         body['samphirerill'] = {
-            'attempt': f'rival-{next(self._numbers)}',
+            'attempt': f'rival-{next(self._attempt_numbers)}',
             'epoch': 0,
             'resume_at': 0,
             'stages': [
@@ -105,23 +105,25 @@
         )
 
 
-async def _pump(reader: asyncio.StreamReader, connection: Connection) -> None:
+async def _relay_response(
+    reader: asyncio.StreamReader, connection: Connection
+) -> None:
     while not connection.closed:
         try:
-            part = await reader.read(_CHUNK)
+            chunk = await reader.read(_CHUNK_BYTES)
         except OSError:
             return
-        if not part:
+        if not chunk:
             return
-        connection.transport.write(part)
+        connection.transport.write(chunk)
 
 
-async def run_rival(document: dict[str, Any]) -> None:
-    """Serve until standard input closes; print the address first."""
-    rival = Rival(document)
+async def run_proxy(document: dict[str, Any]) -> None:
+    """Print the address, then serve until standard input is closed."""
+    proxy = RoundRobinProxy(document)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(
-        lambda: Connection(rival.handle), '127.0.0.1', 0
+        lambda: Connection(proxy.handle), '127.0.0.1', 0
     )
     host, port = server.sockets[0].getsockname()[:2]
     sys.stdout.write(f'{host}:{port}\n')
@@ -130,4 +132,4 @@
 
 
 if __name__ == '__main__':
-    asyncio.run(run_rival(json.loads(sys.argv[1])))
+    asyncio.run(run_proxy(json.loads(sys.argv[1])))
--- a/samphirerill/bench/scenes.py
+++ b/samphirerill/bench/scenes.py
@@ -1,4 +1,4 @@
-"""The benches over model routes: throughput, load and faults of endpoints."""
+"""Benchmarks of model routes: throughput, overload and endpoint faults."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.bench.figures import (
-    list_gaps,
-    list_recoveries,
-    read_p95_s,
+    compute_p95_s,
+    list_interruptions,
+    list_token_gaps,
 )
-from samphirerill.bench.load import Caller, Plan, Results, run_load
-from samphirerill.bench.oracle import Verdict, judge
-from samphirerill.bench.targets import Target, list_ran
+from samphirerill.bench.load import LoadAccount, LoadPlan, LoadRun, run_load
+from samphirerill.bench.oracle import Verdict, check_results
+from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.edges.operators import hash_key
 from samphirerill.testing.layout import (
     BRIDAL_KEY,
@@ -29,161 +29,186 @@
 SLOTS = 24
 STEP_MS = 26.0
 TOKENS = 100
-SMALL_KEY = 'small-key'
-_WARM_S = 3.0
-_LEAST_GAP_S = 0.045
-_ORDINARY = [Caller(COACH_KEY, 'plans', 1)]
+SMALL_ACCOUNT_KEY = 'small-key'
+_WARM_UP_S = 3.0
+_MIN_INTERRUPTION_S = 0.045
+_ACCOUNTS = [LoadAccount(COACH_KEY, 'plans', 1)]
 
 
 @dataclass(slots=True)
-class Scene:
-    """What one run of a bench brought.
+class BenchmarkResult:
+    """Result of one run of a benchmark.
 
-    `figures` are the bench's own; `verdict` counts broken promises.
+    `metrics` are specific to the benchmark; `verdict` counts violations.
     """
 
-    figures: dict[str, Any]
+    metrics: dict[str, Any]
     verdict: Verdict
 
 
 def build_layout(replicas: int = 2, **shape: Any) -> Layout:
-    """Return the benches' usual stand-ins: three stages, each `replicas`."""
+    """Return the default layout: three stages with `replicas` each."""
     return build_three_stages(replicas, slots=SLOTS, step_ms=STEP_MS, **shape)
 
 
-def read_bound(replicas: int) -> float:
-    """Return the tokens a second that the stand-ins can generate at most."""
+def compute_max_throughput(replicas: int) -> float:
+    """Return the maximum rate of the simulated engines, in tokens a second."""
     return replicas * SLOTS * 1000 / STEP_MS
 
 
-def run_throughput(target: Target, seed: int) -> Scene:
-    """Measure below the bound for times, then at it for goodput."""
-    bound = read_bound(2)
-    cpu_s = target.read_cpu_s()
-    calm = load_target(
-        target, Plan(0.7 * bound / TOKENS, 8, TOKENS, _ORDINARY, seed)
+def run_throughput(target: Target, seed: int) -> BenchmarkResult:
+    """Measure latency at 70 % of the maximum rate, then goodput above it."""
+    max_tokens_per_s = compute_max_throughput(2)
+    cpu_before_s = target.read_cpu_s()
+    normal_load = load_target(
+        target,
+        LoadPlan(0.7 * max_tokens_per_s / TOKENS, 8, TOKENS, _ACCOUNTS, seed),
     )
-    spent_s = target.read_cpu_s() - cpu_s
-    tokens = sum(len(got.texts) for got in calm.got)
-    full = load_target(
+    used_cpu_s = target.read_cpu_s() - cpu_before_s
+    tokens = sum(len(result.texts) for result in normal_load.results)
+    full_load = load_target(
         target,
-        Plan(1.2 * bound / TOKENS, 12, TOKENS, _ORDINARY, seed, 'full'),
+        LoadPlan(
+            1.2 * max_tokens_per_s / TOKENS, 12, TOKENS, _ACCOUNTS, seed, 'full'
+        ),
     )
-    figures = {
-        'goodput_ratio': _read_goodput(full, bound, 12),
-        'cpu_us_per_token': spent_s * 1e6 / max(1, tokens),
-        'first_token_p95_s': read_p95_s(
-            got.first_token_s for got in calm.list_answered()
+    metrics = {
+        'goodput_ratio': _compute_goodput(full_load, max_tokens_per_s, 12),
+        'cpu_us_per_token': used_cpu_s * 1e6 / max(1, tokens),
+        'first_token_p95_s': compute_p95_s(
+            result.first_token_s for result in normal_load.list_answered()
         ),
-        'token_gap_p95_ms': 1000 * read_p95_s(list_gaps(calm.got)),
+        'token_gap_p95_ms': 1000
+        * compute_p95_s(list_token_gaps(normal_load.results)),
     }
-    return Scene(figures, judge(calm.got + full.got, list_ran(target)))
+    return BenchmarkResult(
+        metrics,
+        check_results(
+            normal_load.results + full_load.results,
+            list_executed_prompts(target),
+        ),
+    )
 
 
-def run_overload(target: Target, seed: int) -> Scene:
-    """Ask for twice the bound, mostly by one large account."""
-    bound = read_bound(2)
-    callers = [
-        Caller(COACH_KEY, 'plans', 0.7),
-        Caller(BRIDAL_KEY, 'fittings', 0.1),
-        Caller(SMALL_KEY, 'plans', 0.2),
+def run_overload(target: Target, seed: int) -> BenchmarkResult:
+    """Request twice the maximum rate, mostly for one large account."""
+    max_tokens_per_s = compute_max_throughput(2)
+    accounts = [
+        LoadAccount(COACH_KEY, 'plans', 0.7),
+        LoadAccount(BRIDAL_KEY, 'fittings', 0.1),
+        LoadAccount(SMALL_ACCOUNT_KEY, 'plans', 0.2),
     ]
-    plan = Plan(2 * bound / TOKENS, 12, TOKENS, callers, seed)
-    results = load_target(target, plan)
-    high = [
-        got for got in results.list_answered() if got.ask.route == 'fittings'
+    plan = LoadPlan(2 * max_tokens_per_s / TOKENS, 12, TOKENS, accounts, seed)
+    run = load_target(target, plan)
+    high_priority = [
+        result
+        for result in run.list_answered()
+        if result.request.route == 'fittings'
     ]
-    refused = [got for got in results.got if got.outcome == 'not-run']
-    figures = {
-        'goodput_ratio': _read_goodput(results, bound, plan.seconds),
-        'high_priority_p95_s': read_p95_s(got.first_token_s for got in high),
+    refused = [result for result in run.results if result.outcome == 'not-run']
+    metrics = {
+        'goodput_ratio': _compute_goodput(run, max_tokens_per_s, plan.seconds),
+        'high_priority_p95_s': compute_p95_s(
+            result.first_token_s for result in high_priority
+        ),
         'refused_not_run': len(refused),
-        'smallest_account_share': _read_share(results, SMALL_KEY),
+        'smallest_account_share': _compute_fair_share_ratio(
+            run, SMALL_ACCOUNT_KEY
+        ),
     }
-    return Scene(figures, judge(results.got, list_ran(target)))
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
-def run_stage_death(target: Target, seed: int) -> Scene:
-    """Kill one of the middle stages under load."""
-    return _run_upset(
+def run_stage_death(target: Target, seed: int) -> BenchmarkResult:
+    """Kill a replica of the middle stage under load."""
+    return _run_with_fault(
         target,
         seed,
-        lambda: target.cluster.control(_address(target, 'stage1-0'), die=True),
-        with_whole=True,
+        lambda: target.cluster.control(
+            _get_address(target, 'stage1-0'), die=True
+        ),
+        reports_completion=True,
     )
 
 
-def run_silent_link(target: Target, seed: int) -> Scene:
-    """Let one first stage accept everything and never answer again."""
-    return _run_upset(
+def run_silent_link(target: Target, seed: int) -> BenchmarkResult:
+    """Make a replica of the first stage accept requests and never answer."""
+    return _run_with_fault(
         target,
         seed,
         lambda: target.cluster.control(
-            _address(target, 'stage0-0'), frozen=True
+            _get_address(target, 'stage0-0'), frozen=True
         ),
-        with_whole=False,
+        reports_completion=False,
     )
 
 
-def run_two_faults(target: Target, seed: int) -> Scene:
-    """Kill one stage and silence another at once, while the store is away."""
+def run_two_faults(target: Target, seed: int) -> BenchmarkResult:
+    """Kill one replica and freeze another at once during a store outage."""
 
-    def strike() -> None:
+    def inject_faults() -> None:
         target.cluster.control(target.cluster.addresses['kv'], down=True)
-        target.cluster.control(_address(target, 'stage0-0'), frozen=True)
-        target.cluster.control(_address(target, 'stage1-0'), die=True)
+        target.cluster.control(_get_address(target, 'stage0-0'), frozen=True)
+        target.cluster.control(_get_address(target, 'stage1-0'), die=True)
 
-    return _run_upset(target, seed, strike, with_whole=True)
+    return _run_with_fault(target, seed, inject_faults, reports_completion=True)
 
 
-def run_slow_link(target: Target, seed: int) -> Scene:
-    """Add 120 ms to the way into one middle stage."""
-    bound = read_bound(3)
-    plan = Plan(0.5 * bound / TOKENS, 12, TOKENS, _ORDINARY, seed)
-    slow = 'stage1-0'
-    felt: list[float] = []
+def run_slow_link(target: Target, seed: int) -> BenchmarkResult:
+    """Add 120 ms of latency to the link of a middle-stage replica."""
+    max_tokens_per_s = compute_max_throughput(3)
+    plan = LoadPlan(
+        0.5 * max_tokens_per_s / TOKENS, 12, TOKENS, _ACCOUNTS, seed
+    )
+    slow_replica = 'stage1-0'
+    fault_times: list[float] = []
 
-    def degrade() -> None:
-        target.cluster.control(_address(target, slow), link_ms=120)
-        felt.append(time.monotonic())
+    def slow_down_link() -> None:
+        target.cluster.control(_get_address(target, slow_replica), link_ms=120)
+        fault_times.append(time.monotonic())
 
-    results = load_target(target, plan, degrade, _WARM_S)
-    slowed = [
+    run = load_target(target, plan, slow_down_link, _WARM_UP_S)
+    slow_token_times = [
         later
-        for got in results.got
+        for result in run.results
         for earlier, later in zip(
-            got.token_times, got.token_times[1:], strict=False
+            result.token_times, result.token_times[1:], strict=False
         )
-        if later - earlier > 0.1 and later > felt[0]
+        if later - earlier > 0.1 and later > fault_times[0]
     ]
-    first_s = _WARM_S + 1
-    wanted = count_ideal(results, first_s, plan.seconds)
-    figures = {
-        'goodput_ratio': results.count_tokens(first_s, plan.seconds) / wanted,
-        'seconds_to_route_around': max(slowed, default=felt[0]) - felt[0],
+    first_s = _WARM_UP_S + 1
+    ideal_tokens = count_ideal_tokens(run, first_s, plan.seconds)
+    metrics = {
+        'goodput_ratio': run.count_tokens(first_s, plan.seconds) / ideal_tokens,
+        'seconds_to_route_around': max(slow_token_times, default=fault_times[0])
+        - fault_times[0],
     }
-    return Scene(figures, judge(results.got, list_ran(target)))
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
-def run_crossed(target: Target, seed: int) -> Scene:
-    """Let engines cross answers and repeat tokens."""
+def run_crossed_answers(target: Target, seed: int) -> BenchmarkResult:
+    """Make one engine mix up answers, and another repeat tokens."""
 
-    def cross() -> None:
-        address = _address(target, 'stage0-0')
+    def corrupt_answers() -> None:
+        address = _get_address(target, 'stage0-0')
         target.cluster.control(address, crossed=True)
-        target.cluster.control(_address(target, 'stage0-1'), repeat=True)
+        target.cluster.control(_get_address(target, 'stage0-1'), repeat=True)
 
-    bound = read_bound(3)
-    plan = Plan(0.4 * bound / TOKENS, 6, TOKENS, _ORDINARY, seed)
-    results = load_target(target, plan, cross, _WARM_S)
-    verdict = judge(results.got, list_ran(target))
-    return Scene({'leaked': verdict.leaked}, verdict)
+    max_tokens_per_s = compute_max_throughput(3)
+    plan = LoadPlan(0.4 * max_tokens_per_s / TOKENS, 6, TOKENS, _ACCOUNTS, seed)
+    run = load_target(target, plan, corrupt_answers, _WARM_UP_S)
+    verdict = check_results(run.results, list_executed_prompts(target))
+    return BenchmarkResult({'leaked': verdict.wrong_tokens}, verdict)
 
 
 def build_overload_layout() -> Layout:
-    """Return stand-ins with a third, small account."""
+    """Return the default layout with a third, small client account."""
     layout = build_layout()
-    layout.accounts['small'] = {'keys': [hash_key(SMALL_KEY)]}
+    layout.accounts['small'] = {'keys': [hash_key(SMALL_ACCOUNT_KEY)]}
     layout.routes['plans'] = {
         'kind': 'model',
         'model': 'strength',
@@ -192,74 +217,97 @@
     return layout
 
 
-def count_ideal(results: Results, first_s: float, last_s: float) -> int:
-    """Count the tokens that faultless engines would have made in a time."""
+def count_ideal_tokens(run: LoadRun, first_s: float, last_s: float) -> int:
+    """Count the tokens that engines without faults would have generated."""
     step_s = STEP_MS / 1000
-    first = results.started_at + first_s
-    last = results.started_at + last_s
+    first = run.started_at + first_s
+    last = run.started_at + last_s
     return sum(
         1
-        for got in results.got
-        for at in range(got.ask.tokens)
-        if first <= got.ask.due_at + (at + 1) * step_s < last
+        for result in run.results
+        for index in range(result.request.token_count)
+        if first <= result.request.due_at + (index + 1) * step_s < last
     )
 
 
-def _run_upset(
-    target: Target, seed: int, upset: Callable[[], None], *, with_whole: bool
-) -> Scene:
-    """Cause a fault under half load and measure how answers recover."""
-    plan = Plan(0.5 * read_bound(3) / TOKENS, 8, TOKENS, _ORDINARY, seed)
-    felt: list[float] = []
+def _run_with_fault(
+    target: Target,
+    seed: int,
+    inject_fault: Callable[[], None],
+    *,
+    reports_completion: bool,
+) -> BenchmarkResult:
+    """Inject a fault at half load, and measure interruptions of answers."""
+    plan = LoadPlan(
+        0.5 * compute_max_throughput(3) / TOKENS, 8, TOKENS, _ACCOUNTS, seed
+    )
+    fault_times: list[float] = []
 
-    def note() -> None:
-        felt.append(time.monotonic())
-        upset()
+    def inject_and_record() -> None:
+        fault_times.append(time.monotonic())
+        inject_fault()
 
-    results = load_target(target, plan, note, _WARM_S)
-    recoveries = list_recoveries(results.got, felt[0], _LEAST_GAP_S)
-    figures: dict[str, Any] = {
-        'recovery_p95_s': read_p95_s(recoveries),
-        'recovered_streams': len(recoveries),
+    run = load_target(target, plan, inject_and_record, _WARM_UP_S)
+    interruptions = list_interruptions(
+        run.results, fault_times[0], _MIN_INTERRUPTION_S
+    )
+    metrics: dict[str, Any] = {
+        'recovery_p95_s': compute_p95_s(interruptions),
+        'recovered_streams': len(interruptions),
     }
-    if with_whole:
-        whole = len(results.list_answered())
-        figures['answers_whole'] = whole / len(results.got)
-    return Scene(figures, judge(results.got, list_ran(target)))
+    if reports_completion:
+        answered = len(run.list_answered())
+        metrics['answers_whole'] = answered / len(run.results)
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
 def load_target(
     target: Target,
-    plan: Plan,
-    upset: Callable[[], None] | None = None,
-    upset_at_s: float = 0,
-) -> Results:
-    return asyncio.run(run_load(target.list_addresses, plan, upset, upset_at_s))
+    plan: LoadPlan,
+    inject_fault: Callable[[], None] | None = None,
+    fault_at_s: float = 0,
+) -> LoadRun:
+    return asyncio.run(
+        run_load(target.list_addresses, plan, inject_fault, fault_at_s)
+    )
 
 
-def _read_goodput(results: Results, bound: float, seconds: float) -> float:
-    """Return tokens delivered over what the stand-ins could have made.
+def _compute_goodput(
+    run: LoadRun, max_tokens_per_s: float, seconds: float
+) -> float:
+    """Return the delivered tokens as a share of the maximum.
 
-    Counted once the first answers have filled the engines.
+    The warm-up, until the first answers have filled the engines, is left out.
     """
-    tokens = results.count_tokens(_WARM_S, seconds)
-    return tokens / (bound * (seconds - _WARM_S))
+    tokens = run.count_tokens(_WARM_UP_S, seconds)
+    return tokens / (max_tokens_per_s * (seconds - _WARM_UP_S))
 
 
-def _read_share(results: Results, key: str) -> float:
-    """Return an account's tokens over the least that fairness owes it.
+def _compute_fair_share_ratio(run: LoadRun, api_key: str) -> float:
+    """Return the tokens of an account as a share of its fair share.
 
-    It is owed what it asked for, or an equal share if that is less.
+    The fair share is an equal share of all tokens, or what the account
+    requested if that is less.
     """
-    by_key: dict[str, int] = {}
-    asked = 0
-    for got in results.got:
-        count = len(got.texts) if got.is_answered else 0
-        by_key[got.ask.key] = by_key.get(got.ask.key, 0) + count
-        asked += got.ask.tokens if got.ask.key == key else 0
-    fair = min(asked, sum(by_key.values()) / len(by_key))
-    return by_key[key] / max(1.0, fair)
+    tokens_by_key: dict[str, int] = {}
+    requested_tokens = 0
+    for result in run.results:
+        count = len(result.texts) if result.is_answered else 0
+        tokens_by_key[result.request.api_key] = (
+            tokens_by_key.get(result.request.api_key, 0) + count
+        )
+        requested_tokens += (
+            result.request.token_count
+            if result.request.api_key == api_key
+            else 0
+        )
+    fair_share = min(
+        requested_tokens, sum(tokens_by_key.values()) / len(tokens_by_key)
+    )
+    return tokens_by_key[api_key] / max(1.0, fair_share)
 
 
-def _address(target: Target, name: str) -> str:
+def _get_address(target: Target, name: str) -> str:
     return str(target.cluster.addresses['engines'][name])
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -1,8 +1,7 @@
-"""Measure what each role costs, each at three sizes or more, as slopes.
+"""Measurements of CPU time, memory and traffic of a node's components.
 
-Every function returns the points it measured; a slope is the least-squares
-line through them. What the sizes of the plan make of the slopes is worked out
-in :mod:`samphirerill.bench.capacity`.
+:mod:`samphirerill.bench.capacity` runs them at several sizes, fits a line
+through the results and extrapolates to the planned size.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.backends.peers import measure_word
-from samphirerill.bench.calls import Ask, Got, send_ask
+from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
 from samphirerill.control.claims import (
     Batch,
     Settlement,
@@ -48,34 +47,35 @@
 from samphirerill.testing.engine import EngineStandIn
 from samphirerill.testing.layout import COACH_KEY, build_three_stages
 
-US = 1_000_000
+# Also the number of nanoseconds in a millisecond.
+US_PER_S = 1_000_000
 _STAGES = 4
 _LAYERS = 48
-_REPEATS = 300
+_SAMPLES = 300
 _TOKENS = 2000
 
 
 @dataclass(slots=True)
 class Line:
-    """A least-squares line: ``base + slope * size``."""
+    """A fitted line ``base + slope * size``."""
 
     base: float
     slope: float
 
     def at(self, size: float) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at a size."""
         return self.base + self.slope * size
 
 
 def fit_line(points: dict[float, float]) -> Line:
-    """Return the least-squares line through three points or more."""
+    """Fit a line by least squares, to three points or more."""
     count = len(points)
     mean_x = sum(points) / count
     mean_y = sum(points.values()) / count
-    spread = sum((size - mean_x) ** 2 for size in points)
+    squared_deviations = sum((size - mean_x) ** 2 for size in points)
     slope = (
         sum((size - mean_x) * (cost - mean_y) for size, cost in points.items())
-        / spread
+        / squared_deviations
     )
     return Line(mean_y - slope * mean_x, slope)
 
@@ -83,8 +83,8 @@
 def build_large_document(
     replicas: int, accounts: int, models: int
 ) -> dict[str, Any]:
-    """Return a configuration of any size, four stages to a model."""
-    kinds = ('h', 'l', 'm', 's')
+    """Return a configuration with four stages for each model."""
+    accelerators = ('h', 'l', 'm', 's')
     step = _LAYERS // _STAGES
     endpoints = {}
     for number in range(replicas):
@@ -93,7 +93,7 @@
             'kind': 'engine',
             'address': f'10.{number // 250}.{number % 250}.1:8000',
             'data_centre': f'dc{number % 7}',
-            'accelerator': kinds[number % 4],
+            'accelerator': accelerators[number % 4],
             'model': f'm{number % models}',
             'layers': [step * stage, step * stage + step - 1],
             'slots': 32,
@@ -123,12 +123,12 @@
 
 
 def measure_decisions(replicas: int, accounts: int) -> dict[str, float]:
-    """Return microseconds for each request and token in one core."""
+    """Return the router core's CPU time per request and per token, in µs."""
     router = _build_router(replicas, accounts)
     now = 0.0
     request_us = []
     token_us = []
-    for number in range(_REPEATS):
+    for number in range(_SAMPLES):
         now += 0.001
         event = RequestArrived(
             f'r{number}',
@@ -140,10 +140,10 @@
         started = time.process_time_ns()
         commands = router.apply(event, now)
         request_us.append((time.process_time_ns() - started) / 1000)
-        opened = [item for item in commands if isinstance(item, OpenAttempt)]
-        router.apply(AttemptSent(opened[0].attempt_id), now)
+        attempts = [item for item in commands if isinstance(item, OpenAttempt)]
+        router.apply(AttemptSent(attempts[0].attempt_id), now)
         if number < 3:
-            token_us.append(_time_tokens(router, opened[0], now))
+            token_us.append(_time_tokens(router, attempts[0], now))
     return {
         'request_us': _median(request_us),
         'token_us': _median(token_us),
@@ -151,7 +151,7 @@
 
 
 def measure_core_memory(replicas: int, accounts: int) -> float:
-    """Return the megabytes of one core with its configuration."""
+    """Return the memory of a router core and its configuration, in MB."""
     gc.collect()
     tracemalloc.start()
     router = _build_router(replicas, accounts)
@@ -163,14 +163,14 @@
 
 
 def measure_change(replicas: int, accounts: int) -> dict[str, float]:
-    """Return the milliseconds and bytes of one change at one node."""
+    """Return CPU time and size of a configuration change at one node."""
     document = build_large_document(replicas, accounts, 16)
     patch = [
         {'op': 'replace', 'path': '/endpoints/e1/slots', 'value': 16},
     ]
     change = Change(2, 'f' * 32, patch, 'operator', time.time())
     keys = KeyIndex()
-    spent = []
+    durations = []
     for _ in range(5):
         router = _build_router(replicas, accounts)
         before = router.state.configuration
@@ -180,72 +180,74 @@
         if configuration.accounts is not before.accounts:
             keys.rebuild(configuration)
         router.apply(ConfigurationAccepted(configuration), 1)
-        spent.append((time.process_time_ns() - started) / US)
+        durations.append((time.process_time_ns() - started) / US_PER_S)
     return {
-        'change_ms': _median(spent),
+        'change_ms': _median(durations),
         'change_bytes': len(json.dumps(change.to_json())),
         'document_bytes': len(json.dumps(document)),
     }
 
 
 def measure_gossip(nodes: int, seed: int = 0) -> dict[str, float]:
-    """Let many nodes' gossip talk without sockets.
+    """Simulate gossip between many nodes in one process, without sockets.
 
-    Returns the rounds until a change is everywhere, and the bytes and
-    processor microseconds that one node spends on one round.
+    Returns the rounds until a change has reached all nodes, and the bytes and
+    the CPU time of one node in one round.
     """
-    chance = random.Random(seed)  # noqa: S311
-    known = [_build_gossip(number) for number in range(nodes)]
-    for gossip in known:
+    rng = random.Random(seed)  # noqa: S311
+    gossips = [_build_gossip(number) for number in range(nodes)]
+    for gossip in gossips:
         gossip.follower.view.install(1, {'seen': []})
     patch = [{'op': 'add', 'path': '/seen/-', 'value': 1}]
-    known[0].follower.offer(Change(2, 'f' * 32, patch, 'operator', 0))
+    gossips[0].follower.offer(Change(2, 'f' * 32, patch, 'operator', 0))
     rounds = 0
-    sizes = 0
+    total_bytes = 0
     started = time.process_time_ns()
-    while any(item.follower.view.version < 2 for item in known):
+    while any(item.follower.view.version < 2 for item in gossips):
         rounds += 1
-        for gossip in known:
-            for partner in chance.sample(known, PARTNERS):
-                sizes += gossip.talk_to(partner)
+        for gossip in gossips:
+            for partner in rng.sample(gossips, PARTNERS):
+                total_bytes += gossip.exchange_with(partner)
     spent_us = (time.process_time_ns() - started) / 1000
     return {
         'rounds': rounds,
-        'bytes_a_round': sizes / rounds / nodes,
+        'bytes_a_round': total_bytes / rounds / nodes,
         'us_a_round': spent_us / rounds / nodes,
     }
 
 
 def measure_idle(nodes: int, seconds: float = 8.0) -> dict[str, float]:
-    """Return what idle nodes cost and ask of the service, for each node."""
+    """Return CPU use, memory and store calls of one idle node."""
     with Cluster(build_three_stages(), nodes) as cluster:
         time.sleep(2)
         store = cluster.addresses['kv']
         before = cluster.read_stats(store)['calls']
-        cpu_s = [node.read_state()['cpu_s'] for node in cluster.nodes]
+        cpu_before_s = [node.read_state()['cpu_s'] for node in cluster.nodes]
         time.sleep(seconds)
-        spent = [
-            node.read_state()['cpu_s'] - was
-            for node, was in zip(cluster.nodes, cpu_s, strict=True)
+        durations = [
+            node.read_state()['cpu_s'] - before_s
+            for node, before_s in zip(cluster.nodes, cpu_before_s, strict=True)
         ]
         after = cluster.read_stats(store)['calls']
         memory = [
             node.read_state()['max_memory_bytes'] for node in cluster.nodes
         ]
-    per = nodes * seconds
+    node_seconds = nodes * seconds
     return {
-        'cpu_share': sum(spent) / per,
-        'reads_s': (after.get('reads', 0) - before.get('reads', 0)) / per,
-        'writes_s': (after.get('writes', 0) - before.get('writes', 0)) / per,
+        'cpu_share': sum(durations) / node_seconds,
+        'reads_s': (after.get('reads', 0) - before.get('reads', 0))
+        / node_seconds,
+        'writes_s': (after.get('writes', 0) - before.get('writes', 0))
+        / node_seconds,
         'memory_mb': max(memory) / 1_048_576,
     }
 
 
 def measure_full_node(seconds: float = 8.0) -> dict[str, float]:
-    """Return what a node spends that knows the whole planned fleet.
+    """Return CPU use and memory of a node with the whole planned fleet.
 
-    All endpoints are one closed port of this machine, so every poll fails at
-    once: no work is done, but everything is known and asked for.
+    The address of all endpoints is a closed local port, so every load poll
+    fails at once.
     """
     document = build_large_document(770, 1100, 16)
     for endpoint in document['endpoints'].values():
@@ -255,40 +257,40 @@
         cluster.submit([{'op': 'replace', 'path': '', 'value': document}])
         cluster.wait_ready(cluster.version)
         time.sleep(2)
-        cpu_s = node.read_state()['cpu_s']
+        cpu_before_s = node.read_state()['cpu_s']
         time.sleep(seconds)
         state = node.read_state()
     return {
-        'cpu_share': (state['cpu_s'] - cpu_s) / seconds,
+        'cpu_share': (state['cpu_s'] - cpu_before_s) / seconds,
         'memory_mb': state['max_memory_bytes'] / 1_048_576,
     }
 
 
 def measure_polls() -> dict[str, float]:
-    """Return the bytes of one load poll and of one entry of the VM list."""
+    """Return the bytes of a load poll and of an entry of the VM list."""
     return asyncio.run(_measure_polls())
 
 
 def measure_streams(streams: int, tokens: int) -> dict[str, float]:
-    """Return the processor time of one node for streams of a length."""
+    """Return the CPU time and memory of one node for concurrent streams."""
     layout = build_three_stages(2, slots=streams, step_ms=26)
     with Cluster(layout, 1) as cluster:
         node = cluster.nodes[0]
         before = node.read_state()
         started = time.monotonic()
-        got = asyncio.run(_stream(node.callers, streams, tokens))
+        results = asyncio.run(_run_streams(node.callers, streams, tokens))
         wall_s = time.monotonic() - started
         after = node.read_state()
     return {
         'cpu_s': after['cpu_s'] - before['cpu_s'],
         'wall_s': wall_s,
-        'tokens': sum(len(item.texts) for item in got),
+        'tokens': sum(len(item.texts) for item in results),
         'memory_mb': after['max_memory_bytes'] / 1_048_576,
     }
 
 
-def measure_claim_group(size: int) -> dict[str, float]:
-    """Return bytes and calls of one group of claims and their outcomes."""
+def measure_claim_batch(size: int) -> dict[str, float]:
+    """Return bytes and calls to store a batch of claims and their outcomes."""
     claims = [
         build_claim(
             WriteClaim(f'{at:032x}', 'viti', 'notices', f'k{at}', 'f' * 64),
@@ -298,29 +300,31 @@
         for at in range(size)
     ]
     answer = {'status': 200, 'headers': [], 'body': 'x' * 400}
-    settled = [Settlement(claim, Outcome.ANSWERED, answer) for claim in claims]
+    settlements = [
+        Settlement(claim, Outcome.ANSWERED, answer) for claim in claims
+    ]
     store = _CountingStore()
     store.commit(build_transaction(Batch(claims, []), ''))
-    store.commit(build_transaction(Batch([], settled), ''))
-    return {'bytes': store.sent, 'calls': store.calls}
+    store.commit(build_transaction(Batch([], settlements), ''))
+    return {'bytes': store.bytes_sent, 'calls': store.calls}
 
 
 class _CountingStore(EtcdStore):
-    """Counts what would be sent."""
+    """Store client that counts calls and bytes instead of sending them."""
 
     def __init__(self) -> None:
         super().__init__(StoreSettings())
-        self.sent = 0
+        self.bytes_sent = 0
         self.calls = 0
 
     def _call(self, path: str, call: dict[str, Any]) -> dict[str, Any]:
-        self.sent += len(json.dumps(call))
+        self.bytes_sent += len(json.dumps(call))
         self.calls += 1
         return {'succeeded': True, 'header': {'revision': '1'}}
 
 
-class _QuietGossip(Gossip):
-    """A node's gossip whose words are passed by hand."""
+class _LocalGossip(Gossip):
+    """Gossip of a node that exchanges messages without sockets."""
 
     def __init__(self, node: Any, follower: Any) -> None:
         self.follower = follower
@@ -328,15 +332,15 @@
         self._follower = follower
         self._heard = {}
 
-    def talk_to(self, other: _QuietGossip) -> int:
-        """Exchange words; return the bytes both ways."""
-        word = self._build_word()
-        answer = other._answer(word)  # noqa: SLF001
+    def exchange_with(self, other: _LocalGossip) -> int:
+        """Exchange messages with another node; return the bytes of both."""
+        message = self._build_word()
+        answer = other._answer(message)  # noqa: SLF001
         self._hear(answer)
-        return measure_word(word) + measure_word(answer)
+        return measure_word(message) + measure_word(answer)
 
 
-def _build_gossip(number: int) -> _QuietGossip:
+def _build_gossip(number: int) -> _LocalGossip:
     view = ConfigurationView()
     router = SimpleNamespace(state=SimpleNamespace(leaving={}, draining=False))
     node = SimpleNamespace(
@@ -347,7 +351,7 @@
     follower = SimpleNamespace(
         view=view, evidence=Evidence(0), offer=view.offer
     )
-    return _QuietGossip(node, follower)
+    return _LocalGossip(node, follower)
 
 
 async def _measure_polls() -> dict[str, float]:
@@ -376,27 +380,33 @@
     return router
 
 
-def _time_tokens(router: Router, opened: OpenAttempt, now: float) -> float:
+def _time_tokens(router: Router, attempt: OpenAttempt, now: float) -> float:
     started = time.process_time_ns()
     for index in range(_TOKENS):
-        token = TokenArrived(opened.attempt_id, opened.epoch, index, 'press ')
+        token = TokenArrived(attempt.attempt_id, attempt.epoch, index, 'press ')
         router.apply(token, now)
     return (time.process_time_ns() - started) / 1000 / _TOKENS
 
 
-async def _stream(address: str, streams: int, tokens: int) -> list[Got]:
-    got: list[Got] = []
-    sending = []
+async def _run_streams(
+    address: str, streams: int, tokens: int
+) -> list[RequestResult]:
+    results: list[RequestResult] = []
+    tasks = []
     for number in range(streams):
-        ask = Ask(time.monotonic(), f's{number}', tokens, COACH_KEY)
-        got.append(Got(ask))
-        sending.append(
-            asyncio.ensure_future(send_ask(address, ask, got[-1], 60))
+        request = ClientRequest(
+            time.monotonic(), f's{number}', tokens, COACH_KEY
+        )
+        results.append(RequestResult(request))
+        tasks.append(
+            asyncio.ensure_future(
+                send_request(address, request, results[-1], 60)
+            )
         )
         await asyncio.sleep(0.01)
-    await asyncio.gather(*sending)
-    return got
+    await asyncio.gather(*tasks)
+    return results
 
 
-def _median(figures: list[float]) -> float:
-    return sorted(figures)[len(figures) // 2]
+def _median(samples: list[float]) -> float:
+    return sorted(samples)[len(samples) // 2]
--- a/samphirerill/bench/start_up.py
+++ b/samphirerill/bench/start_up.py
@@ -1,7 +1,7 @@
-"""Measure how the binary starts: time, memory, children, files.
+"""Measure the start of the binary: time, memory, children, unpacked files.
 
-``make start-up`` builds the binary and runs this. The first start unpacks the
-native modules, the later ones find them unpacked.
+``make start-up`` builds the binary and runs this. Only the first start unpacks
+the native modules.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
     wait_for,
 )
 
-_STARTS = 3
+_START_COUNT = 3
 
 
 def measure_start(binary: str, root: Path) -> dict[str, Any]:
-    """Start the binary once and return what it took.
+    """Start the binary once and return the measurements.
 
     Parameters
     ----------
     binary : str
-        The built file.
+        Path of the binary.
     root : Path
-        Where it unpacks its native modules.
+        Directory into which it unpacks native modules.
     """
-    with TemporaryDirectory() as folder:
+    with TemporaryDirectory() as directory:
         settings = {
             **build_listening('start'),
             'store': {'addresses': ['127.0.0.1:1']},
         }
-        path = Path(folder) / 'settings.json'
+        path = Path(directory) / 'settings.json'
         path.write_text(json.dumps(settings), encoding='utf-8')
-        log_path = Path(folder) / 'log'
+        log_path = Path(directory) / 'log'
         started = time.monotonic()
         with log_path.open('wb') as log:
             process = subprocess.Popen(  # noqa: S603
@@ -66,7 +66,7 @@
                 'ready_s': round(ready_s, 2),
                 'memory_mb': _read_memory_mb(process.pid),
                 'children': _list_children(process.pid),
-                'unpacked_mb': _measure_folder_mb(root),
+                'unpacked_mb': _measure_directory_mb(root),
             }
         finally:
             process.terminate()
@@ -74,12 +74,14 @@
 
 
 def main() -> int:
-    """Start the binary a few times and print what each start took."""
+    """Start the binary several times and print the measurements."""
     binary = sys.argv[1]
     with TemporaryDirectory() as root:
-        for number in range(_STARTS):
-            found = measure_start(binary, Path(root))
-            sys.stdout.write(f'start {number + 1}: {json.dumps(found)}\n')
+        for number in range(_START_COUNT):
+            measurements = measure_start(binary, Path(root))
+            sys.stdout.write(
+                f'start {number + 1}: {json.dumps(measurements)}\n'
+            )
     return 0
 
 
@@ -91,14 +93,14 @@
 
 
 def _list_children(pid: int) -> list[int]:
-    found: list[int] = []
+    children: list[int] = []
     for task in Path(f'/proc/{pid}/task').iterdir():
-        text = (task / 'children').read_text()
-        found.extend(int(child) for child in text.split())
-    return found
+        children_text = (task / 'children').read_text()
+        children.extend(int(child) for child in children_text.split())
+    return children
 
 
-def _measure_folder_mb(root: Path) -> float:
+def _measure_directory_mb(root: Path) -> float:
     sizes = (item.stat().st_size for item in root.rglob('*') if item.is_file())
     return round(sum(sizes) / 1_048_576, 1)
 
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -1,4 +1,4 @@
-"""The benches over kept state: claims, configuration, leaving, shutdown."""
+"""Benchmarks of shared state: claims, configuration, draining, restarts."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.backends.store import Put, Transaction
-from samphirerill.bench.figures import read_p95_s
-from samphirerill.bench.load import Caller, Plan
-from samphirerill.bench.oracle import Verdict, judge
+from samphirerill.bench.figures import compute_p95_s
+from samphirerill.bench.load import LoadAccount, LoadPlan
+from samphirerill.bench.oracle import Verdict, check_results
 from samphirerill.bench.scenes import (
     TOKENS,
-    Scene,
-    count_ideal,
+    BenchmarkResult,
+    compute_max_throughput,
+    count_ideal_tokens,
     load_target,
-    read_bound,
 )
-from samphirerill.bench.targets import Target, list_ran
+from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.clients import (
     Answer,
@@ -35,59 +35,61 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_PLANS = [Caller(COACH_KEY, 'plans', 1)]
-_OUTAGE_AT_S = 3.0
+_ACCOUNTS = [LoadAccount(COACH_KEY, 'plans', 1)]
+_FAULT_AT_S = 3.0
 _OUTAGE_S = 5.0
-_KEYS = 60
-_OPERATORS = 4
-_PATCHES = 10
+_KEY_COUNT = 60
+_OPERATOR_COUNT = 4
+_PATCHES_PER_OPERATOR = 10
 _THREADS = 16
 _OK = 200
-_STEP_S = 0.02
-_COUNTER = '/bench/counter'
+_RETRY_INTERVAL_S = 0.02
+_COUNTER_KEY = '/bench/counter'
 
 
-def run_at_most_once(target: Target, seed: int) -> Scene:
-    """Send each keyed notice twice while services and the store misbehave."""
+def run_at_most_once(target: Target, seed: int) -> BenchmarkResult:
+    """Send each request with an idempotency key twice, during faults."""
     store = target.cluster.addresses['kv']
-    desk = target.cluster.addresses['services']['desk']
+    service = target.cluster.addresses['services']['desk']
     before = _count_writes(target)
-    answers = _send_notices(target, f'calm-{seed}', _KEYS)
-    target.cluster.control(desk, fault='cut')
-    answers += _send_notices(target, f'cut-{seed}', _KEYS // 2)
-    target.cluster.control(desk, fault='')
+    answers = _send_keyed_requests(target, f'calm-{seed}', _KEY_COUNT)
+    target.cluster.control(service, fault='cut')
+    answers += _send_keyed_requests(target, f'cut-{seed}', _KEY_COUNT // 2)
+    target.cluster.control(service, fault='')
     target.cluster.control(store, lose_replies=5)
-    answers += _send_notices(target, f'lost-{seed}', _KEYS // 2)
+    answers += _send_keyed_requests(target, f'lost-{seed}', _KEY_COUNT // 2)
     writes = _count_writes(target) - before
     target.cluster.control(store, down=True)
-    refused = _send_notices(target, f'outage-{seed}', _KEYS // 4)
+    refused = _send_keyed_requests(target, f'outage-{seed}', _KEY_COUNT // 4)
     target.cluster.control(store, down=False)
-    runs = target.cluster.read_stats(desk)
+    execution_counts = target.cluster.read_stats(service)
     verdict = Verdict()
-    ran = Counter(runs)
+    executions = Counter(execution_counts)
     for answer in answers + refused:
-        _judge_notice(answer, verdict)
-    twice = [key for key, count in ran.items() if count > 1]
-    verdict.not_whole += len(twice)
-    figures = {
-        'runs_max': max(ran.values(), default=0),
+        _check_outcome(answer, verdict)
+    duplicates = [key for key, count in executions.items() if count > 1]
+    verdict.incomplete += len(duplicates)
+    metrics = {
+        'runs_max': max(executions.values(), default=0),
         'refused_in_outage': sum(
             1 for answer in refused if answer.outcome == 'not-run'
         ),
-        'kv_writes_per_claim': writes / (2 * _KEYS),
+        'kv_writes_per_claim': writes / (2 * _KEY_COUNT),
         'answered': sum(1 for answer in answers if answer.status == _OK),
     }
-    return Scene(figures, verdict)
+    return BenchmarkResult(metrics, verdict)
 
 
-def run_kv_outage(target: Target, seed: int) -> Scene:
-    """Take the key-value service away under load, then bring it back."""
+def run_store_outage(target: Target, seed: int) -> BenchmarkResult:
+    """Make the key-value store unavailable for a while under load."""
     store = target.cluster.addresses['kv']
-    plan = Plan(0.6 * read_bound(2) / TOKENS, 13, TOKENS, _PLANS, seed)
+    plan = LoadPlan(
+        0.6 * compute_max_throughput(2) / TOKENS, 13, TOKENS, _ACCOUNTS, seed
+    )
     versions: list[int] = []
     calls: Counter[str] = Counter()
 
-    def outage() -> None:
+    def inject_outage() -> None:
         versions.extend(_read_versions(target))
         target.cluster.control(store, down=True)
         time.sleep(_OUTAGE_S)
@@ -100,35 +102,37 @@
             calls[kind] = after.get(kind, 0) - before.get(kind, 0)
         versions.extend(_read_versions(target))
 
-    results = load_target(target, plan, outage, _OUTAGE_AT_S)
-    last_s = _OUTAGE_AT_S + _OUTAGE_S
-    figures = {
+    run = load_target(target, plan, inject_outage, _FAULT_AT_S)
+    last_s = _FAULT_AT_S + _OUTAGE_S
+    metrics = {
         'goodput_ratio': (
-            results.count_tokens(_OUTAGE_AT_S, last_s)
-            / count_ideal(results, _OUTAGE_AT_S, last_s)
+            run.count_tokens(_FAULT_AT_S, last_s)
+            / count_ideal_tokens(run, _FAULT_AT_S, last_s)
         ),
         'config_reverts': sum(
             1 for version in versions if version < max(versions, default=0)
         ),
         'calls_in_first_second_back': sum(calls.values()),
     }
-    return Scene(figures, judge(results.got, list_ran(target)))
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
-def run_patch_race(target: Target, seed: int) -> Scene:
-    """Let operators race to add one to the same number."""
-    if target.is_rival:
-        return _race_without_versions(target)
+def run_patch_race(target: Target, seed: int) -> BenchmarkResult:
+    """Let operators increment the same number concurrently."""
+    if target.is_baseline:
+        return _race_without_version_check(target)
     cluster = target.cluster
     accepted: list[float] = []
     in_force: list[float] = []
     lock = threading.Lock()
 
-    def operate(number: int) -> None:
+    def submit_patches(number: int) -> None:
         node = cluster.nodes[number % len(cluster.nodes)]
-        for _ in range(_PATCHES):
-            version = _add_one(node)
-            done = time.monotonic()
+        for _ in range(_PATCHES_PER_OPERATOR):
+            version = _increment_number(node)
+            accepted_at = time.monotonic()
             wait_for(
                 lambda: all(  # noqa: B023
                     other.is_ready(version)  # noqa: B023
@@ -137,101 +141,126 @@
                 f'version {version} everywhere',
             )
             with lock:
-                accepted.append(done)
-                in_force.append(time.monotonic() - done)
-
-    _run_threads(operate, _OPERATORS)
-    counted = _read_weight(cluster.nodes[0])
-    lost = len(accepted) - (counted - 1)
-    verdict = Verdict(not_whole=abs(round(lost)))
-    return Scene(
+                accepted.append(accepted_at)
+                in_force.append(time.monotonic() - accepted_at)
+
+    _run_threads(submit_patches, _OPERATOR_COUNT)
+    final_value = _read_number(cluster.nodes[0])
+    lost = len(accepted) - (final_value - 1)
+    verdict = Verdict(incomplete=abs(round(lost)))
+    return BenchmarkResult(
         {
             'accepted': len(accepted),
             'lost_updates': lost,
-            'in_force_p95_s': read_p95_s(in_force),
+            'in_force_p95_s': compute_p95_s(in_force),
         },
         verdict,
     )
 
 
-def run_leaving(target: Target, seed: int) -> Scene:
-    """Mark a first stage as leaving and watch for its last new work."""
+def run_draining(target: Target, seed: int) -> BenchmarkResult:
+    """Drain a replica of the first stage; find when it last got a request."""
     address = target.cluster.addresses['engines']['stage0-0']
-    plan = Plan(0.5 * read_bound(3) / TOKENS, 9, TOKENS, _PLANS, seed)
-    marked: list[float] = []
+    plan = LoadPlan(
+        0.5 * compute_max_throughput(3) / TOKENS, 9, TOKENS, _ACCOUNTS, seed
+    )
+    drained_at: list[float] = []
 
-    def leave() -> None:
-        marked.append(time.monotonic())
+    def start_draining() -> None:
+        drained_at.append(time.monotonic())
         target.cluster.control(
             target.cluster.addresses['vm_list'], **{'stage0-0': 'leaving'}
         )
 
-    results = load_target(target, plan, leave, _OUTAGE_AT_S)
-    last = target.cluster.read_stats(address)['last_start']
-    figures = {'new_work_after_s': max(0.0, last - marked[0])}
-    return Scene(figures, judge(results.got, list_ran(target)))
+    run = load_target(target, plan, start_draining, _FAULT_AT_S)
+    last_start = target.cluster.read_stats(address)['last_start']
+    metrics = {'new_work_after_s': max(0.0, last_start - drained_at[0])}
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
-def run_shutdown(target: Target, seed: int) -> Scene:
-    """Ask one of two processes to end under load."""
-    plan = Plan(0.5 * read_bound(2) / TOKENS, 8, TOKENS, _PLANS, seed)
-    codes: list[int] = []
+def run_shutdown(target: Target, seed: int) -> BenchmarkResult:
+    """Shut down one of two processes gracefully under load."""
+    plan = LoadPlan(
+        0.5 * compute_max_throughput(2) / TOKENS, 8, TOKENS, _ACCOUNTS, seed
+    )
+    exit_codes: list[int] = []
 
-    def end() -> None:
-        codes.append(target.terminate(0))
+    def terminate_node() -> None:
+        exit_codes.append(target.terminate(0))
 
-    results = load_target(target, plan, end, _OUTAGE_AT_S)
-    cut = sum(1 for got in results.got if got.broken)
-    figures = {
+    run = load_target(target, plan, terminate_node, _FAULT_AT_S)
+    cut = sum(1 for result in run.results if result.is_broken)
+    metrics = {
         'cut': cut,
-        'exit_code': codes[0],
-        'answered_ratio': len(results.list_answered()) / len(results.got),
+        'exit_code': exit_codes[0],
+        'answered_ratio': len(run.list_answered()) / len(run.results),
     }
-    return Scene(figures, judge(results.got, list_ran(target)))
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
-def run_node_kill(target: Target, seed: int) -> Scene:
-    """Kill one process of three, a third of all, without a warning."""
-    plan = Plan(0.5 * read_bound(2) / TOKENS, 8, TOKENS, _PLANS, seed)
-    killed: list[str] = []
-    results = load_target(
-        target, plan, lambda: killed.append(target.kill(0)), _OUTAGE_AT_S
+def run_node_kill(target: Target, seed: int) -> BenchmarkResult:
+    """Kill one of three processes under load."""
+    plan = LoadPlan(
+        0.5 * compute_max_throughput(2) / TOKENS, 8, TOKENS, _ACCOUNTS, seed
     )
-    broken = [got for got in results.got if got.broken]
-    elsewhere = [got for got in broken if got.address != killed[0]]
-    cut_at = max((got.ended_at for got in broken), default=0)
-    figures = {
-        'cut_on_killed': len(broken) - len(elsewhere),
-        'cut_elsewhere': len(elsewhere),
-        'recovery_s': max(0.0, cut_at - results.started_at - _OUTAGE_AT_S),
-        'answered_ratio': len(results.list_answered()) / len(results.got),
+    killed_addresses: list[str] = []
+    run = load_target(
+        target,
+        plan,
+        lambda: killed_addresses.append(target.kill(0)),
+        _FAULT_AT_S,
+    )
+    broken = [result for result in run.results if result.is_broken]
+    broken_elsewhere = [
+        result for result in broken if result.address != killed_addresses[0]
+    ]
+    last_broken_at = max((result.ended_at for result in broken), default=0)
+    metrics = {
+        'cut_on_killed': len(broken) - len(broken_elsewhere),
+        'cut_elsewhere': len(broken_elsewhere),
+        'recovery_s': max(0.0, last_broken_at - run.started_at - _FAULT_AT_S),
+        'answered_ratio': len(run.list_answered()) / len(run.results),
     }
-    others = [got for got in results.got if got.address != killed[0]]
-    return Scene(figures, judge(others, list_ran(target)))
+    other_results = [
+        result
+        for result in run.results
+        if result.address != killed_addresses[0]
+    ]
+    return BenchmarkResult(
+        metrics, check_results(other_results, list_executed_prompts(target))
+    )
 
 
-def run_restart_all(target: Target, seed: int) -> Scene:
-    """Replace every process, one by one, under load."""
-    plan = Plan(0.5 * read_bound(2) / TOKENS, 14, TOKENS, _PLANS, seed)
-    spans: list[float] = []
+def run_restart_all(target: Target, seed: int) -> BenchmarkResult:
+    """Replace all processes one after another under load."""
+    plan = LoadPlan(
+        0.5 * compute_max_throughput(2) / TOKENS, 14, TOKENS, _ACCOUNTS, seed
+    )
+    durations_s: list[float] = []
 
     def replace_all() -> None:
         started = time.monotonic()
         for _ in range(len(target.list_addresses())):
             target.replace(0)
-        spans.append(time.monotonic() - started)
+        durations_s.append(time.monotonic() - started)
 
-    results = load_target(target, plan, replace_all, 2)
-    figures = {
-        'recovery_s': spans[0],
-        'cut': sum(1 for got in results.got if got.broken),
-        'answered_ratio': len(results.list_answered()) / len(results.got),
+    run = load_target(target, plan, replace_all, 2)
+    metrics = {
+        'recovery_s': durations_s[0],
+        'cut': sum(1 for result in run.results if result.is_broken),
+        'answered_ratio': len(run.list_answered()) / len(run.results),
     }
-    return Scene(figures, judge(results.got, list_ran(target)))
+    return BenchmarkResult(
+        metrics, check_results(run.results, list_executed_prompts(target))
+    )
 
 
-def _send_notices(target: Target, name: str, count: int) -> list[Answer]:
-    """Send each of many keys twice at once, through different processes."""
+def _send_keyed_requests(target: Target, name: str, count: int) -> list[Answer]:
+    """Send a request for each key twice at once, to different processes."""
     addresses = target.list_addresses()
 
     def send(number: int) -> Answer:
@@ -250,10 +279,12 @@
         return list(threads.map(send, range(2 * count)))
 
 
-def _judge_notice(answer: Answer, verdict: Verdict) -> None:
+def _check_outcome(answer: Answer, verdict: Verdict) -> None:
     if not answer.outcome and not (answer.status == _OK and answer.body):
-        verdict.without_end += 1
-        verdict.notes.append(f'a notice without outcome: {answer.status}')
+        verdict.missing_outcomes += 1
+        verdict.notes.append(
+            f'response without an outcome, status {answer.status}'
+        )
 
 
 def _count_writes(target: Target) -> int:
@@ -269,56 +300,62 @@
     ]
 
 
-def _add_one(node: NodeProcess) -> int:
-    """Read the number, add one, submit; start over when told it is stale."""
+def _increment_number(node: NodeProcess) -> int:
+    """Increment the number; retry if another patch was accepted meanwhile."""
     while True:
-        known = call_json(node.operators, '/config', OPERATOR_KEY)
-        weight = known['document']['accounts']['tromsvik'].get('weight', 1)
+        configuration = call_json(node.operators, '/config', OPERATOR_KEY)
+        weight = configuration['document']['accounts']['tromsvik'].get(
+            'weight', 1
+        )
         operation = {
             'op': 'add',
             'path': '/accounts/tromsvik/weight',
             'value': weight + 1,
         }
-        order = {'base': known['version'], 'patch': [operation]}
+        request = {'base': configuration['version'], 'patch': [operation]}
         try:
-            answer = call_json(node.operators, '/patch', OPERATOR_KEY, order)
+            answer = call_json(node.operators, '/patch', OPERATOR_KEY, request)
         except CallError as exc:
             if exc.document.get('title') != 'stale base':
                 raise
-            time.sleep(_STEP_S)
+            time.sleep(_RETRY_INTERVAL_S)
             continue
         return int(answer['version'])
 
 
-def _read_weight(node: NodeProcess) -> float:
-    known = call_json(node.operators, '/config', OPERATOR_KEY)
-    return float(known['document']['accounts']['tromsvik'].get('weight', 1))
+def _read_number(node: NodeProcess) -> float:
+    configuration = call_json(node.operators, '/config', OPERATOR_KEY)
+    return float(
+        configuration['document']['accounts']['tromsvik'].get('weight', 1)
+    )
 
 
-def _race_without_versions(target: Target) -> Scene:
-    """The simplest rival: read, add one, write, with no version compared."""
+def _race_without_version_check(target: Target) -> BenchmarkResult:
+    """Baseline: read, increment and write without comparing versions."""
     store = EtcdStore(
         StoreSettings(addresses=(target.cluster.addresses['kv'],))
     )
 
-    def operate(number: int) -> None:
-        for _ in range(_PATCHES):
-            found = store.read_prefix(_COUNTER).entries
-            count = int(found[0].text) if found else 0
-            put = Put(_COUNTER, str(count + 1))
+    def submit_patches(number: int) -> None:
+        for _ in range(_PATCHES_PER_OPERATOR):
+            entries = store.read_prefix(_COUNTER_KEY).entries
+            count = int(entries[0].text) if entries else 0
+            put = Put(_COUNTER_KEY, str(count + 1))
             store.commit(Transaction(puts=[put]))
 
-    _run_threads(operate, _OPERATORS)
-    counted = int(store.read_prefix(_COUNTER).entries[0].text)
-    accepted = _OPERATORS * _PATCHES
-    figures: dict[str, Any] = {
+    _run_threads(submit_patches, _OPERATOR_COUNT)
+    final_value = int(store.read_prefix(_COUNTER_KEY).entries[0].text)
+    accepted = _OPERATOR_COUNT * _PATCHES_PER_OPERATOR
+    metrics: dict[str, Any] = {
         'accepted': accepted,
-        'lost_updates': accepted - counted,
+        'lost_updates': accepted - final_value,
     }
-    return Scene(figures, Verdict(not_whole=accepted - counted))
+    return BenchmarkResult(metrics, Verdict(incomplete=accepted - final_value))
 
 
-def _run_threads(work: Callable[[int], None], count: int) -> None:
+def _run_threads(function: Callable[[int], None], count: int) -> None:
     with ThreadPoolExecutor(count) as threads:
-        for done in [threads.submit(work, at) for at in range(count)]:
-            done.result()
+        for future in [
+            threads.submit(function, index) for index in range(count)
+        ]:
+            future.result()
--- a/samphirerill/bench/targets.py
+++ b/samphirerill/bench/targets.py
@@ -1,4 +1,4 @@
-"""What a bench loads: our nodes, or the rival, over equal stand-ins."""
+"""Systems under test: our nodes, or the baseline over the same stand-ins."""
 
 from __future__ import annotations
 
@@ -14,52 +14,52 @@
 if TYPE_CHECKING:
     from samphirerill.testing.layout import Layout
 
-_END_S = 10.0
+_STOP_TIMEOUT_S = 10.0
 
 
 class Target(Protocol):
-    """Something that answers callers, and its stand-ins."""
+    """A system under test, and the stand-ins that it sends requests to."""
 
     cluster: Cluster
-    is_rival: bool
+    is_baseline: bool
 
     def list_addresses(self) -> list[str]:
-        """Return where callers connect."""
+        """Return the addresses that clients connect to."""
 
     def read_cpu_s(self) -> float:
-        """Return the processor time spent so far."""
+        """Return the CPU time spent so far, in seconds."""
 
     def replace(self, position: int) -> None:
-        """Shut one process down gracefully and start another."""
+        """Replace a process by a new one."""
 
     def terminate(self, position: int) -> int:
-        """Ask one process to end and return its exit code."""
+        """Terminate a process and return its exit code."""
 
     def kill(self, position: int) -> str:
-        """Kill one process and return the address it had."""
+        """Kill a process and return its address."""
 
 
-class OurTarget:
-    """Our nodes."""
+class NodesTarget:
+    """Router nodes as the system under test."""
 
-    is_rival = False
+    is_baseline = False
 
     def __init__(
         self, layout: Layout, nodes: int, overrides: dict[str, Any]
     ) -> None:
         self.cluster = Cluster(layout, nodes, overrides)
 
-    def __enter__(self) -> OurTarget:
-        """Start all."""
+    def __enter__(self) -> NodesTarget:
+        """Start the nodes and the stand-ins."""
         self.cluster.__enter__()
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """End all."""
+        """Stop the nodes and the stand-ins."""
         self.cluster.stop()
 
     def list_addresses(self) -> list[str]:
-        """Return where callers connect."""
+        """Return the addresses that clients connect to."""
         return [
             node.callers
             for node in self.cluster.nodes
@@ -67,86 +67,86 @@
         ]
 
     def read_cpu_s(self) -> float:
-        """Return the nodes' processor time so far."""
+        """Return the CPU time of all nodes so far."""
         return sum(
             float(node.read_state()['cpu_s']) for node in self.cluster.nodes
         )
 
     def replace(self, position: int) -> None:
-        """Start a node, then shut an older one down gracefully."""
+        """Start a node, then shut down an older one gracefully."""
         node = self.cluster.add_node()
         self.cluster.wait_ready(self.cluster.version)
-        old = self.cluster.nodes.pop(position)
-        code = old.stop(signal.SIGTERM)
-        if code or node.process.poll() is not None:
-            raise ClusterError(f'{old.name} ended with {code}')
+        old_node = self.cluster.nodes.pop(position)
+        exit_code = old_node.stop(signal.SIGTERM)
+        if exit_code or node.process.poll() is not None:
+            raise ClusterError(f'{old_node.name} exited with code {exit_code}')
 
     def terminate(self, position: int) -> int:
-        """Ask one node to end gracefully and return its exit code."""
+        """Shut down a node gracefully and return its exit code."""
         return self.cluster.nodes[position].stop(signal.SIGTERM)
 
     def kill(self, position: int) -> str:
-        """Kill one node and return the address it had."""
+        """Kill a node and return its address."""
         node = self.cluster.nodes[position]
         node.stop(signal.SIGKILL)
         return node.callers
 
 
-class RivalTarget:
-    """Rivals in processes of their own."""
+class BaselineTarget:
+    """Baseline proxies as the system under test, each in its own process."""
 
-    is_rival = True
+    is_baseline = True
 
     def __init__(self, layout: Layout, count: int) -> None:
         self.cluster = Cluster(layout, 0)
         self._layout = layout
         self._count = count
-        self._rivals: list[subprocess.Popen[str]] = []
+        self._proxies: list[subprocess.Popen[str]] = []
         self._addresses: list[str] = []
 
-    def __enter__(self) -> RivalTarget:
-        """Start all."""
+    def __enter__(self) -> BaselineTarget:
+        """Start the stand-ins and the baseline proxies."""
         self.cluster.start_stand_ins()
         for _ in range(self._count):
-            self._start_one()
+            self._start_proxy()
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """End all."""
-        for rival in self._rivals:
-            _end(rival)
+        """Stop the baseline proxies and the stand-ins."""
+        for proxy in self._proxies:
+            _stop_proxy(proxy)
         self.cluster.stop()
 
     def list_addresses(self) -> list[str]:
-        """Return where callers connect."""
+        """Return the addresses that clients connect to."""
         return list(self._addresses)
 
     def read_cpu_s(self) -> float:
-        """Return nothing: the rival does not tell."""
+        """Return 0, as the baseline does not report its CPU time."""
         return 0
 
     def replace(self, position: int) -> None:
-        """End one rival and start another."""
-        self._start_one()
+        """Start a new proxy and terminate an old one."""
+        self._start_proxy()
         self.terminate(position)
-        self._rivals.pop(position)
+        self._proxies.pop(position)
 
     def terminate(self, position: int) -> int:
-        """End one rival and return its exit code."""
+        """Terminate a proxy and return its exit code."""
         self._addresses.pop(position)
-        rival = self._rivals[position]
-        rival.terminate()
-        return rival.wait(_END_S)
+        proxy = self._proxies[position]
+        proxy.terminate()
+        return proxy.wait(_STOP_TIMEOUT_S)
 
     def kill(self, position: int) -> str:
-        """Kill one rival and return the address it had."""
+        """Kill a proxy and return its address."""
         address = self._addresses.pop(position)
-        self._rivals[position].kill()
+        self._proxies[position].kill()
         return address
 
-    def _start_one(self) -> None:
+    def _start_proxy(self) -> None:
         document = self._layout.to_document(self.cluster.addresses)
-        rival = subprocess.Popen(  # noqa: S603
+        proxy = subprocess.Popen(  # noqa: S603
             [
                 sys.executable,
                 '-m',
@@ -157,28 +157,28 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        self._rivals.append(rival)
-        if rival.stdout is None:
-            raise ClusterError('the rival has no output')
-        self._addresses.append(rival.stdout.readline().strip())
+        self._proxies.append(proxy)
+        if proxy.stdout is None:
+            raise ClusterError('the baseline proxy has no output')
+        self._addresses.append(proxy.stdout.readline().strip())
 
 
-def list_ran(target: Target) -> set[str]:
-    """Return the prompts that the engines which still answer have run."""
-    ran: set[str] = set()
+def list_executed_prompts(target: Target) -> set[str]:
+    """Return the prompts that the reachable engines have executed."""
+    prompts: set[str] = set()
     for address in target.cluster.addresses['engines'].values():
         try:
             stats = target.cluster.read_stats(address)
         except CallError:
             continue
-        ran.update(stats['prompts'])
-    return ran
+        prompts.update(stats['prompts'])
+    return prompts
 
 
-def _end(rival: subprocess.Popen[str]) -> None:
-    if rival.poll() is None:
-        rival.kill()
-        rival.wait(_END_S)
-    for stream in (rival.stdin, rival.stdout):
+def _stop_proxy(proxy: subprocess.Popen[str]) -> None:
+    if proxy.poll() is None:
+        proxy.kill()
+        proxy.wait(_STOP_TIMEOUT_S)
+    for stream in (proxy.stdin, proxy.stdout):
         if stream is not None:
             stream.close()
