--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -34,12 +34,14 @@
 TOKENS_PER_S = 1_200_000
 CONFIGURATION_CHANGES_A_DAY = 4200
 NODES_REPLACED_A_DAY = 151
+# Share of requests that carry an idempotency key.
 IDEMPOTENCY_KEY_SHARE = 0.05
 _DAY_S = 86_400
 _TABLE_ROW = re.compile(
     r'^\| `(?P<key>[a-z_.0-9]+)` \| (?P<value>[-0-9.e+]+) \|'
 )
 _STREAM_COUNT = 100
+# Lease with which the writes of idle nodes are measured.
 _MEASURED_LEASE_S = 3
 
 
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -62,9 +62,9 @@
     target.cluster.control(store, down=True)
     refused = _send_keyed_requests(target, f'outage-{seed}', _KEY_COUNT // 4)
     target.cluster.control(store, down=False)
-    execution_counts = target.cluster.read_stats(service)
+    executed_keys = target.cluster.read_stats(service)
     verdict = Verdict()
-    executions = Counter(execution_counts)
+    executions = Counter(executed_keys)
     for answer in answers + refused:
         _check_outcome(answer, verdict)
     duplicates = [key for key, count in executions.items() if count > 1]
@@ -125,7 +125,7 @@
         return _race_without_version_check(target)
     cluster = target.cluster
     accepted: list[float] = []
-    in_force: list[float] = []
+    propagation_times_s: list[float] = []
     lock = threading.Lock()
 
     def submit_patches(number: int) -> None:
@@ -142,7 +142,7 @@
             )
             with lock:
                 accepted.append(accepted_at)
-                in_force.append(time.monotonic() - accepted_at)
+                propagation_times_s.append(time.monotonic() - accepted_at)
 
     _run_threads(submit_patches, _OPERATOR_COUNT)
     final_value = _read_number(cluster.nodes[0])
@@ -152,7 +152,7 @@
         {
             'accepted': len(accepted),
             'lost_updates': lost,
-            'in_force_p95_s': compute_p95_s(in_force),
+            'in_force_p95_s': compute_p95_s(propagation_times_s),
         },
         verdict,
     )
