--- a/samphirerill/bench/rival.py
+++ b/samphirerill/bench/rival.py
@@ -1,7 +1,7 @@
 """Baseline for the benchmarks: round robin without retries or queues.
 
-It runs as a process of its own over the same stand-ins as the nodes, so that
-each benchmark reports the same metrics for both.
+It runs as a process of its own in front of the same simulated endpoints as the
+nodes, so that each benchmark reports the same metrics for both.
 """
 
 from __future__ import annotations
--- a/samphirerill/bench/targets.py
+++ b/samphirerill/bench/targets.py
@@ -1,4 +1,4 @@
-"""Systems under test: our nodes, or the baseline over the same stand-ins."""
+"""Systems under test: our nodes, or the baseline, on simulated endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Target(Protocol):
-    """A system under test, and the stand-ins that it sends requests to."""
+    """A system under test, and the simulated endpoints behind it."""
 
     cluster: Cluster
     is_baseline: bool
@@ -50,12 +50,12 @@
         self.cluster = Cluster(layout, nodes, overrides)
 
     def __enter__(self) -> NodesTarget:
-        """Start the nodes and the stand-ins."""
+        """Start the nodes and the simulated endpoints."""
         self.cluster.__enter__()
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """Stop the nodes and the stand-ins."""
+        """Stop the nodes and the simulated endpoints."""
         self.cluster.stop()
 
     def list_addresses(self) -> list[str]:
@@ -105,14 +105,14 @@
         self._addresses: list[str] = []
 
     def __enter__(self) -> BaselineTarget:
-        """Start the stand-ins and the baseline proxies."""
+        """Start the simulated endpoints and the baseline proxies."""
         self.cluster.start_stand_ins()
         for _ in range(self._count):
             self._start_proxy()
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """Stop the baseline proxies and the stand-ins."""
+        """Stop the baseline proxies and the simulated endpoints."""
         for proxy in self._proxies:
             _stop_proxy(proxy)
         self.cluster.stop()
