--- a/samphirerill/emulator/streams.py
+++ b/samphirerill/emulator/streams.py
@@ -11,10 +11,10 @@
 from samphirerill.emulator.engine import StageTask
 from samphirerill.emulator.fleet import SERVICE
 from samphirerill.fleet.endings import is_lost
-from samphirerill.fleet.load import LoadBook, list_ids
+from samphirerill.fleet.load import LoadTracker, list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.pipes import PipeUse
+from samphirerill.fleet.pipes import LinkUsage
 from samphirerill.fleet.prediction import predict_transfer_ms
 
 if TYPE_CHECKING:
@@ -109,8 +109,8 @@
         self.fleet = fleet
         self.traffic = traffic
         self._random = random
-        self._load_tracker = LoadBook()
-        self._link_usage = PipeUse()
+        self._load_tracker = LoadTracker()
+        self._link_usage = LinkUsage()
 
     def start(self) -> None:
         """Schedule the first stream."""
@@ -134,13 +134,13 @@
         stages = choose_path(
             self.fleet.engine, usable, self._load_tracker, path_request, now
         )
-        self._load_tracker.take(list_ids(stages), tokens)
+        self._load_tracker.add_request(list_replica_ids(stages), tokens)
         self._record_transfers(stages, tokens)
         return stages
 
     def release_path(self, stages: tuple[Stage, ...], tokens: float) -> None:
         """Remove a stream from the load of its path."""
-        self._load_tracker.give_back(list_ids(stages), tokens)
+        self._load_tracker.remove_request(list_replica_ids(stages), tokens)
 
     def _record_transfers(
         self, stages: tuple[Stage, ...], tokens: float
@@ -150,7 +150,7 @@
             source = stage.replica.data_centre
             destination = following.replica.data_centre
             if source != destination:
-                self._link_usage.note(
+                self._link_usage.note_transfer(
                     source, destination, duration_ms, self.event_loop.now
                 )
 
--- a/samphirerill/fleet/budget.py
+++ b/samphirerill/fleet/budget.py
@@ -29,12 +29,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Use:
+class RetryUsage:
     """Requests and retries in the window, and streams active now."""
 
     requests: int = 0
-    repeats: int = 0
-    streams: int = 0
+    retries: int = 0
+    active_streams: int = 0
 
 
 class PeerUsage:
@@ -43,17 +43,17 @@
     __slots__ = ('_reports',)
 
     def __init__(self) -> None:
-        self._reports: dict[str, tuple[float, Use]] = {}
+        self._reports: dict[str, tuple[float, RetryUsage]] = {}
 
-    def hear(self, peer: str, usage: Use, now: float) -> None:
+    def update(self, peer: str, usage: RetryUsage, now: float) -> None:
         """Replace the last report of a node or of a whole data centre."""
         self._reports[peer] = (now + _PEER_REPORT_TTL_S, usage)
 
-    def forget(self, peer: str) -> None:
+    def remove(self, peer: str) -> None:
         """Drop a peer's report: its usage is now reported under another name."""
         self._reports.pop(peer, None)
 
-    def sum_up(self, now: float) -> Use:
+    def get_total(self, now: float) -> RetryUsage:
         """Return the total usage in all reports that are still valid."""
         recent = [
             usage for until, usage in self._reports.values() if until > now
@@ -61,16 +61,16 @@
         return sum_usage(recent)
 
 
-def sum_usage(usages: list[Use]) -> Use:
+def sum_usage(usages: list[RetryUsage]) -> RetryUsage:
     """Return the sum of several usages."""
-    return Use(
+    return RetryUsage(
         sum(map(attrgetter('requests'), usages)),
-        sum(map(attrgetter('repeats'), usages)),
-        sum(map(attrgetter('streams'), usages)),
+        sum(map(attrgetter('retries'), usages)),
+        sum(map(attrgetter('active_streams'), usages)),
     )
 
 
-class RepeatBudget:
+class RetryBudget:
     """Retries of one service within a sliding window.
 
     Parameters
@@ -88,30 +88,30 @@
         '_retry_times',
         '_slack',
         '_window_s',
-        'others',
-        'streams',
+        'peers',
+        'active_streams',
     )
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        self.others = PeerUsage()
+        self.peers = PeerUsage()
         # Active streams of this node.
-        self.streams = 0
+        self.active_streams = 0
         self._request_times: deque[float] = deque()
         self._retry_times: deque[float] = deque()
-        self.change(ratio, slack, window_s)
+        self.set_limits(ratio, slack, window_s)
 
-    def change(self, ratio: float, slack: float, window_s: float) -> None:
+    def set_limits(self, ratio: float, slack: float, window_s: float) -> None:
         """Replace the limits."""
         self._ratio = ratio * _USABLE_SHARE
         self._slack = slack * _USABLE_SHARE
         self._window_s = window_s
 
-    def note_first(self, now: float) -> None:
+    def note_request(self, now: float) -> None:
         """Count the first attempt of a request."""
         self._request_times.append(now)
         self._drop_expired(now)
 
-    def has_left(self, now: float, nodes: int, *, is_urgent: bool) -> bool:
+    def has_remaining(self, now: float, nodes: int, *, is_urgent: bool) -> bool:
         """Return whether a retry is available.
 
         Parameters
@@ -135,33 +135,33 @@
             return True
         return is_urgent and self._can_borrow(now)
 
-    def find_use(self, now: float) -> Use:
+    def get_usage(self, now: float) -> RetryUsage:
         """Return this node's usage."""
         self._drop_expired(now)
-        return Use(
-            len(self._request_times), len(self._retry_times), self.streams
+        return RetryUsage(
+            len(self._request_times), len(self._retry_times), self.active_streams
         )
 
-    def spend(self, now: float, nodes: int, *, is_urgent: bool = False) -> bool:
+    def try_spend(self, now: float, nodes: int, *, is_urgent: bool = False) -> bool:
         """Consume one retry; return whether one was available."""
-        if not self.has_left(now, nodes, is_urgent=is_urgent):
+        if not self.has_remaining(now, nodes, is_urgent=is_urgent):
             return False
         self._retry_times.append(now)
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Refund a retry that was consumed but not sent."""
         if self._retry_times:
             self._retry_times.pop()
 
     def _can_borrow(self, now: float) -> bool:
         """Return whether the global budget covers retrying all active streams."""
-        others = self.others.sum_up(now)
+        others = self.peers.get_total(now)
         if not others.requests:
             return False
-        usage = sum_usage([others, self.find_use(now)])
+        usage = sum_usage([others, self.get_usage(now)])
         allowed = self._ratio * usage.requests + self._slack
-        return usage.repeats + usage.streams < allowed
+        return usage.retries + usage.active_streams < allowed
 
     def _drop_expired(self, now: float) -> None:
         oldest = now - self._window_s
--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-    from samphirerill.fleet.load import LoadBook
+    from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.view import FleetView, Known
 
 # The wait of an endpoint that fails every request is multiplied by 1 plus this.
@@ -23,7 +23,7 @@
 
 def choose_endpoint(
     view: FleetView,
-    book: LoadBook,
+    book: LoadTracker,
     service: str,
     tried: Collection[str],
     now: float,
@@ -49,7 +49,7 @@
     return min(pool, key=lambda found: _predict_wait(found, book))
 
 
-def _predict_wait(found: Known, book: LoadBook) -> float:
-    in_flight = 1 + book.requests(found.replica.replica_id)
+def _predict_wait(found: Known, book: LoadTracker) -> float:
+    in_flight = 1 + book.count_requests(found.replica.replica_id)
     latency_s = max(_MIN_LATENCY_S, found.latency_s)
     return in_flight * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from samphirerill.fleet.load import LoadBook
+    from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.paths import PathRequest
     from samphirerill.fleet.view import Known
@@ -20,7 +20,7 @@
 def explain_no_path(
     engine: EngineSpec,
     usable: Sequence[Known],
-    book: LoadBook,
+    book: LoadTracker,
     request: PathRequest,
 ) -> str:
     """Return what is missing: a holder of layers, memory, or a connection."""
--- a/samphirerill/fleet/gathering.py
+++ b/samphirerill/fleet/gathering.py
@@ -16,17 +16,17 @@
 
 # Up to this many other nodes all report to each other directly, which is
 # faster.
-MOST_DIRECT = 15
+MAX_DIRECT_PEERS = 15
 # More than one, so that a sum arrives although a receiver is down.
 _RECEIVERS_PER_DATA_CENTRE = 2
 
 
-def is_direct(others: int) -> bool:
+def is_full_mesh(others: int) -> bool:
     """Return whether all nodes report to each other directly."""
-    return others <= MOST_DIRECT
+    return others <= MAX_DIRECT_PEERS
 
 
-def choose_gatherer(names: Iterable[str]) -> str:
+def choose_aggregator(names: Iterable[str]) -> str:
     """Return a data centre's aggregator; nodes that know the same names agree."""
     return min(names, key=_rank)
 
@@ -36,7 +36,7 @@
     return sorted(names, key=_rank)[:_RECEIVERS_PER_DATA_CENTRE]
 
 
-def name_sum(data_centre: str) -> str:
+def name_aggregate(data_centre: str) -> str:
     """Return the sender name of a data centre's aggregated reports."""
     return f'all of {data_centre}'
 
--- a/samphirerill/fleet/load.py
+++ b/samphirerill/fleet/load.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class ReplicaLoad:
     """Requests in flight at one replica, and their tokens in its memory."""
 
     requests: int = 0
@@ -37,25 +37,25 @@
     `nodes` is how many nodes the report covers: one, or all of a data centre.
     """
 
-    held: dict[str, Held] = field(default_factory=dict)
+    held: dict[str, ReplicaLoad] = field(default_factory=dict)
     until: float = 0.0
     nodes: int = 1
 
 
-class LoadBook:
+class LoadTracker:
     """Requests and tokens at each replica, as far as this node knows."""
 
     __slots__ = ('_own', '_peers', '_peer_totals', 'own_version')
 
     def __init__(self) -> None:
-        self._own: defaultdict[str, Held] = defaultdict(Held)
+        self._own: defaultdict[str, ReplicaLoad] = defaultdict(ReplicaLoad)
         self._peers: dict[str, PeerLoad] = {}
-        self._peer_totals: defaultdict[str, Held] = defaultdict(Held)
+        self._peer_totals: defaultdict[str, ReplicaLoad] = defaultdict(ReplicaLoad)
         # Changes with this node's requests only; if reports of others counted
         # too, nodes would echo each other's reports.
         self.own_version = 0
 
-    def take(self, replica_ids: Iterable[str], tokens: float) -> None:
+    def add_request(self, replica_ids: Iterable[str], tokens: float) -> None:
         """Add one request at each replica of its path."""
         for replica_id in replica_ids:
             held = self._own[replica_id]
@@ -63,7 +63,7 @@
             held.tokens += tokens
         self.own_version += 1
 
-    def give_back(self, replica_ids: Iterable[str], tokens: float) -> None:
+    def remove_request(self, replica_ids: Iterable[str], tokens: float) -> None:
         """Remove one request from each replica of its path."""
         for replica_id in replica_ids:
             held = self._own[replica_id]
@@ -73,8 +73,8 @@
                 self._own.pop(replica_id)
         self.own_version += 1
 
-    def hear(
-        self, peer: str, held: dict[str, Held], now: float, nodes: int = 1
+    def update_peer(
+        self, peer: str, held: dict[str, ReplicaLoad], now: float, nodes: int = 1
     ) -> None:
         """Replace the last report of a node or of a whole data centre."""
         known = self._peers.get(peer)
@@ -87,49 +87,49 @@
         self._peers[peer] = PeerLoad(held, now + PEER_TIMEOUT_S, nodes)
         self._add_to_totals(held, 1)
 
-    def forget(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Drop a peer's report: its load is now reported under another name."""
         known = self._peers.pop(peer, None)
         if known is not None:
             self._add_to_totals(known.held, -1)
 
-    def forget_silent(self, now: float) -> None:
+    def expire_peers(self, now: float) -> None:
         """Drop the reports of nodes that have timed out."""
         expired = [
             name for name, peer in self._peers.items() if peer.until < now
         ]
         for name in expired:
-            self.forget(name)
+            self.remove_peer(name)
 
     def count_peers(self) -> int:
         """Return how many other nodes the current reports cover."""
         return sum(peer.nodes for peer in self._peers.values())
 
-    def own(self) -> dict[str, Held]:
+    def get_own(self) -> dict[str, ReplicaLoad]:
         """Return this node's own counts by replica."""
         return self._own
 
-    def requests(self, replica_id: str) -> int:
+    def count_requests(self, replica_id: str) -> int:
         """Return how many requests are in flight at a replica."""
         own = self._own.get(replica_id)
         others = self._peer_totals.get(replica_id)
         count = 0 if own is None else own.requests
         return count if others is None else count + others.requests
 
-    def tokens(self, replica_id: str) -> float:
+    def count_tokens(self, replica_id: str) -> float:
         """Return how many tokens requests hold in a replica's memory."""
         own = self._own.get(replica_id)
         others = self._peer_totals.get(replica_id)
         held = 0.0 if own is None else own.tokens
         return held if others is None else held + others.tokens
 
-    def _add_to_totals(self, held: dict[str, Held], sign: int) -> None:
+    def _add_to_totals(self, held: dict[str, ReplicaLoad], sign: int) -> None:
         for replica_id, load in held.items():
             total = self._peer_totals[replica_id]
             total.requests += sign * load.requests
             total.tokens += sign * load.tokens
 
 
-def list_ids(stages: tuple[Stage, ...]) -> tuple[str, ...]:
+def list_replica_ids(stages: tuple[Stage, ...]) -> tuple[str, ...]:
     """Return the replica ids of a path."""
     return tuple(stage.replica.replica_id for stage in stages)
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -25,9 +25,9 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
 
-    from samphirerill.fleet.load import LoadBook
+    from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.pipes import PipeUse
+    from samphirerill.fleet.pipes import LinkUsage
     from samphirerill.fleet.view import Known
 
 # Load reports of other nodes lag, and answers may be longer than announced. The
@@ -84,7 +84,7 @@
     avoid: Collection[str] = ()
     heads: frozenset[str] = frozenset()
     first_end: int = 0
-    pipes: PipeUse | None = None
+    pipes: LinkUsage | None = None
     is_urgent: bool = False
     held: frozenset[str] = frozenset()
     home: str = ''
@@ -94,7 +94,7 @@
 def choose_path(
     engine: EngineSpec,
     usable: Sequence[Known],
-    book: LoadBook,
+    book: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> tuple[Stage, ...]:
@@ -132,7 +132,7 @@
         self,
         engine: EngineSpec,
         candidates: Sequence[_Candidate],
-        book: LoadBook,
+        book: LoadTracker,
         request: PathRequest,
         now: float,
     ) -> None:
@@ -208,7 +208,7 @@
             return False
         if replica.held.first or not replica.held.end:
             return False
-        return self._book.requests(replica.replica_id) < self._engine.slots
+        return self._book.count_requests(replica.replica_id) < self._engine.slots
 
     def _start_path(self, candidate: _Candidate) -> None:
         held = candidate.replica.held
@@ -293,7 +293,7 @@
     engine: EngineSpec,
     known: dict[str, Known],
     stages: tuple[Stage, ...],
-    book: LoadBook,
+    book: LoadTracker,
     now: float,
 ) -> float:
     """Return the predicted time between two events on a path."""
@@ -317,7 +317,7 @@
 
 
 def has_memory(
-    engine: EngineSpec, found: Known, book: LoadBook, request: PathRequest
+    engine: EngineSpec, found: Known, book: LoadTracker, request: PathRequest
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
@@ -327,18 +327,18 @@
         return True
     max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
     capacity = count_token_capacity(engine, found, replica.layers) * max_use
-    return book.tokens(replica.replica_id) + request.tokens <= capacity
+    return book.count_tokens(replica.replica_id) + request.tokens <= capacity
 
 
 def _predict_layer_ms(
-    engine: EngineSpec, found: Known, book: LoadBook, now: float
+    engine: EngineSpec, found: Known, book: LoadTracker, now: float
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
     accelerator = engine.accelerators.get(replica.accelerator)
     if accelerator is None:
         return float('inf')
-    running = book.requests(replica.replica_id) + 1
+    running = book.count_requests(replica.replica_id) + 1
     slowness = found.slowness if found.slow_until > now else 1.0
     return predict_stage_ms(engine, accelerator, 1, running, slowness)
 
@@ -346,7 +346,7 @@
 def _score_layer(
     engine: EngineSpec,
     found: Known,
-    book: LoadBook,
+    book: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> float:
@@ -355,7 +355,7 @@
     accelerator = engine.accelerators.get(found.replica.accelerator)
     if accelerator is None or not request.policy.spread:
         return layer_ms
-    stream_count = book.requests(found.replica.replica_id)
+    stream_count = book.count_requests(found.replica.replica_id)
     prefill_ms = predict_prefill_ms(engine, accelerator, 1, engine.usual_prompt)
     return layer_ms + COLOCATION_WEIGHT * stream_count * prefill_ms
 
--- a/samphirerill/fleet/pipes.py
+++ b/samphirerill/fleet/pipes.py
@@ -19,22 +19,22 @@
 # For streams that have begun. Their clients give up after a pause of 2 s, which
 # must also cover the prefill.
 MAX_URGENT_BACKLOG_MS = 800.0
-Pair = frozenset[str]
+LinkKey = frozenset[str]
 
 
-class PipeUse:
+class LinkUsage:
     """The backlog of every link, in milliseconds of transfer time."""
 
-    __slots__ = ('_free_at', '_peer_totals', 'near_sent', 'own_version', 'sent')
+    __slots__ = ('_free_at', '_peer_totals', 'data_centre_sent', 'own_version', 'own_sent')
 
     def __init__(self) -> None:
-        self._free_at: dict[Pair, float] = {}
-        self._peer_totals: dict[tuple[str, Pair], float] = {}
+        self._free_at: dict[LinkKey, float] = {}
+        self._peer_totals: dict[tuple[str, LinkKey], float] = {}
         # Total sent by this node on each link since it started.
-        self.sent: dict[Pair, float] = {}
+        self.own_sent: dict[LinkKey, float] = {}
         # The same plus what the other nodes of its data centre have sent since
         # their first report; never decreases.
-        self.near_sent: dict[Pair, float] = {}
+        self.data_centre_sent: dict[LinkKey, float] = {}
         self.own_version = 0
 
     def backlog_ms(self, one: str, other: str, now: float) -> float:
@@ -49,20 +49,20 @@
         max_ms = MAX_URGENT_BACKLOG_MS if is_urgent else MAX_BACKLOG_MS
         return self.backlog_ms(one, other, now) < max_ms
 
-    def note(
+    def note_transfer(
         self, one: str, other: str, transfer_ms: float, now: float
     ) -> None:
         """Count a prompt of this node that crosses a link."""
         pair = frozenset((one, other))
-        self.sent[pair] = self.sent.get(pair, 0.0) + transfer_ms
+        self.own_sent[pair] = self.own_sent.get(pair, 0.0) + transfer_ms
         self.own_version += 1
         self._add(pair, transfer_ms, now)
         self._add_near(pair, transfer_ms)
 
-    def hear(
+    def update_peer(
         self,
         node: str,
-        pair: Pair,
+        pair: LinkKey,
         sent_ms: float,
         now: float,
         *,
@@ -91,9 +91,9 @@
             if is_near:
                 self._add_near(pair, sent_ms - previous)
 
-    def _add_near(self, pair: Pair, transfer_ms: float) -> None:
-        self.near_sent[pair] = self.near_sent.get(pair, 0.0) + transfer_ms
+    def _add_near(self, pair: LinkKey, transfer_ms: float) -> None:
+        self.data_centre_sent[pair] = self.data_centre_sent.get(pair, 0.0) + transfer_ms
 
-    def _add(self, pair: Pair, transfer_ms: float, now: float) -> None:
+    def _add(self, pair: LinkKey, transfer_ms: float, now: float) -> None:
         busy_s = transfer_ms / MS_PER_S / _MAX_USE
         self._free_at[pair] = max(now, self._free_at.get(pair, 0.0)) + busy_s
--- a/samphirerill/fleet/smoothing.py
+++ b/samphirerill/fleet/smoothing.py
@@ -9,13 +9,13 @@
 
 
 @dataclass(slots=True)
-class Smoothed:
+class SmoothedDuration:
     """Smoothed duration in seconds; 0 before the first sample."""
 
     mean_s: float = 0.0
     deviation_s: float = 0.0
 
-    def note(self, took_s: float) -> None:
+    def add_sample(self, took_s: float) -> None:
         """Add a sample."""
         if not self.mean_s:
             self.mean_s = took_s
@@ -27,6 +27,6 @@
             abs(error_s) - self.deviation_s
         )
 
-    def find_longest(self, deviations: float) -> float:
+    def get_upper_bound(self, deviations: float) -> float:
         """Return the mean plus so many deviations, as an upper bound."""
         return self.mean_s + deviations * self.deviation_s
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from samphirerill.fleet.gathering import name_sum
+from samphirerill.fleet.gathering import name_aggregate
 
 # Votes of different nodes that confirm a death.
 SURE_VOTES = 2
@@ -112,7 +112,7 @@
         for report in self.words.values():
             if report.until <= now:
                 continue
-            if report.node == name_sum(report.data_centre):
+            if report.node == name_aggregate(report.data_centre):
                 aggregated[report.data_centre] = report.votes
             else:
                 individual[report.data_centre] += report.votes
--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.explain import explain_no_path
-from samphirerill.fleet.load import list_ids
+from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.outage import Outage
 from samphirerill.fleet.paths import choose_path
 from samphirerill.fleet.prediction import predict_transfer_ms
@@ -141,12 +141,12 @@
         self, engine: EngineSpec, stages: tuple[Stage, ...], tokens: float
     ) -> None:
         """Reserve capacity on a path that `find` returned."""
-        self._state.book.take(list_ids(stages), tokens)
+        self._state.book.add_request(list_replica_ids(stages), tokens)
         self._record_transfers(engine, stages, tokens)
 
     def release(self, stages: tuple[Stage, ...], tokens: float) -> None:
         """Release the capacity of a path and wake waiting requests."""
-        self._state.book.give_back(list_ids(stages), tokens)
+        self._state.book.remove_request(list_replica_ids(stages), tokens)
         self._state.notify()
 
     def find(
@@ -286,4 +286,4 @@
             source = stage.replica.data_centre
             destination = following.replica.data_centre
             if source != destination:
-                self._state.pipes.note(source, destination, transfer_ms, now)
+                self._state.pipes.note_transfer(source, destination, transfer_ms, now)
--- a/samphirerill/relay/health/examiner.py
+++ b/samphirerill/relay/health/examiner.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.load import list_ids
+from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.losses import is_own_fault
 from samphirerill.fleet.suspicion import SURE_VOTES
 from samphirerill.node.logs import get_logger
@@ -104,7 +104,7 @@
             The stages of the path that may be at fault.
         """
         replicas = [stage.replica for stage in stages]
-        dead = {name for name in list_ids(stages) if self._is_dead(name)}
+        dead = {name for name in list_replica_ids(stages) if self._is_dead(name)}
         if dead:
             # Probing known failures again would delay each stalled stream.
             return Diagnosis(dead)
--- a/samphirerill/relay/health/patience.py
+++ b/samphirerill/relay/health/patience.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.smoothing import Smoothed
+from samphirerill.fleet.smoothing import SmoothedDuration
 from samphirerill.node.loop_lag import LEAST_LAG_S
 
 if TYPE_CHECKING:
@@ -31,22 +31,22 @@
     __slots__ = ('_latency',)
 
     def __init__(self) -> None:
-        self._latency = Smoothed()
+        self._latency = SmoothedDuration()
 
     def note(self, latency_s: float) -> None:
         """Record the latency of an answered probe."""
-        self._latency.note(latency_s)
+        self._latency.add_sample(latency_s)
 
     def choose_timeout(self) -> float:
         """Return how long to wait for an answer."""
         if not self._latency.mean_s:
             return _INITIAL_TIMEOUT_S
-        longest_s = self._latency.find_longest(_TIMEOUT_DEVIATIONS)
+        longest_s = self._latency.get_upper_bound(_TIMEOUT_DEVIATIONS)
         return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, longest_s))
 
     def choose_retry_delay(self) -> float:
         """Return the delay after which to repeat a probe."""
-        longest_s = self._latency.find_longest(_RETRY_DEVIATIONS)
+        longest_s = self._latency.get_upper_bound(_RETRY_DEVIATIONS)
         return min(_MAX_RETRY_DELAY_S, max(_MIN_RETRY_DELAY_S, longest_s))
 
 
--- a/samphirerill/relay/health/signs.py
+++ b/samphirerill/relay/health/signs.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from samphirerill.fleet.load import list_ids
+from samphirerill.fleet.load import list_replica_ids
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -63,6 +63,6 @@
     for stream in streams:
         at = stream.last_event_at
         if at > since:
-            for name in list_ids(stream.stages):
+            for name in list_replica_ids(stream.stages):
                 last_events[name] = max(at, last_events.get(name, at))
     return last_events
--- a/samphirerill/relay/hearing.py
+++ b/samphirerill/relay/hearing.py
@@ -7,7 +7,7 @@
 
 from msgspec import DecodeError, ValidationError, msgpack
 
-from samphirerill.fleet.gathering import name_sum
+from samphirerill.fleet.gathering import name_aggregate
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.alarms import TYPE_PREFIX
 from samphirerill.relay.health.words import apply_suspicions
@@ -115,7 +115,7 @@
         ):
             return
         sender = f'{addr[0]}:{addr[1]}'
-        if status.node == name_sum(status.data_centre):
+        if status.node == name_aggregate(status.data_centre):
             self._handle_aggregate(status, data, sender)
         else:
             self._handle_node_status(status, sender)
@@ -144,7 +144,7 @@
         peer.last_seen_at = self._loop.time()
         peer.status = status
         if status.data_centre != self._state.settings.data_centre:
-            self._state.forget_told(name_sum(status.data_centre))
+            self._state.forget_told(name_aggregate(status.data_centre))
         self._apply_status(status)
         self._peer_sync.consider(
             peer.http_address, status.version, status.revision
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -12,12 +12,12 @@
 
 from msgspec import Struct
 
-from samphirerill.fleet.budget import Use
-from samphirerill.fleet.load import Held
+from samphirerill.fleet.budget import RetryUsage
+from samphirerill.fleet.load import ReplicaLoad
 from samphirerill.fleet.model import MS_PER_S
 
 if TYPE_CHECKING:
-    from samphirerill.fleet.pipes import Pair
+    from samphirerill.fleet.pipes import LinkKey
     from samphirerill.fleet.suspicion import Word
     from samphirerill.fleet.view import FleetView
     from samphirerill.relay.state import EdgeState
@@ -147,7 +147,7 @@
             entry.requests,
             int(entry.tokens) // _TOKENS_PER_UNIT,
         )
-        for name, entry in state.book.own().items()
+        for name, entry in state.book.get_own().items()
     }
     suspicions = encode_suspicions(state)
     return NodeStatus(
@@ -158,7 +158,7 @@
         revision=state.view.revision,
         load=load,
         suspected=suspicions.suspected,
-        pipes=encode_link_usage(state.pipes.sent),
+        pipes=encode_link_usage(state.pipes.own_sent),
         data_centre=state.settings.data_centre,
         budget_usage=_encode_budget_usage(state, now),
         suspected_ago_ms=suspicions.suspected_ago_ms,
@@ -170,12 +170,12 @@
 ) -> dict[str, tuple[int, int, int]]:
     budget_usage = {}
     for service, budget in state.budgets.items():
-        usage = budget.find_use(now)
-        budget_usage[service] = (usage.requests, usage.repeats, usage.streams)
+        usage = budget.get_usage(now)
+        budget_usage[service] = (usage.requests, usage.retries, usage.active_streams)
     return budget_usage
 
 
-def encode_link_usage(sent: dict[Pair, float]) -> list[tuple[str, str, int]]:
+def encode_link_usage(sent: dict[LinkKey, float]) -> list[tuple[str, str, int]]:
     """Return the transfer time over each link between data centres."""
     pipes = []
     for pair, sent_ms in sent.items():
@@ -186,13 +186,13 @@
 
 def apply_node_status(state: EdgeState, status: NodeStatus, now: float) -> None:
     """Apply another node's status to the state of this node."""
-    state.book.hear(
+    state.book.update_peer(
         status.node, _decode_load(state.names, status), now, status.node_count
     )
     _apply_link_usage(state, status, now)
     for service, counts in status.budget_usage.items():
         budget = state.get_budget(service)
-        budget.others.hear(status.node, Use(*counts), now)
+        budget.peers.update(status.node, RetryUsage(*counts), now)
 
 
 def _apply_link_usage(state: EdgeState, status: NodeStatus, now: float) -> None:
@@ -200,15 +200,15 @@
     is_near = status.data_centre == state.settings.data_centre
     for one, other, sent_ms in status.pipes:
         pair = frozenset((one, other))
-        state.pipes.hear(node, pair, sent_ms, now, is_near=is_near)
+        state.pipes.update_peer(node, pair, sent_ms, now, is_near=is_near)
 
 
-def _decode_load(names: ReplicaNames, status: NodeStatus) -> dict[str, Held]:
+def _decode_load(names: ReplicaNames, status: NodeStatus) -> dict[str, ReplicaLoad]:
     load = {}
     for key, (count, units) in status.load.items():
         name = names.get(key)
         if name is not None:
-            load[name] = Held(count, units * _TOKENS_PER_UNIT)
+            load[name] = ReplicaLoad(count, units * _TOKENS_PER_UNIT)
     return load
 
 
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -177,12 +177,12 @@
     async def _send(self, endpoint: Known) -> _Outcome:
         replica = endpoint.replica
         reserved_ids = (replica.replica_id,)
-        self._state.book.take(reserved_ids, 0)
+        self._state.book.add_request(reserved_ids, 0)
         started_at = self._loop.time()
         try:
             outcome = await self._exchange(endpoint)
         finally:
-            self._state.book.give_back(reserved_ids, 0)
+            self._state.book.remove_request(reserved_ids, 0)
             self._state.notify()
         duration_s = self._loop.time() - started_at
         self._record_outcome(endpoint, outcome, duration_s)
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -221,7 +221,7 @@
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = self._loop.time()
             removed = self.state.view.sweep(now)
-            self.state.book.forget_silent(now)
+            self.state.book.expire_peers(now)
             self.state.pool.sweep(set(self.state.view.known))
             if removed:
                 _LOG.info(
--- a/samphirerill/relay/roster.py
+++ b/samphirerill/relay/roster.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.gathering import (
-    choose_gatherer,
-    is_direct,
+    choose_aggregator,
+    is_full_mesh,
     list_receivers,
 )
 
@@ -114,7 +114,7 @@
 
     def is_direct(self, now: float) -> bool:
         """Return whether every node sends its status to every other one."""
-        return is_direct(len(self._list_active(now)))
+        return is_full_mesh(len(self._list_active(now)))
 
     def is_aggregator(self, now: float) -> bool:
         """Return whether this node aggregates for its data centre."""
@@ -123,7 +123,7 @@
             for name, peer in self._peers.items()
             if peer.data_centre == self._data_centre and peer.is_fresh(now)
         ]
-        return choose_gatherer([self._own, *names]) == self._own
+        return choose_aggregator([self._own, *names]) == self._own
 
     def list_local_addresses(self, now: float) -> set[str]:
         """Return the datagram addresses of nodes of the same data centre.
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -50,12 +50,12 @@
         self._holds_retry = False
         if attempts:
             nodes = self._state.count_nodes()
-            self._holds_retry = budget.spend(now, nodes, is_urgent=is_urgent)
+            self._holds_retry = budget.try_spend(now, nodes, is_urgent=is_urgent)
             return self._holds_retry
         if not self._is_counted:
             # Counted once: counting each refused connection would inflate the
             # share of this node.
-            budget.note_first(now)
+            budget.note_request(now)
         self._is_counted = True
         return True
 
@@ -63,4 +63,4 @@
         """Refund a reserved retry for which nothing was sent."""
         if self._holds_retry:
             self._holds_retry = False
-            self._state.get_budget(self._task.service.name).give_back()
+            self._state.get_budget(self._task.service.name).refund()
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -6,10 +6,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.budget import RepeatBudget
-from samphirerill.fleet.load import LoadBook
+from samphirerill.fleet.budget import RetryBudget
+from samphirerill.fleet.load import LoadTracker
 from samphirerill.fleet.model import MS_PER_S, ClientLimits
-from samphirerill.fleet.pipes import PipeUse
+from samphirerill.fleet.pipes import LinkUsage
 from samphirerill.fleet.routes import RouteTable
 from samphirerill.fleet.view import FleetView
 from samphirerill.node.logs import get_logger
@@ -64,9 +64,9 @@
         Replica ids by the checksums that messages between nodes carry.
     start_number : int
         Random incarnation number of this process.
-    book : LoadBook
+    book : LoadTracker
         Load of each replica by this node and by others.
-    pipes : PipeUse
+    pipes : LinkUsage
         Estimated backlog of the links between data centres.
     pool : ConnectionPool
         Connections to endpoints.
@@ -102,8 +102,8 @@
         # Sent in each datagram, so that peers can tell a restarted process
         # from the one before.
         self.start_number = self.random.randrange(_INCARNATION_RANGE)
-        self.book = LoadBook()
-        self.pipes = PipeUse()
+        self.book = LoadTracker()
+        self.pipes = LinkUsage()
         self.pool = ConnectionPool(self.counters)
         self.cfg: FleetConfiguration | None = None
         self.cfg_texts = CfgTexts()
@@ -115,7 +115,7 @@
         self.requests_until = float('inf')
         self.peer_count = 0
         self._max_nodes_seen = _MIN_ASSUMED_NODES
-        self.budgets: dict[str, RepeatBudget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self._listeners: list[Callable[[], None]] = []
 
     @property
@@ -201,11 +201,11 @@
         """Return the limits on client requests."""
         return ClientLimits() if self.cfg is None else self.cfg.limits
 
-    def get_budget(self, service: str) -> RepeatBudget:
+    def get_budget(self, service: str) -> RetryBudget:
         """Return the retry budget of a service."""
         budget = self.budgets.get(service)
         if budget is None:
-            budget = RepeatBudget(
+            budget = RetryBudget(
                 self.settings.retry_ratio,
                 self.settings.retry_slack,
                 self.settings.retry_window_s,
@@ -219,15 +219,15 @@
         The same load is now reported under another name and would otherwise
         be counted twice.
         """
-        self.book.forget(name)
+        self.book.remove_peer(name)
         for budget in self.budgets.values():
-            budget.others.forget(name)
+            budget.peers.remove(name)
 
     def change_settings(self, settings: EdgeSettings) -> None:
         """Apply other settings; retry budgets keep what they have counted."""
         self.settings = settings
         for budget in self.budgets.values():
-            budget.change(
+            budget.set_limits(
                 settings.retry_ratio,
                 settings.retry_slack,
                 settings.retry_window_s,
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -112,7 +112,7 @@
         A path that may recover is kept rather than left without an alternative.
         """
         budget = self._state.get_budget(self._task.service.name)
-        return budget.has_left(
+        return budget.has_remaining(
             self._loop.time(),
             self._state.count_nodes(),
             is_urgent=self._is_urgent(),
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.endings import find_end, is_lost
-from samphirerill.fleet.load import list_ids
+from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.moves import predict_pause_ms
 from samphirerill.fleet.paths import predict_gap_ms
@@ -164,7 +164,7 @@
 
     async def move(self) -> MoveResult:
         """Replace the stages after the head, unless resending is faster."""
-        cached_ids = frozenset(list_ids(self.stages))
+        cached_ids = frozenset(list_replica_ids(self.stages))
         ending = self._list_ending_ids()
         stages = self.finder.find_with_head(self.stages[0], cached_ids, ending)
         if not stages:
@@ -289,7 +289,7 @@
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
         other = self.finder.find_other(ending)
-        concurrent = max(self._state.book.requests(name) for name in ending)
+        concurrent = max(self._state.book.count_requests(name) for name in ending)
         if not self.list_lost():
             concurrent = concurrent // _SPREAD_FACTOR + 1
         move_ms = predict_pause_ms(
--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.smoothing import Smoothed
+from samphirerill.fleet.smoothing import SmoothedDuration
 from samphirerill.quarantine.book import BEGINNING_S
 
 if TYPE_CHECKING:
@@ -111,7 +111,7 @@
         self._first_at = 0.0
         self._max_gap_s = 0.0
         self._max_gap_at = 0.0
-        self._gaps = Smoothed()
+        self._gaps = SmoothedDuration()
 
     def note_event(self, now: float) -> None:
         """Record events that are being passed on."""
@@ -121,7 +121,7 @@
             if gap_s > self._max_gap_s:
                 self._max_gap_s = gap_s
                 self._max_gap_at = now
-            self._gaps.note(gap_s)
+            self._gaps.add_sample(gap_s)
             self._metrics.record('token_gap', 'stream', gap_s)
         else:
             waited_s = now - self._arrived_at
@@ -146,7 +146,7 @@
             min_silence_s = max(_MIN_INITIAL_SILENCE_S, self._min_silence_s)
             return max(min_silence_s, _PREDICTED_GAP_FACTOR * predicted_s)
         return max(
-            self._min_silence_s, self._gaps.find_longest(_SILENCE_DEVIATIONS)
+            self._min_silence_s, self._gaps.get_upper_bound(_SILENCE_DEVIATIONS)
         )
 
     def describe(self, now: float) -> dict[str, Any]:
--- a/samphirerill/relay/sums.py
+++ b/samphirerill/relay/sums.py
@@ -5,7 +5,7 @@
 from operator import add
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.gathering import name_sum
+from samphirerill.fleet.gathering import name_aggregate
 from samphirerill.relay.messages import (
     NodeStatus,
     encode_link_usage,
@@ -35,14 +35,14 @@
     statuses = [own, *near]
     suspicions = encode_suspicions(state, own.data_centre)
     return NodeStatus(
-        node=name_sum(own.data_centre),
+        node=name_aggregate(own.data_centre),
         started=own.started,
         sequence=own.sequence,
         version=own.version,
         revision=own.revision,
         load=_sum_load(statuses),
         suspected=suspicions.suspected,
-        pipes=encode_link_usage(state.pipes.near_sent),
+        pipes=encode_link_usage(state.pipes.data_centre_sent),
         data_centre=own.data_centre,
         node_count=len(statuses),
         budget_usage=_sum_budget_usage(statuses),
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from unittest import TestCase
 
-from samphirerill.fleet.load import LoadBook, list_ids
+from samphirerill.fleet.load import LoadTracker, list_replica_ids
 from samphirerill.fleet.moves import predict_pause_ms
 from samphirerill.fleet.paths import PathRequest, choose_path
 from samphirerill.fleet.policy import Policy
@@ -50,9 +50,9 @@
 
     def place_streams(
         self, policy: Policy, data_centres: str = ''
-    ) -> tuple[LoadBook, Counter[str]]:
+    ) -> tuple[LoadTracker, Counter[str]]:
         """Choose paths for all streams; return load and first data centres."""
-        book = LoadBook()
+        book = LoadTracker()
         first_stages: Counter[str] = Counter()
         for number in range(_STREAM_COUNT):
             home = (
@@ -60,7 +60,7 @@
             )
             request = PathRequest(_TOKENS, home=home, policy=policy)
             stages = choose_path(_ENGINE, self.known, book, request, _START_S)
-            book.take(list_ids(stages), _TOKENS)
+            book.add_request(list_replica_ids(stages), _TOKENS)
             first_stages[stages[0].replica.data_centre] += 1
         return book, first_stages
 
@@ -96,17 +96,17 @@
         )
         request = PathRequest(_TOKENS, home='a')
         stages = choose_path(
-            _ENGINE, [*self.known, *fast], LoadBook(), request, _START_S
+            _ENGINE, [*self.known, *fast], LoadTracker(), request, _START_S
         )
-        self.assertEqual(list_ids(stages), ('far', 'far-too'))
+        self.assertEqual(list_replica_ids(stages), ('far', 'far-too'))
 
-    def find_max_streams(self, book: LoadBook) -> int:
+    def find_max_streams(self, book: LoadTracker) -> int:
         """Return how many streams the busiest replica has."""
         return max(
-            book.requests(found.replica.replica_id) for found in self.known
+            book.count_requests(found.replica.replica_id) for found in self.known
         )
 
-    def predict_pause(self, book: LoadBook) -> float:
+    def predict_pause(self, book: LoadTracker) -> float:
         """Return the pause of a stream whose replica is lost."""
         request = PathRequest(_TOKENS)
         stages = choose_path(_ENGINE, self.known, book, request, _START_S)
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -107,10 +107,10 @@
         """A changed retry budget must take effect without a restart."""
         now = 10.0
         budget = self.state.get_budget('llm')
-        self.assertTrue(budget.has_left(now, 8, is_urgent=True))
+        self.assertTrue(budget.has_remaining(now, 8, is_urgent=True))
         self.write({'retry_slack': 0, 'leaving_ms': 900})
         self.reloader.reload()
-        self.assertFalse(budget.has_left(now, 8, is_urgent=True))
+        self.assertFalse(budget.has_remaining(now, 8, is_urgent=True))
         self.assertEqual(self.state.settings.leaving_ms, 900)
 
     async def test_change_is_noticed_without_signal(self) -> None:
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -9,11 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from samphirerill.fleet.budget import RepeatBudget, Use
+from samphirerill.fleet.budget import RetryBudget, RetryUsage
 from samphirerill.fleet.endings import is_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
-from samphirerill.fleet.load import PEER_TIMEOUT_S, Held, LoadBook, list_ids
+from samphirerill.fleet.load import PEER_TIMEOUT_S, ReplicaLoad, LoadTracker, list_replica_ids
 from samphirerill.fleet.model import (
     ClientLimits,
     FleetConfiguration,
@@ -24,7 +24,7 @@
     Stage,
 )
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.pipes import PipeUse
+from samphirerill.fleet.pipes import LinkUsage
 from samphirerill.fleet.repair import plan_moves
 from samphirerill.fleet.routes import RouteTable
 from samphirerill.fleet.suspicion import SURE_VOTES
@@ -61,7 +61,7 @@
                 for number, (layers, zone) in enumerate(parts)
             ]
         )
-        stages = choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
+        stages = choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
         position = 0
         for stage in stages:
             self.assertEqual(stage.layers.first, position)
@@ -71,7 +71,7 @@
             )
             position = stage.layers.end
         self.assertIn(position, (0, ENGINE.layers))
-        names = list_ids(stages)
+        names = list_replica_ids(stages)
         self.assertEqual(len(names), len(set(names)))
 
     def test_search_is_fast_for_large_fleet(self) -> None:
@@ -85,7 +85,7 @@
         known = know(place(fleet, plan_moves(ENGINE, fleet, Aims(200), names)))
         started_at = process_time()
         self.assertTrue(
-            choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
+            choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
         )
         self.assertLess(process_time() - started_at, 0.1)
 
@@ -104,23 +104,23 @@
             ]
         )
         request = PathRequest(900, heads=frozenset(('head',)), first_end=20)
-        stages = choose_path(ENGINE, known, LoadBook(), request, 0)
+        stages = choose_path(ENGINE, known, LoadTracker(), request, 0)
         names = ('head', 'other', 'next', 'last')
-        self.assertEqual(list_ids(stages), names)
+        self.assertEqual(list_replica_ids(stages), names)
         self.assertEqual(stages[0].layers, LayerRange(0, 20))
 
     def test_memory_use_of_other_nodes_counts(self) -> None:
         """Nodes that ignore each other's requests overfill a replica's memory."""
         known = know([build_replica('one', 'a', 'large', (0, 40))])
         known += know([build_replica('two', 'a', 'large', (40, 80))])
-        book = LoadBook()
+        book = LoadTracker()
         request = PathRequest(900)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
-        book.hear('other', {'two': Held(4, 3_000)}, 0)
+        book.update_peer('other', {'two': ReplicaLoad(4, 3_000)}, 0)
         self.assertFalse(choose_path(ENGINE, known, book, request, 0))
         reason = explain_no_path(ENGINE, known, book, request)
         self.assertEqual(reason, 'no room in layers 40-80')
-        book.forget_silent(PEER_TIMEOUT_S + 1)
+        book.expire_peers(PEER_TIMEOUT_S + 1)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
 
     def test_local_path_is_preferred_to_faster_crossing_path(self) -> None:
@@ -135,8 +135,8 @@
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
-        stages = choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
-        self.assertNotIn('far', list_ids(stages))
+        stages = choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
+        self.assertNotIn('far', list_replica_ids(stages))
 
     def test_full_link_is_not_crossed(self) -> None:
         known = know(
@@ -145,21 +145,21 @@
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
-        pipes = PipeUse()
+        pipes = LinkUsage()
         request = PathRequest(900, pipes=pipes)
-        self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 0))
+        self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 0))
         for _ in range(20):
-            pipes.note('a', 'b', 34, 0)
-        self.assertFalse(choose_path(ENGINE, known, LoadBook(), request, 0))
-        self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 5))
+            pipes.note_transfer('a', 'b', 34, 0)
+        self.assertFalse(choose_path(ENGINE, known, LoadTracker(), request, 0))
+        self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 5))
 
     def test_nodes_agree_on_link_backlog(self) -> None:
-        local = PipeUse()
-        other = PipeUse()
+        local = LinkUsage()
+        other = LinkUsage()
         pair = frozenset('ab')
-        local.hear('other/1', pair, 0, 0)
-        other.note('a', 'b', 400, 0)
-        local.hear('other/1', pair, other.sent[pair], 0)
+        local.update_peer('other/1', pair, 0, 0)
+        other.note_transfer('a', 'b', 400, 0)
+        local.update_peer('other/1', pair, other.own_sent[pair], 0)
         self.assertAlmostEqual(
             local.backlog_ms('a', 'b', 0), other.backlog_ms('a', 'b', 0)
         )
@@ -248,11 +248,11 @@
 
     def test_urgent_backlog_is_limited(self) -> None:
         """Without a limit, streams wait on a link after their clients left."""
-        pipes = PipeUse()
-        pipes.note('a', 'b', 400, 0)
+        pipes = LinkUsage()
+        pipes.note_transfer('a', 'b', 400, 0)
         self.assertFalse(pipes.is_open('a', 'b', 0))
         self.assertTrue(pipes.is_open('a', 'b', 0, is_urgent=True))
-        pipes.note('a', 'b', 400, 0)
+        pipes.note_transfer('a', 'b', 400, 0)
         self.assertFalse(pipes.is_open('a', 'b', 0, is_urgent=True))
         self.assertTrue(pipes.is_open('a', 'b', 0.6, is_urgent=True))
 
@@ -262,49 +262,49 @@
 
     def test_nodes_together_stay_within_budget(self) -> None:
         nodes = 8
-        budgets = [RepeatBudget(0.2, 200, 10) for _ in range(nodes)]
+        budgets = [RetryBudget(0.2, 200, 10) for _ in range(nodes)]
         spent = 0
         for budget in budgets:
             for _ in range(40):
-                budget.note_first(1)
-            spent += sum(budget.spend(2, nodes) for _ in range(500))
+                budget.note_request(1)
+            spent += sum(budget.try_spend(2, nodes) for _ in range(500))
         self.assertLessEqual(spent, 0.2 * 40 * nodes + 200)
         self.assertGreater(spent, 50)
 
     def test_reserve_is_kept_for_urgent_requests(self) -> None:
         """Retries of refused requests must not use up those for cut streams."""
-        budget = RepeatBudget(0, 100, 10)
-        new = sum(budget.spend(0, 1) for _ in range(200))
-        self.assertFalse(budget.has_left(0, 1, is_urgent=False))
-        self.assertTrue(budget.has_left(0, 1, is_urgent=True))
-        begun = sum(budget.spend(0, 1, is_urgent=True) for _ in range(200))
+        budget = RetryBudget(0, 100, 10)
+        new = sum(budget.try_spend(0, 1) for _ in range(200))
+        self.assertFalse(budget.has_remaining(0, 1, is_urgent=False))
+        self.assertTrue(budget.has_remaining(0, 1, is_urgent=True))
+        begun = sum(budget.try_spend(0, 1, is_urgent=True) for _ in range(200))
         self.assertLess(begun, new)
         self.assertLessEqual(new + begun, 100)
 
     def test_urgent_request_borrows_unused_shares(self) -> None:
         """Streams are cut when one node's share is spent and others are unused."""
         nodes = 78
-        budget = RepeatBudget(0.2, 340, 10)
-        budget.streams = 7
-        alone = sum(budget.spend(1, nodes, is_urgent=True) for _ in range(7))
+        budget = RetryBudget(0.2, 340, 10)
+        budget.active_streams = 7
+        alone = sum(budget.try_spend(1, nodes, is_urgent=True) for _ in range(7))
         self.assertLess(alone, 7)
-        budget.others.hear('all of b', Use(900, 20, 200), 1)
-        together = sum(budget.spend(1, nodes, is_urgent=True) for _ in range(7))
+        budget.peers.update('all of b', RetryUsage(900, 20, 200), 1)
+        together = sum(budget.try_spend(1, nodes, is_urgent=True) for _ in range(7))
         self.assertEqual(together, 7)
-        self.assertFalse(budget.spend(1, nodes))
+        self.assertFalse(budget.try_spend(1, nodes))
 
     def test_borrowing_leaves_budget_for_all_active_streams(self) -> None:
-        budget = RepeatBudget(0.2, 340, 10)
-        budget.others.hear('all of b', Use(900, 300, 200), 1)
-        spent = sum(budget.spend(1, 78, is_urgent=True) for _ in range(50))
+        budget = RetryBudget(0.2, 340, 10)
+        budget.peers.update('all of b', RetryUsage(900, 300, 200), 1)
+        spent = sum(budget.try_spend(1, 78, is_urgent=True) for _ in range(50))
         self.assertLess(spent, 7)
-        self.assertFalse(budget.spend(9, 78, is_urgent=True))
+        self.assertFalse(budget.try_spend(9, 78, is_urgent=True))
 
     def test_window_slides(self) -> None:
-        budget = RepeatBudget(0, 8, 10)
-        spent = sum(budget.spend(0, 1) for _ in range(20))
+        budget = RetryBudget(0, 8, 10)
+        spent = sum(budget.try_spend(0, 1) for _ in range(20))
         self.assertLess(spent, 20)
-        self.assertTrue(budget.spend(11, 1))
+        self.assertTrue(budget.try_spend(11, 1))
 
 
 class TestEndpoints(TestCase):
@@ -315,10 +315,10 @@
         for name in ('good', 'bad'):
             view.announce(build_replica(name), 1)
         view.known['bad'].failures = 0.5
-        found = choose_endpoint(view, LoadBook(), 'llm', (), 0)
+        found = choose_endpoint(view, LoadTracker(), 'llm', (), 0)
         assert found is not None
         self.assertEqual(found.replica.replica_id, 'good')
-        other = choose_endpoint(view, LoadBook(), 'llm', ('good',), 0)
+        other = choose_endpoint(view, LoadTracker(), 'llm', ('good',), 0)
         assert other is not None
         self.assertEqual(other.replica.replica_id, 'bad')
 
@@ -370,5 +370,5 @@
         view.announce(build_replica('tail', 'a', 'large', (40, 80)), 1)
         view.note_pace('slow', 4.0, 0)
         usable = view.list_usable('llm', 1)
-        stages = choose_path(ENGINE, usable, LoadBook(), PathRequest(1), 1)
-        self.assertEqual(list_ids(stages), ('usual', 'tail'))
+        stages = choose_path(ENGINE, usable, LoadTracker(), PathRequest(1), 1)
+        self.assertEqual(list_replica_ids(stages), ('usual', 'tail'))
--- a/samphirerill/tests/test_silence.py
+++ b/samphirerill/tests/test_silence.py
@@ -8,7 +8,7 @@
 
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.policy import Policy
-from samphirerill.fleet.smoothing import Smoothed
+from samphirerill.fleet.smoothing import SmoothedDuration
 from samphirerill.node.metrics import Metrics
 from samphirerill.relay.health.patience import MAX_TIMEOUT_S
 from samphirerill.relay.health.signs import list_unproven
@@ -70,13 +70,13 @@
     """Smoothed mean and deviation."""
 
     def test_it_follows_the_samples(self) -> None:
-        answers = Smoothed()
+        answers = SmoothedDuration()
         for _ in range(30):
-            answers.note(0.004)
-        self.assertAlmostEqual(answers.find_longest(6), 0.004, places=3)
+            answers.add_sample(0.004)
+        self.assertAlmostEqual(answers.get_upper_bound(6), 0.004, places=3)
         for _ in range(30):
-            answers.note(0.04)
-        self.assertGreater(answers.find_longest(6), 0.04)
+            answers.add_sample(0.04)
+        self.assertGreater(answers.get_upper_bound(6), 0.04)
 
 
 class TestPassiveChecks(TestCase):
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -20,7 +20,7 @@
 )
 
 if TYPE_CHECKING:
-    from samphirerill.fleet.budget import Use
+    from samphirerill.fleet.budget import RetryUsage
 
 _SLOW_START_S = 0.6
 _ALL_TOKENS = 1e9
@@ -29,14 +29,14 @@
 class HandoverCase(TwoEnginesCase):
     """Two engines, one of which is slow to start a run."""
 
-    def find_use(self) -> Use:
+    def find_use(self) -> RetryUsage:
         """Return the present use of the retry budget."""
         now = asyncio.get_running_loop().time()
-        return self.process.state.get_budget('llm').find_use(now)
+        return self.process.state.get_budget('llm').get_usage(now)
 
     def assert_nothing_reserved(self) -> None:
         """Check that no capacity is reserved."""
-        self.assertEqual(dict(self.process.state.book.own()), {})
+        self.assertEqual(dict(self.process.state.book.get_own()), {})
 
 
 class TestHandover(HandoverCase):
@@ -71,7 +71,7 @@
         self.suspect(head)
         await self.until(lambda: self.world.replicas[other].seen)
         await asyncio.sleep(0.1)
-        self.assertEqual(set(self.process.state.book.own()), {head})
+        self.assertEqual(set(self.process.state.book.get_own()), {head})
         self.assert_whole(await stream)
         self.assert_nothing_reserved()
 
@@ -110,7 +110,7 @@
         await asyncio.sleep(1.7)
         self.world.replicas[head].goes_on.set()
         self.assert_whole(await stream)
-        self.assertEqual(self.find_use().repeats, 0)
+        self.assertEqual(self.find_use().retries, 0)
 
 
 class TestWaitingForCapacity(HandoverCase):
@@ -125,14 +125,14 @@
         """
         stream, head, other = await self.start_stream()
         book = self.process.state.book
-        book.take([other], _ALL_TOKENS)
+        book.add_request([other], _ALL_TOKENS)
         self.world.replicas[head].free.clear()
         await asyncio.sleep(0.5)
         new_stream = asyncio.create_task(
             self.request_with(b'/notes/x', build_headers('r2'))
         )
         await asyncio.sleep(0.4)
-        book.give_back([other], _ALL_TOKENS)
+        book.remove_request([other], _ALL_TOKENS)
         self.process.state.notify()
         async with asyncio.timeout(0.1):
             await self.until(lambda: self.world.replicas[other].seen)
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -7,10 +7,10 @@
 from unittest.mock import Mock
 
 from samphirerill.fleet.gathering import (
-    MOST_DIRECT,
-    choose_gatherer,
-    is_direct,
-    name_sum,
+    MAX_DIRECT_PEERS,
+    choose_aggregator,
+    is_full_mesh,
+    name_aggregate,
 )
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.peers import Network, Node
@@ -34,9 +34,9 @@
         for node in nodes:
             node.add_peers(nodes)
             node.state.view.announce(build_replica('one', layers=(0, 80)), 1)
-            node.state.get_budget(_SERVICE).streams = _STREAMS
+            node.state.get_budget(_SERVICE).active_streams = _STREAMS
             for _ in range(_STREAMS):
-                node.state.book.take(('one',), 160)
+                node.state.book.add_request(('one',), 160)
         tasks = [
             asyncio.create_task(node.status_sender.run()) for node in nodes
         ]
@@ -52,10 +52,10 @@
         now = asyncio.get_running_loop().time()
         for node in network.nodes.values():
             self.assertEqual(
-                node.state.book.requests('one'), count * _STREAMS, node.name
+                node.state.book.count_requests('one'), count * _STREAMS, node.name
             )
-            others = node.state.get_budget(_SERVICE).others.sum_up(now)
-            self.assertEqual(others.streams, (count - 1) * _STREAMS)
+            others = node.state.get_budget(_SERVICE).peers.get_total(now)
+            self.assertEqual(others.active_streams, (count - 1) * _STREAMS)
             self.assertEqual(node.state.count_nodes(), max(8, count))
 
     async def test_a_small_fleet_sends_statuses_directly(self) -> None:
@@ -74,10 +74,10 @@
     async def test_another_node_replaces_a_failed_aggregator(self) -> None:
         network = await self.exchange_statuses(8)
         names = [f'a-{number}' for number in range(8)]
-        failed = choose_gatherer(names)
+        failed = choose_aggregator(names)
         self.assertIn(f'10.0.0.{failed[2:]}', network.remote_datagrams)
         remaining = [name for name in names if name != failed]
-        chosen = choose_gatherer(remaining)
+        chosen = choose_aggregator(remaining)
         node = next(
             node for node in network.nodes.values() if node.name == chosen
         )
@@ -91,12 +91,12 @@
 
     def test_the_choice_does_not_depend_on_order(self) -> None:
         names = [f'node-{number}' for number in range(20)]
-        self.assertEqual(choose_gatherer(names), choose_gatherer(names[::-1]))
+        self.assertEqual(choose_aggregator(names), choose_aggregator(names[::-1]))
 
     def test_aggregates_are_used_above_a_fleet_size(self) -> None:
-        self.assertTrue(is_direct(MOST_DIRECT))
-        self.assertFalse(is_direct(MOST_DIRECT + 1))
-        self.assertNotEqual(name_sum('a'), name_sum('b'))
+        self.assertTrue(is_full_mesh(MAX_DIRECT_PEERS))
+        self.assertFalse(is_full_mesh(MAX_DIRECT_PEERS + 1))
+        self.assertNotEqual(name_aggregate('a'), name_aggregate('b'))
 
 
 class TestClosedPort(IsolatedAsyncioTestCase):
