--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -9,7 +9,7 @@
 from samphirerill.emulator.engine import EmulatedEngine, EmulatedLinks
 from samphirerill.fleet.model import LayerRange, Replica
 from samphirerill.fleet.repair import count_whole, plan_moves
-from samphirerill.fleet.suspicion import SURE_VOTES
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.timing import PlanTiming
 from samphirerill.fleet.view import FleetView
 
@@ -115,19 +115,19 @@
     def _announce(self, replica: Replica) -> None:
         self._revision += 1
         self._replicas[replica.replica_id] = replica
-        self.view.announce(replica, self._revision)
+        self.view.apply_announcement(replica, self._revision)
 
     def _set_layers(self, name: str, layers: LayerRange | None) -> None:
         self._announce(replace(self._replicas[name], layers=layers))
 
     def _mark_dead(self, name: str) -> None:
         now = self._event_loop.now
-        self.view.suspect(name, now + _SUSPICION_S, now, votes=SURE_VOTES)
+        self.view.add_silence_report(name, now + _SUSPICION_S, now, votes=CONFIRMING_VOTES)
 
     def _restart(self, name: str) -> None:
         self.engines[name].restart()
         self._set_layers(name, None)
-        self.view.trust(name)
+        self.view.note_alive(name)
 
     def _run_planner(self) -> None:
         """Run the planner if it is due, and start the loads that it orders."""
--- a/samphirerill/emulator/streams.py
+++ b/samphirerill/emulator/streams.py
@@ -10,7 +10,7 @@
 
 from samphirerill.emulator.engine import StageTask
 from samphirerill.emulator.fleet import SERVICE
-from samphirerill.fleet.endings import is_lost
+from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.load import LoadTracker, list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.paths import PathRequest, choose_path
@@ -287,7 +287,7 @@
             return
         now = self._event_loop.now
         view = self._fleet.view
-        if any(is_lost(view, stage, now) for stage in self._stages):
+        if any(is_stage_lost(view, stage, now) for stage in self._stages):
             self._generator.metrics.moved += 1
             self._epoch += 1
             self._release_path()
--- a/samphirerill/fleet/endings.py
+++ b/samphirerill/fleet/endings.py
@@ -13,19 +13,19 @@
     from samphirerill.fleet.view import FleetView
 
 
-def is_lost(view: FleetView, stage: Stage, now: float) -> bool:
+def is_stage_lost(view: FleetView, stage: Stage, now: float) -> bool:
     """Return whether streams should leave a stage at once.
 
     That is the case if its replica is gone or suspected dead, or if the
     deadline for streams to leave its released layers has passed. A draining
     replica serves its active streams until it disconnects them.
     """
-    if stage.replica.replica_id in view.leaving:
-        return find_end(view, stage, now) <= 0
-    return find_end(view, stage, now) <= now
+    if stage.replica.replica_id in view.leaving_deadlines:
+        return find_stage_end(view, stage, now) <= 0
+    return find_stage_end(view, stage, now) <= now
 
 
-def find_end(view: FleetView, stage: Stage, now: float) -> float:
+def find_stage_end(view: FleetView, stage: Stage, now: float) -> float:
     """Return until when a stage serves its active streams.
 
     Returns
@@ -35,14 +35,14 @@
         end is known.
     """
     replica_id = stage.replica.replica_id
-    found = view.known.get(replica_id)
+    found = view.replicas.get(replica_id)
     if found is None:
-        return view.leaving.get(replica_id, 0.0)
+        return view.leaving_deadlines.get(replica_id, 0.0)
     if found.replica.is_other_start(stage.replica.started_ms):
         return 0.0
-    if found.suspicion.dead_until > now:
+    if found.suspicion.suspected_until > now:
         return 0.0
-    end = view.leaving.get(replica_id, float('inf'))
+    end = view.leaving_deadlines.get(replica_id, float('inf'))
     if releases_layers(stage.layers, found.replica.layers):
         return min(end, found.release_until)
     return end
--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable, Collection
 
     from samphirerill.fleet.load import LoadTracker
-    from samphirerill.fleet.view import FleetView, Known
+    from samphirerill.fleet.view import FleetView, ReplicaState
 
 # The wait of an endpoint that fails every request is multiplied by 1 plus this.
 _FAILURE_WEIGHT = 12.0
@@ -28,7 +28,7 @@
     tried: Collection[str],
     now: float,
     may_call: Callable[[str], bool] = bool,
-) -> Known | None:
+) -> ReplicaState | None:
     """Return the best endpoint not yet tried, or ``None``.
 
     Endpoints suspected dead are chosen only if no other is left. `may_call`
@@ -41,7 +41,7 @@
         and may_call(found.replica.replica_id)
     ]
     trusted = [
-        found for found in candidates if found.suspicion.dead_until <= now
+        found for found in candidates if found.suspicion.suspected_until <= now
     ]
     pool = trusted or candidates
     if not pool:
@@ -49,7 +49,7 @@
     return min(pool, key=lambda found: _predict_wait(found, book))
 
 
-def _predict_wait(found: Known, book: LoadTracker) -> float:
+def _predict_wait(found: ReplicaState, book: LoadTracker) -> float:
     in_flight = 1 + book.count_requests(found.replica.replica_id)
     latency_s = max(_MIN_LATENCY_S, found.latency_s)
     return in_flight * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -14,12 +14,12 @@
     from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.paths import PathRequest
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
 
 
 def explain_no_path(
     engine: EngineSpec,
-    usable: Sequence[Known],
+    usable: Sequence[ReplicaState],
     book: LoadTracker,
     request: PathRequest,
 ) -> str:
--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -42,7 +42,7 @@
 _RESURVEY_INTERVAL_S = 0.5
 
 
-class Askers:
+class ProberAssignment:
     """Assignment of replicas to the nodes that probe them.
 
     Nodes and replicas are placed on a consistent hash ring; the nodes that
@@ -69,7 +69,7 @@
         self._hashes = [position for position, _ in positions]
         self._ring = [name for _, name in positions]
 
-    def list_share(
+    def list_assigned(
         self, node: str, replica_ids: Iterable[str], tier: int = 0
     ) -> list[str]:
         """Return the replicas that a node probes.
@@ -88,10 +88,10 @@
         return [
             name
             for name in replica_ids
-            if node in self.choose(name, start + PROBERS_PER_REPLICA)[start:]
+            if node in self.choose_probers(name, start + PROBERS_PER_REPLICA)[start:]
         ]
 
-    def choose(
+    def choose_probers(
         self, replica_id: str, count: int = PROBERS_PER_REPLICA
     ) -> Sequence[str]:
         """Return the nodes that probe a replica, in order of precedence.
@@ -125,24 +125,24 @@
                 yield name
 
 
-class LossRound:
+class CorrelatedFailure:
     """One failure that affects several replicas.
 
     A single report on a single replica is common where links lose packets, and
     only its probers check it. Two reports close together, or a confirmed death,
     are treated as a failure: replicas that answered before it may be lost now.
 
-    `began_at` is when the failure was last seen to continue, `heard` when each
-    replica is last known to have worked, and `doubted` when each unconfirmed
+    `last_extended_at` is when the failure was last seen to continue, `last_alive` when each
+    replica is last known to have worked, and `unconfirmed` when each unconfirmed
     report arrived, by replica; times are on the loop's clock.
     """
 
-    __slots__ = ('_first_at', '_last_at', 'began_at', 'doubted', 'heard')
+    __slots__ = ('_first_at', '_last_at', 'last_extended_at', 'unconfirmed', 'last_alive')
 
     def __init__(self) -> None:
-        self.began_at = float('-inf')
-        self.heard: dict[str, float] = {}
-        self.doubted: dict[str, float] = {}
+        self.last_extended_at = float('-inf')
+        self.last_alive: dict[str, float] = {}
+        self.unconfirmed: dict[str, float] = {}
         self._first_at = float('-inf')
         self._last_at = float('-inf')
 
@@ -150,26 +150,26 @@
         self, replica_id: str, now: float, *, is_confirmed: bool = False
     ) -> None:
         """Record that a replica was newly reported silent or confirmed dead."""
-        self.doubted = {
+        self.unconfirmed = {
             name: at
-            for name, at in self.doubted.items()
+            for name, at in self.unconfirmed.items()
             if at + _CORRELATION_WINDOW_S > now
         }
-        self.doubted[replica_id] = now
-        if not is_confirmed and len(self.doubted) == 1:
+        self.unconfirmed[replica_id] = now
+        if not is_confirmed and len(self.unconfirmed) == 1:
             return
         if now > self._last_at + _EVENT_WINDOW_S:
             self._first_at = now
         self._last_at = now
-        if now > self.began_at + _RESURVEY_INTERVAL_S:
-            self.began_at = now
-            self.heard.clear()
+        if now > self.last_extended_at + _RESURVEY_INTERVAL_S:
+            self.last_extended_at = now
+            self.last_alive.clear()
 
-    def note_heard(self, replica_id: str, at: float) -> None:
+    def note_alive(self, replica_id: str, at: float) -> None:
         """Record that a replica worked at the given time."""
-        self.heard[replica_id] = max(at, self.heard.get(replica_id, at))
+        self.last_alive[replica_id] = max(at, self.last_alive.get(replica_id, at))
 
-    def is_under_way(self, now: float) -> bool:
+    def is_in_progress(self, now: float) -> bool:
         """Return whether further losses of this failure may still be found."""
         until = min(
             self._last_at + _QUIET_PERIOD_S, self._first_at + _MAX_WAIT_S
@@ -178,14 +178,14 @@
 
     def is_recent(self, now: float) -> bool:
         """Return whether replicas not heard from since may be lost too."""
-        return now < self.began_at + _EVENT_WINDOW_S
+        return now < self.last_extended_at + _EVENT_WINDOW_S
 
-    def has_heard(self, replica_id: str) -> bool:
+    def is_known_alive(self, replica_id: str) -> bool:
         """Return whether a replica has worked since the failure began."""
-        return self.heard.get(replica_id, float('-inf')) >= self.began_at
+        return self.last_alive.get(replica_id, float('-inf')) >= self.last_extended_at
 
 
-def is_own_fault(silent: Collection[str], heard: Collection[str]) -> bool:
+def is_local_fault(silent: Collection[str], heard: Collection[str]) -> bool:
     """Return whether the probing node itself is cut off or stalled.
 
     A node that hears from fewer replicas than are silent to it reports none of
--- a/samphirerill/fleet/outage.py
+++ b/samphirerill/fleet/outage.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable, Sequence
 
     from samphirerill.fleet.model import EngineSpec
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
 
 # From the loss of the last holder until its layers are assigned elsewhere,
 # which includes detecting and planning for the whole failure.
@@ -42,7 +42,7 @@
         self._engine = engine
         self._seen_at = 0.0
 
-    def observe(self, live: Sequence[Known], now: float) -> bool:
+    def observe(self, live: Sequence[ReplicaState], now: float) -> bool:
         """Update from the live replicas; return whether layers are missing."""
         is_covered = find_gap(self._engine, list_ranges(live)) is None
         if is_covered:
@@ -52,7 +52,7 @@
         self._seen_at = now
         return not is_covered
 
-    def predict_wait_s(self, live: Sequence[Known], now: float) -> float:
+    def predict_wait_s(self, live: Sequence[ReplicaState], now: float) -> float:
         """Return the predicted time until the missing layers are loaded."""
         counts = sorted(layers.count for layers in list_ranges(live))
         stage_layers = (
@@ -65,7 +65,7 @@
         )
 
 
-def list_ranges(known: Iterable[Known]) -> list[LayerRange]:
+def list_ranges(known: Iterable[ReplicaState]) -> list[LayerRange]:
     """Return the layer ranges that replicas hold."""
     return [
         found.replica.layers
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -28,7 +28,7 @@
     from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.pipes import LinkUsage
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
 
 # Load reports of other nodes lag, and answers may be longer than announced. The
 # rest is reserved for streams that lost their path.
@@ -93,7 +93,7 @@
 
 def choose_path(
     engine: EngineSpec,
-    usable: Sequence[Known],
+    usable: Sequence[ReplicaState],
     book: LoadTracker,
     request: PathRequest,
     now: float,
@@ -291,7 +291,7 @@
 
 def predict_gap_ms(
     engine: EngineSpec,
-    known: dict[str, Known],
+    known: dict[str, ReplicaState],
     stages: tuple[Stage, ...],
     book: LoadTracker,
     now: float,
@@ -307,7 +307,7 @@
 
 
 def count_token_capacity(
-    engine: EngineSpec, found: Known, layers: LayerRange
+    engine: EngineSpec, found: ReplicaState, layers: LayerRange
 ) -> float:
     """Return how many tokens fit in a replica's memory beside its layers."""
     accelerator = engine.accelerators.get(found.replica.accelerator)
@@ -317,7 +317,7 @@
 
 
 def has_memory(
-    engine: EngineSpec, found: Known, book: LoadTracker, request: PathRequest
+    engine: EngineSpec, found: ReplicaState, book: LoadTracker, request: PathRequest
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
@@ -331,7 +331,7 @@
 
 
 def _predict_layer_ms(
-    engine: EngineSpec, found: Known, book: LoadTracker, now: float
+    engine: EngineSpec, found: ReplicaState, book: LoadTracker, now: float
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
@@ -345,7 +345,7 @@
 
 def _score_layer(
     engine: EngineSpec,
-    found: Known,
+    found: ReplicaState,
     book: LoadTracker,
     request: PathRequest,
     now: float,
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.endings import releases_layers
-from samphirerill.fleet.losses import LossRound
-from samphirerill.fleet.suspicion import SURE_VOTES, Suspicion, Word
+from samphirerill.fleet.losses import CorrelatedFailure
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES, Suspicion, SilenceReport
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -37,10 +37,10 @@
 
 
 @dataclass(slots=True)
-class Known:
+class ReplicaState:
     """An announced replica, and what this node has found out about it.
 
-    It gets no new work until `busy_until` after refusals, and its missing
+    It gets no new work until `backoff_until` after refusals, and its missing
     announcement may still return until `lapsed_until`. `slowness` above 1
     multiplies its predicted times. Streams may use layers that it is to release
     until `release_until`.
@@ -48,7 +48,7 @@
 
     replica: Replica
     revision: int
-    busy_until: float = 0.0
+    backoff_until: float = 0.0
     refusals: int = 0
     refused_at: float = float('-inf')
     lapsed_until: float = 0.0
@@ -64,27 +64,27 @@
 class FleetView:
     """All announced replicas, by id."""
 
-    known: dict[str, Known] = field(default_factory=dict)
+    replicas: dict[str, ReplicaState] = field(default_factory=dict)
     revision: int = 0
     # Incremented with the set of replicas, and with this node's own suspicions.
-    ids_version: int = 0
-    own_version: int = 0
+    membership_version: int = 0
+    own_suspicions_version: int = 0
     # Counts replicas that began to drain, released layers or were found dead.
-    losses: int = 0
+    loss_count: int = 0
     # Counts replicas that were suspected dead and have worked since.
-    false_deaths: int = 0
+    false_suspicions: int = 0
     # The current correlated failure, or the last one.
-    loss_round: LossRound = field(default_factory=LossRound)
+    current_failure: CorrelatedFailure = field(default_factory=CorrelatedFailure)
     # Until when each draining replica serves its active streams; includes
     # replicas that are no longer announced.
-    leaving: dict[str, float] = field(default_factory=dict)
+    leaving_deadlines: dict[str, float] = field(default_factory=dict)
     # The configured services; empty if not known yet. An entry of any other
     # service does not replace a replica at its address.
     services: frozenset[str] = frozenset()
     _tombstones: dict[str, int] = field(default_factory=dict)
 
-    def announce(
-        self, replica: Replica, revision: int, leaves_at: float = 0.0
+    def apply_announcement(
+        self, replica: Replica, revision: int, leaving_deadline: float = 0.0
     ) -> bool:
         """Apply an announcement; return whether it is newer than the known one.
 
@@ -94,14 +94,14 @@
             The replica as announced.
         revision : int
             Revision of the store that wrote it.
-        leaves_at : float
+        leaving_deadline : float
             Until when it serves its active streams, if it drains or releases
             layers.
         """
         replica_id = replica.replica_id
         if revision <= self._tombstones.get(replica_id, -1):
             return False
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is not None and revision <= found.revision:
             found.lapsed_until = 0.0
             return False
@@ -109,27 +109,27 @@
             found.replica.started_ms
         )
         if is_new and not replica.is_leaving:
-            self.leaving.pop(replica_id, None)
+            self.leaving_deadlines.pop(replica_id, None)
         if found is None or is_new:
             self._register(replica, revision)
         else:
             if releases_layers(found.replica.layers, replica.layers):
-                self.losses += 1
-                found.release_until = leaves_at
+                self.loss_count += 1
+                found.release_until = leaving_deadline
             found.replica = replica
             found.revision = revision
             found.lapsed_until = 0.0
-        if replica.is_leaving and replica_id not in self.leaving:
-            self.leaving[replica_id] = leaves_at
-            self.losses += 1
+        if replica.is_leaving and replica_id not in self.leaving_deadlines:
+            self.leaving_deadlines[replica_id] = leaving_deadline
+            self.loss_count += 1
         return True
 
-    def withdraw(
+    def remove_announcement(
         self,
         replica_id: str,
         revision: int,
         grace_until: float,
-        leaves_at: float = 0.0,
+        leaving_deadline: float = 0.0,
     ) -> None:
         """Remove an announcement, at once or after a grace period.
 
@@ -142,65 +142,65 @@
         grace_until : float
             Until when the replica is still used, as its announcement may
             return; 0 if it is gone for sure.
-        leaves_at : float
+        leaving_deadline : float
             Until when it serves its active streams. Some replicas drain without
             announcing it; one that was suspected dead, or has announced that it
             drains, serves nothing any more.
         """
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is None or revision < found.revision:
             return
-        if grace_until and replica_id not in self.leaving:
+        if grace_until and replica_id not in self.leaving_deadlines:
             found.lapsed_until = found.lapsed_until or grace_until
             return
         may_serve = (
-            replica_id not in self.leaving and not found.suspicion.dead_until
+            replica_id not in self.leaving_deadlines and not found.suspicion.suspected_until
         )
         self._remove(replica_id, revision)
-        if may_serve and leaves_at:
-            self.leaving[replica_id] = leaves_at
+        if may_serve and leaving_deadline:
+            self.leaving_deadlines[replica_id] = leaving_deadline
 
-    def replace_all(
+    def apply_snapshot(
         self,
         replicas: Iterable[tuple[Replica, int]],
         revision: int,
         grace_until: float,
-        leaves_at: float = 0.0,
+        leaving_deadline: float = 0.0,
     ) -> None:
         """Apply a full list; replicas missing from it are withdrawn."""
         present = set()
         for replica, announced_revision in replicas:
             present.add(replica.replica_id)
-            self.announce(replica, announced_revision, leaves_at)
-        for replica_id in set(self.known) - present:
-            self.withdraw(replica_id, revision, grace_until, leaves_at)
+            self.apply_announcement(replica, announced_revision, leaving_deadline)
+        for replica_id in set(self.replicas) - present:
+            self.remove_announcement(replica_id, revision, grace_until, leaving_deadline)
         self.revision = max(self.revision, revision)
 
-    def reach(self, revision: int) -> None:
+    def advance_revision(self, revision: int) -> None:
         """Record that all changes up to a revision have been applied."""
         self.revision = max(self.revision, revision)
 
-    def sweep(self, now: float) -> list[str]:
+    def remove_lapsed(self, now: float) -> list[str]:
         """Remove replicas whose announcements did not return in time."""
         removed = [
             replica_id
-            for replica_id, found in self.known.items()
+            for replica_id, found in self.replicas.items()
             if found.lapsed_until and found.lapsed_until < now
         ]
         for replica_id in removed:
-            self._remove(replica_id, self.known[replica_id].revision)
-        for replica_id in set(self.leaving) - set(self.known):
-            if self.leaving[replica_id] + _DRAINING_RETENTION_S < now:
-                self.leaving.pop(replica_id)
+            self._remove(replica_id, self.replicas[replica_id].revision)
+        for replica_id in set(self.leaving_deadlines) - set(self.replicas):
+            if self.leaving_deadlines[replica_id] + _DRAINING_RETENTION_S < now:
+                self.leaving_deadlines.pop(replica_id)
         return removed
 
-    def suspect(
+    def add_silence_report(
         self,
         replica_id: str,
         until: float,
         now: float,
         *,
-        witness: str = '',
+        reporter: str = '',
         votes: int = 1,
         since: float | None = None,
         data_centre: str = '',
@@ -217,53 +217,53 @@
             The silent replica.
         until, now : float
             On the loop's clock.
-        witness : str
+        reporter : str
             The reporting node; empty for this one.
         votes : int
-            The weight of the report; `SURE_VOTES` if the death is confirmed.
+            The weight of the report; `CONFIRMING_VOTES` if the death is confirmed.
         since : float, optional
             When the replica was found silent; `now` by default.
         data_centre : str
             The data centre of the reporting node; empty if not known.
         """
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is None:
             return False
         silent_since = now if since is None else since
-        report = Word(silent_since, until, votes, witness, data_centre)
+        report = SilenceReport(silent_since, until, votes, reporter, data_centre)
         votes_before = found.suspicion.count_votes(now)
-        is_newly_suspected = found.suspicion.take(report, now)
-        self.losses += is_newly_suspected
+        is_newly_suspected = found.suspicion.add_report(report, now)
+        self.loss_count += is_newly_suspected
         votes_after = found.suspicion.count_votes(now)
         is_first_report = not votes_before and votes_after > 0
         # No path uses a draining replica for new work, nor one without layers.
         is_serving = (
-            found.replica.layers is not None and replica_id not in self.leaving
+            found.replica.layers is not None and replica_id not in self.leaving_deadlines
         )
         if is_serving and (is_first_report or is_newly_suspected):
-            is_confirmed = votes_after >= SURE_VOTES
-            self.loss_round.note_silence(
+            is_confirmed = votes_after >= CONFIRMING_VOTES
+            self.current_failure.note_silence(
                 replica_id, now, is_confirmed=is_confirmed
             )
         if report.is_own:
-            self.own_version += is_newly_suspected
+            self.own_suspicions_version += is_newly_suspected
         return is_newly_suspected
 
-    def has_ended(self, replica_id: str) -> bool:
+    def has_stopped(self, replica_id: str) -> bool:
         """Return whether a replica is gone for sure, not only silent."""
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is None:
-            return replica_id not in self.leaving
-        return found.suspicion.has_ended
+            return replica_id not in self.leaving_deadlines
+        return found.suspicion.has_stopped
 
-    def refuse(self, replica_id: str, now: float) -> None:
+    def note_refusal(self, replica_id: str, now: float) -> None:
         """Record that a replica refused a stage, and back off.
 
         The pause doubles with each refusal, as each request sent in vain
         consumes the retry budget of all nodes. The replica is not suspected
         dead, since it also refuses while it changes its layers.
         """
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is None:
             return
         if now - found.refused_at > _REFUSAL_WINDOW_S:
@@ -273,16 +273,16 @@
         pause_s = _REFUSAL_BACKOFF_S * 2 ** min(
             found.refusals - 1, _MAX_DOUBLINGS
         )
-        found.busy_until = max(found.busy_until, now + pause_s)
+        found.backoff_until = max(found.backoff_until, now + pause_s)
 
-    def note_pace(self, replica_id: str, slowness: float, now: float) -> None:
+    def note_slowness(self, replica_id: str, slowness: float, now: float) -> None:
         """Record a replica's own report of its slowness."""
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is not None:
             found.slowness = max(1.0, slowness)
             found.slow_until = now + _SLOWNESS_TTL_S
 
-    def trust(self, replica_id: str, at: float | None = None) -> None:
+    def note_alive(self, replica_id: str, at: float | None = None) -> None:
         """Record that a replica has worked, and discard suspicions.
 
         Parameters
@@ -293,57 +293,57 @@
             When it worked, on the loop's clock; later evidence is kept. By
             default all evidence and refusals are discarded.
         """
-        found = self.known.get(replica_id)
+        found = self.replicas.get(replica_id)
         if found is None:
             return
         if at is not None:
-            self.false_deaths += found.suspicion.hear(at)
+            self.false_suspicions += found.suspicion.note_alive(at)
             return
         found.refusals = 0
-        self.false_deaths += bool(found.suspicion.dead_until)
+        self.false_suspicions += bool(found.suspicion.suspected_until)
         found.suspicion.clear()
 
     def is_leaving(self, replica_id: str) -> bool:
         """Return whether a replica drains."""
-        return replica_id in self.leaving
+        return replica_id in self.leaving_deadlines
 
-    def list_service(self, service: str) -> list[Known]:
+    def list_service(self, service: str) -> list[ReplicaState]:
         """Return the replicas of a service that are not draining."""
         return [
             found
-            for found in self.known.values()
+            for found in self.replicas.values()
             if found.replica.service == service
-            and found.replica.replica_id not in self.leaving
+            and found.replica.replica_id not in self.leaving_deadlines
         ]
 
-    def list_present(self, service: str, now: float) -> list[Known]:
+    def list_unconfirmed(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service whose death is not confirmed."""
         return [
             found
             for found in self.list_service(service)
-            if found.suspicion.sure_until <= now
+            if found.suspicion.confirmed_until <= now
         ]
 
-    def list_live(self, service: str, now: float) -> list[Known]:
+    def list_live(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service that are not suspected dead."""
         return [
             found
             for found in self.list_service(service)
-            if found.suspicion.dead_until <= now
+            if found.suspicion.suspected_until <= now
         ]
 
-    def list_usable(self, service: str, now: float) -> list[Known]:
+    def list_usable(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service that may get new work now."""
         return [
             found
             for found in self.list_live(service, now)
-            if found.busy_until <= now
+            if found.backoff_until <= now
         ]
 
-    def find_address(self, address: str) -> Known | None:
+    def find_by_address(self, address: str) -> ReplicaState | None:
         """Return the replica that announced an address last."""
-        best: Known | None = None
-        for found in self.known.values():
+        best: ReplicaState | None = None
+        for found in self.replicas.values():
             if found.replica.address != address:
                 continue
             if best is None or found.revision > best.revision:
@@ -361,22 +361,22 @@
         is_configured = replica.service in self.services or not self.services
         removed = [
             name
-            for name, found in self.known.items()
+            for name, found in self.replicas.items()
             if found.replica.address == replica.address
             and found.revision < revision
             and is_configured
         ]
         for name in removed:
-            self._remove(name, self.known[name].revision)
-        self.losses += replica.replica_id in self.known
-        self.known[replica.replica_id] = Known(replica, revision)
-        self.ids_version += 1
+            self._remove(name, self.replicas[name].revision)
+        self.loss_count += replica.replica_id in self.replicas
+        self.replicas[replica.replica_id] = ReplicaState(replica, revision)
+        self.membership_version += 1
 
     def _remove(self, replica_id: str, revision: int) -> None:
-        self.known.pop(replica_id, None)
-        self.leaving.pop(replica_id, None)
+        self.replicas.pop(replica_id, None)
+        self.leaving_deadlines.pop(replica_id, None)
         self._tombstones[replica_id] = revision
-        self.ids_version += 1
-        self.losses += 1
+        self.membership_version += 1
+        self.loss_count += 1
         while len(self._tombstones) > _MAX_TOMBSTONES:
             self._tombstones.pop(next(iter(self._tombstones)))
--- a/samphirerill/fleet/watchers.py
+++ b/samphirerill/fleet/watchers.py
@@ -46,10 +46,10 @@
     """
     if own in list_watchers({own, *names}):
         return ''
-    return choose_other(own, names, avoid)
+    return choose_other_watcher(own, names, avoid)
 
 
-def choose_other(own: str, names: Iterable[str], avoid: Collection[str]) -> str:
+def choose_other_watcher(own: str, names: Iterable[str], avoid: Collection[str]) -> str:
     """Return a watcher other than this node; empty if none is left.
 
     Parameters are those of `choose_watcher`.
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -31,7 +31,7 @@
         Replica,
     )
     from samphirerill.fleet.repair import Moves
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
     from samphirerill.relay.health.survey import Survey
     from samphirerill.relay.leadership import Leadership
     from samphirerill.relay.state import EdgeState
@@ -145,7 +145,7 @@
         if not self._health.knows_fleet(now, presence_s):
             # Announcements may be missing only because their leases expired.
             return
-        if self._state.view.loss_round.is_under_way(now):
+        if self._state.view.current_failure.is_in_progress(now):
             # Failures are still being detected: plan once for all of them
             # rather than once for each.
             return
@@ -162,7 +162,7 @@
     ) -> None:
         present = await self._list_responsive(service)
         now = self._loop.time()
-        if self._state.view.loss_round.is_under_way(now):
+        if self._state.view.current_failure.is_in_progress(now):
             # Further failures were detected while replicas were probed.
             return
         timing = self._timings[service]
@@ -207,7 +207,7 @@
         """
         now = self._loop.time()
         present = self._list_present(service, now)
-        if not self._state.view.loss_round.is_recent(now):
+        if not self._state.view.current_failure.is_recent(now):
             return present
         dead = await self._survey.ask_unheard(present)
         return [
@@ -224,10 +224,10 @@
         """
         return [
             self._apply_assignment(known, now)
-            for known in self._state.view.list_present(service, now)
+            for known in self._state.view.list_unconfirmed(service, now)
         ]
 
-    def _apply_assignment(self, known: Known, now: float) -> Replica:
+    def _apply_assignment(self, known: ReplicaState, now: float) -> Replica:
         replica = known.replica
         assignment = self._assignments.get(replica.replica_id)
         if assignment is None:
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -165,7 +165,7 @@
         for event in changes.events:
             self._dispatch(event)
         self.revision = max(self.revision, changes.revision)
-        self._state.view.reach(self.revision)
+        self._state.view.advance_revision(self.revision)
         if changes.events:
             self._state.notify()
             await asyncio.sleep(self._next_batch_delay())
--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -13,7 +13,7 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.suspicion import SURE_VOTES
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.words import apply_suspicion, decode_suspicion
 from samphirerill.relay.messages import checksum_name
@@ -130,8 +130,8 @@
         now = self._loop.time()
         suspected = {}
         for replica_id in self._suspected:
-            found = self._state.view.known.get(replica_id)
-            suspicion = None if found is None else found.suspicion.get_own()
+            found = self._state.view.replicas.get(replica_id)
+            suspicion = None if found is None else found.suspicion.get_own_report()
             if suspicion is not None:
                 suspected[checksum_name(replica_id)] = (
                     _to_ms(now - suspicion.since),
@@ -175,8 +175,8 @@
         for name, ago_ms in self._resolve(alarm.alive):
             if 0 <= ago_ms <= _MAX_AGE_MS:
                 at = now - ago_ms / MS_PER_S
-                self._state.view.loss_round.note_heard(name, at)
-                self._state.view.trust(name, at - _MAX_TRANSIT_MS / MS_PER_S)
+                self._state.view.current_failure.note_alive(name, at)
+                self._state.view.note_alive(name, at - _MAX_TRANSIT_MS / MS_PER_S)
 
     def _apply_suspected(self, alarm: Alarm) -> None:
         for name, (ago_ms, left_ms, votes) in self._resolve(alarm.suspected):
@@ -186,7 +186,7 @@
                 alarm,
                 ago_ms + _MAX_TRANSIT_MS,
                 min(left_ms, _MAX_SUSPECTED_MS),
-                min(votes, SURE_VOTES),
+                min(votes, CONFIRMING_VOTES),
             )
             if apply_suspicion(self._state, name, suspicion):
                 _LOG.warning(
--- a/samphirerill/relay/health/examiner.py
+++ b/samphirerill/relay/health/examiner.py
@@ -13,8 +13,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.load import list_replica_ids
-from samphirerill.fleet.losses import is_own_fault
-from samphirerill.fleet.suspicion import SURE_VOTES
+from samphirerill.fleet.losses import is_local_fault
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.patience import (
     MIN_TIMEOUT_S,
@@ -157,9 +157,9 @@
         return alive
 
     def _is_dead(self, replica_id: str) -> bool:
-        found = self._state.view.known.get(replica_id)
+        found = self._state.view.replicas.get(replica_id)
         now = self._loop.time()
-        return found is not None and found.suspicion.dead_until > now
+        return found is not None and found.suspicion.suspected_until > now
 
     async def _probe_all(
         self, replicas: Sequence[Replica], since: float = 0.0
@@ -203,7 +203,7 @@
             self._latest.clear()
         self._latest[replica.replica_id] = probe
         if probe.verdict is Verdict.ALIVE:
-            self._state.view.trust(replica.replica_id, probe.at)
+            self._state.view.note_alive(replica.replica_id, probe.at)
         return probe
 
     async def _evaluate(
@@ -239,7 +239,7 @@
         """Return whether this node is cut off, probing controls if needed."""
         since = min(probes[name].at for name in unresponsive) - _RESULT_TTL_S
         alive = self.find_alive(since).keys() - unresponsive
-        if not is_own_fault(unresponsive, alive):
+        if not is_local_fault(unresponsive, alive):
             return False
         missing = len(unresponsive) - len(alive)
         wanted = min(_MAX_CONTROLS, _CONTROLS_PER_MISSING * missing)
@@ -248,7 +248,7 @@
         )
         await self._probe_all(controls)
         alive = self.find_alive(since).keys() - unresponsive
-        return is_own_fault(unresponsive, alive)
+        return is_local_fault(unresponsive, alive)
 
     def _choose_controls(
         self, excluded: Collection[str], wanted: int
@@ -257,9 +257,9 @@
         now = self._loop.time()
         others = [
             found.replica
-            for name, found in self._state.view.known.items()
+            for name, found in self._state.view.replicas.items()
             if name not in excluded
-            and found.suspicion.dead_until <= now
+            and found.suspicion.suspected_until <= now
             and found.replica.layers is not None
         ]
         return self._state.random.sample(others, min(wanted, len(others)))
@@ -267,16 +267,16 @@
     def _suspect_probed(self, replica: Replica, probe: Probe) -> None:
         reason = probe.verdict.value
         if probe.verdict is Verdict.TERMINATED:
-            found = self._state.view.known.get(replica.replica_id)
+            found = self._state.view.replicas.get(replica.replica_id)
             if found is not None:
-                found.suspicion.has_ended = True
+                found.suspicion.has_stopped = True
             self._suspect(
-                replica.replica_id, reason, SURE_VOTES, probe.at, AVOID_S
+                replica.replica_id, reason, CONFIRMING_VOTES, probe.at, AVOID_S
             )
         else:
             # A node without peers cannot get a second vote.
             is_alone = not self._state.book.count_peers()
-            votes = SURE_VOTES if is_alone else 1
+            votes = CONFIRMING_VOTES if is_alone else 1
             self._suspect(
                 replica.replica_id,
                 reason,
@@ -286,12 +286,12 @@
             )
 
     def _suspect_address(self, address: str) -> None:
-        found = self._state.view.find_address(address)
+        found = self._state.view.find_by_address(address)
         if found is not None:
             self._suspect(
                 found.replica.replica_id,
                 'others wait for it',
-                SURE_VOTES,
+                CONFIRMING_VOTES,
                 self._loop.time() - _STALL_REPORT_LAG_S,
                 AVOID_S,
             )
@@ -305,7 +305,7 @@
         duration_s: float,
     ) -> None:
         now = self._loop.time()
-        is_new = self._state.view.suspect(
+        is_new = self._state.view.add_silence_report(
             replica_id, now + duration_s, now, votes=votes, since=since
         )
         if is_new:
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -102,5 +102,5 @@
         )
         return None
     now = asyncio.get_running_loop().time()
-    state.view.note_pace(replica.replica_id, report.slowness, now)
+    state.view.note_slowness(replica.replica_id, report.slowness, now)
     return report
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -10,7 +10,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.losses import Askers
+from samphirerill.fleet.losses import ProberAssignment
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
 
@@ -18,7 +18,7 @@
     from collections.abc import Callable, Coroutine, Iterable, Mapping
 
     from samphirerill.fleet.model import Replica
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
     from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.health.examiner import Examiner
     from samphirerill.relay.state import EdgeState
@@ -63,7 +63,7 @@
         self._find_leader = find_leader
         self._loop = asyncio.get_running_loop()
         self._nodes: Mapping[str, str] = {}
-        self._assignment = Askers({})
+        self._assignment = ProberAssignment({})
         self._next_probe_at: dict[str, float] = {}
         self._loss_began_at = float('-inf')
         # Doubted replicas that were handled, and when they were reported.
@@ -85,29 +85,29 @@
         set of str
             The ids of those that are dead.
         """
-        loss = self._state.view.loss_round
-        alive = self._examiner.find_alive(loss.began_at)
+        loss = self._state.view.current_failure
+        alive = self._examiner.find_alive(loss.last_extended_at)
         unconfirmed = [
             replica
             for replica in replicas
             if replica.replica_id not in alive
-            and not loss.has_heard(replica.replica_id)
+            and not loss.is_known_alive(replica.replica_id)
         ]
         return await self._examiner.ask_after(unconfirmed)
 
     def _on_state_change(self) -> None:
         """Probe if a loss has begun or continues."""
-        loss = self._state.view.loss_round
-        if loss.began_at > self._loss_began_at:
-            self._loss_began_at = loss.began_at
+        loss = self._state.view.current_failure
+        if loss.last_extended_at > self._loss_began_at:
+            self._loss_began_at = loss.last_extended_at
             self._start_task(self._probe_share())
-        elif loss.doubted != self._seen_doubts:
+        elif loss.unconfirmed != self._seen_doubts:
             new = [
                 name
-                for name, at in loss.doubted.items()
+                for name, at in loss.unconfirmed.items()
                 if self._seen_doubts.get(name) != at
             ]
-            self._seen_doubts = dict(loss.doubted)
+            self._seen_doubts = dict(loss.unconfirmed)
             self._start_task(self._confirm_suspicions(new))
 
     def _schedule_fallback(self) -> None:
@@ -119,7 +119,7 @@
 
     async def _probe(self, names: Iterable[str]) -> set[str]:
         """Probe known replicas; return the ids of those that are dead."""
-        known = self._state.view.known
+        known = self._state.view.replicas
         return await self._examiner.ask_after(
             [known[name].replica for name in names]
         )
@@ -130,9 +130,9 @@
         view = self._state.view
         single_vote = [
             name
-            for name, found in view.known.items()
+            for name, found in view.replicas.items()
             if found.suspicion.count_votes(now) == 1
-            and found.suspicion.get_own() is None
+            and found.suspicion.get_own_report() is None
             and found.replica.layers is not None
         ]
         if single_vote:
@@ -149,8 +149,8 @@
         unconfirmed = [
             name
             for name in names
-            if name in view.known
-            and view.known[name].suspicion.get_own() is None
+            if name in view.replicas
+            and view.replicas[name].suspicion.get_own_report() is None
         ]
         await self._probe(self._select_own(unconfirmed))
 
@@ -162,7 +162,7 @@
             found.replica
             for found in share
             if found.replica.replica_id not in alive
-            and found.suspicion.sure_until <= since
+            and found.suspicion.confirmed_until <= since
         ]
         dead = await self._examiner.ask_after(unconfirmed)
         self._schedule_fallback()
@@ -179,7 +179,7 @@
             },
         )
 
-    def _send_alive(self, share: Iterable[Known], since: float) -> None:
+    def _send_alive(self, share: Iterable[ReplicaState], since: float) -> None:
         """Tell the leader which replicas of the share work."""
         leader = self._find_leader()
         if leader == self._state.settings.name:
@@ -191,15 +191,15 @@
             {name: at for name, at in alive.items() if name in names},
         )
 
-    def _list_share(self) -> list[Known]:
+    def _list_share(self) -> list[ReplicaState]:
         """Return the replicas of this node's share, except leaving ones."""
         view = self._state.view
         present = [
             name
-            for name, found in view.known.items()
+            for name, found in view.replicas.items()
             if found.replica.layers is not None and not view.is_leaving(name)
         ]
-        return [view.known[name] for name in self._select_own(present)]
+        return [view.replicas[name] for name in self._select_own(present)]
 
     def _select_own(
         self, replica_ids: Iterable[str], turn: int = 0
@@ -207,9 +207,9 @@
         nodes = self._alarms.list_nodes()
         if nodes != self._nodes:
             self._nodes = nodes
-            self._assignment = Askers(nodes)
+            self._assignment = ProberAssignment(nodes)
         name = self._state.settings.name
-        return self._assignment.list_share(name, replica_ids, turn)
+        return self._assignment.list_assigned(name, replica_ids, turn)
 
     async def _reprobe_dead(self) -> None:
         """Probe dead replicas of the share whose suspicion is about to expire.
@@ -221,9 +221,9 @@
         view = self._state.view
         due = [
             name
-            for name, found in view.known.items()
-            if found.suspicion.dead_until > now
-            and found.suspicion.found_until <= now + _REPROBE_BEFORE_EXPIRY_S
+            for name, found in view.replicas.items()
+            if found.suspicion.suspected_until > now
+            and found.suspicion.self_suspected_until <= now + _REPROBE_BEFORE_EXPIRY_S
             and self._next_probe_at.get(name, now) <= now
             and not view.is_leaving(name)
         ]
--- a/samphirerill/relay/health/words.py
+++ b/samphirerill/relay/health/words.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.suspicion import Word
+from samphirerill.fleet.suspicion import SilenceReport
 from samphirerill.relay.health.signs import find_live_replicas
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 
 def decode_suspicion(
     message: Alarm | NodeStatus, ago_ms: int, left_ms: int, votes: int
-) -> Word:
+) -> SilenceReport:
     """Return a suspicion from a datagram, in loop time of this node.
 
     Parameters
@@ -56,7 +56,7 @@
         Number of nodes that share it.
     """
     now = asyncio.get_running_loop().time()
-    return Word(
+    return SilenceReport(
         now - ago_ms / MS_PER_S,
         now + left_ms / MS_PER_S,
         votes,
@@ -65,7 +65,7 @@
     )
 
 
-def apply_suspicion(state: EdgeState, replica_id: str, suspicion: Word) -> bool:
+def apply_suspicion(state: EdgeState, replica_id: str, suspicion: SilenceReport) -> bool:
     """Apply another node's suspicion; return whether the replica is now dead.
 
     Return false if it was dead already.
@@ -76,14 +76,14 @@
         State of this node; events of its streams outweigh the suspicion.
     replica_id : str
         The suspected replica.
-    suspicion : Word
+    suspicion : SilenceReport
         The suspicion.
     """
     now = asyncio.get_running_loop().time()
-    found = state.view.known.get(replica_id)
-    if found is None or suspicion.since < found.suspicion.heard_at:
+    found = state.view.replicas.get(replica_id)
+    if found is None or suspicion.since < found.suspicion.last_alive_at:
         return False
-    previous = found.suspicion.words.get(suspicion.node)
+    previous = found.suspicion.reports.get(suspicion.node)
     if (
         previous is None
         or suspicion.since > previous.since + _REPEAT_TOLERANCE_S
@@ -94,12 +94,12 @@
             replica_id
         )
         if last_event_at is not None:
-            state.view.trust(replica_id, last_event_at - _EVENT_LAG_S)
-    return state.view.suspect(
+            state.view.note_alive(replica_id, last_event_at - _EVENT_LAG_S)
+    return state.view.add_silence_report(
         replica_id,
         suspicion.until,
         now,
-        witness=suspicion.node,
+        reporter=suspicion.node,
         votes=suspicion.votes,
         since=suspicion.since,
         data_centre=suspicion.data_centre,
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.pipes import LinkKey
-    from samphirerill.fleet.suspicion import Word
+    from samphirerill.fleet.suspicion import SilenceReport
     from samphirerill.fleet.view import FleetView
     from samphirerill.relay.state import EdgeState
 
@@ -79,11 +79,11 @@
 
     def get(self, key: int) -> str | None:
         """Return the id of a replica, or none if it is unknown here."""
-        if self._version != self._view.ids_version:
+        if self._version != self._view.membership_version:
             self._names = {
-                checksum_name(name): name for name in self._view.known
+                checksum_name(name): name for name in self._view.replicas
             }
-            self._version = self._view.ids_version
+            self._version = self._view.membership_version
         return self._names.get(key)
 
 
@@ -113,10 +113,10 @@
     """
     now = asyncio.get_running_loop().time()
     encoded = EncodedSuspicions()
-    for name, found in state.view.known.items():
+    for name, found in state.view.replicas.items():
         suspicions = [
             suspicion
-            for suspicion in found.suspicion.words.values()
+            for suspicion in found.suspicion.reports.values()
             if suspicion.until > now
             and _is_from_data_centre(suspicion, data_centre)
         ]
@@ -132,7 +132,7 @@
     return encoded
 
 
-def _is_from_data_centre(suspicion: Word, data_centre: str) -> bool:
+def _is_from_data_centre(suspicion: SilenceReport, data_centre: str) -> bool:
     return suspicion.is_own or (
         bool(data_centre) and suspicion.data_centre == data_centre
     )
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -15,7 +15,7 @@
 from msgspec import DecodeError, ValidationError, msgpack
 
 from samphirerill.fleet.deltas import DeltaError
-from samphirerill.fleet.watchers import choose_other, choose_watcher
+from samphirerill.fleet.watchers import choose_other_watcher, choose_watcher
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.change_log import ChangeBatch, ChangeLog, Snapshot
 from samphirerill.relay.errors import (
@@ -220,7 +220,7 @@
             name for name, until in self._avoid_until.items() if until > now
         }
         if self.was_refused_by_store():
-            return choose_other(self._own, self._peers, avoid)
+            return choose_other_watcher(self._own, self._peers, avoid)
         return choose_watcher(self._own, self._peers, avoid)
 
     def note_peer_revision(self, known: int, own: int) -> None:
--- a/samphirerill/relay/node_pages.py
+++ b/samphirerill/relay/node_pages.py
@@ -80,7 +80,7 @@
         dump = {
             'node': state.settings.name,
             'version': state.version,
-            'replicas': len(state.view.known),
+            'replicas': len(state.view.replicas),
             'streams': len(state.streams),
             'quarantine': self._quarantine_keeper.describe(),
         }
@@ -91,8 +91,8 @@
         gauges = {**state.counters, **self.usage.count()}
         gauges['now.waiting'] = self._admission.count_waiting()
         gauges['now.open'] = self._count_busy()
-        gauges['now.replicas'] = len(state.view.known)
+        gauges['now.replicas'] = len(state.view.replicas)
         gauges['now.version'] = state.version
         gauges['now.quarantine'] = len(state.quarantine)
-        gauges['replicas.false_deaths'] = state.view.false_deaths
+        gauges['replicas.false_deaths'] = state.view.false_suspicions
         return _OK, state.metrics.format_prometheus(gauges).encode()
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -199,7 +199,7 @@
         live = {
             name
             for name in self.used_heads - self.departed_heads
-            if not view.has_ended(name)
+            if not view.has_stopped(name)
         }
         if len(live) < self._task.route.max_attempts:
             return ANY_HEAD
--- a/samphirerill/relay/peer_help.py
+++ b/samphirerill/relay/peer_help.py
@@ -128,7 +128,7 @@
         )
         if revision > self._state.view.revision and not self._health.is_up:
             leaves_at = self._state.find_leaves_at(self._loop.time())
-            self._state.view.replace_all(rows, revision, 0, leaves_at)
+            self._state.view.apply_snapshot(rows, revision, 0, leaves_at)
             _LOG.info(
                 'replicas fetched from a peer', extra={'revision': revision}
             )
@@ -159,6 +159,6 @@
     def _serve_replicas(self, query: bytes) -> Page:
         view = self._state.view
         rows = [
-            (found.replica, found.revision) for found in view.known.values()
+            (found.replica, found.revision) for found in view.replicas.values()
         ]
         return _OK, json.encode((view.revision, rows))
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -42,7 +42,7 @@
     from collections.abc import Callable
 
     from samphirerill.fleet.model import Replica
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
     from samphirerill.relay.connection import HttpConnection
     from samphirerill.relay.quarantine import Witness
     from samphirerill.relay.state import EdgeState
@@ -128,7 +128,7 @@
             await self._quarantine.rest(self._task)
         self._respond(outcome)
 
-    async def _wait_for_endpoint(self) -> Known | None:
+    async def _wait_for_endpoint(self) -> ReplicaState | None:
         """Return an endpoint, waiting while all connections are in use."""
         until = self._loop.time() + _CONNECTION_WAIT_S
         while True:
@@ -141,7 +141,7 @@
 
     def _find_endpoint(
         self, may_call: Callable[[str], bool] = bool
-    ) -> Known | None:
+    ) -> ReplicaState | None:
         return choose_endpoint(
             self._state.view,
             self._state.book,
@@ -174,7 +174,7 @@
             return False
         return not self._task.is_retryable
 
-    async def _send(self, endpoint: Known) -> _Outcome:
+    async def _send(self, endpoint: ReplicaState) -> _Outcome:
         replica = endpoint.replica
         reserved_ids = (replica.replica_id,)
         self._state.book.add_request(reserved_ids, 0)
@@ -200,7 +200,7 @@
         )
         return outcome
 
-    async def _exchange(self, endpoint: Known) -> _Outcome:
+    async def _exchange(self, endpoint: ReplicaState) -> _Outcome:
         replica = endpoint.replica
         try:
             conn = await self._connect(replica)
@@ -233,7 +233,7 @@
             raise QuarantinedError(self._quarantine.explain(self._task))
         return conn
 
-    async def _call(self, endpoint: Known, conn: HttpConnection) -> _Outcome:
+    async def _call(self, endpoint: ReplicaState, conn: HttpConnection) -> _Outcome:
         deadline = self._get_attempt_deadline()
         conn.send(self._build_call(endpoint))
         head, facts = await read_head(
@@ -247,7 +247,7 @@
         return _Outcome(head, body)
 
     def _handle_error(
-        self, endpoint: Known, exc: EndpointError, sent_at: float
+        self, endpoint: ReplicaState, exc: EndpointError, sent_at: float
     ) -> _Outcome:
         self._may_have_run = True
         self._has_broken_run = True
@@ -258,7 +258,7 @@
             self._avoid(endpoint, str(exc))
         return _Outcome(timed_out=is_silent, reason=str(exc))
 
-    def _build_call(self, endpoint: Known) -> bytes:
+    def _build_call(self, endpoint: ReplicaState) -> bytes:
         task = self._task
         remaining_s = task.client_deadline - self._loop.time()
         attempt = Attempt(
@@ -283,17 +283,17 @@
             return task.deadline
         return now + (task.deadline - now) * _ATTEMPT_SHARE
 
-    def _avoid(self, endpoint: Known, reason: str) -> None:
+    def _avoid(self, endpoint: ReplicaState, reason: str) -> None:
         now = self._loop.time()
         replica_id = endpoint.replica.replica_id
-        if self._state.view.suspect(replica_id, now + _AVOIDANCE_S, now):
+        if self._state.view.add_silence_report(replica_id, now + _AVOIDANCE_S, now):
             _LOG.info(
                 'endpoint avoided',
                 extra={'replica': replica_id, 'reason': reason},
             )
 
     def _record_outcome(
-        self, endpoint: Known, outcome: _Outcome, duration_s: float
+        self, endpoint: ReplicaState, outcome: _Outcome, duration_s: float
     ) -> None:
         failed = outcome.head is None or outcome.head.status >= _SERVER_ERROR
         if outcome.was_sent:
@@ -302,7 +302,7 @@
             )
         if not failed:
             endpoint.latency_s += _SMOOTHING * (duration_s - endpoint.latency_s)
-            self._state.view.trust(endpoint.replica.replica_id)
+            self._state.view.note_alive(endpoint.replica.replica_id)
 
     def _respond(self, outcome: _Outcome) -> None:
         conn = self._task.conn
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -209,9 +209,9 @@
 
         Otherwise each stream would only notice by its own timeout.
         """
-        if self._handled_losses == self.state.view.losses:
+        if self._handled_losses == self.state.view.loss_count:
             return
-        self._handled_losses = self.state.view.losses
+        self._handled_losses = self.state.view.loss_count
         self._commander.wake()
         for stream in tuple(self.state.streams):
             stream.check_path()
@@ -220,9 +220,9 @@
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = self._loop.time()
-            removed = self.state.view.sweep(now)
+            removed = self.state.view.remove_lapsed(now)
             self.state.book.expire_peers(now)
-            self.state.pool.sweep(set(self.state.view.known))
+            self.state.pool.sweep(set(self.state.view.replicas))
             if removed:
                 _LOG.info(
                     'replicas removed; announcements did not return',
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -219,11 +219,11 @@
         replica_id = replica.replica_id
         for delay_s in _PROBE_DELAYS_S:
             await asyncio.sleep(delay_s)
-            if replica_id not in self._state.view.known:
+            if replica_id not in self._state.view.replicas:
                 return not self._state.view.is_leaving(replica_id)
             if not await self._examiner.ask_after([replica], since):
                 return False
-            if self._state.view.has_ended(replica_id):
+            if self._state.view.has_stopped(replica_id):
                 return True
         return False
 
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -62,12 +62,12 @@
                 known.append((replica, item.revision))
         known.extend(
             (present.replica, present.revision)
-            for replica_id, present in view.known.items()
+            for replica_id, present in view.replicas.items()
             if replica_id in invalid
         )
         present = {replica.replica_id for replica, _ in known}
-        missing = sorted(set(view.known) - present)
-        view.replace_all(
+        missing = sorted(set(view.replicas) - present)
+        view.apply_snapshot(
             known, revision, self._get_grace(), self._find_leaves_at()
         )
         _LOG.info(
@@ -85,11 +85,11 @@
         replica = self._decode(item)
         if replica is not None:
             was_leaving = self.state.view.is_leaving(replica.replica_id)
-            previous = self.state.view.known.get(replica.replica_id)
+            previous = self.state.view.replicas.get(replica.replica_id)
             previous_layers = (
                 None if previous is None else previous.replica.layers
             )
-            self.state.view.announce(
+            self.state.view.apply_announcement(
                 replica, item.revision, self._find_leaves_at()
             )
             if replica.layers != previous_layers:
@@ -108,7 +108,7 @@
         """Apply a deletion, which after an outage may be an expired lease."""
         replica_id = self._get_replica_id(gone.key)
         grace_until = self._get_grace()
-        self.state.view.withdraw(
+        self.state.view.remove_announcement(
             replica_id, gone.revision, grace_until, self._find_leaves_at()
         )
         _LOG.info(
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -6,7 +6,7 @@
 import enum
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.endings import find_end, is_lost
+from samphirerill.fleet.endings import find_stage_end, is_stage_lost
 from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.moves import predict_pause_ms
@@ -212,13 +212,13 @@
         return {
             stage.replica.replica_id
             for stage in self.stages
-            if is_lost(view, stage, now)
+            if is_stage_lost(view, stage, now)
         }
 
     def is_head_dead(self) -> bool:
         """Return whether the head replica is gone or considered dead."""
-        head = self._state.view.known.get(self.head_id)
-        return head is None or head.suspicion.dead_until > self._loop.time()
+        head = self._state.view.replicas.get(self.head_id)
+        return head is None or head.suspicion.suspected_until > self._loop.time()
 
     def find_stalled_replica(
         self, diagnosis: Diagnosis, request_id: str
@@ -235,7 +235,7 @@
         """Return the predicted time between two events on a path."""
         gap_ms = predict_gap_ms(
             self.engine,
-            self._state.view.known,
+            self._state.view.replicas,
             stages,
             self._state.book,
             self._loop.time(),
@@ -265,8 +265,8 @@
         ends = {}
         for stage in self.stages:
             name = stage.replica.replica_id
-            end = find_end(view, stage, now)
-            is_draining_head = name == self.head_id and name in view.leaving
+            end = find_stage_end(view, stage, now)
+            is_draining_head = name == self.head_id and name in view.leaving_deadlines
             if 0 < end < float('inf') and not is_draining_head:
                 ends[name] = end
         return ends
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -144,7 +144,7 @@
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
             if self._progress.has_started:
-                self._state.view.refuse(replica.replica_id, self._loop.time())
+                self._state.view.note_refusal(replica.replica_id, self._loop.time())
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
         else:
@@ -232,7 +232,7 @@
         if is_new_head:
             # A replica that ran the stream before still counts as used.
             self._path.used_heads.discard(head_id)
-        faulty = self._state.view.find_address(at_fault) if at_fault else None
+        faulty = self._state.view.find_by_address(at_fault) if at_fault else None
         replica_id = head_id if faulty is None else faulty.replica.replica_id
         if (
             faulty is not None
@@ -288,7 +288,7 @@
     def _record_refusal(self, replica_id: str, reason: str) -> None:
         """Record that a replica refused; it is not asked again at once."""
         self._exclude_for_now(replica_id, reason)
-        self._state.view.refuse(replica_id, self._loop.time())
+        self._state.view.note_refusal(replica_id, self._loop.time())
         self._state.counters['streams.refused'] += 1
         self._log('engine refused', replica=replica_id, reason=reason)
 
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -405,7 +405,7 @@
         A response head alone is no proof: an engine may send it and break off.
         """
         for stage in self._path.stages:
-            self._state.view.trust(stage.replica.replica_id)
+            self._state.view.note_alive(stage.replica.replica_id)
 
     def _handle_break(self, exc: EndpointError) -> None:
         if isinstance(exc, BrokenAnswerError):
@@ -422,9 +422,9 @@
         if not self._progress.has_advanced():
             # The replica may be restarting repeatedly: no stream of this node
             # should be sent there at once.
-            self._state.view.refuse(self._path.head_id, self._loop.time())
+            self._state.view.note_refusal(self._path.head_id, self._loop.time())
             self._path.finder.failed_sends[self._path.head_id] += 1
-        if self._path.head_id not in self._state.view.known:
+        if self._path.head_id not in self._state.view.replicas:
             # A replica that is no longer announced does not count towards the
             # number of replicas that the route allows.
             self._path.finder.departed_heads.add(self._path.head_id)
--- a/samphirerill/relay/telling.py
+++ b/samphirerill/relay/telling.py
@@ -182,4 +182,4 @@
         }
 
     def _read_versions(self) -> tuple[int, int]:
-        return self._state.book.own_version, self._state.view.own_version
+        return self._state.book.own_version, self._state.view.own_suspicions_version
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -146,7 +146,7 @@
         """Wait until a node, by default the first, knows `count` replicas."""
         process = await self.until_ready(process)
         async with asyncio.timeout(_TEST_TIMEOUT_S):
-            while len(process.state.view.known) != count:
+            while len(process.state.view.replicas) != count:
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def connect(
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -125,7 +125,7 @@
         """Wait until a node is ready, and raise its retry budget."""
         await self.world.until_ready(node)
         async with asyncio.timeout(5):
-            while not node.state.view.known:
+            while not node.state.view.replicas:
                 await asyncio.sleep(0.01)
         node.state.change_settings(
             replace(node.state.settings, retry_slack=RETRY_SLACK)
--- a/samphirerill/tests/fleets.py
+++ b/samphirerill/tests/fleets.py
@@ -11,7 +11,7 @@
     LayerRange,
     Replica,
 )
-from samphirerill.fleet.view import Known
+from samphirerill.fleet.view import ReplicaState
 
 ENGINE = EngineSpec(
     slots=96,
@@ -85,6 +85,6 @@
     ]
 
 
-def know(replicas: list[Replica]) -> list[Known]:
+def know(replicas: list[Replica]) -> list[ReplicaState]:
     """Return the replicas as entries of a fleet view."""
-    return [Known(replica, 1) for replica in replicas]
+    return [ReplicaState(replica, 1) for replica in replicas]
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -25,7 +25,7 @@
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
         self.state = EdgeState(settings, PlatformDialect())
         for name, layers in (('one', (0, 40)), ('two', (40, 80))):
-            self.state.view.announce(
+            self.state.view.apply_announcement(
                 build_replica(name, 'a', 'large', layers), 1
             )
         self.admission = Admission(self.state)
@@ -76,7 +76,7 @@
         They were then told to retry before those could be loaded.
         """
         now = self.loop.time()
-        self.state.view.suspect('two', now + 9, now, votes=2)
+        self.state.view.add_silence_report('two', now + 9, now, votes=2)
         with self.assertRaises(OutageError) as caught:
             await self.admit(100, _NEW_RANK, 1.4)
         self.assertLess(self.loop.time() - now, 0.1)
@@ -100,10 +100,10 @@
 
     async def test_started_stream_waits_for_missing_layers(self) -> None:
         now = self.loop.time()
-        self.state.view.suspect('two', now + 9, now, votes=2)
+        self.state.view.add_silence_report('two', now + 9, now, votes=2)
         started = self.admit(100, _STARTED_RANK, 2.0)
         await asyncio.sleep(0.05)
-        self.state.view.trust('two')
+        self.state.view.note_alive('two')
         self.state.notify()
         self.assertTrue(await started)
 
--- a/samphirerill/tests/test_alarms.py
+++ b/samphirerill/tests/test_alarms.py
@@ -28,7 +28,7 @@
         self.node = Node(network, 'a-1', 'a')
         for node in network.nodes.values():
             node.add_peers(network.nodes.values())
-        self.node.state.view.announce(
+        self.node.state.view.apply_announcement(
             build_replica('one', layers=(0, _LAYERS)), 1
         )
         self.now = asyncio.get_running_loop().time()
@@ -53,7 +53,7 @@
             TYPE_PREFIX + msgpack.encode(alarm), '10.0.0.0:7340'
         )
         view = self.node.state.view
-        return view.known['one'].suspicion
+        return view.replicas['one'].suspicion
 
     async def test_a_reordered_alarm_is_applied(self) -> None:
         """Guard against dropping an alarm because a later one arrived first.
@@ -61,26 +61,26 @@
         Alarms to all nodes are forwarded, and may arrive after a direct one.
         """
         self.deliver(6, alive=3000)
-        self.assertTrue(self.deliver(5, suspected=(10, 2000, 2)).dead_until)
+        self.assertTrue(self.deliver(5, suspected=(10, 2000, 2)).suspected_until)
 
     async def test_a_duplicate_alarm_is_ignored(self) -> None:
         self.deliver(5, suspected=(10, 2000, 2))
-        self.node.state.view.trust('one')
-        self.assertFalse(self.deliver(5, suspected=(10, 2000, 2)).dead_until)
+        self.node.state.view.note_alive('one')
+        self.assertFalse(self.deliver(5, suspected=(10, 2000, 2)).suspected_until)
 
     async def test_outdated_and_future_entries_are_ignored(self) -> None:
-        self.assertFalse(self.deliver(5, suspected=(5000, 2000, 2)).words)
-        self.assertFalse(self.deliver(6, suspected=(-900, 2000, 2)).words)
+        self.assertFalse(self.deliver(5, suspected=(5000, 2000, 2)).reports)
+        self.assertFalse(self.deliver(6, suspected=(-900, 2000, 2)).reports)
         self.deliver(7, alive=-100_000)
-        self.assertTrue(self.deliver(8, suspected=(0, 2000, 2)).dead_until)
+        self.assertTrue(self.deliver(8, suspected=(0, 2000, 2)).suspected_until)
 
     async def test_the_duration_is_bounded(self) -> None:
         found = self.deliver(5, suspected=(10, 10**9, 2))
-        self.assertLess(found.dead_until, self.now + 9)
+        self.assertLess(found.suspected_until, self.now + 9)
 
     async def test_malformed_alarms_are_ignored(self) -> None:
         self.node.alarms.handle_datagram(
             TYPE_PREFIX + b'\x93\x01', '10.0.0.0:7340'
         )
         self.node.alarms.handle_datagram(TYPE_PREFIX, '10.0.0.0:7340')
-        self.assertFalse(self.deliver(9, alive=1).words)
+        self.assertFalse(self.deliver(9, alive=1).reports)
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -235,7 +235,7 @@
         stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.005)
-        process.state.view.suspect(self.sent()[0], now + 9, now)
+        process.state.view.add_silence_report(self.sent()[0], now + 9, now)
         with self.assertRaises(BrokenAnswerError):
             await stream
         self.assertLessEqual(len(set(self.sent())), 2)
@@ -317,7 +317,7 @@
         self.world.service.busy = False
         self.world.service.deaf = False
         async with asyncio.timeout(5):
-            while 'engine-1' in process.state.view.known:
+            while 'engine-1' in process.state.view.replicas:
                 await asyncio.sleep(0.05)
 
     async def test_requests_are_served_while_the_store_is_unavailable(
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -127,7 +127,7 @@
     async def test_stream_waiting_for_new_path_is_finished(self) -> None:
         waiting, head, other = await self.start_stream()
         now = asyncio.get_running_loop().time()
-        self.process.state.view.refuse(other, now)
+        self.process.state.view.note_refusal(other, now)
         self.world.replicas[head].stop_after = 1
         counters = self.process.state.counters
         await self.until(lambda: counters['streams.broken'])
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -186,8 +186,8 @@
     def occupy_engines(self) -> None:
         """Leave no room on any engine for the first node."""
         view = self.nodes[0].state.view
-        for found in view.known.values():
-            found.busy_until = self.loop.time() + 60
+        for found in view.replicas.values():
+            found.backoff_until = self.loop.time() + 60
 
     async def test_operators_see_the_holds(self) -> None:
         await self.quarantine_request()
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_examiner.py
@@ -97,9 +97,9 @@
         address = await self._listen_silently()
         stages = self._build_path(address)
         state = self.world.expect_process().state
-        state.view.announce(stages[1].replica, 1)
+        state.view.apply_announcement(stages[1].replica, 1)
         now = asyncio.get_running_loop().time()
-        state.view.suspect('tail', now + 9, now, votes=2)
+        state.view.add_silence_report('tail', now + 9, now, votes=2)
         self.assertEqual(await self._examine(stages), {'tail'})
         self.assertEqual(state.counters['reports.asked'], 0)
 
@@ -112,13 +112,13 @@
         address = await self._listen_silently()
         stages = self._build_path(address)
         state = self.world.expect_process().state
-        state.view.announce(stages[0].replica, 1)
-        state.view.announce(stages[1].replica, 1)
+        state.view.apply_announcement(stages[0].replica, 1)
+        state.view.apply_announcement(stages[1].replica, 1)
         async with asyncio.timeout(_LIMIT_S):
             await self._examine(stages[:1])
             for _ in range(5):
                 self.examiner.check(stages[1].replica)
-            while not state.view.known['tail'].suspicion.dead_until:
+            while not state.view.replicas['tail'].suspicion.suspected_until:
                 await asyncio.sleep(0.01)
         self.examiner.check(stages[1].replica)
         await asyncio.sleep(0)
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from samphirerill.fleet.budget import RetryBudget, RetryUsage
-from samphirerill.fleet.endings import is_lost
+from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
 from samphirerill.fleet.load import PEER_TIMEOUT_S, ReplicaLoad, LoadTracker, list_replica_ids
@@ -27,7 +27,7 @@
 from samphirerill.fleet.pipes import LinkUsage
 from samphirerill.fleet.repair import plan_moves
 from samphirerill.fleet.routes import RouteTable
-from samphirerill.fleet.suspicion import SURE_VOTES
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
 from samphirerill.fleet.worth import Aims
 from samphirerill.tests.fleets import (
@@ -171,33 +171,33 @@
     def setUp(self) -> None:
         self.view = FleetView()
         self.replica = build_replica('one', layers=(0, 8))
-        self.view.announce(self.replica, 10)
+        self.view.apply_announcement(self.replica, 10)
 
     def test_older_announcement_is_ignored(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 12)
-        self.view.announce(self.replica, 11)
+        self.view.apply_announcement(leaving, 12)
+        self.view.apply_announcement(self.replica, 11)
         self.assertEqual(self.view.list_service('llm'), [])
 
     def test_old_announcement_does_not_restore_withdrawn_replica(self) -> None:
-        self.view.withdraw('one', 13, 0)
-        self.view.announce(self.replica, 12)
-        self.assertEqual(self.view.known, {})
+        self.view.remove_announcement('one', 13, 0)
+        self.view.apply_announcement(self.replica, 12)
+        self.assertEqual(self.view.replicas, {})
 
     def test_lapsed_entry_is_kept_for_grace_period(self) -> None:
         """Entries deleted by an outage of the store return within seconds.
 
         Replicas must stay usable meanwhile.
         """
-        self.view.withdraw('one', 13, LAPSE_GRACE_S)
+        self.view.remove_announcement('one', 13, LAPSE_GRACE_S)
         self.assertTrue(self.view.list_usable('llm', 1))
-        self.assertEqual(self.view.sweep(LAPSE_GRACE_S + 1), ['one'])
+        self.assertEqual(self.view.remove_lapsed(LAPSE_GRACE_S + 1), ['one'])
         self.assertEqual(self.view.list_usable('llm', 1), [])
 
     def test_draining_replica_gets_no_grace_period(self) -> None:
-        self.view.announce(replace(self.replica, is_leaving=True), 12)
-        self.view.withdraw('one', 13, LAPSE_GRACE_S)
-        self.assertEqual(self.view.known, {})
+        self.view.apply_announcement(replace(self.replica, is_leaving=True), 12)
+        self.view.remove_announcement('one', 13, LAPSE_GRACE_S)
+        self.assertEqual(self.view.replicas, {})
 
     def test_refusal_is_not_suspicion(self) -> None:
         """A replica that refuses while it changes its layers is not dead.
@@ -205,41 +205,41 @@
         Otherwise each move would trigger further moves around it.
         """
         for now in range(4):
-            self.view.refuse('one', now)
+            self.view.note_refusal('one', now)
         self.assertTrue(self.view.list_live('llm', 4))
         self.assertEqual(self.view.list_usable('llm', 4), [])
-        self.view.trust('one')
+        self.view.note_alive('one')
 
     def test_released_layers_are_lost(self) -> None:
         """Streams must leave released layers, or the next load is delayed."""
         stage = Stage(self.replica, LayerRange(2, 8))
-        self.assertFalse(is_lost(self.view, stage, 0))
+        self.assertFalse(is_stage_lost(self.view, stage, 0))
         moved = replace(self.replica, layers=LayerRange(4, 8))
-        losses = self.view.losses
-        self.view.announce(moved, 14)
-        self.assertGreater(self.view.losses, losses)
-        self.assertTrue(is_lost(self.view, stage, 0))
+        losses = self.view.loss_count
+        self.view.apply_announcement(moved, 14)
+        self.assertGreater(self.view.loss_count, losses)
+        self.assertTrue(is_stage_lost(self.view, stage, 0))
 
     def test_report_of_one_other_node_is_not_enough(self) -> None:
         """A stalled node finds live replicas silent; others must not follow."""
-        self.view.suspect('one', 5, 1, witness='slow node')
+        self.view.add_silence_report('one', 5, 1, reporter='slow node')
         self.assertEqual(len(self.view.list_live('llm', 2)), 1)
-        self.view.suspect('one', 5, 1)
+        self.view.add_silence_report('one', 5, 1)
         self.assertEqual(self.view.list_live('llm', 2), [])
-        self.assertEqual(self.view.list_present('llm', 2), [])
+        self.assertEqual(self.view.list_unconfirmed('llm', 2), [])
 
     def test_own_report_suffices_for_own_streams(self) -> None:
-        self.view.suspect('one', 5, 1)
+        self.view.add_silence_report('one', 5, 1)
         self.assertEqual(self.view.list_live('llm', 2), [])
-        self.assertEqual(len(self.view.list_present('llm', 2)), 1)
-        self.view.suspect('one', 5, 1, witness='other')
-        self.assertEqual(self.view.list_present('llm', 2), [])
+        self.assertEqual(len(self.view.list_unconfirmed('llm', 2)), 1)
+        self.view.add_silence_report('one', 5, 1, reporter='other')
+        self.assertEqual(self.view.list_unconfirmed('llm', 2), [])
 
     def test_reports_of_others_are_not_echoed(self) -> None:
         """Nodes that echo suspicions flood each other with datagrams."""
-        before = self.view.own_version
-        self.view.suspect('one', 5, 1, witness='other', votes=SURE_VOTES)
-        self.assertEqual(self.view.own_version, before)
+        before = self.view.own_suspicions_version
+        self.view.add_silence_report('one', 5, 1, reporter='other', votes=CONFIRMING_VOTES)
+        self.assertEqual(self.view.own_suspicions_version, before)
         self.assertEqual(self.view.list_live('llm', 2), [])
 
 
@@ -313,8 +313,8 @@
     def test_failing_endpoint_is_chosen_last(self) -> None:
         view = FleetView()
         for name in ('good', 'bad'):
-            view.announce(build_replica(name), 1)
-        view.known['bad'].failures = 0.5
+            view.apply_announcement(build_replica(name), 1)
+        view.replicas['bad'].failures = 0.5
         found = choose_endpoint(view, LoadTracker(), 'llm', (), 0)
         assert found is not None
         self.assertEqual(found.replica.replica_id, 'good')
@@ -366,9 +366,9 @@
     def test_slow_replica_is_avoided(self) -> None:
         view = FleetView()
         for name in ('slow', 'usual'):
-            view.announce(build_replica(name, 'a', 'large', (0, 40)), 1)
-        view.announce(build_replica('tail', 'a', 'large', (40, 80)), 1)
-        view.note_pace('slow', 4.0, 0)
+            view.apply_announcement(build_replica(name, 'a', 'large', (0, 40)), 1)
+        view.apply_announcement(build_replica('tail', 'a', 'large', (40, 80)), 1)
+        view.note_slowness('slow', 4.0, 0)
         usable = view.list_usable('llm', 1)
         stages = choose_path(ENGINE, usable, LoadTracker(), PathRequest(1), 1)
         self.assertEqual(list_replica_ids(stages), ('usual', 'tail'))
--- a/samphirerill/tests/test_fleet_view.py
+++ b/samphirerill/tests/test_fleet_view.py
@@ -20,14 +20,14 @@
         """
         view = FleetView()
         old = build_replica('old', layers=(0, 8))
-        view.announce(old, 5)
-        view.announce(replace(old, replica_id='new', layers=None), 9)
-        self.assertEqual(set(view.known), {'new'})
-        self.assertFalse(view.announce(old, 5))
+        view.apply_announcement(old, 5)
+        view.apply_announcement(replace(old, replica_id='new', layers=None), 9)
+        self.assertEqual(set(view.replicas), {'new'})
+        self.assertFalse(view.apply_announcement(old, 5))
 
     def test_late_announcement_of_predecessor_removes_nothing(self) -> None:
         view = FleetView()
         new = build_replica('new')
-        view.announce(new, 9)
-        view.announce(replace(new, replica_id='old'), 5)
-        self.assertIn('new', view.known)
+        view.apply_announcement(new, 9)
+        view.apply_announcement(replace(new, replica_id='old'), 5)
+        self.assertIn('new', view.replicas)
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -51,7 +51,7 @@
         self.world.replicas[other].cut_after_head = False
         self.world.replicas[other].gap_s = GAP_S
         now = asyncio.get_running_loop().time()
-        self.process.state.view.refuse(other, now)
+        self.process.state.view.note_refusal(other, now)
         self.assert_whole(await stream)
 
     async def test_replica_that_rejected_briefly_is_asked_again(self) -> None:
@@ -172,7 +172,7 @@
         await self.until(lambda: name in self.sent())
         await self.world.service.delete(f'servers/{name}')
         view = self.process.state.view
-        await self.until(lambda: name not in view.known)
+        await self.until(lambda: name not in view.replicas)
 
     def list_engines(self) -> list[StandInReplica]:
         """Return both engines."""
@@ -189,8 +189,8 @@
         """
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
         state = EdgeState(settings, PlatformDialect())
-        state.view.announce(build_replica('one', 'a', 'large', (0, 40)), 1)
-        state.view.announce(build_replica('two', 'a', 'large', (40, 80)), 1)
+        state.view.apply_announcement(build_replica('one', 'a', 'large', (0, 40)), 1)
+        state.view.apply_announcement(build_replica('two', 'a', 'large', (40, 80)), 1)
         admission = Admission(state)
 
         async def admit(avoid: set[str]) -> bool:
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from unittest import IsolatedAsyncioTestCase, TestCase
 
-from samphirerill.fleet.endings import is_lost
+from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.moves import predict_pause_ms
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
@@ -175,25 +175,25 @@
         self.view = FleetView()
         self.replica = build_replica('one', layers=(0, 80))
         self.stage = Stage(self.replica, LayerRange(0, 80))
-        self.view.announce(self.replica, 1)
+        self.view.apply_announcement(self.replica, 1)
 
     def test_leaving_replica_finishes_its_streams(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 2, leaves_at=10)
-        self.assertFalse(is_lost(self.view, self.stage, 1))
+        self.view.apply_announcement(leaving, 2, leaving_deadline=10)
+        self.assertFalse(is_stage_lost(self.view, self.stage, 1))
         self.assertEqual(self.view.list_live('llm', 1), [])
 
     def test_dead_replica_is_lost_while_leaving(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 2, leaves_at=10)
-        self.view.suspect('one', 9, 1)
-        self.assertTrue(is_lost(self.view, self.stage, 1))
+        self.view.apply_announcement(leaving, 2, leaving_deadline=10)
+        self.view.add_silence_report('one', 9, 1)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 1))
 
     def test_replica_withdrawn_without_notice_keeps_serving(self) -> None:
-        self.view.withdraw('one', 2, 0, leaves_at=10)
-        self.assertFalse(is_lost(self.view, self.stage, 1))
-        self.view.sweep(50)
-        self.assertTrue(is_lost(self.view, self.stage, 50))
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
+        self.assertFalse(is_stage_lost(self.view, self.stage, 1))
+        self.view.remove_lapsed(50)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 50))
 
     def test_withdrawn_replica_has_not_ended_while_serving(self) -> None:
         """A replica that still serves must count towards the attempt limit.
@@ -201,21 +201,21 @@
         It was taken for ended once its entry was removed, so that streams ran
         on more replicas than allowed during a rolling update.
         """
-        self.view.withdraw('one', 2, 0, leaves_at=10)
-        self.assertFalse(self.view.has_ended('one'))
-        self.view.sweep(50)
-        self.assertTrue(self.view.has_ended('one'))
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
+        self.assertFalse(self.view.has_stopped('one'))
+        self.view.remove_lapsed(50)
+        self.assertTrue(self.view.has_stopped('one'))
 
     def test_announced_leaving_replica_is_lost_once_withdrawn(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 2, leaves_at=10)
-        self.view.withdraw('one', 3, 0, leaves_at=12)
-        self.assertTrue(is_lost(self.view, self.stage, 4))
+        self.view.apply_announcement(leaving, 2, leaving_deadline=10)
+        self.view.remove_announcement('one', 3, 0, leaving_deadline=12)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 4))
 
     def test_dead_replica_is_lost_once_withdrawn(self) -> None:
-        self.view.suspect('one', 3, 1)
-        self.view.withdraw('one', 2, 0, leaves_at=10)
-        self.assertTrue(is_lost(self.view, self.stage, 4))
+        self.view.add_silence_report('one', 3, 1)
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 4))
 
 
 def _build_tail(data_centre: str) -> list[Stage]:
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -124,8 +124,8 @@
         await world.start()
         process = world.expect_process()
         probed, control = self.build_engine('asked'), self.build_engine('other')
-        process.state.view.announce(probed, 1)
-        process.state.view.announce(control, 2)
+        process.state.view.apply_announcement(probed, 1)
+        process.state.view.apply_announcement(control, 2)
         examiner = Examiner(process.state, Alarms(process.state))
         for steps in range(_MAX_STEPS):
             with self.subTest(steps=steps):
--- a/samphirerill/tests/test_loss_rounds.py
+++ b/samphirerill/tests/test_loss_rounds.py
@@ -4,8 +4,8 @@
 
 from unittest import TestCase
 
-from samphirerill.fleet.losses import Askers, LossRound, is_own_fault
-from samphirerill.fleet.suspicion import SURE_VOTES
+from samphirerill.fleet.losses import ProberAssignment, CorrelatedFailure, is_local_fault
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import FleetView
 from samphirerill.tests.fleets import build_replica
 
@@ -15,9 +15,9 @@
 
     def test_probers_are_in_two_data_centres(self) -> None:
         nodes = {f'n{number}': 'abc'[number % 3] for number in range(30)}
-        askers = Askers(nodes)
+        askers = ProberAssignment(nodes)
         for number in range(100):
-            chosen = askers.choose(f'r{number}')
+            chosen = askers.choose_probers(f'r{number}')
             self.assertEqual(len({nodes[name] for name in chosen}), 2)
 
     def test_membership_change_moves_few_assignments(self) -> None:
@@ -26,13 +26,13 @@
         fewer.pop('n7')
         names = [f'r{number}' for number in range(300)]
         changed = sum(
-            Askers(nodes).choose(name) != Askers(fewer).choose(name)
+            ProberAssignment(nodes).choose_probers(name) != ProberAssignment(fewer).choose_probers(name)
             for name in names
         )
         self.assertLess(changed, len(names) // 3)
 
     def test_single_node_probes_all(self) -> None:
-        self.assertEqual(Askers({'n': 'a'}).list_share('n', ['x']), ['x'])
+        self.assertEqual(ProberAssignment({'n': 'a'}).list_assigned('n', ['x']), ['x'])
 
     def test_assignments_are_even(self) -> None:
         """A failure is detected late if one node has to probe most replicas."""
@@ -41,17 +41,17 @@
             for zone in 'abcde'
             for number in range(4)
         }
-        askers = Askers(nodes)
+        askers = ProberAssignment(nodes)
         names = [f'i-{number:010x}' for number in range(30)]
         max_assigned = max(
-            len(askers.list_share(node, names)) for node in nodes
+            len(askers.list_assigned(node, names)) for node in nodes
         )
         self.assertLessEqual(max_assigned, 9)
 
     def test_local_fault_needs_silent_majority(self) -> None:
-        self.assertFalse(is_own_fault({'a', 'b', 'c'}, {'d', 'e', 'f'}))
-        self.assertTrue(is_own_fault({'a', 'b', 'c'}, {'d', 'e'}))
-        self.assertFalse(is_own_fault({'a'}, set()))
+        self.assertFalse(is_local_fault({'a', 'b', 'c'}, {'d', 'e', 'f'}))
+        self.assertTrue(is_local_fault({'a', 'b', 'c'}, {'d', 'e'}))
+        self.assertFalse(is_local_fault({'a'}, set()))
 
 
 class TestCorrelatedFailure(TestCase):
@@ -59,20 +59,20 @@
 
     def test_single_report_is_no_failure(self) -> None:
         """Otherwise every lost packet would trigger a survey of all replicas."""
-        loss = LossRound()
+        loss = CorrelatedFailure()
         loss.note_silence('one', 1.0)
-        self.assertFalse(loss.is_under_way(1.0))
+        self.assertFalse(loss.is_in_progress(1.0))
         self.assertFalse(loss.is_recent(1.0))
-        self.assertEqual(set(loss.doubted), {'one'})
+        self.assertEqual(set(loss.unconfirmed), {'one'})
         loss.note_silence('two', 2.0)
         self.assertFalse(loss.is_recent(2.0))
 
     def test_two_reports_close_together_are_one_failure(self) -> None:
-        loss = LossRound()
+        loss = CorrelatedFailure()
         loss.note_silence('one', 1.0)
         loss.note_silence('two', 1.2)
-        self.assertEqual(loss.began_at, 1.2)
-        self.assertTrue(loss.is_under_way(1.25))
+        self.assertEqual(loss.last_extended_at, 1.2)
+        self.assertTrue(loss.is_in_progress(1.25))
 
     def test_failure_right_after_single_report_is_detected(self) -> None:
         """A failure must not be attributed to an earlier unrelated report.
@@ -80,39 +80,39 @@
         That report has been surveyed already, so the new losses would be found
         and planned for one by one.
         """
-        loss = LossRound()
+        loss = CorrelatedFailure()
         loss.note_silence('one', 1.0)
         loss.note_silence('two', 1.2, is_confirmed=True)
-        self.assertEqual(loss.began_at, 1.2)
+        self.assertEqual(loss.last_extended_at, 1.2)
         loss.note_silence('three', 1.9, is_confirmed=True)
-        self.assertEqual(loss.began_at, 1.9)
+        self.assertEqual(loss.last_extended_at, 1.9)
 
     def test_failure_is_complete_after_quiet_period(self) -> None:
-        loss = LossRound()
+        loss = CorrelatedFailure()
         loss.note_silence('one', 1.0)
         loss.note_silence('two', 1.1)
-        self.assertTrue(loss.is_under_way(1.2))
-        self.assertFalse(loss.is_under_way(1.25))
+        self.assertTrue(loss.is_in_progress(1.2))
+        self.assertFalse(loss.is_in_progress(1.25))
 
     def test_wait_for_completion_is_limited(self) -> None:
-        loss = LossRound()
+        loss = CorrelatedFailure()
         for step in range(10):
             loss.note_silence(f'r{step}', 1.0 + step / 10)
-        self.assertFalse(loss.is_under_way(1.95))
+        self.assertFalse(loss.is_in_progress(1.95))
 
     def test_signs_of_life_before_failure_are_ignored(self) -> None:
-        loss = LossRound()
+        loss = CorrelatedFailure()
         loss.note_silence('one', 1.0, is_confirmed=True)
-        loss.note_heard('old', 0.9)
-        loss.note_heard('new', 1.1)
-        self.assertFalse(loss.has_heard('old'))
-        self.assertTrue(loss.has_heard('new'))
+        loss.note_alive('old', 0.9)
+        loss.note_alive('new', 1.1)
+        self.assertFalse(loss.is_known_alive('old'))
+        self.assertTrue(loss.is_known_alive('new'))
         loss.note_silence('one', 5.0, is_confirmed=True)
-        self.assertFalse(loss.has_heard('new'))
+        self.assertFalse(loss.is_known_alive('new'))
 
     def test_endpoint_without_layers_is_no_failure(self) -> None:
         """Avoiding such an endpoint must not trigger a survey of the replicas."""
         view = FleetView()
-        view.announce(build_replica('plain'), 1)
-        view.suspect('plain', 9, 1, votes=SURE_VOTES)
-        self.assertFalse(view.loss_round.is_recent(1))
+        view.apply_announcement(build_replica('plain'), 1)
+        view.add_silence_report('plain', 9, 1, votes=CONFIRMING_VOTES)
+        self.assertFalse(view.current_failure.is_recent(1))
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from samphirerill.fleet.model import LayerRange, Stage
-from samphirerill.fleet.suspicion import SURE_VOTES, Suspicion, Word
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES, Suspicion, SilenceReport
 from samphirerill.fleet.view import FleetView
 from samphirerill.relay.health import Examiner, Survey
 from samphirerill.relay.health.probing import Probe, Verdict
@@ -100,7 +100,7 @@
         node.add_peers(self.nodes)
         node.state.random.seed(node.name)
         for replica in self.replicas:
-            node.state.view.announce(replica, 1)
+            node.state.view.apply_announcement(replica, 1)
         examiner = Examiner(node.state, node.alarms)
         self.examiners[node.name] = examiner
         survey = Survey(
@@ -121,7 +121,7 @@
 
 
 def _list_present(node: Node, now: float) -> set[str]:
-    found = node.state.view.list_present(_SERVICE, now)
+    found = node.state.view.list_unconfirmed(_SERVICE, now)
     return {known.replica.replica_id for known in found}
 
 
@@ -162,8 +162,8 @@
             await asyncio.sleep(_DETECTION_S / 2)
             self.assertEqual(fleet.count_agreeing_nodes(), nodes)
             loop = asyncio.get_running_loop()
-            leader_loss = fleet.nodes[0].state.view.loss_round
-            self.assertFalse(leader_loss.is_under_way(loop.time()))
+            leader_loss = fleet.nodes[0].state.view.current_failure
+            self.assertFalse(leader_loss.is_in_progress(loop.time()))
             self.assertLessEqual(
                 fleet.probe_count, _count_allowed_probes(replicas)
             )
@@ -201,45 +201,45 @@
         since.
         """
         replica = Suspicion()
-        replica.hear(5.0)
-        self.assertFalse(replica.take(Word(4.9, 9.0, 1, 'n1'), 5.1))
-        self.assertFalse(replica.take(Word(4.9, 9.0, 1, 'n2'), 5.1))
-        self.assertEqual(replica.sure_until, 0)
-        self.assertFalse(replica.take(Word(5.1, 9.0, 1, 'n1'), 5.2))
-        self.assertTrue(replica.take(Word(5.1, 9.0, 1, 'n2'), 5.2))
-        self.assertFalse(replica.hear(5.05))
-        self.assertEqual(replica.dead_until, 9.0)
-        self.assertTrue(replica.hear(5.3))
-        self.assertEqual(replica.dead_until, 0)
+        replica.note_alive(5.0)
+        self.assertFalse(replica.add_report(SilenceReport(4.9, 9.0, 1, 'n1'), 5.1))
+        self.assertFalse(replica.add_report(SilenceReport(4.9, 9.0, 1, 'n2'), 5.1))
+        self.assertEqual(replica.confirmed_until, 0)
+        self.assertFalse(replica.add_report(SilenceReport(5.1, 9.0, 1, 'n1'), 5.2))
+        self.assertTrue(replica.add_report(SilenceReport(5.1, 9.0, 1, 'n2'), 5.2))
+        self.assertFalse(replica.note_alive(5.05))
+        self.assertEqual(replica.suspected_until, 9.0)
+        self.assertTrue(replica.note_alive(5.3))
+        self.assertEqual(replica.suspected_until, 0)
 
     def test_a_node_has_one_vote_in_alarm_and_aggregate(self) -> None:
         """Guard against counting the suspicion of one node twice."""
         replica = Suspicion()
-        replica.take(Word(1, 9, 1, 'a-1', 'a'), 2)
-        replica.take(Word(1, 9, 1, 'all of a', 'a'), 2)
+        replica.add_report(SilenceReport(1, 9, 1, 'a-1', 'a'), 2)
+        replica.add_report(SilenceReport(1, 9, 1, 'all of a', 'a'), 2)
         self.assertEqual(replica.count_votes(2), 1)
-        replica.take(Word(1, 9, 1, 'b-1', 'b'), 2)
-        self.assertEqual(replica.count_votes(2), SURE_VOTES)
+        replica.add_report(SilenceReport(1, 9, 1, 'b-1', 'b'), 2)
+        self.assertEqual(replica.count_votes(2), CONFIRMING_VOTES)
 
     def test_a_rejected_suspicion_does_not_start_a_loss(self) -> None:
         """Guard against probing the fleet because of outdated suspicions."""
         view = FleetView()
         for name in ('one', 'two'):
-            view.announce(build_replica(name, layers=(0, _LAYERS)), 1)
-            view.suspect(name, 2, 1, witness='n1', since=1)
-            view.known[name].suspicion.heard_at = 4.0
+            view.apply_announcement(build_replica(name, layers=(0, _LAYERS)), 1)
+            view.add_silence_report(name, 2, 1, reporter='n1', since=1)
+            view.replicas[name].suspicion.last_alive_at = 4.0
         for name in ('one', 'two'):
-            view.suspect(name, 7, 5, witness='n2', since=3.9)
-        self.assertFalse(view.loss_round.is_recent(5))
-        self.assertFalse(view.loss_round.is_under_way(5))
+            view.add_silence_report(name, 7, 5, reporter='n2', since=3.9)
+        self.assertFalse(view.current_failure.is_recent(5))
+        self.assertFalse(view.current_failure.is_in_progress(5))
 
     def test_a_false_death_is_counted(self) -> None:
         view = FleetView()
-        view.announce(build_replica('one', layers=(0, _LAYERS)), 1)
-        view.suspect('one', 9, 1, votes=SURE_VOTES)
-        view.trust('one', 2)
-        self.assertEqual(view.false_deaths, 1)
-        self.assertEqual(len(view.list_present(_SERVICE, 3)), 1)
+        view.apply_announcement(build_replica('one', layers=(0, _LAYERS)), 1)
+        view.add_silence_report('one', 9, 1, votes=CONFIRMING_VOTES)
+        view.note_alive('one', 2)
+        self.assertEqual(view.false_suspicions, 1)
+        self.assertEqual(len(view.list_unconfirmed(_SERVICE, 3)), 1)
 
     async def _check_cut_off(self) -> None:
         fleet = _Fleet(21, 29)
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -63,12 +63,12 @@
         self.state = EdgeState(settings, PlatformDialect())
         for revision, name in enumerate(('one', 'two', 'three'), 1):
             replica = build_replica(name, 'a', 'large', (0, 32))
-            self.state.view.announce(replica, revision)
+            self.state.view.apply_announcement(replica, revision)
         for revision, layers in ((8, (32, 56)), (9, (56, 80))):
             later_stage = build_replica(
                 f'rest-{revision}', 'a', 'large', layers
             )
-            self.state.view.announce(later_stage, revision)
+            self.state.view.apply_announcement(later_stage, revision)
         self.path = StreamPath(
             self.state,
             cast('Task', _TaskStub()),
@@ -89,7 +89,7 @@
         """A free replica with more failures is used if the other is full."""
         self.path.finder.failed_sends.update(one=2, two=1)
         now = asyncio.get_running_loop().time()
-        self.state.view.refuse('two', now)
+        self.state.view.note_refusal('two', now)
         self.assertEqual(await self.choose(), 'one')
 
     async def choose(self) -> str:
@@ -122,7 +122,7 @@
             )
         )
         await asyncio.sleep(3 * GAP_S)
-        known = self.process.state.view.known
+        known = self.process.state.view.replicas
         refusals = [known[engine.replica_id].refusals for engine in engines]
         self.assertGreaterEqual(max(refusals), _RUNS_PER_ENGINE)
         for engine in engines:
--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_starts.py
@@ -9,7 +9,7 @@
 
 from msgspec import json
 
-from samphirerill.fleet.endings import is_lost
+from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.view import FleetView
 from samphirerill.platform.dialect import PlatformDialect
@@ -36,7 +36,7 @@
         self.second_process = replace(
             self.first_process, started_ms=_SECOND_START_MS, layers=None
         )
-        self.view.announce(self.first_process, 1)
+        self.view.apply_announcement(self.first_process, 1)
 
     def test_path_through_previous_process_is_lost(self) -> None:
         """Streams must not wait for an engine that has lost their state.
@@ -45,20 +45,20 @@
         under the same id as before.
         """
         stage = Stage(self.first_process, _ALL_LAYERS)
-        losses = self.view.losses
-        self.view.announce(replace(self.second_process, layers=_ALL_LAYERS), 2)
-        self.assertTrue(is_lost(self.view, stage, 0))
-        self.assertGreater(self.view.losses, losses)
+        losses = self.view.loss_count
+        self.view.apply_announcement(replace(self.second_process, layers=_ALL_LAYERS), 2)
+        self.assertTrue(is_stage_lost(self.view, stage, 0))
+        self.assertGreater(self.view.loss_count, losses)
 
     def test_suspicion_is_cleared_by_restart(self) -> None:
-        self.view.suspect('one', 9, 1)
-        self.view.announce(self.second_process, 2)
+        self.view.add_silence_report('one', 9, 1)
+        self.view.apply_announcement(self.second_process, 2)
         self.assertEqual(len(self.view.list_usable('llm', 2)), 1)
 
     def test_replica_that_left_gets_work_after_restart(self) -> None:
         """The leaving state of the previous process must not outlive it."""
-        self.view.withdraw('one', 2, 0, leaves_at=9)
-        self.view.announce(self.second_process, 3)
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=9)
+        self.view.apply_announcement(self.second_process, 3)
         self.assertEqual(len(self.view.list_usable('llm', 3)), 1)
 
     def test_restarted_replica_that_is_leaving_gets_no_work(self) -> None:
@@ -66,12 +66,12 @@
         leaving = replace(
             self.second_process, is_leaving=True, layers=_ALL_LAYERS
         )
-        self.view.announce(leaving, 2, leaves_at=9)
+        self.view.apply_announcement(leaving, 2, leaving_deadline=9)
         self.assertEqual(self.view.list_usable('llm', 2), [])
 
     def test_entry_without_start_time_is_the_same_process(self) -> None:
-        self.view.suspect('one', 9, 1)
-        self.view.announce(replace(self.first_process, started_ms=0), 2)
+        self.view.add_silence_report('one', 9, 1)
+        self.view.apply_announcement(replace(self.first_process, started_ms=0), 2)
         self.assertEqual(self.view.list_usable('llm', 2), [])
 
 
@@ -147,6 +147,6 @@
         """
         view = FleetView(services=frozenset(('llm',)))
         one = build_replica('one', layers=(0, 80))
-        view.announce(one, 1)
-        view.announce(replace(one, replica_id='odd', service='odd'), 2)
+        view.apply_announcement(one, 1)
+        view.apply_announcement(replace(one, replica_id='odd', service='odd'), 2)
         self.assertEqual(len(view.list_usable('llm', 0)), 1)
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -173,7 +173,7 @@
         tail = min(self.find_tails())
         self.world.replicas[tail].free.clear()
         now = asyncio.get_running_loop().time()
-        state.view.suspect(tail, now + 4, now, votes=2)
+        state.view.add_silence_report(tail, now + 4, now, votes=2)
         state.notify()
         try:
             body = await stream
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -92,7 +92,7 @@
         self.world.replicas['engine-3'].gap_s = GAP_S
         self.world.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
-        await self.until(lambda: 'engine-3' in view.known)
+        await self.until(lambda: 'engine-3' in view.replicas)
         await self.drop_layers('engine-1')
         for answer in await asyncio.gather(*streams):
             self.assert_whole(answer)
@@ -207,7 +207,7 @@
         whole_engine.layers = (0, 80)
         whole_engine.refuses = True
         await self.announce('whole')
-        await wait_until(lambda: 'whole' in view.known)
+        await wait_until(lambda: 'whole' in view.replicas)
         self.world.replicas['head'].order_status = 409
         self.world.replicas['tail-1'].layers = (60, 80)
         await self.announce('tail-1')
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -33,7 +33,7 @@
         nodes = list(network.nodes.values())
         for node in nodes:
             node.add_peers(nodes)
-            node.state.view.announce(build_replica('one', layers=(0, 80)), 1)
+            node.state.view.apply_announcement(build_replica('one', layers=(0, 80)), 1)
             node.state.get_budget(_SERVICE).active_streams = _STREAMS
             for _ in range(_STREAMS):
                 node.state.book.add_request(('one',), 160)
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -114,7 +114,7 @@
     def suspect(self, name: str, for_s: float = 0.3) -> None:
         """Mark a replica as dead for a while, as after a silence."""
         now = asyncio.get_running_loop().time()
-        self.process.state.view.suspect(name, now + for_s, now)
+        self.process.state.view.add_silence_report(name, now + for_s, now)
         self.process.state.notify()
 
     async def drop_layers(self, name: str) -> None:
