--- a/samphirerill/emulator/engine.py
+++ b/samphirerill/emulator/engine.py
@@ -126,13 +126,13 @@
             return 0.0
         layer_share = max(task.layers.count for task in decodes)
         step_ms = predict_step_ms(self._engine, len(decodes))
-        step_ms *= self._accelerator.pace * layer_share / self._engine.layers
+        step_ms *= self._accelerator.step_factor * layer_share / self._engine.layers
         return self._engine.stride * step_ms
 
     def _predict_prefill_ms(self, task: StageTask) -> float:
         layer_share = task.layers.count / self._engine.layers
         prefill_ms = task.tokens / self._engine.read_per_s * MS_PER_S
-        return prefill_ms * self._accelerator.read_factor * layer_share
+        return prefill_ms * self._accelerator.prefill_factor * layer_share
 
 
 @dataclass(slots=True)
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -8,7 +8,7 @@
 
 from samphirerill.emulator.engine import EmulatedEngine, EmulatedLinks
 from samphirerill.fleet.model import LayerRange, Replica
-from samphirerill.fleet.repair import count_whole, plan_moves
+from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.timing import PlanTiming
 from samphirerill.fleet.view import FleetView
@@ -18,7 +18,7 @@
 
     from samphirerill.emulator.agenda import EventLoop
     from samphirerill.fleet.model import EngineSpec
-    from samphirerill.fleet.worth import Aims
+    from samphirerill.fleet.worth import PlanTargets
 
 SERVICE = 'llm'
 # As often as the leader among the nodes runs the planner.
@@ -41,7 +41,7 @@
         Performance figures of the service's engines.
     replica_counts : mapping
         For each data centre, the number of replicas by type of accelerator.
-    aims : Aims
+    aims : PlanTargets
         Targets of the planner, and the enabled policy mechanisms.
     """
 
@@ -50,7 +50,7 @@
         event_loop: EventLoop,
         engine: EngineSpec,
         replica_counts: Mapping[str, Mapping[str, int]],
-        aims: Aims,
+        aims: PlanTargets,
     ) -> None:
         self.engine = engine
         self.view = FleetView()
@@ -143,10 +143,10 @@
         ]
         self._timing.observe(present, now)
         settled = self._timing.list_settled(now)
-        is_calm = self._timing.is_calm(now) and not self._target_layers
+        is_stable = self._timing.is_stable(now) and not self._target_layers
         names = frozenset(item.replica_id for item in present)
-        if self._timing.may_plan((names, settled, is_calm), present):
-            self._plan(present, settled, is_calm=is_calm)
+        if self._timing.should_plan((names, settled, is_stable), present):
+            self._plan(present, settled, is_stable=is_stable)
         self._event_loop.call_later(_PLANNING_INTERVAL_S, self._run_planner)
 
     def _plan(
@@ -154,16 +154,16 @@
         present: list[Replica],
         settled: frozenset[str],
         *,
-        is_calm: bool,
+        is_stable: bool,
     ) -> None:
-        self._timing.note_whole(count_whole(self.engine, present))
+        self._timing.note_complete(count_complete(self.engine, present))
         moves = plan_moves(
             self.engine,
             present,
             self.aims,
             settled,
-            is_calm=is_calm,
-            had=self._timing.had,
+            is_stable=is_stable,
+            max_complete=self._timing.max_complete,
         )
         for name, layers in moves.items():
             self._start_load(name, layers)
--- a/samphirerill/emulator/lab.py
+++ b/samphirerill/emulator/lab.py
@@ -104,7 +104,7 @@
     return (
         f'{rate:.1f} answers/s, {event_ms:.0f} ms an event at {_STREAM_COUNT} '
         f'streams, {uncovered} of {len(chain.stages)} parts not doubled: '
-        f'{_describe_parts(pipeline.parts)}'
+        f'{_describe_parts(pipeline.members)}'
     )
 
 
--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -6,7 +6,7 @@
 
 from samphirerill.fleet.model import Accelerator, EngineSpec, LayerRange
 from samphirerill.fleet.policy import Policy
-from samphirerill.fleet.worth import Aims
+from samphirerill.fleet.worth import PlanTargets
 from samphirerill.settings.errors import Finding, InvalidDocumentError
 from samphirerill.settings.jsonc import read_commented
 
@@ -98,9 +98,9 @@
         }
         return EngineSpec(accelerators=accelerators, **figures)
 
-    def build_aims(self) -> Aims:
+    def build_aims(self) -> PlanTargets:
         """Return the targets of the planner."""
-        return Aims(self.traffic.pause_aim_ms, policy=self.policy)
+        return PlanTargets(self.traffic.pause_aim_ms, policy=self.policy)
 
     def build_placement(self) -> dict[str, LayerRange] | None:
         """Return the initial layers by replica, or None if they are planned."""
--- a/samphirerill/emulator/streams.py
+++ b/samphirerill/emulator/streams.py
@@ -127,7 +127,7 @@
         usable = self.fleet.view.list_usable(SERVICE, now)
         path_request = PathRequest(
             tokens,
-            pipes=self._link_usage,
+            links=self._link_usage,
             is_urgent=is_urgent,
             policy=self.fleet.aims.policy,
         )
--- a/samphirerill/fleet/endings.py
+++ b/samphirerill/fleet/endings.py
@@ -38,7 +38,7 @@
     found = view.replicas.get(replica_id)
     if found is None:
         return view.leaving_deadlines.get(replica_id, 0.0)
-    if found.replica.is_other_start(stage.replica.started_ms):
+    if found.replica.is_different_process(stage.replica.started_ms):
         return 0.0
     if found.suspicion.suspected_until > now:
         return 0.0
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -27,7 +27,7 @@
     candidates = [
         found
         for found in usable
-        if found.replica.replica_id not in request.avoid
+        if found.replica.replica_id not in request.excluded
     ]
     gap = find_gap(engine, list_ranges(candidates))
     if gap is not None:
--- a/samphirerill/fleet/migration.py
+++ b/samphirerill/fleet/migration.py
@@ -20,7 +20,7 @@
 
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.worth import Aims
+    from samphirerill.fleet.worth import PlanTargets
 
 # A change takes a pipeline out of service for some seconds.
 _MIN_GAIN = 1.6
@@ -34,7 +34,7 @@
     replicas: Sequence[Replica],
     current: Sequence[Pipeline],
     backups: Sequence[LayerRange],
-    aims: Aims,
+    aims: PlanTargets,
 ) -> Moves:
     """Return the moves to a clearly better placement, if there is one.
 
@@ -48,7 +48,7 @@
         The pipelines that are complete now.
     backups : sequence of LayerRange
         The layers of replicas that no pipeline needs.
-    aims : Aims
+    aims : PlanTargets
         The targets of the plan.
     """
     plan = plan_zone(engine, replicas, aims)
--- a/samphirerill/fleet/model.py
+++ b/samphirerill/fleet/model.py
@@ -18,7 +18,7 @@
 DEFAULT_IDLE_TIMEOUT_S = 15.0
 
 
-class Repeat(enum.Enum):
+class RetryClass(enum.Enum):
     """Whether a route's requests may be retried."""
 
     IDEMPOTENT = 'idempotent'
@@ -30,14 +30,14 @@
 class Accelerator:
     """One kind of accelerator, with factors on the engine's nominal times.
 
-    `pace` multiplies the time of a decoding step, `read_factor` that of
+    `step_factor` multiplies the time of a decoding step, `prefill_factor` that of
     prefill.
     """
 
     name: str
     size_mb: float
-    pace: float
-    read_factor: float
+    step_factor: float
+    prefill_factor: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Share:
+class ServiceWeight:
     """One service of a route and its weight."""
 
     service: str
@@ -99,8 +99,8 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
-    shares: tuple[Share, ...]
+    retry_class: RetryClass
+    service_weights: tuple[ServiceWeight, ...]
     timeout_s: float = 30.0
     target_s: float = 1.0
     gap_s: float = 0.0
@@ -177,7 +177,7 @@
     layers: LayerRange | None = None
     started_ms: int = 0
 
-    def is_other_start(self, started_ms: int) -> bool:
+    def is_different_process(self, started_ms: int) -> bool:
         """Return whether a start time belongs to another process than this."""
         return bool(started_ms and self.started_ms not in (0, started_ms))
 
--- a/samphirerill/fleet/moves.py
+++ b/samphirerill/fleet/moves.py
@@ -22,7 +22,7 @@
     from samphirerill.fleet.model import EngineSpec, Stage
 
 
-def predict_pause_ms(
+def predict_reroute_pause_ms(
     engine: EngineSpec,
     stages: Sequence[Stage],
     held: Collection[str],
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -71,23 +71,23 @@
 
 @dataclass(slots=True)
 class PathRequest:
-    """Requirements of a path: memory for `tokens` without replicas in `avoid`.
+    """Requirements of a path: memory for `tokens` without replicas in `excluded`.
 
-    `heads` limits the replicas that may run the first stage; empty means any.
-    `first_end` is where the first stage must end; 0 means anywhere. Replicas in
-    `held` already hold the tokens. An urgent request, whose stream has begun,
-    may use the reserved memory and links with a longer queue. `home` is the
+    `first_replicas` limits the replicas that may run the first stage; empty means any.
+    `first_stage_end` is where the first stage must end; 0 means anywhere. Replicas in
+    `prefilled_on` already hold the tokens. An urgent request, whose stream has begun,
+    may use the reserved memory and links with a longer queue. `data_centre` is the
     data centre of the requesting node.
     """
 
     tokens: float
-    avoid: Collection[str] = ()
-    heads: frozenset[str] = frozenset()
-    first_end: int = 0
-    pipes: LinkUsage | None = None
+    excluded: Collection[str] = ()
+    first_replicas: frozenset[str] = frozenset()
+    first_stage_end: int = 0
+    links: LinkUsage | None = None
     is_urgent: bool = False
-    held: frozenset[str] = frozenset()
-    home: str = ''
+    prefilled_on: frozenset[str] = frozenset()
+    data_centre: str = ''
     policy: Policy = Policy()
 
 
@@ -104,7 +104,7 @@
             found.replica, _score_layer(engine, found, book, request, now)
         )
         for found in usable
-        if found.replica.replica_id not in request.avoid
+        if found.replica.replica_id not in request.excluded
         and has_memory(engine, found, book, request)
     ]
     return _PathSearch(engine, candidates, book, request, now).find()
@@ -164,7 +164,7 @@
         boundaries = {
             candidate.replica.held.end for candidate in self._candidates
         }
-        boundaries.add(self._request.first_end)
+        boundaries.add(self._request.first_stage_end)
         return sorted(
             boundary
             for boundary in boundaries
@@ -192,18 +192,18 @@
         return candidates_by_boundary
 
     def _is_pinned_first_stage(self, replica: Replica) -> bool:
-        """Return whether a replica's stage ends at `first_end`.
+        """Return whether a replica's stage ends at `first_stage_end`.
 
         A stream that moves keeps its first stage unchanged. Its replica may
         hold more layers by now, but must not occur on the path again.
         """
         request = self._request
-        return bool(request.first_end) and replica.replica_id in request.heads
+        return bool(request.first_stage_end) and replica.replica_id in request.first_replicas
 
     def _can_start(self, replica: Replica) -> bool:
         if (
-            self._request.heads
-            and replica.replica_id not in self._request.heads
+            self._request.first_replicas
+            and replica.replica_id not in self._request.first_replicas
         ):
             return False
         if replica.held.first or not replica.held.end:
@@ -212,7 +212,7 @@
 
     def _start_path(self, candidate: _Candidate) -> None:
         held = candidate.replica.held
-        end = self._request.first_end or held.end
+        end = self._request.first_stage_end or held.end
         if end <= held.end:
             penalty_ms = self._find_remote_entry_ms(candidate.replica)
             self._add(None, candidate, LayerRange(0, end), penalty_ms)
@@ -220,7 +220,7 @@
     def _find_remote_entry_ms(self, replica: Replica) -> float:
         """Return the penalty for a first stage in another data centre."""
         request = self._request
-        is_local = not request.home or replica.data_centre == request.home
+        is_local = not request.data_centre or replica.data_centre == request.data_centre
         return (
             0.0
             if is_local or not request.policy.near_heads
@@ -257,7 +257,7 @@
         """Return the cost of a crossing, or ``None`` if the link is full."""
         if origin == destination:
             return 0.0
-        pipes = self._request.pipes
+        pipes = self._request.links
         if pipes is None:
             return self._transfer_ms
         if not pipes.is_open(
@@ -289,7 +289,7 @@
             )
 
 
-def predict_gap_ms(
+def predict_event_interval_ms(
     engine: EngineSpec,
     known: dict[str, ReplicaState],
     stages: tuple[Stage, ...],
@@ -323,7 +323,7 @@
     replica = found.replica
     if replica.layers is None:
         return False
-    if replica.replica_id in request.held:
+    if replica.replica_id in request.prefilled_on:
         return True
     max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
     capacity = count_token_capacity(engine, found, replica.layers) * max_use
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -31,7 +31,7 @@
     from collections.abc import Iterable, Sequence
 
     from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
-    from samphirerill.fleet.worth import Aims
+    from samphirerill.fleet.worth import PlanTargets
 
 # A pipeline with memory for fewer usual requests is not worth building.
 _MIN_REQUESTS = 8
@@ -66,7 +66,7 @@
 def plan_layers(
     engine: EngineSpec,
     replicas: Sequence[Replica],
-    aims: Aims,
+    aims: PlanTargets,
 ) -> PlacementPlan | None:
     """Return the best plan found, or ``None`` if no pipeline can be built.
 
@@ -76,7 +76,7 @@
         The service's figures.
     replicas : sequence of Replica
         The replicas of one service that may be assigned layers.
-    aims : Aims
+    aims : PlanTargets
         The targets of the plan.
     """
     plans = []
@@ -101,7 +101,7 @@
 
 
 def plan_zone(
-    engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
+    engine: EngineSpec, replicas: Sequence[Replica], aims: PlanTargets
 ) -> PlacementPlan | None:
     """Return the best plan of one data centre, or ``None``."""
     for targets in _list_token_targets(engine):
@@ -131,7 +131,7 @@
     engine: EngineSpec,
     replicas: Sequence[Replica],
     tokens: float,
-    aims: Aims,
+    aims: PlanTargets,
 ) -> PlacementPlan:
     """Build pipelines whose stages all have memory for so many tokens."""
     max_layers, free = _list_candidates(engine, replicas, tokens)
@@ -148,7 +148,7 @@
 
 
 def _plan_across_zones(
-    engine: EngineSpec, replicas: Sequence[Replica], aims: Aims
+    engine: EngineSpec, replicas: Sequence[Replica], aims: PlanTargets
 ) -> PlacementPlan | None:
     """Build pipelines across data centres that have too few replicas."""
     plans = []
@@ -199,7 +199,7 @@
     used = {
         replica.replica_id
         for pipeline in pipelines
-        for replica, _ in pipeline.parts
+        for replica, _ in pipeline.members
     }
     return [item for item in replicas if item.replica_id not in used]
 
@@ -288,7 +288,7 @@
     engine: EngineSpec, max_layers: dict[str, int], replica: Replica
 ) -> tuple[float, str]:
     accelerator = get_accelerator(engine, replica)
-    return accelerator.pace / max_layers[
+    return accelerator.step_factor / max_layers[
         replica.accelerator
     ], replica.replica_id
 
--- a/samphirerill/fleet/prediction.py
+++ b/samphirerill/fleet/prediction.py
@@ -39,7 +39,7 @@
 ) -> float:
     """Return what one stage adds to the time between two events."""
     share = layers / max(1, engine.layers)
-    step_ms = predict_step_ms(engine, running) * accelerator.pace * slowness
+    step_ms = predict_step_ms(engine, running) * accelerator.step_factor * slowness
     return _MEAN_PASSES_PER_STAGE * engine.stride * step_ms * share
 
 
@@ -49,7 +49,7 @@
     """Return how long one stage takes to prefill so many tokens."""
     share = layers / max(1, engine.layers)
     total_ms = tokens / engine.read_per_s * MS_PER_S
-    return total_ms * accelerator.read_factor * share
+    return total_ms * accelerator.prefill_factor * share
 
 
 def predict_transfer_ms(engine: EngineSpec, tokens: float) -> float:
--- a/samphirerill/fleet/rates.py
+++ b/samphirerill/fleet/rates.py
@@ -53,13 +53,13 @@
 class Pipeline:
     """Replicas in order, with the number of layers each runs."""
 
-    parts: list[tuple[Replica, int]] = field(default_factory=list)
+    members: list[tuple[Replica, int]] = field(default_factory=list)
 
     def list_stages(self) -> list[Stage]:
         """Return the stages with their layer ranges, in order."""
         stages = []
         first = 0
-        for replica, count in self.parts:
+        for replica, count in self.members:
             stages.append(Stage(replica, LayerRange(first, first + count)))
             first += count
         return stages
@@ -70,7 +70,7 @@
 
     def list_crossings(self) -> Counter[frozenset[str]]:
         """Return how often a prompt crosses each link."""
-        zones = [replica.data_centre for replica, _ in self.parts]
+        zones = [replica.data_centre for replica, _ in self.members]
         return Counter(
             frozenset(pair) for pair in pairwise(zones) if pair[0] != pair[1]
         )
@@ -83,7 +83,7 @@
     mean_tokens = engine.usual_prompt + engine.usual_answer / 2
     tokens = min(
         count_tokens(engine, get_accelerator(engine, replica), layers)
-        for replica, layers in pipeline.parts
+        for replica, layers in pipeline.members
     )
     running = min(engine.slots, tokens * _MAX_MEMORY_USE / mean_tokens)
     if running < 1:
@@ -128,7 +128,7 @@
             engine, get_accelerator(engine, replica), layers, running
         )
         + STAGE_OVERHEAD_MS
-        for replica, layers in pipeline.parts
+        for replica, layers in pipeline.members
     )
 
 
@@ -158,7 +158,7 @@
 
     Half of the stage's time is reserved for decoding.
     """
-    for replica, layers in pipeline.parts:
+    for replica, layers in pipeline.members:
         prefill_ms = predict_prefill_ms(
             engine,
             get_accelerator(engine, replica),
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -42,7 +42,7 @@
 
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.worth import Aims
+    from samphirerill.fleet.worth import PlanTargets
     from samphirerill.fleet.zone_state import Zone
 
 # A slower pipeline is dismantled for a faster one only above this ratio of
@@ -57,11 +57,11 @@
 def plan_moves(
     engine: EngineSpec,
     present: Sequence[Replica],
-    aims: Aims,
+    aims: PlanTargets,
     settled: Collection[str],
     *,
-    is_calm: bool = True,
-    had: Mapping[str, int] | None = None,
+    is_stable: bool = True,
+    max_complete: Mapping[str, int] | None = None,
 ) -> Moves:
     """Return the layers of replicas that should hold others than now.
 
@@ -71,14 +71,14 @@
         The service's figures.
     present : sequence of Replica
         The live replicas that are not draining.
-    aims : Aims
+    aims : PlanTargets
         The targets of the plan.
     settled : collection of str
         Replicas that may become backups; newer ones are kept free to replace
         replicas that drain.
-    is_calm : bool
+    is_stable : bool
         No replica has joined or left for a while.
-    had : mapping of str to int, optional
+    max_complete : mapping of str to int, optional
         The most complete pipelines that each data centre has had.
     """
     known = [
@@ -88,7 +88,7 @@
         plan = plan_layers(engine, known, aims)
         return {} if plan is None else plan.list_ranges()
     zones = [
-        analyze_zone(engine, replicas, aims, settled, (had or {}).get(name, 0))
+        analyze_zone(engine, replicas, aims, settled, (max_complete or {}).get(name, 0))
         for name, replicas in group_by_zone(known).items()
     ]
     for zone in zones:
@@ -103,12 +103,12 @@
         _assign_zone_backups(engine, item, aims, settled) for item in zones
     ]
     moves = _drop_unchanged(_merge_moves(backups), known)
-    if moves or not is_calm:
+    if moves or not is_stable:
         return moves
     return _rebalance(engine, zones, aims)
 
 
-def count_whole(
+def count_complete(
     engine: EngineSpec, present: Sequence[Replica]
 ) -> dict[str, int]:
     """Return the number of complete pipelines in each data centre."""
@@ -118,7 +118,7 @@
     }
 
 
-def _repair_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
+def _repair_zone(engine: EngineSpec, zone: Zone, aims: PlanTargets) -> None:
     """Repair incomplete pipelines, the fastest first."""
     for chain in tuple(zone.incomplete):
         if chain not in zone.incomplete:
@@ -130,7 +130,7 @@
 
 
 def _find_moves(
-    engine: EngineSpec, zone: Zone, chain: Chain, aims: Aims
+    engine: EngineSpec, zone: Zone, chain: Chain, aims: PlanTargets
 ) -> Moves | None:
     """Return the least disruptive moves that complete a pipeline."""
     return (
@@ -157,7 +157,7 @@
 
 
 def _dismantle_slowest(
-    engine: EngineSpec, zone: Zone, chain: Chain, aims: Aims
+    engine: EngineSpec, zone: Zone, chain: Chain, aims: PlanTargets
 ) -> Moves | None:
     """Fill gaps with the stages of the slowest complete pipeline."""
     slowest = min(
@@ -167,7 +167,7 @@
     )
     if slowest is None:
         return None
-    stages = [replica for replica, _ in slowest.parts]
+    stages = [replica for replica, _ in slowest.members]
     moves = fill_gaps(engine, chain, [*zone.spares, *stages])
     if moves is None:
         return None
@@ -187,7 +187,7 @@
     zone: Zone,
     chain: Chain,
     moves: Moves,
-    aims: Aims,
+    aims: PlanTargets,
 ) -> bool:
     """Return whether a pipeline outweighs the backups that it takes away."""
     gained_rate = predict_rate(
@@ -226,7 +226,7 @@
 def _assign_zone_backups(
     engine: EngineSpec,
     zone: Zone,
-    aims: Aims,
+    aims: PlanTargets,
     settled: Collection[str],
 ) -> Moves:
     """Assign backups to settled spares, and likely replacements to newcomers."""
@@ -271,7 +271,7 @@
     ]
 
 
-def _rebalance(engine: EngineSpec, zones: list[Zone], aims: Aims) -> Moves:
+def _rebalance(engine: EngineSpec, zones: list[Zone], aims: PlanTargets) -> Moves:
     """Return the moves that rebalance the first data centre that gains by it."""
     for zone in zones:
         if not zone.complete:
--- a/samphirerill/fleet/routes.py
+++ b/samphirerill/fleet/routes.py
@@ -52,12 +52,12 @@
 
 def choose_service(route: FleetRoute, random: Random) -> str:
     """Choose a route's service at random by weight; empty if all are zero."""
-    if len(route.shares) == 1:
-        return route.shares[0].service
-    weights = [max(0.0, share.weight) for share in route.shares]
+    if len(route.service_weights) == 1:
+        return route.service_weights[0].service
+    weights = [max(0.0, share.weight) for share in route.service_weights]
     if not any(weights):
         return ''
-    return random.choices(route.shares, weights)[0].service
+    return random.choices(route.service_weights, weights)[0].service
 
 
 def _strip_port(host: str) -> str:
--- a/samphirerill/fleet/stranded.py
+++ b/samphirerill/fleet/stranded.py
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec
-    from samphirerill.fleet.worth import Aims
+    from samphirerill.fleet.worth import PlanTargets
     from samphirerill.fleet.zone_state import Zone
 
 
-def rebuild_zone(engine: EngineSpec, zone: Zone, aims: Aims) -> None:
+def rebuild_zone(engine: EngineSpec, zone: Zone, aims: PlanTargets) -> None:
     """Plan a data centre from scratch if none of its pipelines is repairable.
 
     Its replicas restarted empty, or hold layers that do not fit together. These
--- a/samphirerill/fleet/timing.py
+++ b/samphirerill/fleet/timing.py
@@ -32,7 +32,7 @@
     _holdings: tuple[Replica, ...] = ()
     _plan_count: int = 0
     # The most complete pipelines that each data centre has had.
-    had: dict[str, int] = field(default_factory=dict)
+    max_complete: dict[str, int] = field(default_factory=dict)
 
     def observe(self, present: Sequence[Replica], now: float) -> None:
         """Update from the replicas that are present now."""
@@ -47,10 +47,10 @@
             name: self._first_seen.get(name, since) for name in ids
         }
 
-    def note_whole(self, counts: dict[str, int]) -> None:
+    def note_complete(self, counts: dict[str, int]) -> None:
         """Record the number of complete pipelines in each data centre."""
         for zone, count in counts.items():
-            self.had[zone] = max(count, self.had.get(zone, 0))
+            self.max_complete[zone] = max(count, self.max_complete.get(zone, 0))
 
     def has_settled(self, present: Sequence[Replica], now: float) -> bool:
         """Return whether all replicas of a first plan should be known."""
@@ -58,7 +58,7 @@
             return True
         return now >= self._changed_at + _INITIAL_SETTLE_S
 
-    def is_calm(self, now: float) -> bool:
+    def is_stable(self, now: float) -> bool:
         """Return whether no replica has joined or left for a while."""
         return now >= self._changed_at + _STABLE_PERIOD_S
 
@@ -74,7 +74,7 @@
             if since + _NEWCOMER_PERIOD_S <= now
         )
 
-    def may_plan(self, inputs: object, present: Sequence[Replica]) -> bool:
+    def should_plan(self, inputs: object, present: Sequence[Replica]) -> bool:
         """Return whether the input of a plan has changed.
 
         The number of plans for the same inputs is limited, since plans that
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -105,7 +105,7 @@
         if found is not None and revision <= found.revision:
             found.lapsed_until = 0.0
             return False
-        is_new = found is None or replica.is_other_start(
+        is_new = found is None or replica.is_different_process(
             found.replica.started_ms
         )
         if is_new and not replica.is_leaving:
--- a/samphirerill/fleet/worth.py
+++ b/samphirerill/fleet/worth.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Aims:
+class PlanTargets:
     """Targets of a plan.
 
     `pause_ms` is the longest pause between two events that counts as on time;
@@ -60,7 +60,7 @@
     engine: EngineSpec,
     pipelines: Sequence[Pipeline],
     backups: Sequence[LayerRange],
-    aims: Aims,
+    aims: PlanTargets,
 ) -> float:
     """Return the predicted rate of useful answers on time, per second.
 
@@ -72,7 +72,7 @@
         The pipelines of one data centre.
     backups : sequence of LayerRange
         The layers of replicas that no pipeline needs.
-    aims : Aims
+    aims : PlanTargets
         The targets of the plan.
     """
     if not pipelines:
--- a/samphirerill/fleet/zone_state.py
+++ b/samphirerill/fleet/zone_state.py
@@ -18,7 +18,7 @@
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.rates import Pipeline
-    from samphirerill.fleet.worth import Aims
+    from samphirerill.fleet.worth import PlanTargets
 
 Moves = dict[str, LayerRange]
 
@@ -41,7 +41,7 @@
 def analyze_zone(
     engine: EngineSpec,
     replicas: list[Replica],
-    aims: Aims,
+    aims: PlanTargets,
     settled: Collection[str],
     previous_count: int,
 ) -> Zone:
@@ -76,7 +76,7 @@
     used = {
         replica.replica_id
         for pipeline in zone.complete
-        for replica, _ in pipeline.parts
+        for replica, _ in pipeline.members
     }
     used.update(
         stage.replica.replica_id
--- a/samphirerill/platform/documents.py
+++ b/samphirerill/platform/documents.py
@@ -18,17 +18,17 @@
     EngineSpec,
     FleetConfiguration,
     FleetRoute,
-    Repeat,
+    RetryClass,
     Service,
-    Share,
+    ServiceWeight,
 )
 from samphirerill.relay.dialect import DocumentError
 
 _MAX_QUOTED_BYTES = 80
 _REPEAT_BY_KIND = {
-    'idempotent': Repeat.IDEMPOTENT,
-    'non_idempotent': Repeat.NON_IDEMPOTENT,
-    'streaming': Repeat.STREAM,
+    'idempotent': RetryClass.IDEMPOTENT,
+    'non_idempotent': RetryClass.NON_IDEMPOTENT,
+    'streaming': RetryClass.STREAM,
 }
 
 
@@ -155,18 +155,18 @@
 
 
 def _build_route(document: _Route) -> FleetRoute:
-    repeat = _REPEAT_BY_KIND.get(document.kind, Repeat.NON_IDEMPOTENT)
+    repeat = _REPEAT_BY_KIND.get(document.kind, RetryClass.NON_IDEMPOTENT)
     shares = [
-        Share(part.service, part.weight) for part in document.traffic_split
+        ServiceWeight(part.service, part.weight) for part in document.traffic_split
     ]
     if not shares:
-        shares = [Share(document.service, 1)]
+        shares = [ServiceWeight(document.service, 1)]
     return FleetRoute(
         name=document.name,
         host=document.host.lower(),
         prefix=document.prefix,
-        repeat=repeat,
-        shares=tuple(shares),
+        retry_class=repeat,
+        service_weights=tuple(shares),
         timeout_s=document.timeout_ms / MS_PER_S,
         target_s=document.slo_ms / MS_PER_S,
         gap_s=document.gap_target_ms / MS_PER_S,
@@ -174,7 +174,7 @@
         max_attempts=max(1, document.max_attempts),
         is_public=document.public,
         is_resumable=document.resumable,
-        is_streaming=repeat is Repeat.STREAM,
+        is_streaming=repeat is RetryClass.STREAM,
     )
 
 
--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -155,8 +155,8 @@
         """Return a path with free capacity, or none, without reserving it."""
         now = self._loop.time()
         state = self._state
-        wanted.pipes = state.pipes
-        wanted.home = state.settings.data_centre
+        wanted.links = state.pipes
+        wanted.data_centre = state.settings.data_centre
         wanted.policy = state.settings.policy
         usable = state.view.list_usable(service, now)
         return choose_path(engine, usable, state.book, wanted, now)
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -16,9 +16,9 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.fleet.model import MS_PER_S, format_layers
 from samphirerill.fleet.rates import DEFAULT_PAUSE_MS
-from samphirerill.fleet.repair import count_whole, plan_moves
+from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.worth import Aims
+from samphirerill.fleet.worth import PlanTargets
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.probing import ask_report
 from samphirerill.relay.orders import ACCEPTED, send_order
@@ -73,7 +73,7 @@
 
     def is_same_process(self, replica: Replica) -> bool:
         """Return whether `replica` is still the same engine process."""
-        return not replica.is_other_start(self.replica.started_ms)
+        return not replica.is_different_process(self.replica.started_ms)
 
 
 class Commander:
@@ -170,21 +170,21 @@
         if not timing.has_settled(present, now):
             return
         settled = timing.list_settled(now)
-        is_stable = timing.is_calm(now) and not self._has_assignments(present)
+        is_stable = timing.is_stable(now) and not self._has_assignments(present)
         scope = (engine, service, _list_ids(present), settled, is_stable)
-        if timing.may_plan(scope, present):
-            complete_pipelines = count_whole(engine, present)
-            timing.note_whole(complete_pipelines)
+        if timing.should_plan(scope, present):
+            complete_pipelines = count_complete(engine, present)
+            timing.note_complete(complete_pipelines)
             moves = plan_moves(
                 engine,
                 present,
-                Aims(
+                PlanTargets(
                     _find_gap_target_ms(cfg, service),
                     policy=self._state.settings.policy,
                 ),
                 settled,
-                is_calm=is_stable,
-                had=timing.had,
+                is_stable=is_stable,
+                max_complete=timing.max_complete,
             )
             self._record_plan(service, present, complete_pipelines, moves)
         await self._send_due_orders(engine, present)
@@ -313,7 +313,7 @@
             or report.layers == assignment.layers
         ):
             return
-        if replica.is_other_start(report.started_ms):
+        if replica.is_different_process(report.started_ms):
             # The replica restarted; its new announcement will follow.
             return
         if not self._leadership.is_held():
@@ -350,6 +350,6 @@
         route.gap_s * MS_PER_S
         for route in cfg.routes
         if route.gap_s
-        and any(share.service == service for share in route.shares)
+        and any(share.service == service for share in route.service_weights)
     ]
     return min(gap_targets, default=DEFAULT_PAUSE_MS)
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -82,7 +82,7 @@
         await self._serve(resolved)
         self._state.metrics.record(
             'answer',
-            resolved.route.repeat.value,
+            resolved.route.retry_class.value,
             self._loop.time() - req.arrived_at,
         )
 
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -60,7 +60,7 @@
     except EndpointError as exc:
         _log_no_report(replica, exc)
         return Probe(loop.time(), Verdict.INCONCLUSIVE)
-    if report is not None and replica.is_other_start(report.started_ms):
+    if report is not None and replica.is_different_process(report.started_ms):
         return Probe(loop.time(), Verdict.TERMINATED)
     return Probe(loop.time(), Verdict.ALIVE, report)
 
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -76,7 +76,7 @@
     def find_other(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
         """Return a path that avoids failed replicas; empty if there is none."""
         wanted = self.build_request(is_urgent=True)
-        wanted.avoid = {*self.avoid, *failed_ids}
+        wanted.excluded = {*self.avoid, *failed_ids}
         return self.find(wanted)
 
     def find_with_head(
@@ -100,8 +100,8 @@
             self.tokens,
             {*self.avoid, *failed_ids},
             frozenset((head.replica.replica_id,)),
-            first_end=head.layers.end,
-            held=cached_ids,
+            first_stage_end=head.layers.end,
+            prefilled_on=cached_ids,
             is_urgent=True,
         )
         return self.find(wanted)
@@ -121,14 +121,14 @@
         can serve it.
         """
         wanted = self.build_request(is_urgent=is_urgent)
-        allowed = wanted.heads
+        allowed = wanted.first_replicas
         for count in sorted({self.failed_sends[name] for name in allowed}):
-            wanted.heads = frozenset(
+            wanted.first_replicas = frozenset(
                 name for name in allowed if self.failed_sends[name] == count
             )
             if self.find(wanted):
                 return wanted
-        wanted.heads = allowed
+        wanted.first_replicas = allowed
         return wanted
 
     def find_isolated_head(
@@ -143,9 +143,9 @@
         """
         wanted = self.build_request(is_urgent=True)
         for replica_id in self._list_least_loaded_heads(excluded_ids):
-            wanted.heads = frozenset((replica_id,))
+            wanted.first_replicas = frozenset((replica_id,))
             if self.find(wanted):
-                return wanted.heads
+                return wanted.first_replicas
         return ANY_HEAD
 
     def build_beside(
@@ -161,7 +161,7 @@
             Other replicas to exclude.
         """
         wanted = self.build_request(is_urgent=True)
-        wanted.avoid = {*wanted.avoid, *failed_ids, head_id}
+        wanted.excluded = {*wanted.excluded, *failed_ids, head_id}
         return wanted
 
     def find(self, wanted: PathRequest) -> tuple[Stage, ...]:
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -88,7 +88,7 @@
     def give_back(self, replica: Replica, conn: HttpConnection) -> None:
         """Keep a connection whose response was read completely."""
         now = asyncio.get_running_loop().time()
-        if replica.is_other_start(self._start_times.get(replica.replica_id, 0)):
+        if replica.is_different_process(self._start_times.get(replica.replica_id, 0)):
             conn.close()
             return
         idle = self._idle[replica.replica_id]
@@ -120,7 +120,7 @@
         them; requests on such a connection would time out.
         """
         name = replica.replica_id
-        if replica.is_other_start(self._start_times.get(name, 0)):
+        if replica.is_different_process(self._start_times.get(name, 0)):
             for conn in self._idle.pop(name, ()):
                 conn.close()
         self._start_times[name] = replica.started_ms
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -9,8 +9,8 @@
 from samphirerill.fleet.endings import find_stage_end, is_stage_lost
 from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.moves import predict_pause_ms
-from samphirerill.fleet.paths import predict_gap_ms
+from samphirerill.fleet.moves import predict_reroute_pause_ms
+from samphirerill.fleet.paths import predict_event_interval_ms
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.signs import list_unproven
 from samphirerill.relay.orders import order_repath
@@ -118,7 +118,7 @@
             The head replicas that are allowed; empty for any.
         """
         wanted = self.finder.build_retry_request(is_urgent=is_urgent)
-        wanted.heads = wanted.heads or heads
+        wanted.first_replicas = wanted.first_replicas or heads
         self.stages = await self._admit(wanted, rank, deadline)
 
     async def find_isolated_head(
@@ -233,7 +233,7 @@
 
     def predict_gap_s(self, stages: tuple[Stage, ...]) -> float:
         """Return the predicted time between two events on a path."""
-        gap_ms = predict_gap_ms(
+        gap_ms = predict_event_interval_ms(
             self.engine,
             self._state.view.replicas,
             stages,
@@ -292,10 +292,10 @@
         concurrent = max(self._state.book.count_requests(name) for name in ending)
         if not self.list_lost():
             concurrent = concurrent // _SPREAD_FACTOR + 1
-        move_ms = predict_pause_ms(
+        move_ms = predict_reroute_pause_ms(
             self.engine, stages, cached_ids, self.tokens, concurrent
         )
-        resend_ms = predict_pause_ms(
+        resend_ms = predict_reroute_pause_ms(
             self.engine, other, (), self.tokens, concurrent
         )
         return bool(other) and resend_ms < move_ms
--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/task.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.model import Repeat
+from samphirerill.fleet.model import RetryClass
 from samphirerill.quarantine.identity import digest_request
 
 if TYPE_CHECKING:
@@ -57,9 +57,9 @@
     @property
     def is_retryable(self) -> bool:
         """Return whether the request may be executed more than once."""
-        if self.route.repeat is Repeat.STREAM:
+        if self.route.retry_class is RetryClass.STREAM:
             return self.route.is_resumable
-        return self.route.repeat is Repeat.IDEMPOTENT
+        return self.route.retry_class is RetryClass.IDEMPOTENT
 
     @property
     def priority(self) -> int:
--- a/samphirerill/tests/fleets.py
+++ b/samphirerill/tests/fleets.py
@@ -75,7 +75,7 @@
     )
 
 
-def place(
+def apply_moves(
     replicas: list[Replica], moves: dict[str, LayerRange]
 ) -> list[Replica]:
     """Return the replicas with the layers that moves assign to them."""
@@ -85,6 +85,6 @@
     ]
 
 
-def know(replicas: list[Replica]) -> list[ReplicaState]:
+def build_states(replicas: list[Replica]) -> list[ReplicaState]:
     """Return the replicas as entries of a fleet view."""
     return [ReplicaState(replica, 1) for replica in replicas]
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -8,10 +8,10 @@
 from unittest import TestCase
 
 from samphirerill.fleet.load import LoadTracker, list_replica_ids
-from samphirerill.fleet.moves import predict_pause_ms
+from samphirerill.fleet.moves import predict_reroute_pause_ms
 from samphirerill.fleet.paths import PathRequest, choose_path
 from samphirerill.fleet.policy import Policy
-from samphirerill.tests.fleets import ENGINE, build_replica, know
+from samphirerill.tests.fleets import ENGINE, build_replica, build_states
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
@@ -36,7 +36,7 @@
     """Three pipelines, one of them slightly faster."""
 
     def setUp(self) -> None:
-        self.known = know(
+        self.known = build_states(
             [
                 *_build_pipeline('a'),
                 *_build_pipeline('b'),
@@ -58,7 +58,7 @@
             home = (
                 data_centres[number % len(data_centres)] if data_centres else ''
             )
-            request = PathRequest(_TOKENS, home=home, policy=policy)
+            request = PathRequest(_TOKENS, data_centre=home, policy=policy)
             stages = choose_path(_ENGINE, self.known, book, request, _START_S)
             book.add_request(list_replica_ids(stages), _TOKENS)
             first_stages[stages[0].replica.data_centre] += 1
@@ -88,13 +88,13 @@
         self.assertGreater(min(first_stages.values()), _STREAM_COUNT / 4)
 
     def test_remote_first_stage_is_used_if_much_faster(self) -> None:
-        fast = know(
+        fast = build_states(
             [
                 build_replica('far', 'd', 'large', (0, 40)),
                 build_replica('far-too', 'd', 'large', (40, 80)),
             ]
         )
-        request = PathRequest(_TOKENS, home='a')
+        request = PathRequest(_TOKENS, data_centre='a')
         stages = choose_path(
             _ENGINE, [*self.known, *fast], LoadTracker(), request, _START_S
         )
@@ -111,4 +111,4 @@
         request = PathRequest(_TOKENS)
         stages = choose_path(_ENGINE, self.known, book, request, _START_S)
         concurrent = self.find_max_streams(book)
-        return predict_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
+        return predict_reroute_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
--- a/samphirerill/tests/test_emulator.py
+++ b/samphirerill/tests/test_emulator.py
@@ -35,7 +35,7 @@
         self.done: list[float] = []
         spec = replace(ENGINE, per_seq_ms=0.0, context_per_k_ms=0.0)
         accelerator = replace(
-            spec.accelerators['large'], pace=1.0, read_factor=1.0
+            spec.accelerators['large'], step_factor=1.0, prefill_factor=1.0
         )
         self.engine = EmulatedEngine(self.event_loop, spec, accelerator)
 
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -19,8 +19,8 @@
     FleetConfiguration,
     FleetRoute,
     LayerRange,
-    Repeat,
-    Share,
+    RetryClass,
+    ServiceWeight,
     Stage,
 )
 from samphirerill.fleet.paths import PathRequest, choose_path
@@ -29,13 +29,13 @@
 from samphirerill.fleet.routes import RouteTable
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
-from samphirerill.fleet.worth import Aims
+from samphirerill.fleet.worth import PlanTargets
 from samphirerill.tests.fleets import (
     ENGINE,
     build_fleet,
     build_replica,
-    know,
-    place,
+    build_states,
+    apply_moves,
 )
 
 _BOUNDARY = st.integers(min_value=0, max_value=8).map(
@@ -55,7 +55,7 @@
     def test_paths_cover_every_layer_once(
         self, parts: list[tuple[tuple[int, int], str]]
     ) -> None:
-        known = know(
+        known = build_states(
             [
                 build_replica(f'r{number}', zone, 'large', layers)
                 for number, (layers, zone) in enumerate(parts)
@@ -82,7 +82,7 @@
         }
         fleet = build_fleet(zones)
         names = {item.replica_id for item in fleet}
-        known = know(place(fleet, plan_moves(ENGINE, fleet, Aims(200), names)))
+        known = build_states(apply_moves(fleet, plan_moves(ENGINE, fleet, PlanTargets(200), names)))
         started_at = process_time()
         self.assertTrue(
             choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
@@ -95,7 +95,7 @@
         It may hold more layers than its pinned first stage runs, and engines
         refuse paths that name a replica twice.
         """
-        known = know(
+        known = build_states(
             [
                 build_replica('head', 'a', 'large', (0, 30)),
                 build_replica('other', 'a', 'small', (20, 30)),
@@ -103,7 +103,7 @@
                 build_replica('last', 'a', 'large', (40, 80)),
             ]
         )
-        request = PathRequest(900, heads=frozenset(('head',)), first_end=20)
+        request = PathRequest(900, first_replicas=frozenset(('head',)), first_stage_end=20)
         stages = choose_path(ENGINE, known, LoadTracker(), request, 0)
         names = ('head', 'other', 'next', 'last')
         self.assertEqual(list_replica_ids(stages), names)
@@ -111,8 +111,8 @@
 
     def test_memory_use_of_other_nodes_counts(self) -> None:
         """Nodes that ignore each other's requests overfill a replica's memory."""
-        known = know([build_replica('one', 'a', 'large', (0, 40))])
-        known += know([build_replica('two', 'a', 'large', (40, 80))])
+        known = build_states([build_replica('one', 'a', 'large', (0, 40))])
+        known += build_states([build_replica('two', 'a', 'large', (40, 80))])
         book = LoadTracker()
         request = PathRequest(900)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
@@ -125,7 +125,7 @@
 
     def test_local_path_is_preferred_to_faster_crossing_path(self) -> None:
         """A crossing costs more than its own transfer: it delays other streams."""
-        known = know(
+        known = build_states(
             [
                 build_replica('head', 'a', 'large', (0, 40)),
                 build_replica('near-1', 'a', 'small', (40, 50)),
@@ -139,14 +139,14 @@
         self.assertNotIn('far', list_replica_ids(stages))
 
     def test_full_link_is_not_crossed(self) -> None:
-        known = know(
+        known = build_states(
             [
                 build_replica('head', 'a', 'large', (0, 40)),
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
         pipes = LinkUsage()
-        request = PathRequest(900, pipes=pipes)
+        request = PathRequest(900, links=pipes)
         self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 0))
         for _ in range(20):
             pipes.note_transfer('a', 'b', 34, 0)
@@ -355,8 +355,8 @@
         prefix,
         'host.example',
         prefix,
-        Repeat.IDEMPOTENT,
-        (Share('llm', 1),),
+        RetryClass.IDEMPOTENT,
+        (ServiceWeight('llm', 1),),
     )
 
 
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -17,19 +17,19 @@
     count_max_layers,
     predict_total_rate,
 )
-from samphirerill.fleet.repair import count_whole, plan_moves
+from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.worth import Aims
+from samphirerill.fleet.worth import PlanTargets
 from samphirerill.tests.fleets import (
     ENGINE,
     THREE_ZONES,
     build_fleet,
     build_replica,
-    place,
+    apply_moves,
 )
 
-_AIMS = Aims(200.0)
-_MAX_RATE_AIMS = Aims(200.0, policy=Policy(lean_plans=False))
+_AIMS = PlanTargets(200.0)
+_MAX_RATE_AIMS = PlanTargets(200.0, policy=Policy(lean_plans=False))
 
 
 class PlanCase(TestCase):
@@ -40,9 +40,9 @@
         assert plan is not None
         seen: Counter[str] = Counter()
         for pipeline in plan.pipelines:
-            total = sum(count for _, count in pipeline.parts)
+            total = sum(count for _, count in pipeline.members)
             self.assertEqual(total, ENGINE.layers)
-            for replica, count in pipeline.parts:
+            for replica, count in pipeline.members:
                 seen[replica.replica_id] += 1
                 kind = ENGINE.accelerators[replica.accelerator]
                 self.assertLess(count * ENGINE.layer_mb, kind.size_mb)
@@ -58,7 +58,7 @@
             moves = plan_moves(ENGINE, replicas, _AIMS, names)
             if not moves:
                 break
-            replicas = place(replicas, moves)
+            replicas = apply_moves(replicas, moves)
         return replicas
 
     def count_complete(self, replicas: list[Replica]) -> int:
@@ -130,7 +130,7 @@
         self.assertLess(_count_stages(lean), _count_stages(max_rate))
         self.assertGreater(len(lean.backups), len(max_rate.backups))
         for pipeline in lean.pipelines:
-            for replica, count in pipeline.parts:
+            for replica, count in pipeline.members:
                 max_layers = count_max_layers(ENGINE, replica, TARGET_REQUESTS)
                 self.assertLessEqual(count, max_layers)
 
@@ -150,7 +150,7 @@
 
 
 def _count_stages(plan: PlacementPlan) -> int:
-    return sum(len(pipeline.parts) for pipeline in plan.pipelines)
+    return sum(len(pipeline.members) for pipeline in plan.pipelines)
 
 
 class TestRepair(PlanCase):
@@ -173,7 +173,7 @@
             for stage in chain.stages
         }
         settled = {item.replica_id for item in left}
-        moves = plan_moves(ENGINE, left, _AIMS, settled, is_calm=False)
+        moves = plan_moves(ENGINE, left, _AIMS, settled, is_stable=False)
         self.assertFalse(kept & set(moves))
 
     def test_newcomer_takes_lost_stage(self) -> None:
@@ -182,7 +182,7 @@
         left = [item for item in self.fleet if item is not lost]
         settled = {item.replica_id for item in left}
         moves = plan_moves(
-            ENGINE, [*left, newcomer], _AIMS, settled, is_calm=False
+            ENGINE, [*left, newcomer], _AIMS, settled, is_stable=False
         )
         self.assertEqual(moves, {'new': lost.layers})
 
@@ -228,10 +228,10 @@
         lost = self._find_stage('a', 0)
         left = [item for item in self.fleet if item is not lost]
         settled = {item.replica_id for item in left}
-        moves = plan_moves(ENGINE, left, _AIMS, settled, is_calm=False)
+        moves = plan_moves(ENGINE, left, _AIMS, settled, is_stable=False)
         self.assertTrue(moves)
         self.assertTrue(all(name.startswith('a-') for name in moves), moves)
-        self.assertEqual(self.count_complete(place(left, moves)), 3)
+        self.assertEqual(self.count_complete(apply_moves(left, moves)), 3)
 
     def test_data_centre_without_pipeline_uses_remote_spares(self) -> None:
         kept = ('b-small-0', 'b-small-1', 'b-small-2', 'b-small-3')
@@ -256,7 +256,7 @@
         newcomer = build_replica('new', 'a', 'large')
         settled = {item.replica_id for item in self.fleet}
         moves = plan_moves(
-            ENGINE, [*self.fleet, newcomer], _AIMS, settled, is_calm=False
+            ENGINE, [*self.fleet, newcomer], _AIMS, settled, is_stable=False
         )
         held = self._find_stage('a', 0).layers
         self.assertEqual(moves, {'new': held})
@@ -273,7 +273,7 @@
 
     def count_by_data_centre(self, replicas: list[Replica]) -> dict[str, int]:
         """Return the number of complete pipelines in each data centre."""
-        return count_whole(ENGINE, replicas)
+        return count_complete(ENGINE, replicas)
 
     def test_plan_for_partly_known_fleet_is_extended(self) -> None:
         """Replicas announced after the first plan must get layers too.
@@ -285,7 +285,7 @@
         known = fleet[::3]
         plan = plan_layers(ENGINE, known, _AIMS)
         assert plan is not None
-        replicas = self.settle(place(fleet, plan.list_ranges()))
+        replicas = self.settle(apply_moves(fleet, plan.list_ranges()))
         complete = self.count_by_data_centre(replicas)
         self.assertTrue(all(complete.values()), complete)
 
@@ -306,7 +306,7 @@
             for item in fleet
         ]
         names = {item.replica_id for item in lost}
-        moves = plan_moves(ENGINE, lost, _AIMS, names, is_calm=False)
+        moves = plan_moves(ENGINE, lost, _AIMS, names, is_stable=False)
         moved = {item.data_centre for item in lost if item.replica_id in moves}
         self.assertEqual(moved, {'b'})
 
@@ -319,7 +319,7 @@
         plans = 0
         for step in range(100):
             held = [build_replica('one', layers=(0, 1 + step % 2))]
-            plans += timing.may_plan('fleet', held)
+            plans += timing.should_plan('fleet', held)
         self.assertLess(plans, 10)
 
     def test_first_observed_fleet_counts_as_settled(self) -> None:
@@ -341,5 +341,5 @@
         timing.observe([old], 0)
         timing.observe([old, build_replica('new')], 10)
         self.assertEqual(timing.list_settled(11), {'old'})
-        self.assertFalse(timing.is_calm(11))
+        self.assertFalse(timing.is_stable(11))
         self.assertEqual(timing.list_settled(20), {'old', 'new'})
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -8,7 +8,7 @@
 
 from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
-from samphirerill.fleet.moves import predict_pause_ms
+from samphirerill.fleet.moves import predict_reroute_pause_ms
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
 from samphirerill.testing.platform_world import PlatformWorld
 from samphirerill.tests.fleets import ENGINE, build_replica
@@ -241,14 +241,14 @@
         activations of all streams then queue on that link.
         """
         head = Stage(build_replica('head', 'a', 'middle'), LayerRange(0, 20))
-        cross_link_ms = predict_pause_ms(
+        cross_link_ms = predict_reroute_pause_ms(
             ENGINE, [head, *_build_tail('b')], {'head'}, 900, 40
         )
         other = Stage(build_replica('b-head', 'b', 'middle'), LayerRange(0, 20))
-        resend_ms = predict_pause_ms(
+        resend_ms = predict_reroute_pause_ms(
             ENGINE, [other, *_build_tail('b')], (), 900, 40
         )
-        local_ms = predict_pause_ms(
+        local_ms = predict_reroute_pause_ms(
             ENGINE, [head, *_build_tail('a')], {'head'}, 900, 40
         )
         self.assertGreater(cross_link_ms, 3 * resend_ms)
@@ -256,6 +256,6 @@
 
     def test_pause_grows_with_number_of_rerouted_streams(self) -> None:
         stage = Stage(build_replica('one', 'a', 'small'), LayerRange(0, 10))
-        single = predict_pause_ms(ENGINE, [stage], (), 900, 1)
-        many = predict_pause_ms(ENGINE, [stage], (), 900, 11)
+        single = predict_reroute_pause_ms(ENGINE, [stage], (), 900, 1)
+        many = predict_reroute_pause_ms(ENGINE, [stage], (), 900, 11)
         self.assertAlmostEqual(many, 6 * single)
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -12,7 +12,7 @@
     StoreRefusedError,
     StoreUnreachableError,
 )
-from samphirerill.fleet.model import LayerRange, Repeat, Stage
+from samphirerill.fleet.model import LayerRange, RetryClass, Stage
 from samphirerill.platform.dialect import PlatformDialect
 from samphirerill.platform.store import (
     ConditionFailedError,
@@ -47,16 +47,16 @@
     def test_configuration_is_decoded_completely(self) -> None:
         cfg = self.dialect.decode_configuration(CONFIGURATION)
         streaming_route, plain_route = cfg.routes
-        self.assertIs(streaming_route.repeat, Repeat.STREAM)
+        self.assertIs(streaming_route.retry_class, RetryClass.STREAM)
         self.assertTrue(streaming_route.is_resumable)
         self.assertEqual(streaming_route.gap_s, 0.2)
-        self.assertEqual(len(streaming_route.shares), 2)
-        self.assertIs(plain_route.repeat, Repeat.NON_IDEMPOTENT)
+        self.assertEqual(len(streaming_route.service_weights), 2)
+        self.assertIs(plain_route.retry_class, RetryClass.NON_IDEMPOTENT)
         self.assertEqual(cfg.accounts[KEY].name, 'suva')
         engine = cfg.services['llm'].engine
         assert engine is not None
         self.assertEqual(engine.layers, 80)
-        self.assertEqual(engine.accelerators['small'].read_factor, 8.2)
+        self.assertEqual(engine.accelerators['small'].prefill_factor, 8.2)
 
     def test_malformed_documents_raise_document_error(self) -> None:
         """Decoder errors must not end the loop that follows the store."""
@@ -70,7 +70,7 @@
     def test_route_of_unknown_kind_is_not_retried(self) -> None:
         text = CONFIGURATION.replace(b'"streaming"', b'"new_kind"')
         cfg = self.dialect.decode_configuration(text)
-        self.assertIs(cfg.routes[0].repeat, Repeat.NON_IDEMPOTENT)
+        self.assertIs(cfg.routes[0].retry_class, RetryClass.NON_IDEMPOTENT)
 
 
 class TestHeaders(TestCase):
