--- a/samphirerill/core/events.py
+++ b/samphirerill/core/events.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from samphirerill.core.model import Configuration
     from samphirerill.core.prefixes import CacheNews
-    from samphirerill.quarantine.messages import ToldRecord
+    from samphirerill.quarantine.messages import EvidenceMessage
 
 
 @dataclass(slots=True)
@@ -155,7 +155,7 @@
 class EvidenceTold:
     """Another node sent its crash records of requests."""
 
-    records: list[ToldRecord]
+    records: list[EvidenceMessage]
 
 
 @dataclass(slots=True)
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -21,9 +21,9 @@
 from samphirerill.core.events import EvidenceTold
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import dispatch_queue
-from samphirerill.quarantine import Death
-from samphirerill.quarantine.book import BEGINNING_S, SETTLE_S
-from samphirerill.quarantine.messages import take_told
+from samphirerill.quarantine import Crash
+from samphirerill.quarantine.book import SURVIVAL_S, SETTLE_S
+from samphirerill.quarantine.messages import apply_messages
 
 if TYPE_CHECKING:
     from samphirerill.core.events import ProbeAnswered
@@ -37,7 +37,7 @@
 @handle.register(EvidenceTold)
 def on_evidence_told(event: EvidenceTold, state: CoreState, now: float) -> None:
     """Merge another node's crash records."""
-    if take_told(state.quarantine, event.records, now):
+    if apply_messages(state.quarantine, event.records, now):
         _schedule_evaluation(state, now)
 
 
@@ -45,7 +45,7 @@
     state: CoreState, identity: bytes, now: float
 ) -> Problem | None:
     """Return the refusal of a quarantined request, or None."""
-    until = state.quarantine.find_held_until(identity, now)
+    until = state.quarantine.get_held_until(identity, now)
     if not until:
         return None
     return Problem(
@@ -70,7 +70,7 @@
         record_survival(state, req, now)
         return False
     for stage in attempt.stages:
-        death = Death(stage.endpoint, req.request_id, now)
+        death = Crash(stage.endpoint, req.request_id, now)
         crashes = state.suspected_crashes.setdefault(stage.endpoint, {})
         crashes[req.identity] = death
     return True
@@ -82,7 +82,7 @@
     if not event.has_ended:
         return
     for identity, death in crashes.items():
-        state.quarantine.note_death(identity, death, now)
+        state.quarantine.note_crash(identity, death, now)
         _schedule_evaluation(state, now)
 
 
@@ -105,7 +105,7 @@
 
 def evaluate_quarantine(state: CoreState, now: float) -> None:
     """Update the quarantine and refuse requests that entered it."""
-    for decision in state.quarantine.judge(now):
+    for decision in state.quarantine.update_holds(now):
         kind = 'held' if decision.until else 'released'
         state.counters[f'quarantine.{kind}'] += 1
         if decision.until:
@@ -145,7 +145,7 @@
 
 
 def _has_survived_start(attempt: AttemptState) -> bool:
-    return attempt.last_token_at - attempt.first_token_at >= BEGINNING_S
+    return attempt.last_token_at - attempt.first_token_at >= SURVIVAL_S
 
 
 def _schedule_evaluation(state: CoreState, now: float) -> None:
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.core.placement import count_free_slots
-from samphirerill.quarantine.messages import build_told
+from samphirerill.quarantine.messages import build_message
 from samphirerill.quarantine.records import describe_record
 
 if TYPE_CHECKING:
     from samphirerill.core.state import CoreState
-    from samphirerill.quarantine.messages import ToldRecord
+    from samphirerill.quarantine.messages import EvidenceMessage
 
 
 def describe_state(state: CoreState, now: float) -> dict[str, Any]:
@@ -46,19 +46,19 @@
     return sorted(state.leaving)
 
 
-def list_evidence(state: CoreState, now: float, limit: int) -> list[ToldRecord]:
+def list_evidence(state: CoreState, now: float, limit: int) -> list[EvidenceMessage]:
     """Return up to `limit` crash records of requests, for other nodes."""
     records = islice(state.quarantine.list_records(), limit)
-    return [build_told(request, record, now) for request, record in records]
+    return [build_message(request, record, now) for request, record in records]
 
 
 def _describe_quarantine(state: CoreState, now: float) -> list[dict[str, Any]]:
     return [
         describe_record(
-            record, state.quarantine.find_held_until(request, now), now
+            record, state.quarantine.get_held_until(request, now), now
         )
         for request, record in state.quarantine.list_records()
-        if record.deaths
+        if record.crashes
     ]
 
 
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.core.model import Route
-    from samphirerill.quarantine import Death
+    from samphirerill.quarantine import Crash
 
 MAX_VM_LIST_LAG_S = 30.0
 
@@ -173,7 +173,7 @@
         self.prefixes = PrefixIndex()
         self.quarantine = Quarantine()
         # By endpoint being probed, the requests whose attempts failed there.
-        self.suspected_crashes: dict[str, dict[bytes, Death]] = {}
+        self.suspected_crashes: dict[str, dict[bytes, Crash]] = {}
         self.running_by_account: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
         self.deadlines: list[tuple[float, str, str]] = []
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -29,9 +29,9 @@
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
 from samphirerill.quarantine.messages import (
-    UnreadableEvidenceError,
-    decode_told,
-    encode_told,
+    InvalidEvidenceError,
+    decode_messages,
+    encode_messages,
 )
 
 if TYPE_CHECKING:
@@ -177,8 +177,8 @@
         if not message.evidence:
             return
         try:
-            records = decode_told(message.evidence)
-        except UnreadableEvidenceError as exc:
+            records = decode_messages(message.evidence)
+        except InvalidEvidenceError as exc:
             _LOG.warning(
                 'invalid evidence from a peer',
                 extra={'node': message.node, 'error': str(exc)},
@@ -193,9 +193,9 @@
 
     def _encode_evidence(self, now: float) -> bytes:
         state = self._node.router.state
-        state.quarantine.forget(now)
+        state.quarantine.drop_expired(now)
         records = list_evidence(state, now, _MAX_EVIDENCE_RECORDS)
-        return encode_told(records) if records else b''
+        return encode_messages(records) if records else b''
 
     def _build_word(self) -> Word:
         node = self._node
--- a/samphirerill/quarantine/__init__.py
+++ b/samphirerill/quarantine/__init__.py
@@ -1,7 +1,7 @@
 """Detection and quarantine of requests that crash the endpoints running them."""
 
-from samphirerill.quarantine.book import News, Quarantine
+from samphirerill.quarantine.book import HoldChange, Quarantine
 from samphirerill.quarantine.identity import digest_request
-from samphirerill.quarantine.records import Death, Record
+from samphirerill.quarantine.records import Crash, EvidenceRecord
 
-__all__ = ('Death', 'News', 'Quarantine', 'Record', 'digest_request')
+__all__ = ('Crash', 'HoldChange', 'Quarantine', 'EvidenceRecord', 'digest_request')
--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -17,18 +17,18 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from samphirerill.quarantine.records import Record
+from samphirerill.quarantine.records import EvidenceRecord
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from samphirerill.quarantine.records import Death
+    from samphirerill.quarantine.records import Crash
 
 # A run that has sent events for this long has survived: harmful requests crash
 # endpoints with their first tokens.
-BEGINNING_S = 0.5
+SURVIVAL_S = 0.5
 # One crash is no evidence against any of the interrupted requests.
-SUSPECT_DEATHS = 2
+SUSPECT_CRASHES = 2
 # Crashes until a request is held, if it was the only suspect at the last.
 _MIN_CRASHES = 3
 # A request at this many crashes is held whatever other suspects there were.
@@ -54,11 +54,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class HoldChange:
     """A change of a hold: held until `until`, or released if that is 0."""
 
     request: bytes
-    deaths: tuple[Death, ...]
+    crashes: tuple[Crash, ...]
     until: float
 
 
@@ -67,7 +67,7 @@
     """Until when a request is held, and the crashes that decided it."""
 
     until: float
-    deaths: tuple[Death, ...]
+    crashes: tuple[Crash, ...]
 
 
 class Quarantine:
@@ -83,7 +83,7 @@
 
     def __init__(self, max_records: int = MAX_RECORDS) -> None:
         self._max_records = max_records
-        self._records: dict[bytes, Record] = {}
+        self._records: dict[bytes, EvidenceRecord] = {}
         # Requests with `_MIN_CRASHES`, whether or not they are held.
         self._candidates: set[bytes] = set()
         self._held: dict[bytes, _Hold] = {}
@@ -92,14 +92,14 @@
         """Return the number of requests with a record."""
         return len(self._records)
 
-    def note_death(self, request: bytes, crash: Death, now: float) -> bool:
+    def note_crash(self, request: bytes, crash: Crash, now: float) -> bool:
         """Record a crash; return whether it is new evidence.
 
         Parameters
         ----------
         request : bytes
             Digest of a request whose run had just started there.
-        death : Death
+        crash : Crash
             Which endpoint crashed, and when.
         now : float
             On the loop's clock.
@@ -109,7 +109,7 @@
         record = self._records.get(request)
         if record is None:
             self._evict_record()
-            record = Record()
+            record = EvidenceRecord()
             self._records[request] = record
         if not record.add(crash):
             return False
@@ -130,7 +130,7 @@
             self._candidates.discard(request)
         return True
 
-    def judge(self, now: float) -> list[News]:
+    def update_holds(self, now: float) -> list[HoldChange]:
         """Update all holds from the evidence; return what has changed.
 
         Crashes of the last `SETTLE_S` are ignored, as reports of other requests
@@ -150,19 +150,19 @@
                 self._held[request] = _Hold(until, tuple(crashes))
         return list(self._list_changes(previous))
 
-    def find_held_until(self, request: bytes, now: float) -> float:
+    def get_held_until(self, request: bytes, now: float) -> float:
         """Return until when a request is held; 0 if it may run."""
         hold = self._held.get(request)
         if hold is None or hold.until <= now:
             return 0.0
         return hold.until
 
-    def count_deaths(self, request: bytes) -> int:
+    def count_crashes(self, request: bytes) -> int:
         """Return at how many distinct crashes a request was just starting."""
         record = self._records.get(request)
         return 0 if record is None else len(record.list_distinct_crashes())
 
-    def list_records(self) -> Iterator[tuple[bytes, Record]]:
+    def list_records(self) -> Iterator[tuple[bytes, EvidenceRecord]]:
         """Yield all records, those of held requests first."""
         for request in self._held:
             yield request, self._records[request]
@@ -170,11 +170,11 @@
             if other not in self._held:
                 yield other, self._records[other]
 
-    def get_record(self, request: bytes) -> Record | None:
+    def get_record(self, request: bytes) -> EvidenceRecord | None:
         """Return the record of a request, or ``None``."""
         return self._records.get(request)
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop expired records."""
         expired = [
             request
@@ -184,23 +184,23 @@
         for request in expired:
             self._drop(request)
 
-    def _is_culprit(self, request: bytes, crashes: list[Death]) -> bool:
+    def _is_culprit(self, request: bytes, crashes: list[Crash]) -> bool:
         if len(crashes) < _MIN_CRASHES:
             return False
         if len(crashes) >= _CERTAIN_CRASHES:
             return True
         sole_suspect_count = sum(
             self._was_only_suspect(request, crash)
-            for crash in crashes[SUSPECT_DEATHS:]
+            for crash in crashes[SUSPECT_CRASHES:]
         )
         return sole_suspect_count >= self._count_required(
             request, crashes[-1].at
         )
 
-    def _was_only_suspect(self, request: bytes, crash: Death) -> bool:
+    def _was_only_suspect(self, request: bytes, crash: Crash) -> bool:
         """Return whether no other suspect was just starting at a crash."""
         return not any(
-            record.was_suspect(crash, SUSPECT_DEATHS)
+            record.was_suspect(crash, SUSPECT_CRASHES)
             for other, record in self._records.items()
             if other != request
         )
@@ -208,12 +208,12 @@
     def _count_required(self, request: bytes, until: float) -> int:
         """Return how often a request must have been the only suspect."""
         own_endpoints = {
-            crash.endpoint for crash in self._records[request].deaths
+            crash.endpoint for crash in self._records[request].crashes
         }
         recent_endpoints = {
             crash.endpoint
             for record in self._records.values()
-            for crash in record.deaths
+            for crash in record.crashes
             if until - _RECENT_S <= crash.at <= until
         }
         unseen = len(recent_endpoints - own_endpoints)
@@ -223,13 +223,13 @@
             + (unseen > _SEVERAL_OTHER_ENDPOINTS)
         )
 
-    def _list_changes(self, previous: dict[bytes, _Hold]) -> Iterator[News]:
+    def _list_changes(self, previous: dict[bytes, _Hold]) -> Iterator[HoldChange]:
         for request, hold in self._held.items():
             previous_hold = previous.get(request)
             if previous_hold is None or previous_hold.until != hold.until:
-                yield News(request, hold.deaths, hold.until)
+                yield HoldChange(request, hold.crashes, hold.until)
         for request in previous.keys() - self._held.keys():
-            yield News(request, previous[request].deaths, 0.0)
+            yield HoldChange(request, previous[request].crashes, 0.0)
 
     def _evict_record(self) -> None:
         """Evict the oldest record with the least evidence if there is no room.
@@ -244,7 +244,7 @@
             evictable = (
                 request
                 for request, record in self._records.items()
-                if len(record.deaths) <= max_crashes
+                if len(record.crashes) <= max_crashes
                 and request not in self._held
             )
             found = list(islice(evictable, 1))
@@ -259,14 +259,14 @@
         self._held.pop(request, None)
 
 
-def _find_hold_s(deaths: int) -> float:
-    factor = 2 ** (deaths - _MIN_CRASHES)
+def _find_hold_s(crashes: int) -> float:
+    factor = 2 ** (crashes - _MIN_CRASHES)
     return min(_MAX_HOLD_S, _HOLD_S * factor)
 
 
-def _find_expiry(record: Record) -> float:
+def _find_expiry(record: EvidenceRecord) -> float:
     """Return until when a record is kept."""
-    if not record.deaths:
+    if not record.crashes:
         return record.survived_at + _HOLD_S
-    hold_s = _find_hold_s(max(_MIN_CRASHES, len(record.deaths)))
-    return record.deaths[-1].at + _RETENTION_FACTOR * hold_s
+    hold_s = _find_hold_s(max(_MIN_CRASHES, len(record.crashes)))
+    return record.crashes[-1].at + _RETENTION_FACTOR * hold_s
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -10,13 +10,13 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from samphirerill.quarantine.identity import DIGEST_BYTES
-from samphirerill.quarantine.records import MAX_CRASHES, Death
+from samphirerill.quarantine.records import MAX_CRASHES, Crash
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from samphirerill.quarantine.book import Quarantine
-    from samphirerill.quarantine.records import Record
+    from samphirerill.quarantine.records import EvidenceRecord
 
 _MS_PER_S = 1000
 _MAX_NAME_CHARS = 80
@@ -35,7 +35,7 @@
     ago_ms: int
 
 
-class ToldRecord(Struct, array_like=True):
+class EvidenceMessage(Struct, array_like=True):
     """Evidence on one request.
 
     `survived_ms` is how long ago a run last survived its start, -1 for never.
@@ -46,11 +46,11 @@
     survived_ms: int = _NEVER_SURVIVED
 
 
-class UnreadableEvidenceError(Exception):
+class InvalidEvidenceError(Exception):
     """A message with evidence is malformed or exceeds the limits."""
 
 
-def build_told(request: bytes, record: Record, now: float) -> ToldRecord:
+def build_message(request: bytes, record: EvidenceRecord, now: float) -> EvidenceMessage:
     """Return the message for a record."""
     survived_ms = _NEVER_SURVIVED
     if record.survived_at > 0:
@@ -61,38 +61,38 @@
             crash.request_id[:_SENT_NAME_CHARS],
             _to_ms(now - crash.at),
         )
-        for crash in record.deaths
+        for crash in record.crashes
     ]
-    return ToldRecord(request, deaths, survived_ms)
+    return EvidenceMessage(request, deaths, survived_ms)
 
 
-def encode_told(messages: list[ToldRecord]) -> bytes:
+def encode_messages(messages: list[EvidenceMessage]) -> bytes:
     """Return messages as bytes."""
     return msgpack.encode(messages)
 
 
-def decode_told(text: bytes) -> list[ToldRecord]:
-    """Decode messages; raise ``UnreadableEvidenceError`` if they are invalid."""
+def decode_messages(text: bytes) -> list[EvidenceMessage]:
+    """Decode messages; raise ``InvalidEvidenceError`` if they are invalid."""
     try:
-        messages = msgpack.decode(text, type=list[ToldRecord])
+        messages = msgpack.decode(text, type=list[EvidenceMessage])
     except (DecodeError, ValidationError) as exc:
-        raise UnreadableEvidenceError(str(exc)) from exc
-    check_told(messages)
+        raise InvalidEvidenceError(str(exc)) from exc
+    check_messages(messages)
     return messages
 
 
-def check_told(messages: list[ToldRecord]) -> None:
-    """Raise ``UnreadableEvidenceError`` if messages exceed the limits."""
+def check_messages(messages: list[EvidenceMessage]) -> None:
+    """Raise ``InvalidEvidenceError`` if messages exceed the limits."""
     if len(messages) > _MAX_RECORDS_PER_MESSAGE or not all(
         map(_is_valid_record, messages)
     ):
-        raise UnreadableEvidenceError(
+        raise InvalidEvidenceError(
             f'got {len(messages)} records, expected at most '
             f'{_MAX_RECORDS_PER_MESSAGE}, each within its limits'
         )
 
 
-def move_back(message: ToldRecord, by_ms: int) -> ToldRecord:
+def add_age(message: EvidenceMessage, by_ms: int) -> EvidenceMessage:
     """Return a message with all its ages increased by `by_ms`."""
     deaths = [
         CrashMessage(crash.endpoint, crash.request_id, crash.ago_ms + by_ms)
@@ -101,19 +101,19 @@
     survived_ms = message.survived_ms
     if survived_ms != _NEVER_SURVIVED:
         survived_ms += by_ms
-    return ToldRecord(message.request, deaths, survived_ms)
+    return EvidenceMessage(message.request, deaths, survived_ms)
 
 
-def take_told(
-    quarantine: Quarantine, messages: Iterable[ToldRecord], now: float
+def apply_messages(
+    quarantine: Quarantine, messages: Iterable[EvidenceMessage], now: float
 ) -> list[bytes]:
     """Apply messages of another node; return the requests that changed."""
     changed = []
     for record in messages:
         changes = [
-            quarantine.note_death(
+            quarantine.note_crash(
                 record.request,
-                Death(
+                Crash(
                     crash.endpoint,
                     crash.request_id,
                     now - crash.ago_ms / _MS_PER_S,
@@ -130,7 +130,7 @@
     return changed
 
 
-def _is_valid_record(message: ToldRecord) -> bool:
+def _is_valid_record(message: EvidenceMessage) -> bool:
     has_digest_size = len(message.request) == DIGEST_BYTES
     has_few_crashes = len(message.deaths) <= MAX_CRASHES
     is_recent = _NEVER_SURVIVED <= message.survived_ms <= _MAX_AGE_MS
--- a/samphirerill/quarantine/records.py
+++ b/samphirerill/quarantine/records.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Death:
+class Crash:
     """The crash of an endpoint's process just as it started to run a request.
 
     Parameters
@@ -38,66 +38,66 @@
     request_id: str
     at: float
 
-    def is_same_crash(self, other: Death) -> bool:
+    def is_same_crash(self, other: Crash) -> bool:
         """Return whether both describe the same crash of one endpoint."""
         is_close = abs(self.at - other.at) < _SAME_CRASH_S
         return self.endpoint == other.endpoint and is_close
 
 
 @dataclass(slots=True)
-class Record:
+class EvidenceRecord:
     """The crashes that affected one request, ordered by time.
 
     A run that continues or completes shows that the request is harmless;
     crashes before `survived_at` are dropped.
     """
 
-    deaths: list[Death] = field(default_factory=list)
+    crashes: list[Crash] = field(default_factory=list)
     survived_at: float = _NEVER
 
-    def add(self, crash: Death) -> bool:
+    def add(self, crash: Crash) -> bool:
         """Add a crash; return whether it is new and not refuted."""
         if crash.at <= self.survived_at or any(
-            map(crash.is_same_crash, self.deaths)
+            map(crash.is_same_crash, self.crashes)
         ):
             return False
-        if len(self.deaths) == MAX_CRASHES:
-            self.deaths.pop(0)
-        insort(self.deaths, crash, key=attrgetter('at'))
+        if len(self.crashes) == MAX_CRASHES:
+            self.crashes.pop(0)
+        insort(self.crashes, crash, key=attrgetter('at'))
         return True
 
     def note_survival(self, at: float) -> bool:
         """Drop crashes up to a survived run; return whether there were any."""
         self.survived_at = max(self.survived_at, at)
-        latest = len(self.deaths)
-        self.deaths = [crash for crash in self.deaths if crash.at > at]
-        return len(self.deaths) < latest
+        latest = len(self.crashes)
+        self.crashes = [crash for crash in self.crashes if crash.at > at]
+        return len(self.crashes) < latest
 
-    def list_distinct_crashes(self) -> list[Death]:
+    def list_distinct_crashes(self) -> list[Crash]:
         """Return the crashes, one for each group with a common cause."""
-        distinct: list[Death] = []
-        for crash in self.deaths:
+        distinct: list[Crash] = []
+        for crash in self.crashes:
             if not distinct or crash.at - distinct[-1].at >= _SAME_CAUSE_S:
                 distinct.append(crash)
         return distinct
 
-    def was_suspect(self, crash: Death, min_crashes: int) -> bool:
+    def was_suspect(self, crash: Crash, min_crashes: int) -> bool:
         """Return whether the request was at a crash after enough earlier ones."""
-        if len(self.deaths) <= min_crashes:
+        if len(self.crashes) <= min_crashes:
             return False
-        if not any(map(crash.is_same_crash, self.deaths)):
+        if not any(map(crash.is_same_crash, self.crashes)):
             return False
         latest = crash.at - _SAME_CAUSE_S
         earlier = [known.at < latest for known in self.list_distinct_crashes()]
         return sum(earlier) >= min_crashes
 
 
-def describe_record(record: Record, until: float, now: float) -> dict[str, Any]:
+def describe_record(record: EvidenceRecord, until: float, now: float) -> dict[str, Any]:
     """Return a record for operators; attempts are named, never the digest.
 
     Parameters
     ----------
-    record : Record
+    record : EvidenceRecord
         With at least one crash.
     until : float
         Until when the request is held; 0 if it is not.
@@ -105,14 +105,14 @@
         On the loop's clock.
     """
     return {
-        'first_request': record.deaths[0].request_id,
+        'first_request': record.crashes[0].request_id,
         'left_ms': max(0, round((until - now) * _MS_PER_S)) if until else 0,
-        'deaths': describe_deaths(record.deaths, now),
+        'deaths': describe_crashes(record.crashes, now),
     }
 
 
-def describe_deaths(
-    deaths: Iterable[Death], now: float
+def describe_crashes(
+    crashes: Iterable[Crash], now: float
 ) -> list[dict[str, Any]]:
     """Return crashes for operators, each with its age."""
     return [
@@ -121,5 +121,5 @@
             'request': crash.request_id,
             'ago_ms': round((now - crash.at) * _MS_PER_S),
         }
-        for crash in deaths
+        for crash in crashes
     ]
--- a/samphirerill/relay/quarantine/keeper.py
+++ b/samphirerill/relay/quarantine/keeper.py
@@ -8,15 +8,15 @@
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
 from samphirerill.quarantine.book import SETTLE_S
-from samphirerill.quarantine.messages import take_told
-from samphirerill.quarantine.records import describe_deaths, describe_record
+from samphirerill.quarantine.messages import apply_messages
+from samphirerill.quarantine.records import describe_crashes, describe_record
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.quarantine.book import News
-    from samphirerill.quarantine.messages import ToldRecord
-    from samphirerill.quarantine.records import Death
+    from samphirerill.quarantine.book import HoldChange
+    from samphirerill.quarantine.messages import EvidenceMessage
+    from samphirerill.quarantine.records import Crash
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
@@ -41,9 +41,9 @@
         # Deadline of the next evaluation; 0 if no evidence is pending.
         self._evaluate_by = 0.0
 
-    def record_crash(self, request: bytes, death: Death) -> None:
+    def record_crash(self, request: bytes, death: Crash) -> None:
         """Record a crash that this node has observed."""
-        self._state.quarantine.note_death(request, death, self._loop.time())
+        self._state.quarantine.note_crash(request, death, self._loop.time())
         self._schedule_evaluation()
 
     def record_survival(self, request: bytes) -> bool:
@@ -55,9 +55,9 @@
             self._schedule_evaluation()
         return is_news
 
-    def apply_records(self, records: Iterable[ToldRecord]) -> None:
+    def apply_records(self, records: Iterable[EvidenceMessage]) -> None:
         """Apply the evidence of another node."""
-        if take_told(self._state.quarantine, records, self._loop.time()):
+        if apply_messages(self._state.quarantine, records, self._loop.time()):
             self._schedule_evaluation()
 
     def describe(self) -> list[dict[str, Any]]:
@@ -69,10 +69,10 @@
         quarantine = self._state.quarantine
         return [
             describe_record(
-                record, quarantine.find_held_until(request, now), now
+                record, quarantine.get_held_until(request, now), now
             )
             for request, record in quarantine.list_records()
-            if record.deaths
+            if record.crashes
         ]
 
     def _schedule_evaluation(self) -> None:
@@ -91,18 +91,18 @@
     def _evaluate(self) -> None:
         self._timer = None
         self._evaluate_by = 0.0
-        changes = self._state.quarantine.judge(self._loop.time())
+        changes = self._state.quarantine.update_holds(self._loop.time())
         for change in changes:
             self._log_change(change)
         if any(entry.until for entry in changes):
             for stream in tuple(self._state.streams):
                 stream.check_quarantine()
 
-    def _log_change(self, change: News) -> None:
+    def _log_change(self, change: HoldChange) -> None:
         now = self._loop.time()
         fields = {
-            'first_request': change.deaths[0].request_id,
-            'deaths': describe_deaths(change.deaths, now),
+            'first_request': change.crashes[0].request_id,
+            'deaths': describe_crashes(change.crashes, now),
         }
         if change.until:
             self._state.counters['quarantine.held'] += 1
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/sharing.py
@@ -13,12 +13,12 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from samphirerill.node.logs import get_logger
-from samphirerill.quarantine.book import SUSPECT_DEATHS
+from samphirerill.quarantine.book import SUSPECT_CRASHES
 from samphirerill.quarantine.messages import (
-    UnreadableEvidenceError,
-    build_told,
-    decode_told,
-    encode_told,
+    InvalidEvidenceError,
+    build_message,
+    decode_messages,
+    encode_messages,
 )
 from samphirerill.relay.post import DatagramDeduplicator
 from samphirerill.relay.quarantine.trials import TRIAL_S, Trials
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-    from samphirerill.quarantine.messages import ToldRecord
+    from samphirerill.quarantine.messages import EvidenceMessage
     from samphirerill.relay.post import DatagramSender
     from samphirerill.relay.quarantine.keeper import Keeper
     from samphirerill.relay.state import EdgeState
@@ -108,8 +108,8 @@
         """Apply the evidence of another node."""
         try:
             evidence = msgpack.decode(data[len(TYPE_PREFIX) :], type=Evidence)
-            records = decode_told(evidence.records)
-        except (DecodeError, ValidationError, UnreadableEvidenceError) as exc:
+            records = decode_messages(evidence.records)
+        except (DecodeError, ValidationError, InvalidEvidenceError) as exc:
             _LOG.warning('cannot decode evidence', extra={'error': str(exc)})
             return
         is_own = evidence.node == self._state.settings.name
@@ -128,7 +128,7 @@
         """Gossip relevant evidence to a few nodes until cancelled."""
         while True:
             await asyncio.sleep(_GOSSIP_INTERVAL_S)
-            self._state.quarantine.forget(self._loop.time())
+            self._state.quarantine.drop_expired(self._loop.time())
             self._gossip()
 
     def _record_trial(self, replica_id: str) -> None:
@@ -170,20 +170,20 @@
         """
         since = self._loop.time() - _REPEAT_SINGLE_S
         for request, record in self._state.quarantine.list_records():
-            is_suspect = len(record.deaths) >= SUSPECT_DEATHS
-            if record.deaths and (is_suspect or record.deaths[-1].at > since):
+            is_suspect = len(record.crashes) >= SUSPECT_CRASHES
+            if record.crashes and (is_suspect or record.crashes[-1].at > since):
                 yield request
 
-    def _build_records(self, requests: Iterable[bytes]) -> Iterator[ToldRecord]:
+    def _build_records(self, requests: Iterable[bytes]) -> Iterator[EvidenceMessage]:
         now = self._loop.time()
         for request in requests:
             record = self._state.quarantine.get_record(request)
             if record is not None:
-                yield build_told(request, record, now)
+                yield build_message(request, record, now)
 
     def _encode(
         self,
-        records: list[ToldRecord],
+        records: list[EvidenceMessage],
         trial: str = '',
         *,
         is_broadcast: bool = True,
@@ -194,7 +194,7 @@
             self._state.settings.name,
             self._state.start_number,
             self._sequence,
-            encode_told(records),
+            encode_messages(records),
             trial,
             is_broadcast,
         )
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -16,11 +16,11 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
 from samphirerill.quarantine.messages import (
-    ToldRecord,
-    UnreadableEvidenceError,
-    build_told,
-    check_told,
-    move_back,
+    EvidenceMessage,
+    InvalidEvidenceError,
+    build_message,
+    check_messages,
+    add_age,
 )
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
     """Stored evidence for one hold; `written_ms` is a Unix time."""
 
     written_ms: int
-    record: ToldRecord
+    record: EvidenceMessage
 
 
 class StoredHolds:
@@ -94,18 +94,18 @@
         """Apply the evidence of a stored hold."""
         try:
             hold = json.decode(item.text, type=StoredHold)
-            check_told([hold.record])
+            check_messages([hold.record])
         except (
             DecodeError,
             ValidationError,
-            UnreadableEvidenceError,
+            InvalidEvidenceError,
         ) as exc:
             fields = {'key': item.key, 'error': str(exc)}
             _LOG.warning('stored hold is unreadable', extra=fields)
             return
         self._stored[item.key] = hold.record.request
         age_ms = max(0, _read_clock_ms() - hold.written_ms)
-        self._keeper.apply_records([move_back(hold.record, age_ms)])
+        self._keeper.apply_records([add_age(hold.record, age_ms)])
 
     def take_gone(self, gone: DeletedKey) -> None:
         """Remove a stored hold that was deleted or has expired."""
@@ -143,7 +143,7 @@
         quarantine = self._state.quarantine
         stored = set(self._stored.values())
         for request, _ in quarantine.list_records():
-            if not quarantine.find_held_until(request, now):
+            if not quarantine.get_held_until(request, now):
                 # Records of held requests come first.
                 return None
             if request not in stored:
@@ -154,7 +154,7 @@
         """Return the key of a hold whose request has run since, or empty."""
         for key, request in self._stored.items():
             record = self._state.quarantine.get_record(request)
-            if record is not None and not record.deaths:
+            if record is not None and not record.crashes:
                 return key
         return ''
 
@@ -163,10 +163,10 @@
         quarantine = self._state.quarantine
         record = quarantine.get_record(request)
         now = self._loop.time()
-        left_s = quarantine.find_held_until(request, now) - now
+        left_s = quarantine.get_held_until(request, now) - now
         if record is None or left_s < _MIN_LEASE_S:
             return
-        hold = StoredHold(_read_clock_ms(), build_told(request, record, now))
+        hold = StoredHold(_read_clock_ms(), build_message(request, record, now))
         key = PREFIX + request.hex()
         lease = await self._store.grant_lease(min(left_s, _MAX_LEASE_S))
         await self._store.write({key: json.encode(hold)}, {}, lease)
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -14,8 +14,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.node.logs import get_logger
-from samphirerill.quarantine.book import SUSPECT_DEATHS
-from samphirerill.quarantine.records import Death
+from samphirerill.quarantine.book import SUSPECT_CRASHES
+from samphirerill.quarantine.records import Crash
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
@@ -88,7 +88,7 @@
         quarantine = self._state.quarantine
         if not len(quarantine):
             return 0.0
-        return quarantine.find_held_until(task.identity, self._loop.time())
+        return quarantine.get_held_until(task.identity, self._loop.time())
 
     def explain(self, task: Task) -> str:
         """Return why a request is rejected, for the log.
@@ -97,17 +97,17 @@
         can look up.
         """
         record = self._state.quarantine.get_record(task.identity)
-        if record is None or not record.deaths:
+        if record is None or not record.crashes:
             return 'it ended replicas'
-        return f'it ends replicas, first as {record.deaths[0].request_id}'
+        return f'it ends replicas, first as {record.crashes[0].request_id}'
 
     def is_suspect(self, task: Task) -> bool:
         """Return whether more than one replica crashed with a request."""
         quarantine = self._state.quarantine
         if not len(quarantine) and not self._unresolved:
             return False
-        known = quarantine.count_deaths(task.identity)
-        return known + self._unresolved[task.identity] >= SUSPECT_DEATHS
+        known = quarantine.count_crashes(task.identity)
+        return known + self._unresolved[task.identity] >= SUSPECT_CRASHES
 
     def list_trials(self) -> frozenset[str]:
         """Return the replicas that run a suspect."""
@@ -210,7 +210,7 @@
             },
         )
         for run in failed_runs:
-            death = Death(process_name, run.request_id, run.at)
+            death = Crash(process_name, run.request_id, run.at)
             self._keeper.record_crash(run.request, death)
         self._sharing.broadcast([failed.request for failed in failed_runs])
 
--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -6,7 +6,7 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.smoothing import SmoothedDuration
-from samphirerill.quarantine.book import BEGINNING_S
+from samphirerill.quarantine.book import SURVIVAL_S
 
 if TYPE_CHECKING:
     from samphirerill.fleet.policy import Policy
@@ -51,7 +51,7 @@
     @property
     def has_survived(self) -> bool:
         """Return whether the run has lasted longer than the start phase."""
-        return self.last_at - self.first_at >= BEGINNING_S
+        return self.last_at - self.first_at >= SURVIVAL_S
 
     def record_events(self, count: int, now: float) -> None:
         """Record events of this run."""
--- a/samphirerill/testing/ending_fleet.py
+++ b/samphirerill/testing/ending_fleet.py
@@ -14,11 +14,11 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from samphirerill.quarantine import Death, Quarantine
+from samphirerill.quarantine import Crash, Quarantine
 from samphirerill.quarantine.book import (
-    BEGINNING_S,
+    SURVIVAL_S,
     SETTLE_S,
-    SUSPECT_DEATHS,
+    SUSPECT_CRASHES,
 )
 
 if TYPE_CHECKING:
@@ -151,7 +151,7 @@
             self._crash(name)
 
     def _send(self, stream: _Stream) -> None:
-        if self.quarantine.find_held_until(stream.request, self._now):
+        if self.quarantine.get_held_until(stream.request, self._now):
             return
         candidates = self._list_candidates(stream)
         if not candidates:
@@ -196,9 +196,9 @@
             ends_at - self._now,
             lambda: action(stream) if stream.attempts == attempts else None,
         )
-        if not stream.is_fatal and stream.remaining_s > BEGINNING_S:
+        if not stream.is_fatal and stream.remaining_s > SURVIVAL_S:
             self._schedule(
-                stream.started_at + BEGINNING_S - self._now,
+                stream.started_at + SURVIVAL_S - self._now,
                 lambda: (
                     self._record_survival(stream)
                     if stream.attempts == attempts
@@ -227,9 +227,9 @@
         self._schedule(_RESTART_S, self._start_replica)
         for stream in interrupted:
             ran_s = self._now - stream.started_at
-            if stream.is_fatal or ran_s < BEGINNING_S:
-                death = Death(name, f'r{stream.attempts}', self._now)
-                self.quarantine.note_death(stream.request, death, self._now)
+            if stream.is_fatal or ran_s < SURVIVAL_S:
+                death = Crash(name, f'r{stream.attempts}', self._now)
+                self.quarantine.note_crash(stream.request, death, self._now)
             else:
                 self.quarantine.note_survival(stream.request, self._now)
         for stream in interrupted:
@@ -244,12 +244,12 @@
         return _RETRY_DELAY_S
 
     def _is_suspect(self, stream: _Stream) -> bool:
-        return self.quarantine.count_deaths(stream.request) >= SUSPECT_DEATHS
+        return self.quarantine.count_crashes(stream.request) >= SUSPECT_CRASHES
 
     def _start_replica(self) -> None:
         self._running[f'replica-{next(self._numbers)}'] = []
 
     def _record_decisions(self) -> None:
-        for decision in self.quarantine.judge(self._now):
+        for decision in self.quarantine.update_holds(self._now):
             if decision.until and not decision.request.startswith(b'fatal'):
                 self.result.false_positives.add(decision.request)
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -313,4 +313,4 @@
         """Assert that there is no evidence against the request."""
         quarantine = self.nodes[0].state.quarantine
         identity = digest_request('suva', self.target, self.body)
-        self.assertEqual(quarantine.count_deaths(identity), 0)
+        self.assertEqual(quarantine.count_crashes(identity), 0)
--- a/samphirerill/tests/test_quarantine.py
+++ b/samphirerill/tests/test_quarantine.py
@@ -9,14 +9,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from samphirerill.quarantine import Death, Quarantine, digest_request
+from samphirerill.quarantine import Crash, Quarantine, digest_request
 from samphirerill.quarantine.book import MAX_RECORDS, SETTLE_S
 from samphirerill.quarantine.messages import (
-    UnreadableEvidenceError,
-    build_told,
-    decode_told,
-    encode_told,
-    take_told,
+    InvalidEvidenceError,
+    build_message,
+    decode_messages,
+    encode_messages,
+    apply_messages,
 )
 
 _NOW = 1000.0
@@ -31,13 +31,13 @@
 ) -> None:
     """Record crashes that a request was at, each at seconds from `_NOW`."""
     for endpoint, after_s in crashes:
-        crash = Death(endpoint, f'r-{endpoint}', _NOW + after_s)
-        quarantine.note_death(request, crash, _NOW + after_s)
+        crash = Crash(endpoint, f'r-{endpoint}', _NOW + after_s)
+        quarantine.note_crash(request, crash, _NOW + after_s)
 
 
 def _is_held(quarantine: Quarantine, request: bytes, after_s: float) -> bool:
-    quarantine.judge(_NOW + after_s)
-    return quarantine.find_held_until(request, _NOW + after_s) > 0
+    quarantine.update_holds(_NOW + after_s)
+    return quarantine.get_held_until(request, _NOW + after_s) > 0
 
 
 class TestDecision(TestCase):
@@ -91,7 +91,7 @@
         _record_crashes(
             self.quarantine, _HARMLESS, ('b', 1), ('c', 1.5), ('d', 3)
         )
-        self.assertEqual(self.quarantine.count_deaths(_HARMLESS), 1)
+        self.assertEqual(self.quarantine.count_crashes(_HARMLESS), 1)
 
     def test_survived_run_releases_hold(self) -> None:
         """A body that many send is often on replicas that crash by chance."""
@@ -153,13 +153,13 @@
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
         later_s = 1800.0
-        messages = [build_told(_HARMFUL, record, _NOW + later_s)]
+        messages = [build_message(_HARMFUL, record, _NOW + later_s)]
         newcomer = Quarantine()
-        take_told(newcomer, messages, _NOW + later_s)
+        apply_messages(newcomer, messages, _NOW + later_s)
         self.assertTrue(_is_held(newcomer, _HARMFUL, later_s))
 
     def test_old_evidence_is_dropped(self) -> None:
-        self.quarantine.forget(_NOW + 3 * _HOLD_S)
+        self.quarantine.drop_expired(_NOW + 3 * _HOLD_S)
         self.assertEqual(len(self.quarantine), 0)
 
     def test_flood_of_bodies_keeps_held_record(self) -> None:
@@ -180,7 +180,7 @@
             body = digest_request('viti', b'/notes/x', b'%d' % number)
             _record_crashes(self.quarantine, body, *crashes)
         self.assertEqual(len(self.quarantine), MAX_RECORDS)
-        until = self.quarantine.find_held_until(_HARMFUL, _NOW + 20)
+        until = self.quarantine.get_held_until(_HARMFUL, _NOW + 20)
         self.assertGreater(until, 0)
 
 
@@ -213,10 +213,10 @@
         text = self._encode(_NOW + 3)
         # The other node's clock differs, and the message arrives twice.
         for _ in range(2):
-            take_told(other, decode_told(text), 5000.0)
-        other.judge(5000.0)
+            apply_messages(other, decode_messages(text), 5000.0)
+        other.update_holds(5000.0)
         self.assertAlmostEqual(
-            other.find_held_until(_HARMFUL, 5000.0) - 5000.0,
+            other.get_held_until(_HARMFUL, 5000.0) - 5000.0,
             _HOLD_S - 1,
             places=2,
         )
@@ -226,29 +226,29 @@
         other = Quarantine()
         for number in range(50):
             now = _NOW + 3 + number
-            take_told(other, decode_told(self._encode(now)), now + 0.2)
+            apply_messages(other, decode_messages(self._encode(now)), now + 0.2)
             record = other.get_record(_HARMFUL)
             assert record is not None
-            back = encode_told([build_told(_HARMFUL, record, now + 0.2)])
-            take_told(self.quarantine, decode_told(back), now + 0.4)
-        self.quarantine.judge(_NOW + 60)
-        until = self.quarantine.find_held_until(_HARMFUL, _NOW + 60)
+            back = encode_messages([build_message(_HARMFUL, record, now + 0.2)])
+            apply_messages(self.quarantine, decode_messages(back), now + 0.4)
+        self.quarantine.update_holds(_NOW + 60)
+        until = self.quarantine.get_held_until(_HARMFUL, _NOW + 60)
         self.assertAlmostEqual(until, _NOW + 2 + _HOLD_S, places=2)
 
     def test_oversized_message_is_rejected(self) -> None:
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
-        messages = [build_told(_HARMFUL, record, _NOW)] * 65
-        with self.assertRaises(UnreadableEvidenceError):
-            decode_told(encode_told(messages))
+        messages = [build_message(_HARMFUL, record, _NOW)] * 65
+        with self.assertRaises(InvalidEvidenceError):
+            decode_messages(encode_messages(messages))
 
     @given(st.binary(max_size=200))
     def test_any_bytes_are_accepted_or_rejected(self, text: bytes) -> None:
         try:
-            messages = decode_told(text)
-        except UnreadableEvidenceError:
+            messages = decode_messages(text)
+        except InvalidEvidenceError:
             return
-        take_told(self.quarantine, messages, _NOW + 3)
+        apply_messages(self.quarantine, messages, _NOW + 3)
 
     def test_corrupted_messages_hold_nobody(self) -> None:
         text = self._encode(_NOW + 3)
@@ -258,13 +258,13 @@
             corrupted[random.randrange(len(text))] = random.randrange(256)
             other = Quarantine()
             try:
-                take_told(other, decode_told(bytes(corrupted)), _NOW)
-            except UnreadableEvidenceError:
+                apply_messages(other, decode_messages(bytes(corrupted)), _NOW)
+            except InvalidEvidenceError:
                 continue
-            other.judge(_NOW + 1)
-            self.assertEqual(other.find_held_until(_HARMLESS, _NOW + 1), 0)
+            other.update_holds(_NOW + 1)
+            self.assertEqual(other.get_held_until(_HARMLESS, _NOW + 1), 0)
 
     def _encode(self, now: float) -> bytes:
         record = self.quarantine.get_record(_HARMFUL)
         assert record is not None
-        return encode_told([build_told(_HARMFUL, record, now)])
+        return encode_messages([build_message(_HARMFUL, record, now)])
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from unittest import TestCase
 
-from samphirerill.quarantine import Death, digest_request
+from samphirerill.quarantine import Crash, digest_request
 from samphirerill.relay.quarantine import Keeper, Sharing
 from samphirerill.testing.virtual_time import run_virtually
 from samphirerill.tests.peers import Network, Node
@@ -65,7 +65,7 @@
         now = asyncio.get_running_loop().time()
         for number, name in enumerate(replica_ids):
             at = now - len(replica_ids) + number
-            death = Death(name, f'{node.name}-{number}', at)
+            death = Crash(name, f'{node.name}-{number}', at)
             self.keepers[node.name].record_crash(request, death)
         self.sharings[node.name].broadcast((request,))
 
@@ -73,7 +73,7 @@
         """Return how many nodes hold the poison request."""
         now = asyncio.get_running_loop().time()
         return sum(
-            node.state.quarantine.find_held_until(_POISON_REQUEST, now) > 0
+            node.state.quarantine.get_held_until(_POISON_REQUEST, now) > 0
             for node in self.nodes
         )
 
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from samphirerill.quarantine import Death, digest_request
+from samphirerill.quarantine import Crash, digest_request
 from samphirerill.relay.quarantine.stored_holds import PREFIX
 from samphirerill.tests.ending_engines import POISON, EndingEnginesCase
 
@@ -39,9 +39,9 @@
         quarantine = self.nodes[0].state.quarantine
         for number in range(_CRASH_COUNT):
             at = self.loop.time() - _CRASH_COUNT + number
-            death = Death(f'engine-{number}', f'r{number}', at)
-            quarantine.note_death(_REQUEST, death, self.loop.time())
-        quarantine.judge(self.loop.time())
+            death = Crash(f'engine-{number}', f'r{number}', at)
+            quarantine.note_crash(_REQUEST, death, self.loop.time())
+        quarantine.update_holds(self.loop.time())
         await asyncio.sleep(_SYNC_S)
         self.assertEqual(self.list_keys(), [PREFIX + _REQUEST.hex()])
 
