--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -70,9 +70,9 @@
         record_survival(state, req, now)
         return False
     for stage in attempt.stages:
-        death = Crash(stage.endpoint, req.request_id, now)
+        crash = Crash(stage.endpoint, req.request_id, now)
         crashes = state.suspected_crashes.setdefault(stage.endpoint, {})
-        crashes[req.identity] = death
+        crashes[req.identity] = crash
     return True
 
 
@@ -81,8 +81,8 @@
     crashes = state.suspected_crashes.pop(event.endpoint, {})
     if not event.has_ended:
         return
-    for identity, death in crashes.items():
-        state.quarantine.note_crash(identity, death, now)
+    for identity, crash in crashes.items():
+        state.quarantine.note_crash(identity, crash, now)
         _schedule_evaluation(state, now)
 
 
--- a/samphirerill/fleet/load.py
+++ b/samphirerill/fleet/load.py
@@ -105,7 +105,7 @@
         """Return how many other nodes the current reports cover."""
         return sum(peer.nodes for peer in self._peers.values())
 
-    def get_own(self) -> dict[str, ReplicaLoad]:
+    def get_own_load(self) -> dict[str, ReplicaLoad]:
         """Return this node's own counts by replica."""
         return self._own
 
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -55,7 +55,7 @@
     survived_ms = _NEVER_SURVIVED
     if record.survived_at > 0:
         survived_ms = _to_ms(now - record.survived_at)
-    deaths = [
+    crashes = [
         CrashMessage(
             crash.endpoint[:_SENT_NAME_CHARS],
             crash.request_id[:_SENT_NAME_CHARS],
@@ -63,7 +63,7 @@
         )
         for crash in record.crashes
     ]
-    return EvidenceMessage(request, deaths, survived_ms)
+    return EvidenceMessage(request, crashes, survived_ms)
 
 
 def encode_messages(messages: list[EvidenceMessage]) -> bytes:
@@ -94,14 +94,14 @@
 
 def add_age(message: EvidenceMessage, by_ms: int) -> EvidenceMessage:
     """Return a message with all its ages increased by `by_ms`."""
-    deaths = [
+    crashes = [
         CrashMessage(crash.endpoint, crash.request_id, crash.ago_ms + by_ms)
         for crash in message.deaths
     ]
     survived_ms = message.survived_ms
     if survived_ms != _NEVER_SURVIVED:
         survived_ms += by_ms
-    return EvidenceMessage(message.request, deaths, survived_ms)
+    return EvidenceMessage(message.request, crashes, survived_ms)
 
 
 def apply_messages(
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -147,7 +147,7 @@
             entry.requests,
             int(entry.tokens) // _TOKENS_PER_UNIT,
         )
-        for name, entry in state.book.get_own().items()
+        for name, entry in state.book.get_own_load().items()
     }
     suspicions = encode_suspicions(state)
     return NodeStatus(
--- a/samphirerill/relay/quarantine/keeper.py
+++ b/samphirerill/relay/quarantine/keeper.py
@@ -41,9 +41,9 @@
         # Deadline of the next evaluation; 0 if no evidence is pending.
         self._evaluate_by = 0.0
 
-    def record_crash(self, request: bytes, death: Crash) -> None:
+    def record_crash(self, request: bytes, crash: Crash) -> None:
         """Record a crash that this node has observed."""
-        self._state.quarantine.note_crash(request, death, self._loop.time())
+        self._state.quarantine.note_crash(request, crash, self._loop.time())
         self._schedule_evaluation()
 
     def record_survival(self, request: bytes) -> bool:
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -210,8 +210,8 @@
             },
         )
         for run in failed_runs:
-            death = Crash(process_name, run.request_id, run.at)
-            self._keeper.record_crash(run.request, death)
+            crash = Crash(process_name, run.request_id, run.at)
+            self._keeper.record_crash(run.request, crash)
         self._sharing.broadcast([failed.request for failed in failed_runs])
 
     async def _has_terminated(self, replica: Replica, since: float) -> bool:
--- a/samphirerill/testing/ending_fleet.py
+++ b/samphirerill/testing/ending_fleet.py
@@ -228,8 +228,8 @@
         for stream in interrupted:
             ran_s = self._now - stream.started_at
             if stream.is_fatal or ran_s < SURVIVAL_S:
-                death = Crash(name, f'r{stream.attempts}', self._now)
-                self.quarantine.note_crash(stream.request, death, self._now)
+                crash = Crash(name, f'r{stream.attempts}', self._now)
+                self.quarantine.note_crash(stream.request, crash, self._now)
             else:
                 self.quarantine.note_survival(stream.request, self._now)
         for stream in interrupted:
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -112,4 +112,4 @@
         await asyncio.sleep(0.01)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        self.assertEqual(self.state.book.get_own(), {})
+        self.assertEqual(self.state.book.get_own_load(), {})
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -65,8 +65,8 @@
         now = asyncio.get_running_loop().time()
         for number, name in enumerate(replica_ids):
             at = now - len(replica_ids) + number
-            death = Crash(name, f'{node.name}-{number}', at)
-            self.keepers[node.name].record_crash(request, death)
+            crash = Crash(name, f'{node.name}-{number}', at)
+            self.keepers[node.name].record_crash(request, crash)
         self.sharings[node.name].broadcast((request,))
 
     def count_holding_nodes(self) -> int:
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -39,8 +39,8 @@
         quarantine = self.nodes[0].state.quarantine
         for number in range(_CRASH_COUNT):
             at = self.loop.time() - _CRASH_COUNT + number
-            death = Crash(f'engine-{number}', f'r{number}', at)
-            quarantine.note_crash(_REQUEST, death, self.loop.time())
+            crash = Crash(f'engine-{number}', f'r{number}', at)
+            quarantine.note_crash(_REQUEST, crash, self.loop.time())
         quarantine.update_holds(self.loop.time())
         await asyncio.sleep(_SYNC_S)
         self.assertEqual(self.list_keys(), [PREFIX + _REQUEST.hex()])
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -36,7 +36,7 @@
 
     def assert_nothing_reserved(self) -> None:
         """Check that no capacity is reserved."""
-        self.assertEqual(dict(self.process.state.book.get_own()), {})
+        self.assertEqual(dict(self.process.state.book.get_own_load()), {})
 
 
 class TestHandover(HandoverCase):
@@ -71,7 +71,7 @@
         self.suspect(head)
         await self.until(lambda: self.world.replicas[other].seen)
         await asyncio.sleep(0.1)
-        self.assertEqual(set(self.process.state.book.get_own()), {head})
+        self.assertEqual(set(self.process.state.book.get_own_load()), {head})
         self.assert_whole(await stream)
         self.assert_nothing_reserved()
 
