--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -23,7 +23,7 @@
 
 def choose_endpoint(
     view: FleetView,
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     service: str,
     tried: Collection[str],
     now: float,
@@ -46,10 +46,10 @@
     pool = trusted or candidates
     if not pool:
         return None
-    return min(pool, key=lambda found: _predict_wait(found, book))
+    return min(pool, key=lambda found: _predict_wait(found, load_tracker))
 
 
-def _predict_wait(found: ReplicaState, book: LoadTracker) -> float:
-    in_flight = 1 + book.count_requests(found.replica.replica_id)
+def _predict_wait(found: ReplicaState, load_tracker: LoadTracker) -> float:
+    in_flight = 1 + load_tracker.count_requests(found.replica.replica_id)
     latency_s = max(_MIN_LATENCY_S, found.latency_s)
     return in_flight * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -20,7 +20,7 @@
 def explain_no_path(
     engine: EngineSpec,
     usable: Sequence[ReplicaState],
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     request: PathRequest,
 ) -> str:
     """Return what is missing: a holder of layers, memory, or a connection."""
@@ -35,7 +35,7 @@
     with_memory = [
         found
         for found in candidates
-        if has_memory(engine, found, book, request)
+        if has_memory(engine, found, load_tracker, request)
     ]
     gap = find_gap(engine, list_ranges(with_memory))
     if gap is not None:
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -94,20 +94,20 @@
 def choose_path(
     engine: EngineSpec,
     usable: Sequence[ReplicaState],
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> tuple[Stage, ...]:
     """Return the stages of the cheapest feasible path, or an empty tuple."""
     candidates = [
         _Candidate(
-            found.replica, _score_layer(engine, found, book, request, now)
+            found.replica, _score_layer(engine, found, load_tracker, request, now)
         )
         for found in usable
         if found.replica.replica_id not in request.excluded
-        and has_memory(engine, found, book, request)
+        and has_memory(engine, found, load_tracker, request)
     ]
-    return _PathSearch(engine, candidates, book, request, now).find()
+    return _PathSearch(engine, candidates, load_tracker, request, now).find()
 
 
 class _PathSearch:
@@ -120,7 +120,7 @@
 
     __slots__ = (
         '_best',
-        '_book',
+        '_load_tracker',
         '_engine',
         '_candidates',
         '_now',
@@ -132,13 +132,13 @@
         self,
         engine: EngineSpec,
         candidates: Sequence[_Candidate],
-        book: LoadTracker,
+        load_tracker: LoadTracker,
         request: PathRequest,
         now: float,
     ) -> None:
         self._engine = engine
         self._candidates = candidates
-        self._book = book
+        self._load_tracker = load_tracker
         self._request = request
         self._now = now
         # For each end, the cheapest partial path in each data centre.
@@ -208,7 +208,7 @@
             return False
         if replica.held.first or not replica.held.end:
             return False
-        return self._book.count_requests(replica.replica_id) < self._engine.slots
+        return self._load_tracker.count_requests(replica.replica_id) < self._engine.slots
 
     def _start_path(self, candidate: _Candidate) -> None:
         held = candidate.replica.held
@@ -293,7 +293,7 @@
     engine: EngineSpec,
     known: dict[str, ReplicaState],
     stages: tuple[Stage, ...],
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     now: float,
 ) -> float:
     """Return the predicted time between two events on a path."""
@@ -301,7 +301,7 @@
     for stage in stages:
         found = known.get(stage.replica.replica_id)
         if found is not None:
-            layer_ms = _predict_layer_ms(engine, found, book, now)
+            layer_ms = _predict_layer_ms(engine, found, load_tracker, now)
             total += layer_ms * stage.layers.count
     return total
 
@@ -317,7 +317,7 @@
 
 
 def has_memory(
-    engine: EngineSpec, found: ReplicaState, book: LoadTracker, request: PathRequest
+    engine: EngineSpec, found: ReplicaState, load_tracker: LoadTracker, request: PathRequest
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
@@ -327,18 +327,18 @@
         return True
     max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
     capacity = count_token_capacity(engine, found, replica.layers) * max_use
-    return book.count_tokens(replica.replica_id) + request.tokens <= capacity
+    return load_tracker.count_tokens(replica.replica_id) + request.tokens <= capacity
 
 
 def _predict_layer_ms(
-    engine: EngineSpec, found: ReplicaState, book: LoadTracker, now: float
+    engine: EngineSpec, found: ReplicaState, load_tracker: LoadTracker, now: float
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
     accelerator = engine.accelerators.get(replica.accelerator)
     if accelerator is None:
         return float('inf')
-    running = book.count_requests(replica.replica_id) + 1
+    running = load_tracker.count_requests(replica.replica_id) + 1
     slowness = found.slowness if found.slow_until > now else 1.0
     return predict_stage_ms(engine, accelerator, 1, running, slowness)
 
@@ -346,16 +346,16 @@
 def _score_layer(
     engine: EngineSpec,
     found: ReplicaState,
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> float:
     """Return the cost of one layer, including the penalty for co-location."""
-    layer_ms = _predict_layer_ms(engine, found, book, now)
+    layer_ms = _predict_layer_ms(engine, found, load_tracker, now)
     accelerator = engine.accelerators.get(found.replica.accelerator)
     if accelerator is None or not request.policy.spread:
         return layer_ms
-    stream_count = book.count_requests(found.replica.replica_id)
+    stream_count = load_tracker.count_requests(found.replica.replica_id)
     prefill_ms = predict_prefill_ms(engine, accelerator, 1, engine.usual_prompt)
     return layer_ms + COLOCATION_WEIGHT * stream_count * prefill_ms
 
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -52,17 +52,17 @@
         self, policy: Policy, data_centres: str = ''
     ) -> tuple[LoadTracker, Counter[str]]:
         """Choose paths for all streams; return load and first data centres."""
-        book = LoadTracker()
+        load_tracker = LoadTracker()
         first_stages: Counter[str] = Counter()
         for number in range(_STREAM_COUNT):
             home = (
                 data_centres[number % len(data_centres)] if data_centres else ''
             )
             request = PathRequest(_TOKENS, data_centre=home, policy=policy)
-            stages = choose_path(_ENGINE, self.known, book, request, _START_S)
-            book.add_request(list_replica_ids(stages), _TOKENS)
+            stages = choose_path(_ENGINE, self.known, load_tracker, request, _START_S)
+            load_tracker.add_request(list_replica_ids(stages), _TOKENS)
             first_stages[stages[0].replica.data_centre] += 1
-        return book, first_stages
+        return load_tracker, first_stages
 
     def test_streams_do_not_concentrate_on_one_pipeline(self) -> None:
         """Streams that share a replica wait for each other when it is lost.
@@ -100,15 +100,15 @@
         )
         self.assertEqual(list_replica_ids(stages), ('far', 'far-too'))
 
-    def find_max_streams(self, book: LoadTracker) -> int:
+    def find_max_streams(self, load_tracker: LoadTracker) -> int:
         """Return how many streams the busiest replica has."""
         return max(
-            book.count_requests(found.replica.replica_id) for found in self.known
+            load_tracker.count_requests(found.replica.replica_id) for found in self.known
         )
 
-    def predict_pause(self, book: LoadTracker) -> float:
+    def predict_pause(self, load_tracker: LoadTracker) -> float:
         """Return the pause of a stream whose replica is lost."""
         request = PathRequest(_TOKENS)
-        stages = choose_path(_ENGINE, self.known, book, request, _START_S)
-        concurrent = self.find_max_streams(book)
+        stages = choose_path(_ENGINE, self.known, load_tracker, request, _START_S)
+        concurrent = self.find_max_streams(load_tracker)
         return predict_reroute_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
