--- a/samphirerill/platform/announcements.py
+++ b/samphirerill/platform/announcements.py
@@ -53,7 +53,7 @@
 _REPORT = json.Decoder(_Report)
 
 
-def decode_replica(replica_id: str, text: bytes) -> Replica:
+def decode_announcement(replica_id: str, text: bytes) -> Replica:
     """Decode the announcement of a replica.
 
     Other writers may use the same key prefix, so an entry without all the
@@ -92,8 +92,8 @@
     return ReplicaReport(
         layers=_build_layers(document.layers),
         is_busy=document.busy,
-        orders_taken=document.sequence,
-        slowness=document.pace,
+        order_count=document.sequence,
+        time_factor=document.pace,
         stalled={item.id: item.address for item in document.stalled},
         started_ms=document.born,
     )
--- a/samphirerill/platform/dialect.py
+++ b/samphirerill/platform/dialect.py
@@ -8,7 +8,7 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.platform import announcements, documents, words
-from samphirerill.relay.dialect import AnswerFacts, RequestFacts
+from samphirerill.relay.dialect import ResponseMetadata, RequestMetadata
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -41,7 +41,7 @@
         b'content-length',
         words.ACCOUNT,
         words.DEADLINE_MS,
-        words.EXPECTED_REPLICA,
+        words.TARGET_REPLICA,
         words.PATH,
         words.PRIORITY,
     )
@@ -65,34 +65,34 @@
     operation: str = 'repath'
 
 
-class PlatformDialect:
-    """Implements :class:`~samphirerill.relay.dialect.Dialect`."""
+class HttpPlatformAdapter:
+    """Implements :class:`~samphirerill.relay.dialect.PlatformAdapter`."""
 
     ready_path = words.READY_PATH.encode()
-    report_path = words.REPORT_PATH.encode()
+    report_path = words.STATUS_PATH.encode()
     order_path = words.ORDER_PATH.encode()
     configuration_key = 'op/config'
     replicas_prefix = 'servers/'
 
-    def read_request(self, req: Request) -> RequestFacts:
+    def parse_request(self, req: Request) -> RequestMetadata:
         """Return the metadata of a request; invalid values count as absent."""
-        prompt, _, max_answer = (req.get(words.TOKENS) or b'').partition(b',')
-        return RequestFacts(
+        prompt, _, max_answer = (req.get(words.TOKEN_COUNTS) or b'').partition(b',')
+        return RequestMetadata(
             request_id=req.get(words.REQUEST_ID) or b'',
             api_key=_parse_bearer_token(req.get(b'authorization') or b''),
             deadline_s=_parse_deadline_s(req.get(words.DEADLINE_MS) or b''),
             prompt_tokens=_parse_number(prompt),
-            most_tokens=_parse_number(max_answer),
-            hinted_tokens=_parse_number(req.get(words.LENGTH_HINT) or b''),
+            max_answer_tokens=_parse_number(max_answer),
+            expected_answer_tokens=_parse_number(req.get(words.LENGTH_HINT) or b''),
             resume_after=req.get(words.RESUME_AFTER) or b'',
         )
 
     def build_headers(
-        self, req: Request, facts: RequestFacts, attempt: Attempt
+        self, req: Request, facts: RequestMetadata, attempt: Attempt
     ) -> Headers:
         """Return the client's headers, with those that the router sets."""
         dropped = _list_connection_headers(req)
-        if attempt.hides_key:
+        if attempt.strips_api_key:
             dropped.add(b'authorization')
         if attempt.resume_after:
             dropped.add(words.RESUME_AFTER)
@@ -102,9 +102,9 @@
             if pair[0] not in _NOT_FORWARDED and pair[0] not in dropped
         ]
         headers.append(
-            (words.EXPECTED_REPLICA, attempt.replica.replica_id.encode())
+            (words.TARGET_REPLICA, attempt.replica.replica_id.encode())
         )
-        remaining_ms = max(1, int(attempt.left_s * MS_PER_S))
+        remaining_ms = max(1, int(attempt.remaining_s * MS_PER_S))
         headers.append((words.DEADLINE_MS, b'%d' % remaining_ms))
         if attempt.account:
             headers.append((words.ACCOUNT, attempt.account.encode()))
@@ -117,16 +117,16 @@
             headers.append((words.PRIORITY, b'%d' % priority))
         return headers
 
-    def read_answer(self, head: Head) -> AnswerFacts:
+    def parse_response(self, head: Head) -> ResponseMetadata:
         """Return the metadata of an endpoint's response."""
         encoding = (head.get(b'content-encoding') or b'identity').lower()
         is_other_replica = head.status == _MISDIRECTED
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=head.get(words.REQUEST_ID) or b'',
-            is_signed=bool(head.get(words.SEAL)),
+            is_signed=bool(head.get(words.RESPONSE_SIGNATURE)),
             is_not_run=is_other_replica or head.get(words.NOT_RUN) is not None,
             is_encoded=encoding != b'identity',
-            at_fault=(head.get(words.AT_FAULT) or b'').decode('latin-1'),
+            failed_address=(head.get(words.FAILED_REPLICA) or b'').decode('latin-1'),
         )
 
     def decode_configuration(self, text: bytes) -> FleetConfiguration:
@@ -135,13 +135,13 @@
 
     def decode_replica(self, replica_id: str, text: bytes) -> Replica:
         """Decode a replica's announcement; raise ``DocumentError``."""
-        return announcements.decode_replica(replica_id, text)
+        return announcements.decode_announcement(replica_id, text)
 
     def decode_report(self, text: bytes) -> ReplicaReport:
         """Decode an engine's status report; raise ``DocumentError``."""
         return announcements.decode_report(text)
 
-    def encode_place(
+    def encode_load_order(
         self, layers: LayerRange, expected_orders: int, token: int
     ) -> bytes:
         """Encode the order to hold exactly these layers."""
@@ -149,7 +149,7 @@
             _PlaceOrder(layers.first, layers.end, expected_orders, token)
         )
 
-    def encode_repath(
+    def encode_reroute_order(
         self, request_id: bytes, stages: tuple[Stage, ...], token: int
     ) -> bytes:
         """Encode the order to reroute a stream to another path."""
--- a/samphirerill/platform/start.py
+++ b/samphirerill/platform/start.py
@@ -8,7 +8,7 @@
 
 from samphirerill.node.log_sink import LogSink
 from samphirerill.node.logs import start_logging
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import (
     SETTINGS_VARIABLE,
     EdgeSettings,
@@ -38,5 +38,5 @@
 
 async def _run(settings: EdgeSettings, settings_file: SettingsFile) -> int:
     store = PlatformStore(settings.store)
-    process = EdgeProcess(settings, PlatformDialect(), store, settings_file)
+    process = EdgeProcess(settings, HttpPlatformAdapter(), store, settings_file)
     return await process.run()
--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -37,21 +37,21 @@
 CALL_TIMEOUT_S = 1.0
 # Server-side timeout of a watch. It bounds how long a broken watch goes
 # unnoticed: a change must take effect within two seconds even then.
-WATCH_WAIT_S = 1.8
+WATCH_TIMEOUT_S = 1.8
 _WATCH_MARGIN_S = 0.3
 _MS_PER_S = 1000
 _MAX_IDLE_CONNECTIONS = 3
 
 
-class HistoryGoneError(StoreError):
+class RevisionCompactedError(StoreError):
     """The watched revision was compacted; all keys must be listed again."""
 
 
-class NoSuchLeaseError(StoreError):
+class LeaseNotFoundError(StoreError):
     """The lease has expired or was revoked."""
 
 
-class ConditionFailedError(StoreError):
+class PreconditionFailedError(StoreError):
     """A precondition of a transaction did not hold; nothing was changed."""
 
 
@@ -218,19 +218,19 @@
         Returns
         -------
         Changes
-            Without events if nothing changed within `WATCH_WAIT_S`.
+            Without events if nothing changed within `WATCH_TIMEOUT_S`.
 
         Raises
         ------
-        HistoryGoneError
+        RevisionCompactedError
             The revision was compacted; list the prefix again.
         """
         query = {
             'prefix': prefix,
             'after': str(after),
-            'waitMs': str(int(WATCH_WAIT_S * _MS_PER_S)),
+            'waitMs': str(int(WATCH_TIMEOUT_S * _MS_PER_S)),
         }
-        timeout_s = WATCH_WAIT_S + _WATCH_MARGIN_S
+        timeout_s = WATCH_TIMEOUT_S + _WATCH_MARGIN_S
         _, body = await self._call(
             'watch', 'GET', '/kv-watch', query, timeout_s=timeout_s
         )
@@ -261,9 +261,9 @@
 
         Raises
         ------
-        ConditionFailedError
+        PreconditionFailedError
             A key has another revision; nothing was changed.
-        NoSuchLeaseError
+        LeaseNotFoundError
             The lease has expired; nothing was changed.
         """
         request = _Transaction(
@@ -276,11 +276,11 @@
         )
         status, body = await self._call('write', 'POST', '/kv-txn', {}, request)
         if status == _PRECONDITION_FAILED:
-            raise ConditionFailedError(
+            raise PreconditionFailedError(
                 'transaction rejected: a key has another revision'
             )
         if status == _NOT_FOUND:
-            raise NoSuchLeaseError(f'lease {lease} has ended')
+            raise LeaseNotFoundError(f'lease {lease} has ended')
         return _decode(body, _WriteAnswer).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
@@ -290,18 +290,18 @@
         return _decode(body, _LeaseAnswer).lease
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raise ``NoSuchLeaseError`` if it has expired."""
+        """Renew a lease; raise ``LeaseNotFoundError`` if it has expired."""
         status, _ = await self._call(
             'renew', 'POST', f'/kv-keep/{lease}', {}, {}
         )
         if status == _NOT_FOUND:
-            raise NoSuchLeaseError(f'lease {lease} has ended')
+            raise LeaseNotFoundError(f'lease {lease} has ended')
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease; its keys are deleted at once."""
         await self._call('end', 'DELETE', f'/kv-lease-end/{lease}', {})
 
-    def change_address(self, address: str) -> None:
+    def update_address(self, address: str) -> None:
         """Use another address for further calls."""
         if address != self._address:
             self._address = address
@@ -356,7 +356,7 @@
         self.calls[purpose] += 1
         status, answer = await self._exchange(request, deadline)
         if status == _GONE:
-            raise HistoryGoneError('the store has compacted this revision')
+            raise RevisionCompactedError('the store has compacted this revision')
         if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
             raise StoreRefusedError(f'{method} {path}: got status {status}')
         return status, answer
--- a/samphirerill/platform/words.py
+++ b/samphirerill/platform/words.py
@@ -5,22 +5,22 @@
 REQUEST_ID = b'x-samphirerill-request-id'
 DEADLINE_MS = b'x-samphirerill-deadline-ms'
 # The signature by which an endpoint marks a response as its own.
-SEAL = b'x-samphirerill-response-seal'
+RESPONSE_SIGNATURE = b'x-samphirerill-response-seal'
 ACCOUNT = b'x-samphirerill-tenant'
 # The replica that a request is addressed to; any other one answers 421.
-EXPECTED_REPLICA = b'x-samphirerill-target-instance'
+TARGET_REPLICA = b'x-samphirerill-target-instance'
 REPLICA_ID = b'x-samphirerill-instance-id'
 NOT_RUN = b'x-samphirerill-not-executed'
 # "PROMPT,MAX": tokens of the prompt, and the most tokens of the answer.
-TOKENS = b'x-samphirerill-token-count'
+TOKEN_COUNTS = b'x-samphirerill-token-count'
 LENGTH_HINT = b'x-samphirerill-length-hint'
 PRIORITY = b'x-samphirerill-request-priority'
 # Despite its name, the value lists all stages of the path, with the layers of
 # each: ADDRESS=FIRST-END,...
 PATH = b'x-samphirerill-hop-count'
 # The address of the replica on the path that caused a 421 or 503 response.
-AT_FAULT = b'at-server'
+FAILED_REPLICA = b'at-server'
 RESUME_AFTER = b'last-event-id'
 READY_PATH = '/ready'
-REPORT_PATH = '/report'
+STATUS_PATH = '/report'
 ORDER_PATH = '/order'
--- a/samphirerill/relay/answers.py
+++ b/samphirerill/relay/answers.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers, HttpConnection
-    from samphirerill.relay.dialect import AnswerFacts, Dialect
+    from samphirerill.relay.dialect import ResponseMetadata, PlatformAdapter
 
 _SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 # Hop-by-hop headers, and the length, which this node sets itself.
@@ -31,8 +31,8 @@
 
 
 async def read_head(
-    conn: HttpConnection, dialect: Dialect, request_id: bytes, deadline: float
-) -> tuple[Head, AnswerFacts]:
+    conn: HttpConnection, adapter: PlatformAdapter, request_id: bytes, deadline: float
+) -> tuple[Head, ResponseMetadata]:
     """Return the head of the response to this request.
 
     On a reused connection, responses to earlier requests may come first. They
@@ -42,7 +42,7 @@
         head = await conn.read(deadline)
         if not isinstance(head, Head):
             raise BrokenAnswerError('expected a response head, got body bytes')
-        facts = dialect.read_answer(head)
+        facts = adapter.parse_response(head)
         if not _is_stale(facts, request_id):
             check_success(head, facts)
             return head, facts
@@ -68,7 +68,7 @@
             chunks.append(part.body)
 
 
-def check_success(head: Head, facts: AnswerFacts) -> None:
+def check_success(head: Head, facts: ResponseMetadata) -> None:
     """Reject a success without a signature or with an encoded body."""
     if head.status not in _SUCCESS_STATUSES:
         return
@@ -88,7 +88,7 @@
     return [pair for pair in head.headers if pair[0] not in _HOP_BY_HOP_HEADERS]
 
 
-def _is_stale(facts: AnswerFacts, request_id: bytes) -> bool:
+def _is_stale(facts: ResponseMetadata, request_id: bytes) -> bool:
     if facts.request_id:
         return facts.request_id != request_id
     # Only a rejection may lack a request id; any other response without one
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -318,8 +318,8 @@
             return
         if not self._leadership.is_held():
             return
-        order = self._state.dialect.encode_place(
-            assignment.layers, report.orders_taken, self._leadership.token
+        order = self._state.adapter.encode_load_order(
+            assignment.layers, report.order_count, self._leadership.token
         )
         status = await send_order(self._state, replica, order)
         assignment.is_accepted = status in ACCEPTED
--- a/samphirerill/relay/dialect.py
+++ b/samphirerill/relay/dialect.py
@@ -1,6 +1,6 @@
 """Interface between the router and a platform's wire format.
 
-A platform adapter implements :class:`Dialect`; the router only sees the types
+A platform adapter implements :class:`PlatformAdapter`; the router only sees the types
 defined here and never the platform's header or field names.
 """
 
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class RequestFacts:
+class RequestMetadata:
     """Metadata that a client sent with its request.
 
     Attributes
@@ -34,9 +34,9 @@
         The time until the client gives up; 0 if it did not say.
     prompt_tokens : float
         Length of the prompt; 0 if unknown.
-    most_tokens : float
+    max_answer_tokens : float
         The most tokens that the answer may have; 0 if unknown.
-    hinted_tokens : float
+    expected_answer_tokens : float
         The client's estimate of the length of the answer; 0 if unknown.
     resume_after : bytes
         The id of the last event received, if the client resumes a stream.
@@ -46,8 +46,8 @@
     api_key: str = ''
     deadline_s: float = 0.0
     prompt_tokens: float = 0.0
-    most_tokens: float = 0.0
-    hinted_tokens: float = 0.0
+    max_answer_tokens: float = 0.0
+    expected_answer_tokens: float = 0.0
     resume_after: bytes = b''
 
 
@@ -61,9 +61,9 @@
         The endpoint; the first replica of the path.
     account : str
         The client account that the request is made for; empty if none.
-    left_s : float
+    remaining_s : float
         The time left until the client's deadline.
-    hides_key : bool
+    strips_api_key : bool
         Whether to remove the API key from the forwarded headers. Set whenever
         API keys are configured, for public routes too.
     stages : tuple of Stage
@@ -76,15 +76,15 @@
 
     replica: Replica
     account: str
-    left_s: float
-    hides_key: bool
+    remaining_s: float
+    strips_api_key: bool
     stages: tuple[Stage, ...] = ()
     priority: int | None = None
     resume_after: bytes = b''
 
 
 @dataclass(slots=True)
-class AnswerFacts:
+class ResponseMetadata:
     """Metadata in the headers of an endpoint's response.
 
     Attributes
@@ -99,7 +99,7 @@
         which is then safe to retry.
     is_encoded : bool
         Whether the body has a content encoding, such as gzip.
-    at_fault : str
+    failed_address : str
         The address of the replica on the path that failed; empty if unknown.
     """
 
@@ -107,7 +107,7 @@
     is_signed: bool = False
     is_not_run: bool = False
     is_encoded: bool = False
-    at_fault: str = ''
+    failed_address: str = ''
 
 
 @dataclass(slots=True)
@@ -120,9 +120,9 @@
         The layers that it holds.
     is_busy : bool
         Whether it is loading or unloading layers.
-    orders_taken : int
+    order_count : int
         How many orders it has accepted since it started.
-    slowness : float
+    time_factor : float
         Factor on its nominal processing times; 1 is nominal.
     stalled : dict
         For each request that waits for another replica, that one's address.
@@ -132,13 +132,13 @@
 
     layers: LayerRange | None
     is_busy: bool
-    orders_taken: int
-    slowness: float
+    order_count: int
+    time_factor: float
     stalled: dict[str, str]
     started_ms: int = 0
 
 
-class Dialect(Protocol):
+class PlatformAdapter(Protocol):
     """The platform's wire format towards callers, endpoints and the store.
 
     Attributes
@@ -161,15 +161,15 @@
     configuration_key: str
     replicas_prefix: str
 
-    def read_request(self, req: Request) -> RequestFacts:
+    def parse_request(self, req: Request) -> RequestMetadata:
         """Return the metadata of a request."""
 
     def build_headers(
-        self, req: Request, facts: RequestFacts, attempt: Attempt
+        self, req: Request, facts: RequestMetadata, attempt: Attempt
     ) -> Headers:
         """Return the headers to send to the endpoint."""
 
-    def read_answer(self, head: Head) -> AnswerFacts:
+    def parse_response(self, head: Head) -> ResponseMetadata:
         """Return the metadata of a response."""
 
     def decode_configuration(self, text: bytes) -> FleetConfiguration:
@@ -181,7 +181,7 @@
     def decode_report(self, text: bytes) -> ReplicaReport:
         """Decode an engine's status report; raise ``DocumentError``."""
 
-    def encode_place(
+    def encode_load_order(
         self, layers: LayerRange, expected_orders: int, token: int
     ) -> bytes:
         """Encode the order to hold exactly these layers.
@@ -196,7 +196,7 @@
             Fencing token of the leader's lease.
         """
 
-    def encode_repath(
+    def encode_reroute_order(
         self, request_id: bytes, stages: tuple[Stage, ...], token: int
     ) -> bytes:
         """Encode the order to reroute a stream to another path.
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -12,7 +12,7 @@
 
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
-from samphirerill.platform.store import DeletedKey, HistoryGoneError
+from samphirerill.platform.store import DeletedKey, RevisionCompactedError
 from samphirerill.relay.dialect import DocumentError
 from samphirerill.relay.errors import EndpointError
 from samphirerill.relay.replica_folder import ReplicaFolder
@@ -119,7 +119,7 @@
         while True:
             try:
                 await self._sync_once()
-            except HistoryGoneError:
+            except RevisionCompactedError:
                 _LOG.info(
                     'watch revision was compacted; listing all keys again',
                     extra={'revision': self.revision},
@@ -238,7 +238,7 @@
     """Applies each newer configuration."""
 
     def __init__(self, state: EdgeState) -> None:
-        self.prefix = state.dialect.configuration_key
+        self.prefix = state.adapter.configuration_key
         self.state = state
 
     def take_all(self, found: list[StoredItem], revision: int) -> None:
@@ -249,7 +249,7 @@
     def take_item(self, item: StoredItem) -> None:
         """Apply a configuration that was written."""
         try:
-            cfg = self.state.dialect.decode_configuration(item.text)
+            cfg = self.state.adapter.decode_configuration(item.text)
         except DocumentError as exc:
             _LOG.error(
                 'stored configuration is invalid; keeping the current one',
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -26,7 +26,7 @@
         Service,
     )
     from samphirerill.relay.admission import Admission
-    from samphirerill.relay.dialect import RequestFacts
+    from samphirerill.relay.dialect import RequestMetadata
     from samphirerill.relay.health.examiner import Examiner
     from samphirerill.relay.quarantine import Witness
     from samphirerill.relay.server import CallerConnection, Request
@@ -73,7 +73,7 @@
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
         """Serve one request."""
-        facts = self._state.dialect.read_request(req)
+        facts = self._state.adapter.parse_request(req)
         self._state.counters['requests'] += 1
         resolved = self._resolve(req, facts, conn)
         if isinstance(resolved, Refusal):
@@ -110,7 +110,7 @@
         return True
 
     def _resolve(
-        self, req: Request, facts: RequestFacts, conn: CallerConnection
+        self, req: Request, facts: RequestMetadata, conn: CallerConnection
     ) -> Task | Refusal:
         state = self._state
         if state.cfg is None or state.routes is None:
@@ -133,7 +133,7 @@
     def _build_task(
         self,
         req: Request,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         conn: CallerConnection,
         route: FleetRoute,
         service: Service,
@@ -150,5 +150,5 @@
             account,
             deadline=req.arrived_at + min(route_timeout_s, client_timeout_s),
             client_deadline=req.arrived_at + client_timeout_s,
-            hides_key=self._state.cfg is None or self._state.cfg.needs_keys,
+            strips_api_key=self._state.cfg is None or self._state.cfg.needs_keys,
         )
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -88,13 +88,13 @@
     state: EdgeState, replica: Replica, deadline: float
 ) -> ReplicaReport | None:
     """Return a report; none if the response is not a valid one."""
-    path = state.dialect.report_path
+    path = state.adapter.report_path
     state.counters['reports.sent'] += 1
     status, body = await call_once(replica.address, b'GET', path, b'', deadline)
     if status != _OK:
         return None
     try:
-        report = state.dialect.decode_report(body)
+        report = state.adapter.decode_report(body)
     except DocumentError as exc:
         _LOG.warning(
             'cannot decode replica report',
@@ -102,5 +102,5 @@
         )
         return None
     now = asyncio.get_running_loop().time()
-    state.view.note_pace(replica.replica_id, report.slowness, now)
+    state.view.note_pace(replica.replica_id, report.time_factor, now)
     return report
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -7,8 +7,8 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import (
-    ConditionFailedError,
-    NoSuchLeaseError,
+    PreconditionFailedError,
+    LeaseNotFoundError,
 )
 from samphirerill.relay.leases import give_up_lease
 
@@ -108,7 +108,7 @@
         self._next_call_at = now + _RENEW_INTERVAL_S
         try:
             await self._store.renew_lease(self._lease)
-        except NoSuchLeaseError:
+        except LeaseNotFoundError:
             _LOG.warning('command lost', extra={'token': self.token})
             self._lease = 0
             self._holder = ''
@@ -137,8 +137,8 @@
         name = self._state.settings.name.encode()
         try:
             self.token = await self._store.write({KEY: name}, {KEY: 0}, lease)
-        except ConditionFailedError:
-            await self._store.end_lease(lease)
+        except PreconditionFailedError:
+            await self._store.revoke_lease(lease)
             return
         self._lease = lease
         self._lease_expires_at = now + _LEASE_TTL_S
--- a/samphirerill/relay/leases.py
+++ b/samphirerill/relay/leases.py
@@ -29,6 +29,6 @@
     if not lease:
         return
     try:
-        await store.end_lease(lease)
+        await store.revoke_lease(lease)
     except StoreError as exc:
         log.info('lease not revoked; it will expire', extra={'error': str(exc)})
--- a/samphirerill/relay/members.py
+++ b/samphirerill/relay/members.py
@@ -12,7 +12,7 @@
 
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
-from samphirerill.platform.store import NoSuchLeaseError
+from samphirerill.platform.store import LeaseNotFoundError
 from samphirerill.relay.hearing import DatagramReceiver
 from samphirerill.relay.leases import give_up_lease
 from samphirerill.relay.listeners import listen
@@ -172,7 +172,7 @@
     async def _renew_or_reset(self) -> None:
         try:
             await self._renew_lease()
-        except NoSuchLeaseError:
+        except LeaseNotFoundError:
             # The next renewal creates a new lease and announcement.
             self._lease = 0
         except StoreError as exc:
--- a/samphirerill/relay/node_pages.py
+++ b/samphirerill/relay/node_pages.py
@@ -61,7 +61,7 @@
     def build_ready(self) -> PageHandler:
         """Return the handler of the load balancer's readiness check."""
         return PageHandler(
-            {self._state.dialect.ready_path: self._serve_readiness}
+            {self._state.adapter.ready_path: self._serve_readiness}
         )
 
     def build_metrics(self) -> PageHandler:
--- a/samphirerill/relay/orders.py
+++ b/samphirerill/relay/orders.py
@@ -31,7 +31,7 @@
     An unanswered order may still be carried out, even seconds later.
     """
     deadline = asyncio.get_running_loop().time() + _ORDER_TIMEOUT_S
-    path = state.dialect.order_path
+    path = state.adapter.order_path
     state.counters['orders'] += 1
     try:
         status, body = await call_once(
@@ -74,5 +74,5 @@
     bool
         Whether the engine accepted the order.
     """
-    order = state.dialect.encode_repath(request_id, stages, _NO_FENCING_TOKEN)
+    order = state.adapter.encode_reroute_order(request_id, stages, _NO_FENCING_TOKEN)
     return await send_order(state, stages[0].replica, order) in ACCEPTED
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -215,6 +215,6 @@
     facts = task.facts
     usual = engine.usual_answer
     answer_tokens = min(
-        facts.most_tokens or usual, facts.hinted_tokens or usual
+        facts.max_answer_tokens or usual, facts.expected_answer_tokens or usual
     )
     return (facts.prompt_tokens or engine.usual_prompt) + answer_tokens
--- a/samphirerill/relay/peer_help.py
+++ b/samphirerill/relay/peer_help.py
@@ -115,7 +115,7 @@
             )
             full = await self._get(address, b'%b?after=0' % _CONFIGURATION_PATH)
             text = self._state.cfg_texts.decode(full, 0)
-        cfg = self._state.dialect.decode_configuration(text)
+        cfg = self._state.adapter.decode_configuration(text)
         if self._state.put_in_force(cfg, text):
             _LOG.info(
                 'configuration from a peer', extra={'version': cfg.version}
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -237,7 +237,7 @@
         deadline = self._get_attempt_deadline()
         conn.send(self._build_call(endpoint))
         head, facts = await read_head(
-            conn, self._state.dialect, self._task.facts.request_id, deadline
+            conn, self._state.adapter, self._task.facts.request_id, deadline
         )
         body = await read_body(conn, deadline)
         if facts.is_not_run and not is_success(head.status):
@@ -262,9 +262,9 @@
         task = self._task
         remaining_s = task.client_deadline - self._loop.time()
         attempt = Attempt(
-            endpoint.replica, task.account_name, remaining_s, task.hides_key
+            endpoint.replica, task.account_name, remaining_s, task.strips_api_key
         )
-        headers = self._state.dialect.build_headers(
+        headers = self._state.adapter.build_headers(
             task.req, task.facts, attempt
         )
         return build_call(
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -33,7 +33,7 @@
 
     from samphirerill.platform.settings import EdgeSettings
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.dialect import Dialect
+    from samphirerill.relay.dialect import PlatformAdapter
     from samphirerill.relay.server import CallerConnection
 
 _LOG = get_logger('edge')
@@ -60,7 +60,7 @@
     ----------
     settings : EdgeSettings
         The node's settings.
-    dialect : Dialect
+    adapter : PlatformAdapter
         The platform's wire format.
     store : PlatformStore
         Client of the platform's key-value store.
@@ -76,12 +76,12 @@
     def __init__(
         self,
         settings: EdgeSettings,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         store: PlatformStore,
         source: SettingsFile | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self.state = EdgeState(settings, dialect)
+        self.state = EdgeState(settings, adapter)
         health = StoreHealth(self._loop.time())
         self._health = health
         self._admission = Admission(self.state)
--- a/samphirerill/relay/refusals.py
+++ b/samphirerill/relay/refusals.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
-    from samphirerill.relay.dialect import RequestFacts
+    from samphirerill.relay.dialect import RequestMetadata
     from samphirerill.relay.server import CallerConnection
     from samphirerill.relay.state import EdgeState
 
@@ -41,7 +41,7 @@
 def refuse(
     state: EdgeState,
     conn: CallerConnection,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     refusal: Refusal,
 ) -> None:
     """Send an error response and log the reason."""
--- a/samphirerill/relay/reload.py
+++ b/samphirerill/relay/reload.py
@@ -134,5 +134,5 @@
         kept = {name: getattr(current, name) for name in _RESTART_ONLY}
         settings = structs.replace(loaded, **kept)
         self._state.change_settings(settings)
-        self._store.change_address(settings.store)
+        self._store.update_address(settings.store)
         _LOG.info('settings in force', extra={'store': settings.store})
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, state: EdgeState, health: StoreHealth) -> None:
-        self.prefix = state.dialect.replicas_prefix
+        self.prefix = state.adapter.replicas_prefix
         self.state = state
         self._health = health
         self._loop = asyncio.get_running_loop()
@@ -118,7 +118,7 @@
 
     def _decode(self, item: StoredItem) -> Replica | None:
         try:
-            return self.state.dialect.decode_replica(
+            return self.state.adapter.decode_replica(
                 self._get_replica_id(item.key), item.text
             )
         except DocumentError as exc:
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -24,7 +24,7 @@
 
     from samphirerill.fleet.model import FleetConfiguration, Service
     from samphirerill.platform.settings import EdgeSettings
-    from samphirerill.relay.dialect import Dialect
+    from samphirerill.relay.dialect import PlatformAdapter
     from samphirerill.relay.streaming import StreamExchange
 
 _LOG = get_logger('state')
@@ -45,7 +45,7 @@
     ----------
     settings : EdgeSettings
         The node's settings.
-    dialect : Dialect
+    adapter : PlatformAdapter
         The platform's wire format.
 
     Attributes
@@ -91,9 +91,9 @@
         Retry budget of each service.
     """
 
-    def __init__(self, settings: EdgeSettings, dialect: Dialect) -> None:
+    def __init__(self, settings: EdgeSettings, adapter: PlatformAdapter) -> None:
         self.settings = settings
-        self.dialect = dialect
+        self.adapter = adapter
         self.random = Random()
         self.counters: Counter[str] = Counter()
         self.metrics = Metrics()
--- a/samphirerill/relay/stream_call.py
+++ b/samphirerill/relay/stream_call.py
@@ -43,12 +43,12 @@
         stages[0].replica,
         task.account_name,
         task.deadline - asyncio.get_running_loop().time(),
-        task.hides_key,
+        task.strips_api_key,
         stages,
         task.priority,
         resume,
     )
-    headers = state.dialect.build_headers(task.req, task.facts, attempt)
+    headers = state.adapter.build_headers(task.req, task.facts, attempt)
     return build_call(task.req.method, task.req.target, headers, task.req.body)
 
 
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica, Stage
     from samphirerill.relay.connection import Head, HttpConnection
-    from samphirerill.relay.dialect import AnswerFacts
+    from samphirerill.relay.dialect import ResponseMetadata
     from samphirerill.relay.health import Examiner
     from samphirerill.relay.quarantine import Witness
     from samphirerill.relay.state import EdgeState
@@ -219,20 +219,20 @@
 
     async def read_head(
         self, conn: HttpConnection, deadline: float
-    ) -> tuple[Head, AnswerFacts]:
+    ) -> tuple[Head, ResponseMetadata]:
         """Return the head of the response to this stream."""
         return await read_head(
-            conn, self._state.dialect, self._task.facts.request_id, deadline
+            conn, self._state.adapter, self._task.facts.request_id, deadline
         )
 
     def handle_rejection(
-        self, head_id: str, head: Head, at_fault: str, *, is_new_head: bool
+        self, head_id: str, head: Head, failed_address: str, *, is_new_head: bool
     ) -> None:
         """Exclude the replica at fault after a path rejected the stream."""
         if is_new_head:
             # A replica that ran the stream before still counts as used.
             self._path.used_heads.discard(head_id)
-        faulty = self._state.view.find_address(at_fault) if at_fault else None
+        faulty = self._state.view.find_address(failed_address) if failed_address else None
         replica_id = head_id if faulty is None else faulty.replica.replica_id
         if (
             faulty is not None
@@ -258,7 +258,7 @@
         head, facts = await self.read_head(conn, deadline)
         if facts.is_not_run:
             self.handle_rejection(
-                head_id, head, facts.at_fault, is_new_head=is_new_head
+                head_id, head, facts.failed_address, is_new_head=is_new_head
             )
             return None
         if not is_success(head.status):
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -343,7 +343,7 @@
             self._sender.handle_rejection(
                 self._path.head_id,
                 head,
-                facts.at_fault,
+                facts.failed_address,
                 is_new_head=is_new_head,
             )
             return
--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/task.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import ClientAccount, FleetRoute, Service
-    from samphirerill.relay.dialect import RequestFacts
+    from samphirerill.relay.dialect import RequestMetadata
     from samphirerill.relay.server import CallerConnection, Request
 
 
@@ -20,19 +20,19 @@
 
     `deadline` is the earlier of the client's deadline and the route's timeout,
     `client_deadline` the client's own; both are on the loop's clock.
-    `hides_key` is whether clients authenticate with API keys, which endpoints
+    `strips_api_key` is whether clients authenticate with API keys, which endpoints
     must not see.
     """
 
     req: Request
-    facts: RequestFacts
+    facts: RequestMetadata
     conn: CallerConnection
     route: FleetRoute
     service: Service
     account: ClientAccount | None
     deadline: float
     client_deadline: float
-    hides_key: bool
+    strips_api_key: bool
     _identity: bytes = b''
 
     @property
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.connection import HttpConnection, build_call
@@ -75,7 +75,7 @@
         )
         store = PlatformStore(self._store_address)
         self._stores.append(store)
-        process = EdgeProcess(settings, PlatformDialect(), store)
+        process = EdgeProcess(settings, HttpPlatformAdapter(), store)
         self._nodes.append((process, asyncio.create_task(process.run())))
         return process
 
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -164,9 +164,9 @@
             return
         pipeline = _parse_pipeline(req.get(_PIPELINE_HEADER) or b'')
         self._check_coverage(req, pipeline)
-        at_fault = self._find_unavailable(pipeline)
-        if at_fault:
-            self._refuse(req, conn, _MISDIRECTED, at_fault)
+        failed_address = self._find_unavailable(pipeline)
+        if failed_address:
+            self._refuse(req, conn, _MISDIRECTED, failed_address)
             return
         await self._stream(req, conn, pipeline)
 
@@ -262,12 +262,12 @@
         }
 
     def _refuse(
-        self, req: Request, conn: CallerConnection, status: int, at_fault: str
+        self, req: Request, conn: CallerConnection, status: int, failed_address: str
     ) -> None:
         headers = [
             (_REQUEST_ID_HEADER, req.get(_REQUEST_ID_HEADER) or b''),
             (b'x-samphirerill-not-executed', b'1'),
-            (b'at-server', at_fault.encode()),
+            (b'at-server', failed_address.encode()),
         ]
         conn.answer(status, headers, b'')
 
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, cast
 from unittest.mock import Mock
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.health import Alarms
@@ -83,7 +83,7 @@
                 retry_ratio=0.2,
                 retry_slack=300,
             ),
-            PlatformDialect(),
+            HttpPlatformAdapter(),
         )
         self.peers = PeerDirectory(name, data_centre)
         self.status_sender = StatusSender(self.state, self.peers)
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -7,7 +7,7 @@
 
 from samphirerill.fleet.outage import Outage
 from samphirerill.fleet.paths import PathRequest
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.admission import Admission, NoPathError, OutageError
 from samphirerill.relay.state import EdgeState
@@ -23,7 +23,7 @@
 
     async def asyncSetUp(self) -> None:
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         for name, layers in (('one', (0, 40)), ('two', (40, 80))):
             self.state.view.announce(
                 build_replica(name, 'a', 'large', layers), 1
--- a/samphirerill/tests/test_cfg_texts.py
+++ b/samphirerill/tests/test_cfg_texts.py
@@ -11,7 +11,7 @@
 from msgspec import json
 
 from samphirerill.fleet.deltas import DeltaError, apply_delta, build_delta
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.cfg_texts import CfgTexts
 from samphirerill.relay.peer_help import PeerHelp
@@ -128,14 +128,14 @@
             exchange_port=5,
             metrics_port=6,
         )
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         helper = PeerHelp(self.state, StoreHealth(0))
         self.handle_request = helper.list_pages()[_CONFIGURATION_PATH]
 
     def put_in_force(self, version: int) -> None:
         """Apply a configuration at the sending node."""
         text = _build_text(version)
-        cfg = self.state.dialect.decode_configuration(text)
+        cfg = self.state.adapter.decode_configuration(text)
         self.state.put_in_force(cfg, text)
 
     async def test_node_without_configuration_answers_not_found(self) -> None:
@@ -161,10 +161,10 @@
         """
         self.put_in_force(1)
         self.put_in_force(2)
-        receiver = EdgeState(self.state.settings, PlatformDialect())
+        receiver = EdgeState(self.state.settings, HttpPlatformAdapter())
         other = bytes(json.format(_build_text(1)))
         receiver.put_in_force(
-            receiver.dialect.decode_configuration(other), other
+            receiver.adapter.decode_configuration(other), other
         )
         helper = PeerHelp(receiver, StoreHealth(0))
 
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -11,7 +11,7 @@
 
 from msgspec import json
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings, load_edge_settings
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.reload import Reloader, SettingsFile
@@ -93,7 +93,7 @@
         self.write({})
         source = SettingsFile(str(self.path), load_edge_settings)
         settings = load_edge_settings(str(self.path))
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         self.store = PlatformStore(settings.store)
         self.reloader = Reloader(self.state, self.store, source)
 
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -10,7 +10,7 @@
 
 from samphirerill.fleet.paths import PathRequest
 from samphirerill.fleet.view import LAPSE_GRACE_S
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.admission import Admission, NoPathError
 from samphirerill.relay.connection import HttpConnection
@@ -188,7 +188,7 @@
         The queue stopped at the first stream without a path.
         """
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
-        state = EdgeState(settings, PlatformDialect())
+        state = EdgeState(settings, HttpPlatformAdapter())
         state.view.announce(build_replica('one', 'a', 'large', (0, 40)), 1)
         state.view.announce(build_replica('two', 'a', 'large', (40, 80)), 1)
         admission = Admission(state)
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -13,12 +13,12 @@
     StoreUnreachableError,
 )
 from samphirerill.fleet.model import LayerRange, Repeat, Stage
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.store import (
-    ConditionFailedError,
+    PreconditionFailedError,
     DeletedKey,
-    HistoryGoneError,
-    NoSuchLeaseError,
+    RevisionCompactedError,
+    LeaseNotFoundError,
     PlatformStore,
 )
 from samphirerill.relay.connection import Head
@@ -42,10 +42,10 @@
     """Documents are decoded into typed objects, or rejected."""
 
     def setUp(self) -> None:
-        self.dialect = PlatformDialect()
+        self.adapter = HttpPlatformAdapter()
 
     def test_configuration_is_decoded_completely(self) -> None:
-        cfg = self.dialect.decode_configuration(CONFIGURATION)
+        cfg = self.adapter.decode_configuration(CONFIGURATION)
         streaming_route, plain_route = cfg.routes
         self.assertIs(streaming_route.repeat, Repeat.STREAM)
         self.assertTrue(streaming_route.is_resumable)
@@ -63,13 +63,13 @@
         for text in (b'', b'{', b'[]', b'{"version":"x"}', b'\xff', b'null'):
             with self.subTest(text):
                 with self.assertRaises(DocumentError):
-                    self.dialect.decode_configuration(text)
+                    self.adapter.decode_configuration(text)
                 with self.assertRaises(DocumentError):
-                    self.dialect.decode_replica('one', text)
+                    self.adapter.decode_replica('one', text)
 
     def test_route_of_unknown_kind_is_not_retried(self) -> None:
         text = CONFIGURATION.replace(b'"streaming"', b'"new_kind"')
-        cfg = self.dialect.decode_configuration(text)
+        cfg = self.adapter.decode_configuration(text)
         self.assertIs(cfg.routes[0].repeat, Repeat.NON_IDEMPOTENT)
 
 
@@ -77,7 +77,7 @@
     """Headers of requests and responses."""
 
     def setUp(self) -> None:
-        self.dialect = PlatformDialect()
+        self.adapter = HttpPlatformAdapter()
         self.replica = build_replica('one', layers=(0, 80))
 
     def test_api_key_and_forged_headers_are_removed(self) -> None:
@@ -111,9 +111,9 @@
 
     def test_not_executed_is_distinguished_from_failure(self) -> None:
         not_run = Head(503, [(b'x-samphirerill-not-executed', b'1')])
-        self.assertTrue(self.dialect.read_answer(not_run).is_not_run)
-        self.assertTrue(self.dialect.read_answer(Head(421)).is_not_run)
-        self.assertFalse(self.dialect.read_answer(Head(503)).is_not_run)
+        self.assertTrue(self.adapter.parse_response(not_run).is_not_run)
+        self.assertTrue(self.adapter.parse_response(Head(421)).is_not_run)
+        self.assertFalse(self.adapter.parse_response(Head(503)).is_not_run)
 
     def test_invalid_headers_count_as_absent(self) -> None:
         req = Request(
@@ -126,7 +126,7 @@
             ],
             0,
         )
-        facts = self.dialect.read_request(req)
+        facts = self.adapter.parse_request(req)
         self.assertEqual(facts.deadline_s, 0)
         self.assertEqual(facts.prompt_tokens, 0)
         self.assertEqual(facts.api_key, '')
@@ -135,7 +135,7 @@
         key = [(b'authorization', b'Bearer secret')]
         removed = self._build_headers(key, account='')
         self.assertNotIn(b'authorization', dict(removed))
-        kept = self._build_headers(key, account='', hides_key=False)
+        kept = self._build_headers(key, account='', strips_api_key=False)
         self.assertIn(b'authorization', dict(kept))
 
     def _build_headers(
@@ -143,13 +143,13 @@
         headers: list[tuple[bytes, bytes]],
         account: str = 'suva',
         *,
-        hides_key: bool = True,
+        strips_api_key: bool = True,
     ) -> list[tuple[bytes, bytes]]:
         req = Request(b'POST', b'/', headers, 0)
         stages = (Stage(self.replica, LayerRange(0, 80)),)
-        attempt = Attempt(self.replica, account, 1.5, hides_key, stages)
-        facts = self.dialect.read_request(req)
-        return self.dialect.build_headers(req, facts, attempt)
+        attempt = Attempt(self.replica, account, 1.5, strips_api_key, stages)
+        facts = self.adapter.parse_request(req)
+        return self.adapter.build_headers(req, facts, attempt)
 
 
 class TestBoundary(TestCase):
@@ -197,7 +197,7 @@
 
     async def test_failed_condition_changes_nothing(self) -> None:
         await self.store.write({'a': b'1'}, {'a': 0})
-        with self.assertRaises(ConditionFailedError):
+        with self.assertRaises(PreconditionFailedError):
             await self.store.write({'a': b'2'}, {'a': 0})
         item, _ = await self.store.read('a')
         assert item is not None
@@ -216,7 +216,7 @@
         await self.service.put('a', b'1')
         await self.service.put('a', b'2')
         self.service.forget_history()
-        with self.assertRaises(HistoryGoneError):
+        with self.assertRaises(RevisionCompactedError):
             await self.store.watch('', 1)
 
     async def test_refused_write_is_not_applied(self) -> None:
@@ -237,9 +237,9 @@
         lease = await self.store.grant_lease(2)
         await self.store.write({'a': b'1'}, {}, lease)
         await self.store.renew_lease(lease)
-        await self.store.end_lease(lease)
+        await self.store.revoke_lease(lease)
         self.assertEqual(self.service.keys, {})
-        with self.assertRaises(NoSuchLeaseError):
+        with self.assertRaises(LeaseNotFoundError):
             await self.store.renew_lease(lease)
 
     async def test_unreachable_store_raises_error(self) -> None:
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, cast
 from unittest import IsolatedAsyncioTestCase
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.admission import Admission
 from samphirerill.relay.state import EdgeState
@@ -26,8 +26,8 @@
     """A request without size hints."""
 
     request_id = b'r1'
-    most_tokens = 0
-    hinted_tokens = 0
+    max_answer_tokens = 0
+    expected_answer_tokens = 0
     prompt_tokens = 100
 
 
@@ -60,7 +60,7 @@
 
     async def asyncSetUp(self) -> None:
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         for revision, name in enumerate(('one', 'two', 'three'), 1):
             replica = build_replica(name, 'a', 'large', (0, 32))
             self.state.view.announce(replica, revision)
--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_starts.py
@@ -12,7 +12,7 @@
 from samphirerill.fleet.endings import is_lost
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.view import FleetView
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.relay.dialect import DocumentError
 from samphirerill.relay.pool import ConnectionPool
 from samphirerill.tests.fleets import build_replica
@@ -111,12 +111,12 @@
     """Entries that are not a replica's announcement are rejected."""
 
     def setUp(self) -> None:
-        self.dialect = PlatformDialect()
+        self.adapter = HttpPlatformAdapter()
         self.entry = json.decode(build_entry('llm', _ADDRESS, 'vast', (0, 80)))
 
     def test_complete_entry_is_decoded(self) -> None:
         text = json.encode({**self.entry, 'born': _FIRST_START_MS})
-        replica = self.dialect.decode_replica('one', text)
+        replica = self.adapter.decode_replica('one', text)
         self.assertEqual(replica.started_ms, _FIRST_START_MS)
 
     def test_entry_without_required_field_is_rejected(self) -> None:
@@ -124,7 +124,7 @@
             with self.subTest(name), self.assertRaises(DocumentError):
                 entry = {**self.entry}
                 entry.pop(name)
-                self.dialect.decode_replica('one', json.encode(entry))
+                self.adapter.decode_replica('one', json.encode(entry))
 
     def test_entry_with_invalid_value_is_rejected(self) -> None:
         invalid = {
@@ -138,7 +138,7 @@
         for name, bad in invalid.items():
             with self.subTest(name), self.assertRaises(DocumentError):
                 text = json.encode({**self.entry, name: bad})
-                self.dialect.decode_replica('one', text)
+                self.adapter.decode_replica('one', text)
 
     def test_entry_of_unknown_service_does_not_replace_replica(self) -> None:
         """An entry of a service that is not configured must not take over.
--- a/samphirerill/tests/test_usage.py
+++ b/samphirerill/tests/test_usage.py
@@ -30,7 +30,7 @@
         await store.write({'samphirerill/nodes/n': b'x'}, {}, lease)
         await store.renew_lease(lease)
         await store.read_prefix('')
-        await store.end_lease(lease)
+        await store.revoke_lease(lease)
         self.assertEqual(
             store.calls,
             {'grant': 1, 'write': 1, 'renew': 1, 'read all': 1, 'end': 1},
