--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -80,7 +80,7 @@
         self._grant_interval_s = 0.0
         self._last_grant_at = 0.0
         self._is_grant_scheduled = False
-        state.listen(self._schedule_grants)
+        state.add_listener(self._schedule_grants)
 
     def count_waiting(self) -> int:
         """Return the number of queued requests."""
@@ -141,13 +141,13 @@
         self, engine: EngineSpec, stages: tuple[Stage, ...], tokens: float
     ) -> None:
         """Reserve capacity on a path that `find` returned."""
-        self._state.book.take(list_ids(stages), tokens)
+        self._state.load_tracker.take(list_ids(stages), tokens)
         self._record_transfers(engine, stages, tokens)
 
     def release(self, stages: tuple[Stage, ...], tokens: float) -> None:
         """Release the capacity of a path and wake waiting requests."""
-        self._state.book.give_back(list_ids(stages), tokens)
-        self._state.notify()
+        self._state.load_tracker.give_back(list_ids(stages), tokens)
+        self._state.notify_listeners()
 
     def find(
         self, service: str, engine: EngineSpec, wanted: PathRequest
@@ -155,11 +155,11 @@
         """Return a path with free capacity, or none, without reserving it."""
         now = self._loop.time()
         state = self._state
-        wanted.pipes = state.pipes
+        wanted.pipes = state.link_usage
         wanted.home = state.settings.data_centre
         wanted.policy = state.settings.policy
         usable = state.view.list_usable(service, now)
-        return choose_path(engine, usable, state.book, wanted, now)
+        return choose_path(engine, usable, state.load_tracker, wanted, now)
 
     async def _wait_for_grant(
         self, ticket: _Ticket, deadline: float
@@ -224,7 +224,7 @@
     def _explain_no_path(self, ticket: _Ticket) -> str:
         state = self._state
         usable = state.view.list_usable(ticket.service, self._loop.time())
-        return explain_no_path(ticket.engine, usable, state.book, ticket.wanted)
+        return explain_no_path(ticket.engine, usable, state.load_tracker, ticket.wanted)
 
     def _schedule_grants(self) -> None:
         if self._queue and not self._is_grant_scheduled:
@@ -286,4 +286,4 @@
             source = stage.replica.data_centre
             destination = following.replica.data_centre
             if source != destination:
-                self._state.pipes.note(source, destination, transfer_ms, now)
+                self._state.link_usage.note(source, destination, transfer_ms, now)
--- a/samphirerill/relay/cfg_texts.py
+++ b/samphirerill/relay/cfg_texts.py
@@ -22,7 +22,7 @@
     delta: Delta | None = None
 
 
-class CfgTexts:
+class ConfigurationHistory:
     """The current configuration text and its recent predecessors, by version.
 
     Encoded deltas are cached, as many nodes ask for the same one at once and
@@ -35,18 +35,18 @@
         self._texts: dict[int, bytes] = {}
         self._encoded_deltas: dict[int, bytes] = {}
 
-    def note(self, version: int, text: bytes) -> None:
+    def add(self, version: int, text: bytes) -> None:
         """Add the text of a version newer than all others."""
         self._texts[version] = text
         self._encoded_deltas.clear()
         while len(self._texts) > _MAX_PREVIOUS_VERSIONS + 1:
             self._texts.pop(min(self._texts))
 
-    def has(self, version: int) -> bool:
+    def has_version(self, version: int) -> bool:
         """Return whether a delta from this version can be computed."""
         return version in self._texts
 
-    def encode(self, known_version: int) -> bytes:
+    def encode_update(self, known_version: int) -> bytes:
         """Return the newest configuration for a node that has `known_version`.
 
         It is encoded as a delta if that version is still kept, and in full
@@ -69,7 +69,7 @@
             self._encoded_deltas[known_version] = message
         return message
 
-    def decode(self, encoded: bytes, own_version: int) -> bytes:
+    def decode_update(self, encoded: bytes, own_version: int) -> bytes:
         """Return the configuration text in a message from another node.
 
         Parameters
--- a/samphirerill/relay/change_log.py
+++ b/samphirerill/relay/change_log.py
@@ -125,7 +125,7 @@
         self._current: dict[str, StoredItem] = {}
         self._changed = asyncio.Event()
 
-    def restart(self, revision: int, found: Iterable[StoredItem] = ()) -> None:
+    def reset(self, revision: int, found: Iterable[StoredItem] = ()) -> None:
         """Discard the history after a full read of the store.
 
         Parameters
@@ -141,7 +141,7 @@
         self._compacted_revision = revision
         self._advance(revision)
 
-    def note(self, changes: Changes) -> None:
+    def append(self, changes: Changes) -> None:
         """Append changes."""
         for event in changes.events:
             previous = self._get_large_text(event.key)
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -21,7 +21,7 @@
 from samphirerill.fleet.worth import Aims
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.probing import ask_report
-from samphirerill.relay.orders import ACCEPTED, send_order
+from samphirerill.relay.orders import ACCEPTED_STATUSES, send_order
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -76,7 +76,7 @@
         return not replica.is_other_start(self.replica.started_ms)
 
 
-class Commander:
+class LayerController:
     """Reassigns layers among replicas while this node is the leader.
 
     Parameters
@@ -113,20 +113,20 @@
         """Acquire or renew leadership, and reconcile layers while leading."""
         while not self._is_stopping:
             try:
-                await self._leadership.seek()
+                await self._leadership.campaign_or_renew()
             except StoreError as exc:
-                self._health.note_failure(exc, self._loop.time())
+                self._health.record_failure(exc, self._loop.time())
             await self._reconcile()
             await self._wait_for_next_step()
 
-    def wake(self) -> None:
+    def trigger(self) -> None:
         """Start the next iteration at once, because a replica was lost."""
         self._wake_event.set()
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """Stop sending orders and release leadership to another node."""
         self._is_stopping = True
-        await self._leadership.leave()
+        await self._leadership.resign()
 
     async def _wait_for_next_step(self) -> None:
         self._wake_event.clear()
@@ -138,11 +138,11 @@
 
     async def _reconcile(self) -> None:
         cfg = self._state.cfg
-        if cfg is None or not self._leadership.is_held():
+        if cfg is None or not self._leadership.is_leader():
             return
         now = self._loop.time()
-        presence_s = self._state.find_leaves_at(now) - now
-        if not self._health.knows_fleet(now, presence_s):
+        presence_s = self._state.compute_leaving_deadline(now) - now
+        if not self._health.is_view_complete(now, presence_s):
             # Announcements may be missing only because their leases expired.
             return
         if self._state.view.loss_round.is_under_way(now):
@@ -316,13 +316,13 @@
         if replica.is_other_start(report.started_ms):
             # The replica restarted; its new announcement will follow.
             return
-        if not self._leadership.is_held():
+        if not self._leadership.is_leader():
             return
         order = self._state.adapter.encode_load_order(
-            assignment.layers, report.order_count, self._leadership.token
+            assignment.layers, report.order_count, self._leadership.fencing_token
         )
         status = await send_order(self._state, replica, order)
-        assignment.is_accepted = status in ACCEPTED
+        assignment.is_accepted = status in ACCEPTED_STATUSES
         if assignment.is_accepted:
             assignment.expires_at = self._loop.time() + _ASSIGNMENT_TIMEOUT_S
         _LOG.info(
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -15,7 +15,7 @@
 from samphirerill.platform.store import DeletedKey, RevisionCompactedError
 from samphirerill.relay.dialect import DocumentError
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.replica_folder import ReplicaFolder
+from samphirerill.relay.replica_folder import ReplicaHandler
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,7 +26,7 @@
         StoredItem,
     )
     from samphirerill.relay.change_log import ChangeLog
-    from samphirerill.relay.news import NewsSource
+    from samphirerill.relay.news import ChangeSource
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
 
@@ -45,26 +45,26 @@
 _MAX_STARTUP_BATCH_S = 0.5
 
 
-class PutOffError(StoreError):
+class StoreBackoffError(StoreError):
     """This node backs off from the store and relies on the watcher nodes."""
 
 
-class Folder(Protocol):
+class ChangeHandler(Protocol):
     """Handles the changes of the keys under one prefix."""
 
     prefix: str
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the state by a full listing at `revision`."""
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply the write of one key."""
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Apply the deletion of one key."""
 
 
-class Follower:
+class StoreFollower:
     """Feeds the changes of the store to all handlers, from a single watch.
 
     A watch for each handler would multiply the calls to the store.
@@ -77,9 +77,9 @@
         Client of the key-value store.
     health : StoreHealth
         Whether the store is reachable; shared by all its users.
-    handlers : sequence of Folder
+    handlers : sequence of ChangeHandler
         Handlers of the changes, each for one key prefix.
-    change_source : NewsSource
+    change_source : ChangeSource
         Chooses where to get changes from: the store, or another node that
         watches it.
     change_log : ChangeLog
@@ -97,8 +97,8 @@
         state: EdgeState,
         store: PlatformStore,
         health: StoreHealth,
-        handlers: Sequence[Folder],
-        change_source: NewsSource,
+        handlers: Sequence[ChangeHandler],
+        change_source: ChangeSource,
         change_log: ChangeLog,
     ) -> None:
         self.revision = 0
@@ -127,7 +127,7 @@
                 self.revision = 0
                 continue
             except StoreError as exc:
-                self._health.note_failure(exc, self._loop.time())
+                self._health.record_failure(exc, self._loop.time())
                 self._report_store_failure(exc)
                 # A failed watch may have missed changes, so all keys must be
                 # listed before watching the store again. Another node's
@@ -136,38 +136,38 @@
                 await asyncio.sleep(retry_s)
                 retry_s = min(_MAX_RETRY_S, retry_s * 2)
                 continue
-            self._health.note_success(self._loop.time())
+            self._health.record_success(self._loop.time())
             retry_s = _FIRST_RETRY_S
 
     def _report_store_failure(self, exc: StoreError) -> None:
-        if not isinstance(exc, PutOffError):
-            self._change_source.note_store(answers=False)
+        if not isinstance(exc, StoreBackoffError):
+            self._change_source.record_store_result(answers=False)
 
     async def _sync_once(self) -> None:
         changes = await self._wait_for_changes() if self.revision else None
         if changes is None:
             self._check_backoff()
             found, revision = await self._store.read_prefix('')
-            self._change_source.note_store(answers=True)
+            self._change_source.record_store_result(answers=True)
             for handler in self._handlers:
                 matching = [
                     item
                     for item in found
                     if item.key.startswith(handler.prefix)
                 ]
-                handler.take_all(matching, revision)
+                handler.apply_snapshot(matching, revision)
             self.revision = revision
             self._must_relist = False
-            self._change_log.restart(revision, found)
-            self._state.notify()
+            self._change_log.reset(revision, found)
+            self._state.notify_listeners()
             return
-        self._change_log.note(changes)
+        self._change_log.append(changes)
         for event in changes.events:
             self._dispatch(event)
         self.revision = max(self.revision, changes.revision)
         self._state.view.reach(self.revision)
         if changes.events:
-            self._state.notify()
+            self._state.notify_listeners()
             await asyncio.sleep(self._next_batch_delay())
 
     async def _wait_for_changes(self) -> Changes | None:
@@ -181,7 +181,7 @@
         Changes or None
             ``None`` if all keys must be listed again.
         """
-        watcher = self._change_source.choose()
+        watcher = self._change_source.select_watcher()
         if watcher:
             try:
                 changes = await self._change_source.watch(
@@ -199,13 +199,13 @@
             return None
         self._check_backoff()
         changes = await self._store.watch('', self.revision)
-        self._change_source.note_store(answers=True)
+        self._change_source.record_store_result(answers=True)
         return changes
 
     def _check_backoff(self) -> None:
-        """Raise ``PutOffError`` while backing off after a store failure."""
-        if self.revision and not self._change_source.may_ask_store():
-            raise PutOffError('backing off; the watcher nodes poll the store')
+        """Raise ``StoreBackoffError`` while backing off after a store failure."""
+        if self.revision and not self._change_source.may_call_store():
+            raise StoreBackoffError('backing off; the watcher nodes poll the store')
 
     def _next_batch_delay(self) -> float:
         """Return how long to batch changes before the next watch.
@@ -229,24 +229,24 @@
             if not event.key.startswith(handler.prefix):
                 continue
             if isinstance(event, DeletedKey):
-                handler.take_gone(event)
+                handler.apply_deletion(event)
             else:
-                handler.take_item(event)
+                handler.apply_write(event)
 
 
-class ConfigurationFolder:
+class ConfigurationHandler:
     """Applies each newer configuration."""
 
     def __init__(self, state: EdgeState) -> None:
         self.prefix = state.adapter.configuration_key
         self.state = state
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Apply the configuration found in a full listing."""
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply a configuration that was written."""
         try:
             cfg = self.state.adapter.decode_configuration(item.text)
@@ -256,9 +256,9 @@
                 extra={'error': str(exc)},
             )
             return
-        self.state.put_in_force(cfg, item.text)
+        self.state.apply_configuration(cfg, item.text)
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Log the deletion and keep the current configuration."""
         _LOG.warning(
             'configuration key was deleted; keeping the current one',
@@ -266,15 +266,15 @@
         )
 
 
-def build_follower(
+def build_store_follower(
     state: EdgeState,
     store: PlatformStore,
     health: StoreHealth,
-    handlers: Sequence[Folder],
-    change_source: NewsSource,
+    handlers: Sequence[ChangeHandler],
+    change_source: ChangeSource,
     change_log: ChangeLog,
-) -> Follower:
-    """Return a `Follower` for the configuration, the replicas and more.
+) -> StoreFollower:
+    """Return a `StoreFollower` for the configuration, the replicas and more.
 
     Parameters
     ----------
@@ -284,18 +284,18 @@
         Client of the key-value store.
     health : StoreHealth
         Whether the store is reachable.
-    handlers : sequence of Folder
+    handlers : sequence of ChangeHandler
         Handlers of further keys.
-    change_source : NewsSource
+    change_source : ChangeSource
         Chooses where to get changes from.
     change_log : ChangeLog
         Records the changes for other nodes.
     """
-    all_handlers: list[Folder] = [
-        ConfigurationFolder(state),
-        ReplicaFolder(state, health),
+    all_handlers: list[ChangeHandler] = [
+        ConfigurationHandler(state),
+        ReplicaHandler(state, health),
         *handlers,
     ]
-    return Follower(
+    return StoreFollower(
         state, store, health, all_handlers, change_source, change_log
     )
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -65,7 +65,7 @@
 
     def get_limits(self) -> ClientLimits:
         """Return the limits on client requests."""
-        return self._state.get_limits()
+        return self._state.get_client_limits()
 
     def is_draining(self) -> bool:
         """Return whether connections should close after their response."""
@@ -89,9 +89,9 @@
     async def _serve(self, task: Task) -> None:
         engine = task.service.engine
         if engine is None or not engine.layers:
-            if not self._reject_if_ending(self._state.requests_until, task):
+            if not self._reject_if_ending(self._state.accept_requests_until, task):
                 await PlainExchange(self._state, task, self._quarantine).run()
-        elif not self._reject_if_ending(self._state.streams_until, task):
+        elif not self._reject_if_ending(self._state.accept_streams_until, task):
             await StreamExchange(
                 self._state,
                 task,
--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -124,7 +124,7 @@
             self._datagram_sender.forward_from(sender, data)
         self._apply_alive(alarm)
         self._apply_suspected(alarm)
-        self._state.notify()
+        self._state.notify_listeners()
 
     def _send_suspected(self) -> None:
         now = self._loop.time()
@@ -154,7 +154,7 @@
         alarm = Alarm(
             settings.name,
             settings.data_centre,
-            self._state.start_number,
+            self._state.incarnation,
             self._sequence,
             suspected,
             {
@@ -199,7 +199,7 @@
     ) -> Iterable[tuple[str, Finding]]:
         """Yield the replicas that are known here, by id."""
         for key, finding in findings.items():
-            name = self._state.names.get(key)
+            name = self._state.replica_names.get(key)
             if name is not None:
                 yield name, finding
 
--- a/samphirerill/relay/health/examiner.py
+++ b/samphirerill/relay/health/examiner.py
@@ -275,7 +275,7 @@
             )
         else:
             # A node without peers cannot get a second vote.
-            is_alone = not self._state.book.count_peers()
+            is_alone = not self._state.load_tracker.count_peers()
             votes = SURE_VOTES if is_alone else 1
             self._suspect(
                 replica.replica_id,
@@ -314,7 +314,7 @@
                 extra={'replica': replica_id, 'reason': reason},
             )
             self._alarms.broadcast_suspicion(replica_id)
-            self._state.notify()
+            self._state.notify_listeners()
 
 
 def _filter_by_verdict(probes: dict[str, Probe], wanted: Verdict) -> set[str]:
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -69,7 +69,7 @@
         # Doubted replicas that were handled, and when they were reported.
         self._seen_doubts: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        state.listen(self._on_state_change)
+        state.add_listener(self._on_state_change)
 
     async def run(self) -> None:
         """Probe dead replicas before their suspicions expire."""
--- a/samphirerill/relay/health/words.py
+++ b/samphirerill/relay/health/words.py
@@ -31,7 +31,7 @@
         Status of another node or data centre.
     """
     for key, (left_ms, votes) in status.suspected.items():
-        name = state.names.get(key)
+        name = state.replica_names.get(key)
         if name is not None:
             ago_ms = status.suspected_ago_ms.get(key, 0)
             apply_suspicion(
--- a/samphirerill/relay/hearing.py
+++ b/samphirerill/relay/hearing.py
@@ -19,8 +19,8 @@
 
     from samphirerill.relay.change_log import ChangeLog
     from samphirerill.relay.health.alarms import Alarms
-    from samphirerill.relay.news import NewsSource
-    from samphirerill.relay.peer_help import PeerHelp
+    from samphirerill.relay.news import ChangeSource
+    from samphirerill.relay.peer_help import PeerSync
     from samphirerill.relay.roster import PeerDirectory
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.telling import StatusSender
@@ -40,11 +40,11 @@
         The other nodes.
     status_sender : StatusSender
         Forwards aggregates of other data centres.
-    news : NewsSource
+    news : ChangeSource
         Notified of the replica revisions that other nodes have.
     log : ChangeLog
         Store changes that this node has received.
-    peer_sync : PeerHelp
+    peer_sync : PeerSync
         Fetches from other nodes what the store does not deliver.
     alarms : Alarms
         Handles urgent datagrams.
@@ -55,9 +55,9 @@
         state: EdgeState,
         peers: PeerDirectory,
         status_sender: StatusSender,
-        news: NewsSource,
+        news: ChangeSource,
         log: ChangeLog,
-        peer_sync: PeerHelp,
+        peer_sync: PeerSync,
         alarms: Alarms,
     ) -> None:
         self._handlers: dict[bytes, Callable[[bytes, str], None]] = {}
@@ -144,9 +144,9 @@
         peer.last_seen_at = self._loop.time()
         peer.status = status
         if status.data_centre != self._state.settings.data_centre:
-            self._state.forget_told(name_sum(status.data_centre))
+            self._state.forget_peer(name_sum(status.data_centre))
         self._apply_status(status)
-        self._peer_sync.consider(
+        self._peer_sync.sync_if_behind(
             peer.http_address, status.version, status.revision
         )
 
@@ -163,11 +163,11 @@
         if sender not in self._peers.list_local_addresses(self._loop.time()):
             self._status_sender.forward(data)
         for name in self._peers.list_nodes_in(status.data_centre):
-            self._state.forget_told(name)
+            self._state.forget_peer(name)
         self._apply_status(status)
 
     def _apply_status(self, status: NodeStatus) -> None:
         apply_node_status(self._state, status, self._loop.time())
         apply_suspicions(self._state, status)
-        self._state.notify()
+        self._state.notify_listeners()
         self._news.note_peer_revision(status.revision, self._log.revision)
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -10,7 +10,7 @@
     PreconditionFailedError,
     LeaseNotFoundError,
 )
-from samphirerill.relay.leases import give_up_lease
+from samphirerill.relay.leases import revoke_lease
 
 if TYPE_CHECKING:
     from samphirerill.platform.store import (
@@ -21,7 +21,7 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('leadership')
-KEY = 'samphirerill/commander'
+LEADER_KEY = 'samphirerill/commander'
 # Short, so that another node takes over soon after the leader fails.
 _LEASE_TTL_S = 2.0
 _RENEW_INTERVAL_S = 0.6
@@ -43,20 +43,20 @@
 
     Attributes
     ----------
-    token : int
+    fencing_token : int
         Fencing token: the store revision at which this node last became the
         leader. Sent with each layer order, so that engines can reject those
         of a former leader.
     """
 
-    prefix = KEY
+    prefix = LEADER_KEY
 
     def __init__(self, state: EdgeState, store: PlatformStore) -> None:
-        self.token = 0
+        self.fencing_token = 0
         self._state = state
         self._store = store
         self._loop = asyncio.get_running_loop()
-        self._holder = ''
+        self._leader = ''
         self._has_listed = False
         self._lease = 0
         self._lease_expires_at = 0.0
@@ -64,54 +64,54 @@
         self._campaign_at = 0.0
 
     @property
-    def holder(self) -> str:
+    def leader(self) -> str:
         """Return the name of the leader; empty if there is none."""
-        return self._holder
+        return self._leader
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the known leader by a full listing of the store."""
         self._has_listed = True
-        self._holder = ''
+        self._leader = ''
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Record a newly elected leader."""
-        self._holder = item.text.decode()
+        self._leader = item.text.decode()
         self._campaign_at = 0.0
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Record that there is no leader any more."""
-        self._holder = ''
+        self._leader = ''
 
-    def is_held(self) -> bool:
+    def is_leader(self) -> bool:
         """Return whether this node is the leader and its lease is valid."""
         return bool(self._lease) and self._loop.time() < self._lease_expires_at
 
-    async def seek(self) -> None:
+    async def campaign_or_renew(self) -> None:
         """Renew the lease if this node leads, or campaign if nobody does."""
         now = self._loop.time()
         if now < self._next_call_at:
             return
         if self._lease:
             await self._renew(now)
-        elif self._has_listed and not self._holder:
+        elif self._has_listed and not self._leader:
             await self._campaign(now)
 
-    async def leave(self) -> None:
+    async def resign(self) -> None:
         """Resign, so that another node can take over at once."""
         lease = self._lease
         self._lease = 0
-        await give_up_lease(self._store, lease, _LOG)
+        await revoke_lease(self._store, lease, _LOG)
 
     async def _renew(self, now: float) -> None:
         self._next_call_at = now + _RENEW_INTERVAL_S
         try:
             await self._store.renew_lease(self._lease)
         except LeaseNotFoundError:
-            _LOG.warning('command lost', extra={'token': self.token})
+            _LOG.warning('command lost', extra={'token': self.fencing_token})
             self._lease = 0
-            self._holder = ''
+            self._leader = ''
             return
         self._lease_expires_at = now + _LEASE_TTL_S
 
@@ -136,11 +136,11 @@
         lease = await self._store.grant_lease(_LEASE_TTL_S)
         name = self._state.settings.name.encode()
         try:
-            self.token = await self._store.write({KEY: name}, {KEY: 0}, lease)
+            self.fencing_token = await self._store.write({LEADER_KEY: name}, {LEADER_KEY: 0}, lease)
         except PreconditionFailedError:
             await self._store.revoke_lease(lease)
             return
         self._lease = lease
         self._lease_expires_at = now + _LEASE_TTL_S
         self._next_call_at = now + _RENEW_INTERVAL_S
-        _LOG.info('command taken', extra={'token': self.token})
+        _LOG.info('command taken', extra={'token': self.fencing_token})
--- a/samphirerill/relay/leases.py
+++ b/samphirerill/relay/leases.py
@@ -12,7 +12,7 @@
     from samphirerill.platform.store import PlatformStore
 
 
-async def give_up_lease(store: PlatformStore, lease: int, log: Logger) -> None:
+async def revoke_lease(store: PlatformStore, lease: int, log: Logger) -> None:
     """Revoke a lease, so that its keys are deleted at once.
 
     If the store does not answer, they are deleted when the lease expires.
--- a/samphirerill/relay/members.py
+++ b/samphirerill/relay/members.py
@@ -14,11 +14,11 @@
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import LeaseNotFoundError
 from samphirerill.relay.hearing import DatagramReceiver
-from samphirerill.relay.leases import give_up_lease
+from samphirerill.relay.leases import revoke_lease
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.messages import NodeAnnouncement
 from samphirerill.relay.news import PeerRequestHandler
-from samphirerill.relay.peer_help import PeerHelp
+from samphirerill.relay.peer_help import PeerSync
 from samphirerill.relay.roster import PeerDirectory
 from samphirerill.relay.telling import StatusSender
 
@@ -30,7 +30,7 @@
     )
     from samphirerill.relay.change_log import ChangeLog
     from samphirerill.relay.health.alarms import Alarms
-    from samphirerill.relay.news import NewsSource
+    from samphirerill.relay.news import ChangeSource
     from samphirerill.relay.post import DatagramHandler
     from samphirerill.relay.server import CallerConnection
     from samphirerill.relay.state import EdgeState
@@ -41,10 +41,10 @@
 # The lease survives two lost renewals. Crashed nodes are detected earlier by
 # missing datagrams, so frequent renewals would only load the store.
 _LEASE_TTL_S = 12.0
-_RENEW_S = 4.0
+_RENEW_INTERVAL_S = 4.0
 
 
-class Members:
+class Membership:
     """Maintains the list of nodes and the communication between them.
 
     Parameters
@@ -55,7 +55,7 @@
         Where nodes announce themselves.
     health : StoreHealth
         Tracks whether the store answers; shared by all its users.
-    news : NewsSource
+    news : ChangeSource
         Notified of the other nodes and of the revisions that they have.
     log : ChangeLog
         Store changes that this node serves to others.
@@ -70,7 +70,7 @@
         state: EdgeState,
         store: PlatformStore,
         health: StoreHealth,
-        news: NewsSource,
+        news: ChangeSource,
         log: ChangeLog,
         alarms: Alarms,
     ) -> None:
@@ -80,7 +80,7 @@
         self._store = store
         self._health = health
         self._loop = asyncio.get_running_loop()
-        self._peer_sync = PeerHelp(state, health)
+        self._peer_sync = PeerSync(state, health)
         self._peers = PeerDirectory(
             state.settings.name, state.settings.data_centre
         )
@@ -110,7 +110,7 @@
         )
         await self._receiver.start()
 
-    def add_talk(self, handler: DatagramHandler) -> None:
+    def add_datagram_handler(self, handler: DatagramHandler) -> None:
         """Let another component use the nodes' datagram port."""
         handler.bind(self._status_sender)
         self._receiver.add_handler(handler.type_prefix, handler.handle_datagram)
@@ -132,15 +132,15 @@
     async def leave(self) -> None:
         """Remove the announcement; this node does not announce itself again."""
         self._has_left = True
-        await give_up_lease(self._store, self._lease, _LOG)
+        await revoke_lease(self._store, self._lease, _LOG)
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace all announcements by those of a full read."""
         self._peers.clear_announcements()
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Add an announcement."""
         name = item.key.removeprefix(PREFIX)
         if name == self._state.settings.name:
@@ -155,7 +155,7 @@
         self._peers.add_announcement(name, announcement)
         self._update_peers()
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Remove an announcement that was deleted or whose lease expired."""
         self._peers.remove_announcement(gone.key.removeprefix(PREFIX))
         self._update_peers()
@@ -167,7 +167,7 @@
     async def _keep_lease(self) -> None:
         while not self._has_left:
             self._loop.create_task(self._renew_or_reset(), name='renew')
-            await asyncio.sleep(_RENEW_S)
+            await asyncio.sleep(_RENEW_INTERVAL_S)
 
     async def _renew_or_reset(self) -> None:
         try:
@@ -176,7 +176,7 @@
             # The next renewal creates a new lease and announcement.
             self._lease = 0
         except StoreError as exc:
-            self._health.note_failure(exc, self._loop.time())
+            self._health.record_failure(exc, self._loop.time())
 
     async def _renew_lease(self) -> None:
         if self._lease:
@@ -194,9 +194,9 @@
         self._lease = lease
         if self._has_left:
             # The node was shut down during the calls to the store.
-            await give_up_lease(self._store, lease, _LOG)
+            await revoke_lease(self._store, lease, _LOG)
 
     def _update_peers(self) -> None:
         announced = self._peers.list_announced()
         self._state.peer_count = len(announced)
-        self._news.take_peers(announced)
+        self._news.update_peers(announced)
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -44,7 +44,7 @@
     tokens, in units of 16. `suspected` maps replicas that the sender suspects
     to have failed to the milliseconds until the suspicion expires and its
     votes; `suspected_ago_ms` gives how many milliseconds ago each was found
-    unresponsive. `pipes` holds the milliseconds of transfer over each link
+    unresponsive. `link_usage` holds the milliseconds of transfer over each link
     between data centres since the node started. `budget_usage` maps services to
     requests and retries in the window of their retry budget, and to running
     streams.
@@ -60,14 +60,14 @@
     revision: int
     load: dict[int, tuple[int, int]]
     suspected: dict[int, tuple[int, int]]
-    pipes: list[tuple[str, str, int]]
+    link_usage: list[tuple[str, str, int]]
     data_centre: str = ''
     node_count: int = 1
     budget_usage: dict[str, tuple[int, int, int]] = {}
     suspected_ago_ms: dict[int, int] = {}
 
 
-class ReplicaNames:
+class ReplicaIdIndex:
     """Looks up replica ids by checksum; rebuilt when replicas change."""
 
     __slots__ = ('_names', '_version', '_view')
@@ -147,18 +147,18 @@
             entry.requests,
             int(entry.tokens) // _TOKENS_PER_UNIT,
         )
-        for name, entry in state.book.own().items()
+        for name, entry in state.load_tracker.own().items()
     }
     suspicions = encode_suspicions(state)
     return NodeStatus(
         node=state.settings.name,
-        started=state.start_number,
+        started=state.incarnation,
         sequence=sequence,
         version=state.version,
         revision=state.view.revision,
         load=load,
         suspected=suspicions.suspected,
-        pipes=encode_link_usage(state.pipes.sent),
+        link_usage=encode_link_usage(state.link_usage.sent),
         data_centre=state.settings.data_centre,
         budget_usage=_encode_budget_usage(state, now),
         suspected_ago_ms=suspicions.suspected_ago_ms,
@@ -169,7 +169,7 @@
     state: EdgeState, now: float
 ) -> dict[str, tuple[int, int, int]]:
     budget_usage = {}
-    for service, budget in state.budgets.items():
+    for service, budget in state.retry_budgets.items():
         usage = budget.find_use(now)
         budget_usage[service] = (usage.requests, usage.repeats, usage.streams)
     return budget_usage
@@ -177,33 +177,33 @@
 
 def encode_link_usage(sent: dict[Pair, float]) -> list[tuple[str, str, int]]:
     """Return the transfer time over each link between data centres."""
-    pipes = []
+    link_usage = []
     for pair, sent_ms in sent.items():
         one, other = sorted(pair)
-        pipes.append((one, other, int(sent_ms)))
-    return pipes
+        link_usage.append((one, other, int(sent_ms)))
+    return link_usage
 
 
 def apply_node_status(state: EdgeState, status: NodeStatus, now: float) -> None:
     """Apply another node's status to the state of this node."""
-    state.book.hear(
-        status.node, _decode_load(state.names, status), now, status.node_count
+    state.load_tracker.hear(
+        status.node, _decode_load(state.replica_names, status), now, status.node_count
     )
     _apply_link_usage(state, status, now)
     for service, counts in status.budget_usage.items():
-        budget = state.get_budget(service)
+        budget = state.get_retry_budget(service)
         budget.others.hear(status.node, Use(*counts), now)
 
 
 def _apply_link_usage(state: EdgeState, status: NodeStatus, now: float) -> None:
     node = f'{status.node}/{status.started}'
     is_near = status.data_centre == state.settings.data_centre
-    for one, other, sent_ms in status.pipes:
+    for one, other, sent_ms in status.link_usage:
         pair = frozenset((one, other))
-        state.pipes.hear(node, pair, sent_ms, now, is_near=is_near)
+        state.link_usage.hear(node, pair, sent_ms, now, is_near=is_near)
 
 
-def _decode_load(names: ReplicaNames, status: NodeStatus) -> dict[str, Held]:
+def _decode_load(names: ReplicaIdIndex, status: NodeStatus) -> dict[str, Held]:
     load = {}
     for key, (count, units) in status.load.items():
         name = names.get(key)
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -141,7 +141,7 @@
         return (_GONE, b'') if snapshot is None else (_OK, snapshot)
 
 
-class NewsSource:
+class ChangeSource:
     """Selects where this node gets store changes: the store or a watcher.
 
     Parameters
@@ -172,11 +172,11 @@
         self._store_call_at = float('-inf')
         self._startup_until = self._loop.time() + _STARTUP_S
 
-    def take_peers(self, peers: Mapping[str, str]) -> None:
+    def update_peers(self, peers: Mapping[str, str]) -> None:
         """Set the announced nodes and their HTTP addresses."""
         self._peers = peers
 
-    def note_store(self, *, answers: bool) -> None:
+    def record_store_result(self, *, answers: bool) -> None:
         """Record whether a call to the store succeeded."""
         if answers:
             self._backoff_s = 0.0
@@ -190,7 +190,7 @@
         jitter = 1 + _BACKOFF_JITTER * self._random.random()
         self._store_call_at = now + self._backoff_s * jitter
 
-    def may_ask_store(self) -> bool:
+    def may_call_store(self) -> bool:
         """Return whether this node may call the store now.
 
         Watchers always may, and so may a node that knows no others.
@@ -211,7 +211,7 @@
         """Return whether this node may not know all other nodes yet."""
         return self._loop.time() < self._startup_until
 
-    def choose(self) -> str:
+    def select_watcher(self) -> str:
         """Return the watcher to poll; empty for the store itself."""
         now = self._loop.time()
         if now < self._direct_watch_until:
--- a/samphirerill/relay/node_pages.py
+++ b/samphirerill/relay/node_pages.py
@@ -7,7 +7,7 @@
 from msgspec import json
 
 from samphirerill.relay.listeners import PageHandler
-from samphirerill.relay.usage import Usage
+from samphirerill.relay.usage import UsageReporter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,7 +22,7 @@
 _UNAVAILABLE = 503
 
 
-class NodePages:
+class StatusEndpoints:
     """Readiness for the load balancer, metrics and state for operators.
 
     Parameters
@@ -40,7 +40,7 @@
 
     Attributes
     ----------
-    usage : Usage
+    usage : UsageReporter
         Counts the calls to the store and to endpoints.
     """
 
@@ -55,16 +55,16 @@
         self._quarantine_keeper = keeper
         self._state = state
         self._admission = admission
-        self.usage = Usage(state, store)
+        self.usage = UsageReporter(state, store)
         self._count_busy = count_busy
 
-    def build_ready(self) -> PageHandler:
+    def build_readiness_handler(self) -> PageHandler:
         """Return the handler of the load balancer's readiness check."""
         return PageHandler(
             {self._state.adapter.ready_path: self._serve_readiness}
         )
 
-    def build_metrics(self) -> PageHandler:
+    def build_metrics_handler(self) -> PageHandler:
         """Return the handler of the metrics and the state dump."""
         return PageHandler(
             {b'/metrics': self._serve_metrics, b'/state': self._serve_state}
@@ -88,7 +88,7 @@
 
     def _serve_metrics(self) -> Page:
         state = self._state
-        gauges = {**state.counters, **self.usage.count()}
+        gauges = {**state.counters, **self.usage.collect()}
         gauges['now.waiting'] = self._admission.count_waiting()
         gauges['now.open'] = self._count_busy()
         gauges['now.replicas'] = len(state.view.known)
--- a/samphirerill/relay/orders.py
+++ b/samphirerill/relay/orders.py
@@ -19,7 +19,7 @@
 _LOG = get_logger('orders')
 # An engine acknowledges an order immediately and carries it out afterwards.
 _ORDER_TIMEOUT_S = 0.5
-ACCEPTED = frozenset((200, 202))
+ACCEPTED_STATUSES = frozenset((200, 202))
 # Rerouting a stream does not require leadership, so it has no fencing token.
 _NO_FENCING_TOKEN = 0
 _MAX_LOGGED_BYTES = 80
@@ -43,7 +43,7 @@
             extra={'replica': replica.replica_id, 'reason': str(exc)},
         )
         return 0
-    if status not in ACCEPTED:
+    if status not in ACCEPTED_STATUSES:
         _LOG.warning(
             'engine rejected an order',
             extra={
@@ -55,7 +55,7 @@
     return status
 
 
-async def order_repath(
+async def request_reroute(
     state: EdgeState, request_id: bytes, stages: tuple[Stage, ...]
 ) -> bool:
     """Order the first replica of a path to reroute a stream.
@@ -75,4 +75,4 @@
         Whether the engine accepted the order.
     """
     order = state.adapter.encode_reroute_order(request_id, stages, _NO_FENCING_TOKEN)
-    return await send_order(state, stages[0].replica, order) in ACCEPTED
+    return await send_order(state, stages[0].replica, order) in ACCEPTED_STATUSES
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -184,7 +184,7 @@
             and found.replica.layers.first == 0
             and found.replica.replica_id not in excluded_ids
         ]
-        return sorted(heads, key=self._state.book.requests)[
+        return sorted(heads, key=self._state.load_tracker.requests)[
             :_MAX_ISOLATED_CANDIDATES
         ]
 
--- a/samphirerill/relay/peer_help.py
+++ b/samphirerill/relay/peer_help.py
@@ -41,7 +41,7 @@
 _CONFIGURATION_PATH = b'/configuration/2'
 
 
-class PeerHelp:
+class PeerSync:
     """Fetches configuration and replicas from other nodes, and serves them.
 
     Parameters
@@ -67,7 +67,7 @@
             _REPLICAS_PATH: self._serve_replicas,
         }
 
-    def consider(self, address: str, version: int, revision: int) -> None:
+    def sync_if_behind(self, address: str, version: int, revision: int) -> None:
         """Fetch from a node that has newer state than the store delivered.
 
         Parameters
@@ -108,15 +108,15 @@
             address, b'%b?after=%d' % (_CONFIGURATION_PATH, own)
         )
         try:
-            text = self._state.cfg_texts.decode(delta, own)
+            text = self._state.configuration_history.decode_update(delta, own)
         except DeltaError as exc:
             _LOG.info(
                 'cannot apply configuration delta', extra={'error': str(exc)}
             )
             full = await self._get(address, b'%b?after=0' % _CONFIGURATION_PATH)
-            text = self._state.cfg_texts.decode(full, 0)
+            text = self._state.configuration_history.decode_update(full, 0)
         cfg = self._state.adapter.decode_configuration(text)
-        if self._state.put_in_force(cfg, text):
+        if self._state.apply_configuration(cfg, text):
             _LOG.info(
                 'configuration from a peer', extra={'version': cfg.version}
             )
@@ -127,12 +127,12 @@
             text, type=tuple[int, list[tuple[Replica, int]]]
         )
         if revision > self._state.view.revision and not self._health.is_up:
-            leaves_at = self._state.find_leaves_at(self._loop.time())
+            leaves_at = self._state.compute_leaving_deadline(self._loop.time())
             self._state.view.replace_all(rows, revision, 0, leaves_at)
             _LOG.info(
                 'replicas fetched from a peer', extra={'revision': revision}
             )
-            self._state.notify()
+            self._state.notify_listeners()
 
     async def _get(self, address: str, path: bytes) -> bytes:
         deadline = self._loop.time() + _FETCH_TIMEOUT_S
@@ -146,10 +146,10 @@
         if not self._state.version:
             return _NOT_FOUND, b''
         after = read_revision(query)
-        is_full = not self._state.cfg_texts.has(after)
+        is_full = not self._state.configuration_history.has_version(after)
         if is_full and self._loop.time() < self._next_full_at:
             return _UNAVAILABLE, b''
-        body = self._state.cfg_texts.encode(after)
+        body = self._state.configuration_history.encode_update(after)
         if is_full:
             self._next_full_at = (
                 self._loop.time() + len(body) / _FULL_BYTES_PER_S
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -144,7 +144,7 @@
     ) -> Known | None:
         return choose_endpoint(
             self._state.view,
-            self._state.book,
+            self._state.load_tracker,
             self._task.service.name,
             self._tried,
             self._loop.time(),
@@ -152,7 +152,7 @@
         )
 
     def _has_connection(self, replica_id: str) -> bool:
-        max_open = self._state.count_connections(self._task.service)
+        max_open = self._state.get_connection_limit(self._task.service)
         return self._state.pool.has_left(replica_id, max_open)
 
     def _may_send(self) -> bool:
@@ -177,13 +177,13 @@
     async def _send(self, endpoint: Known) -> _Outcome:
         replica = endpoint.replica
         reserved_ids = (replica.replica_id,)
-        self._state.book.take(reserved_ids, 0)
+        self._state.load_tracker.take(reserved_ids, 0)
         started_at = self._loop.time()
         try:
             outcome = await self._exchange(endpoint)
         finally:
-            self._state.book.give_back(reserved_ids, 0)
-            self._state.notify()
+            self._state.load_tracker.give_back(reserved_ids, 0)
+            self._state.notify_listeners()
         duration_s = self._loop.time() - started_at
         self._record_outcome(endpoint, outcome, duration_s)
         _LOG.info(
@@ -226,7 +226,7 @@
         conn = await self._state.pool.take(
             replica,
             fresh=not self._task.is_retryable,
-            most=self._state.count_connections(self._task.service),
+            most=self._state.get_connection_limit(self._task.service),
         )
         if self._quarantine.find_held_until(self._task):
             self._state.pool.give_back(replica, conn)
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -9,22 +9,22 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.admission import Admission
-from samphirerill.relay.commander import Commander
-from samphirerill.relay.follower import build_follower
+from samphirerill.relay.commander import LayerController
+from samphirerill.relay.follower import build_store_follower
 from samphirerill.relay.front import Front
 from samphirerill.relay.health import Alarms, Examiner, Survey
 from samphirerill.relay.leadership import Leadership
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.members import Members
-from samphirerill.relay.news import NewsSource
-from samphirerill.relay.node_pages import NodePages
+from samphirerill.relay.members import Membership
+from samphirerill.relay.news import ChangeSource
+from samphirerill.relay.node_pages import StatusEndpoints
 from samphirerill.relay.quarantine import (
     Keeper,
     Sharing,
     StoredHolds,
     Witness,
 )
-from samphirerill.relay.reload import Reloader, SettingsFile
+from samphirerill.relay.reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
 
@@ -95,22 +95,22 @@
             examiner,
             Witness(self.state, examiner, keeper, self._quarantine_sync),
         )
-        news = NewsSource(settings.name)
-        self._members = Members(
+        news = ChangeSource(settings.name)
+        self._members = Membership(
             self.state, store, health, news, news.log, alarms
         )
-        self._members.add_talk(self._quarantine_sync)
+        self._members.add_datagram_handler(self._quarantine_sync)
         leadership = Leadership(self.state, store)
         self._stored_quarantine = StoredHolds(
             self.state, store, keeper, leadership
         )
         self._survey = Survey(
-            self.state, examiner, alarms, lambda: leadership.holder
+            self.state, examiner, alarms, lambda: leadership.leader
         )
-        self._commander = Commander(
+        self._commander = LayerController(
             self.state, leadership, health, self._survey
         )
-        self._follower = build_follower(
+        self._follower = build_store_follower(
             self.state,
             store,
             health,
@@ -118,17 +118,17 @@
             news,
             news.log,
         )
-        self._node_pages = NodePages(
+        self._node_pages = StatusEndpoints(
             self.state, self._admission, store, self._count_busy, keeper
         )
-        self._reloader = Reloader(self.state, store, source)
+        self._reloader = SettingsReloader(self.state, store, source)
         self._connections: set[CallerConnection] = set()
         self._page_connections: set[CallerConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[asyncio.Server] = []
         self._ended = asyncio.Event()
         self._handled_losses = 0
-        self.state.listen(self._reroute_streams)
+        self.state.add_listener(self._reroute_streams)
 
     async def run(self) -> int:
         """Serve until a termination signal; return the exit code."""
@@ -177,7 +177,7 @@
         """Return whether the load balancer should send new connections."""
         return self.state.is_ready()
 
-    def begin_drain(self) -> None:
+    def start_draining(self) -> None:
         """Start a graceful shutdown, in which every request is finished."""
         if self.state.is_draining:
             return
@@ -193,12 +193,12 @@
                 listen(settings.callers, self._front, self._connections),
                 listen(
                     settings.readiness,
-                    self._node_pages.build_ready(),
+                    self._node_pages.build_readiness_handler(),
                     self._page_connections,
                 ),
                 listen(
                     metrics_address,
-                    self._node_pages.build_metrics(),
+                    self._node_pages.build_metrics_handler(),
                     self._page_connections,
                 ),
             )
@@ -212,7 +212,7 @@
         if self._handled_losses == self.state.view.losses:
             return
         self._handled_losses = self.state.view.losses
-        self._commander.wake()
+        self._commander.trigger()
         for stream in tuple(self.state.streams):
             stream.check_path()
 
@@ -221,14 +221,14 @@
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = self._loop.time()
             removed = self.state.view.sweep(now)
-            self.state.book.forget_silent(now)
+            self.state.load_tracker.forget_silent(now)
             self.state.pool.sweep(set(self.state.view.known))
             if removed:
                 _LOG.info(
                     'replicas removed; announcements did not return',
                     extra={'count': len(removed)},
                 )
-            self.state.notify()
+            self.state.notify_listeners()
 
     async def _drain(self) -> None:
         """Fail the readiness check, finish every request, then end.
@@ -239,10 +239,10 @@
         """
         now = self._loop.time()
         finish_by = now + self.state.settings.finish_s - _EXIT_MARGIN_S
-        self.state.streams_until = finish_by - _EXPECTED_STREAM_S
-        self.state.requests_until = finish_by - _MAX_REQUEST_S
+        self.state.accept_streams_until = finish_by - _EXPECTED_STREAM_S
+        self.state.accept_requests_until = finish_by - _MAX_REQUEST_S
         notice_ends_at = now + _READINESS_NOTICE_S
-        await self._revoke_lease(self._commander.leave())
+        await self._revoke_lease(self._commander.stop())
         await asyncio.sleep(notice_ends_at - self._loop.time())
         self._close_idle()
         await self._finish_requests(finish_by)
@@ -282,7 +282,7 @@
 
     def _catch_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.begin_drain)
+            self._loop.add_signal_handler(number, self.start_draining)
         self._loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
 
     async def _keep_running(
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/sharing.py
@@ -192,7 +192,7 @@
         self._state.counters['quarantine.told'] += 1
         evidence = Evidence(
             self._state.settings.name,
-            self._state.start_number,
+            self._state.incarnation,
             self._sequence,
             encode_told(records),
             trial,
--- a/samphirerill/relay/reload.py
+++ b/samphirerill/relay/reload.py
@@ -83,7 +83,7 @@
         return status.st_mtime_ns, status.st_size, status.st_ino
 
 
-class Reloader:
+class SettingsReloader:
     """Applies changed settings.
 
     Parameters
@@ -133,6 +133,6 @@
             )
         kept = {name: getattr(current, name) for name in _RESTART_ONLY}
         settings = structs.replace(loaded, **kept)
-        self._state.change_settings(settings)
+        self._state.apply_settings(settings)
         self._store.update_address(settings.store)
         _LOG.info('settings in force', extra={'store': settings.store})
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -21,7 +21,7 @@
 _MAX_INVALID_KEYS = 256
 
 
-class ReplicaFolder:
+class ReplicaHandler:
     """Handles changes of the keys at which replicas announce themselves.
 
     Parameters
@@ -46,7 +46,7 @@
         self._loop = asyncio.get_running_loop()
         self._invalid_keys: set[str] = set()
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the known replicas by a full listing of the store.
 
         A known replica whose entry is invalid now keeps its last valid one.
@@ -78,9 +78,9 @@
                 'missing': missing[:_MAX_LOGGED_NAMES],
             },
         )
-        self.state.notify()
+        self.state.notify_listeners()
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply a new or changed announcement."""
         replica = self._decode(item)
         if replica is not None:
@@ -104,7 +104,7 @@
             if replica.is_leaving and not was_leaving:
                 _LOG.info('replica leaves', extra={'replica': item.key})
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Apply a deletion, which after an outage may be an expired lease."""
         replica_id = self._get_replica_id(gone.key)
         grace_until = self._get_grace()
@@ -143,7 +143,7 @@
     def _get_grace(self) -> float:
         """Return until when a missing entry may come back; 0 for never."""
         now = self._loop.time()
-        return self._health.find_grace(now, self._find_leaves_at() - now)
+        return self._health.compute_grace_deadline(now, self._find_leaves_at() - now)
 
     def _find_leaves_at(self) -> float:
-        return self.state.find_leaves_at(self._loop.time())
+        return self.state.compute_leaving_deadline(self._loop.time())
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -46,7 +46,7 @@
         is_urgent : bool
             Whether the response has started, or a run broke off.
         """
-        budget = self._state.get_budget(self._task.service.name)
+        budget = self._state.get_retry_budget(self._task.service.name)
         self._holds_retry = False
         if attempts:
             nodes = self._state.count_nodes()
@@ -63,4 +63,4 @@
         """Refund a reserved retry for which nothing was sent."""
         if self._holds_retry:
             self._holds_retry = False
-            self._state.get_budget(self._task.service.name).give_back()
+            self._state.get_retry_budget(self._task.service.name).give_back()
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -15,8 +15,8 @@
 from samphirerill.node.logs import get_logger
 from samphirerill.node.metrics import Metrics
 from samphirerill.quarantine import Quarantine
-from samphirerill.relay.cfg_texts import CfgTexts
-from samphirerill.relay.messages import ReplicaNames
+from samphirerill.relay.cfg_texts import ConfigurationHistory
+from samphirerill.relay.messages import ReplicaIdIndex
 from samphirerill.relay.pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     Attributes
     ----------
     settings : EdgeSettings
-        The current settings; replaced by `change_settings`.
+        The current settings; replaced by `apply_settings`.
     random : Random
         Source of randomness.
     counters : Counter
@@ -60,19 +60,19 @@
         Histograms of times.
     view : FleetView
         The replicas that are known.
-    names : ReplicaNames
+    replica_names : ReplicaIdIndex
         Replica ids by the checksums that messages between nodes carry.
-    start_number : int
+    incarnation : int
         Random incarnation number of this process.
-    book : LoadBook
+    load_tracker : LoadBook
         Load of each replica by this node and by others.
-    pipes : PipeUse
+    link_usage : PipeUse
         Estimated backlog of the links between data centres.
     pool : ConnectionPool
         Connections to endpoints.
     cfg : FleetConfiguration, optional
         The current configuration, if there is one.
-    cfg_texts : CfgTexts
+    configuration_history : ConfigurationHistory
         Its text and those of recent versions.
     routes : RouteTable, optional
         Routes of the current configuration.
@@ -82,12 +82,12 @@
         Requests suspected of crashing replicas.
     is_draining : bool
         Whether the node is shutting down.
-    streams_until, requests_until : float
+    accept_streams_until, accept_requests_until : float
         Until when a node that shuts down accepts streams and other requests,
         on the loop's clock.
     peer_count : int
         The number of other nodes that are announced.
-    budgets : dict
+    retry_budgets : dict
         Retry budget of each service.
     """
 
@@ -98,24 +98,24 @@
         self.counters: Counter[str] = Counter()
         self.metrics = Metrics()
         self.view = FleetView()
-        self.names = ReplicaNames(self.view)
+        self.replica_names = ReplicaIdIndex(self.view)
         # Sent in each datagram, so that peers can tell a restarted process
         # from the one before.
-        self.start_number = self.random.randrange(_INCARNATION_RANGE)
-        self.book = LoadBook()
-        self.pipes = PipeUse()
+        self.incarnation = self.random.randrange(_INCARNATION_RANGE)
+        self.load_tracker = LoadBook()
+        self.link_usage = PipeUse()
         self.pool = ConnectionPool(self.counters)
         self.cfg: FleetConfiguration | None = None
-        self.cfg_texts = CfgTexts()
+        self.configuration_history = ConfigurationHistory()
         self.routes: RouteTable | None = None
         self.streams: set[StreamExchange] = set()
         self.quarantine = Quarantine()
         self.is_draining = False
-        self.streams_until = float('inf')
-        self.requests_until = float('inf')
+        self.accept_streams_until = float('inf')
+        self.accept_requests_until = float('inf')
         self.peer_count = 0
         self._max_nodes_seen = _MIN_ASSUMED_NODES
-        self.budgets: dict[str, RepeatBudget] = {}
+        self.retry_budgets: dict[str, RepeatBudget] = {}
         self._listeners: list[Callable[[], None]] = []
 
     @property
@@ -133,11 +133,11 @@
         This is the highest number ever seen: a node that is cut off from the
         others must not take over their shares of fleet-wide limits.
         """
-        seen = 1 + max(self.peer_count, self.book.count_peers())
+        seen = 1 + max(self.peer_count, self.load_tracker.count_peers())
         self._max_nodes_seen = max(self._max_nodes_seen, seen)
         return self._max_nodes_seen
 
-    def count_connections(self, service: Service) -> int:
+    def get_connection_limit(self, service: Service) -> int:
         """Return the connection limit of this node for each endpoint.
 
         A service's limit applies to all nodes together, and endpoints reset
@@ -158,7 +158,7 @@
         share = service.max_connections // self.count_nodes()
         return max(1, share)
 
-    def put_in_force(self, cfg: FleetConfiguration, text: bytes) -> bool:
+    def apply_configuration(self, cfg: FleetConfiguration, text: bytes) -> bool:
         """Apply a configuration if it is newer than the current one.
 
         An older one may come from a delayed read and must not undo a newer
@@ -179,7 +179,7 @@
         if self.cfg is not None and cfg.version <= self.cfg.version:
             return False
         self.cfg = cfg
-        self.cfg_texts.note(cfg.version, text)
+        self.configuration_history.add(cfg.version, text)
         self.routes = RouteTable(cfg)
         self.view.services = frozenset(cfg.services)
         _LOG.info(
@@ -190,54 +190,54 @@
                 'keys': len(cfg.accounts),
             },
         )
-        self.notify()
+        self.notify_listeners()
         return True
 
-    def find_leaves_at(self, now: float) -> float:
+    def compute_leaving_deadline(self, now: float) -> float:
         """Return until when a replica still serves that leaves as of now."""
         return now + self.settings.leaving_ms / MS_PER_S - _LEAVING_MARGIN_S
 
-    def get_limits(self) -> ClientLimits:
+    def get_client_limits(self) -> ClientLimits:
         """Return the limits on client requests."""
         return ClientLimits() if self.cfg is None else self.cfg.limits
 
-    def get_budget(self, service: str) -> RepeatBudget:
+    def get_retry_budget(self, service: str) -> RepeatBudget:
         """Return the retry budget of a service."""
-        budget = self.budgets.get(service)
+        budget = self.retry_budgets.get(service)
         if budget is None:
             budget = RepeatBudget(
                 self.settings.retry_ratio,
                 self.settings.retry_slack,
                 self.settings.retry_window_s,
             )
-            self.budgets[service] = budget
+            self.retry_budgets[service] = budget
         return budget
 
-    def forget_told(self, name: str) -> None:
+    def forget_peer(self, name: str) -> None:
         """Drop the load that was reported under a name no longer in use.
 
         The same load is now reported under another name and would otherwise
         be counted twice.
         """
-        self.book.forget(name)
-        for budget in self.budgets.values():
+        self.load_tracker.forget(name)
+        for budget in self.retry_budgets.values():
             budget.others.forget(name)
 
-    def change_settings(self, settings: EdgeSettings) -> None:
+    def apply_settings(self, settings: EdgeSettings) -> None:
         """Apply other settings; retry budgets keep what they have counted."""
         self.settings = settings
-        for budget in self.budgets.values():
+        for budget in self.retry_budgets.values():
             budget.change(
                 settings.retry_ratio,
                 settings.retry_slack,
                 settings.retry_window_s,
             )
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Add a callback for changes of the load or the replicas."""
         self._listeners.append(listener)
 
-    def notify(self) -> None:
+    def notify_listeners(self) -> None:
         """Call all callbacks, as the load or the replicas have changed."""
         for listener in self._listeners:
             listener()
--- a/samphirerill/relay/store_health.py
+++ b/samphirerill/relay/store_health.py
@@ -40,7 +40,7 @@
         self._regained_at = float('-inf')
         self._first_success_at = float('inf')
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Record that a call succeeded."""
         if self.is_up:
             return
@@ -50,21 +50,21 @@
         if now - self._down_since >= _MIN_OUTAGE_S:
             self._regained_at = now
 
-    def note_failure(self, exc: Exception, now: float) -> None:
+    def record_failure(self, exc: Exception, now: float) -> None:
         """Record that a call was refused or not answered."""
         if self.is_up:
             _LOG.warning('store lost', extra={'error': str(exc)})
             self._down_since = now
         self.is_up = False
 
-    def may_lapse(self, now: float) -> bool:
+    def may_have_expired(self, now: float) -> bool:
         """Return whether a missing entry may only have expired.
 
         Its owner then writes it again within the grace period.
         """
         return not self.is_up or now < self._regained_at + LAPSE_GRACE_S
 
-    def knows_fleet(self, now: float, presence_s: float) -> bool:
+    def is_view_complete(self, now: float, presence_s: float) -> bool:
         """Return whether the known replicas are complete enough to plan layers.
 
         Right after an outage, entries may be missing that have only expired. A
@@ -84,7 +84,7 @@
         since_s = now - self._regained_at
         return not presence_s - _PRESENCE_MARGIN_S <= since_s < LAPSE_GRACE_S
 
-    def find_grace(self, now: float, serving_s: float) -> float:
+    def compute_grace_deadline(self, now: float, serving_s: float) -> float:
         """Return until when a missing entry may come back; 0 for never.
 
         Expired entries come back within the grace period after an outage. A
@@ -103,7 +103,7 @@
         float
             On the loop's clock.
         """
-        if not self.may_lapse(now):
+        if not self.may_have_expired(now):
             return 0.0
         until = now + serving_s
         if self.is_up:
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -111,7 +111,7 @@
 
         A path that may recover is kept rather than left without an alternative.
         """
-        budget = self._state.get_budget(self._task.service.name)
+        budget = self._state.get_retry_budget(self._task.service.name)
         return budget.has_left(
             self._loop.time(),
             self._state.count_nodes(),
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -13,7 +13,7 @@
 from samphirerill.fleet.paths import predict_gap_ms
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.signs import list_unproven
-from samphirerill.relay.orders import order_repath
+from samphirerill.relay.orders import request_reroute
 from samphirerill.relay.path_finder import ANY_HEAD, PathFinder
 
 if TYPE_CHECKING:
@@ -237,7 +237,7 @@
             self.engine,
             self._state.view.known,
             stages,
-            self._state.book,
+            self._state.load_tracker,
             self._loop.time(),
         )
         return gap_ms / MS_PER_S
@@ -289,7 +289,7 @@
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
         other = self.finder.find_other(ending)
-        concurrent = max(self._state.book.requests(name) for name in ending)
+        concurrent = max(self._state.load_tracker.requests(name) for name in ending)
         if not self.list_lost():
             concurrent = concurrent // _SPREAD_FACTOR + 1
         move_ms = predict_pause_ms(
@@ -303,7 +303,7 @@
     async def _reroute(self, stages: tuple[Stage, ...]) -> bool:
         """Tell the head to use new stages; keep one of the two reserved."""
         try:
-            moved = await order_repath(
+            moved = await request_reroute(
                 self._state, self._task.facts.request_id, stages
             )
         except asyncio.CancelledError:
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -139,7 +139,7 @@
             conn = await self._state.pool.take(
                 replica,
                 fresh=not self._task.is_retryable,
-                most=self._state.count_connections(self._task.service),
+                most=self._state.get_connection_limit(self._task.service),
             )
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
@@ -178,7 +178,7 @@
             event,
             path=format_path(stages),
             send=progress.attempts,
-            nodes=1 + self._state.book.count_peers(),
+            nodes=1 + self._state.load_tracker.count_peers(),
             after_event=progress.last_id,
             tokens=int(self._path.tokens),
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
--- a/samphirerill/relay/sums.py
+++ b/samphirerill/relay/sums.py
@@ -42,7 +42,7 @@
         revision=own.revision,
         load=_sum_load(statuses),
         suspected=suspicions.suspected,
-        pipes=encode_link_usage(state.pipes.near_sent),
+        link_usage=encode_link_usage(state.link_usage.near_sent),
         data_centre=own.data_centre,
         node_count=len(statuses),
         budget_usage=_sum_budget_usage(statuses),
--- a/samphirerill/relay/telling.py
+++ b/samphirerill/relay/telling.py
@@ -57,7 +57,7 @@
     def bind(self, transport: asyncio.DatagramTransport) -> None:
         """Send through this transport from now on."""
         self._transport = transport
-        self._state.listen(self._schedule_send)
+        self._state.add_listener(self._schedule_send)
 
     def forward(self, data: bytes) -> None:
         """Forward a datagram to this node's data centre."""
@@ -182,4 +182,4 @@
         }
 
     def _read_versions(self) -> tuple[int, int]:
-        return self._state.book.own_version, self._state.view.own_version
+        return self._state.load_tracker.own_version, self._state.view.own_version
--- a/samphirerill/relay/usage.py
+++ b/samphirerill/relay/usage.py
@@ -27,7 +27,7 @@
 )
 
 
-class Usage:
+class UsageReporter:
     """Usage counters of one node since its start.
 
     Parameters
@@ -49,7 +49,7 @@
             await asyncio.sleep(_LOG_INTERVAL_S)
             self.log()
 
-    def count(self) -> Counter[str]:
+    def collect(self) -> Counter[str]:
         """Return the usage since the start, by counter."""
         used = Counter(
             {
@@ -63,7 +63,7 @@
 
     def log(self) -> None:
         """Log the usage since the last call, if there was any."""
-        used = self.count()
+        used = self.collect()
         increase = used - self._logged
         self._logged = used
         if increase:
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -127,7 +127,7 @@
         async with asyncio.timeout(5):
             while not node.state.view.known:
                 await asyncio.sleep(0.01)
-        node.state.change_settings(
+        node.state.apply_settings(
             replace(node.state.settings, retry_slack=RETRY_SLACK)
         )
 
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -13,8 +13,8 @@
 from samphirerill.relay.health import Alarms
 from samphirerill.relay.hearing import DatagramReceiver
 from samphirerill.relay.messages import NodeAnnouncement
-from samphirerill.relay.news import NewsSource
-from samphirerill.relay.peer_help import PeerHelp
+from samphirerill.relay.news import ChangeSource
+from samphirerill.relay.peer_help import PeerSync
 from samphirerill.relay.roster import PeerDirectory
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.telling import StatusSender
@@ -92,9 +92,9 @@
             self.state,
             self.peers,
             self.status_sender,
-            NewsSource(name),
+            ChangeSource(name),
             ChangeLog(),
-            cast('PeerHelp', Mock(spec=PeerHelp)),
+            cast('PeerSync', Mock(spec=PeerSync)),
             self.alarms,
         )
         network.nodes[self.host] = self
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -104,7 +104,7 @@
         started = self.admit(100, _STARTED_RANK, 2.0)
         await asyncio.sleep(0.05)
         self.state.view.trust('two')
-        self.state.notify()
+        self.state.notify_listeners()
         self.assertTrue(await started)
 
     async def test_cancelled_wait_reserves_nothing(self) -> None:
@@ -112,4 +112,4 @@
         await asyncio.sleep(0.01)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        self.assertEqual(self.state.book.own(), {})
+        self.assertEqual(self.state.load_tracker.own(), {})
--- a/samphirerill/tests/test_cfg_texts.py
+++ b/samphirerill/tests/test_cfg_texts.py
@@ -13,8 +13,8 @@
 from samphirerill.fleet.deltas import DeltaError, apply_delta, build_delta
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.cfg_texts import CfgTexts
-from samphirerill.relay.peer_help import PeerHelp
+from samphirerill.relay.cfg_texts import ConfigurationHistory
+from samphirerill.relay.peer_help import PeerSync
 from samphirerill.relay.pool import ConnectionPool
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
@@ -70,25 +70,25 @@
     """Encoding and decoding of configurations between two nodes."""
 
     def setUp(self) -> None:
-        self.sender = CfgTexts()
-        self.receiver = CfgTexts()
+        self.sender = ConfigurationHistory()
+        self.receiver = ConfigurationHistory()
         for version in (3, 5, 8):
-            self.sender.note(version, _build_text(version))
-        self.receiver.note(3, _build_text(3))
+            self.sender.add(version, _build_text(version))
+        self.receiver.add(3, _build_text(3))
 
     def test_known_older_version_gets_delta(self) -> None:
-        encoded = self.sender.encode(3)
+        encoded = self.sender.encode_update(3)
         self.assertLess(len(encoded), 300)
-        self.assertEqual(self.receiver.decode(encoded, 3), _build_text(8))
+        self.assertEqual(self.receiver.decode_update(encoded, 3), _build_text(8))
 
     def test_unknown_version_gets_full_text(self) -> None:
-        encoded = self.sender.encode(4)
-        self.assertEqual(self.receiver.decode(encoded, 4), _build_text(8))
+        encoded = self.sender.encode_update(4)
+        self.assertEqual(self.receiver.decode_update(encoded, 4), _build_text(8))
 
     def test_delta_to_different_text_of_same_version_is_rejected(self) -> None:
-        self.receiver.note(5, _build_text(6))
+        self.receiver.add(5, _build_text(6))
         with self.assertRaises(DeltaError):
-            self.receiver.decode(self.sender.encode(5), 5)
+            self.receiver.decode_update(self.sender.encode_update(5), 5)
 
     def test_delta_is_computed_once_per_version(self) -> None:
         """Many nodes asking for the same delta must not block the event loop.
@@ -99,18 +99,18 @@
             'samphirerill.relay.cfg_texts.build_delta', wraps=build_delta
         )
         with patched as build:
-            encoded = {self.sender.encode(5) for _ in range(3)}
+            encoded = {self.sender.encode_update(5) for _ in range(3)}
             self.assertEqual(build.call_count, 1)
-            self.sender.note(9, _build_text(9))
-            encoded.add(self.sender.encode(5))
+            self.sender.add(9, _build_text(9))
+            encoded.add(self.sender.encode_update(5))
         self.assertEqual(build.call_count, 2)
         self.assertEqual(len(encoded), 2)
 
     def test_old_versions_are_evicted(self) -> None:
         for version in range(10, 40):
-            self.sender.note(version, _build_text(version))
-        self.assertFalse(self.sender.has(30))
-        self.assertTrue(self.sender.has(35))
+            self.sender.add(version, _build_text(version))
+        self.assertFalse(self.sender.has_version(30))
+        self.assertTrue(self.sender.has_version(35))
 
 
 class TestPeerRequests(IsolatedAsyncioTestCase):
@@ -129,14 +129,14 @@
             metrics_port=6,
         )
         self.state = EdgeState(settings, HttpPlatformAdapter())
-        helper = PeerHelp(self.state, StoreHealth(0))
+        helper = PeerSync(self.state, StoreHealth(0))
         self.handle_request = helper.list_pages()[_CONFIGURATION_PATH]
 
-    def put_in_force(self, version: int) -> None:
+    def apply_configuration(self, version: int) -> None:
         """Apply a configuration at the sending node."""
         text = _build_text(version)
         cfg = self.state.adapter.decode_configuration(text)
-        self.state.put_in_force(cfg, text)
+        self.state.apply_configuration(cfg, text)
 
     async def test_node_without_configuration_answers_not_found(self) -> None:
         self.assertEqual(self.handle_request(b'after=0')[0], 404)
@@ -146,8 +146,8 @@
 
         Many nodes that start without the store may ask the same node at once.
         """
-        self.put_in_force(4)
-        self.put_in_force(7)
+        self.apply_configuration(4)
+        self.apply_configuration(7)
         statuses = [self.handle_request(b'after=0')[0] for _ in range(5)]
         self.assertEqual(statuses, [200, 503, 503, 503, 503])
         deltas = [self.handle_request(b'after=4') for _ in range(5)]
@@ -159,14 +159,14 @@
 
         It used to request the same inapplicable delta forever.
         """
-        self.put_in_force(1)
-        self.put_in_force(2)
+        self.apply_configuration(1)
+        self.apply_configuration(2)
         receiver = EdgeState(self.state.settings, HttpPlatformAdapter())
         other = bytes(json.format(_build_text(1)))
-        receiver.put_in_force(
+        receiver.apply_configuration(
             receiver.adapter.decode_configuration(other), other
         )
-        helper = PeerHelp(receiver, StoreHealth(0))
+        helper = PeerSync(receiver, StoreHealth(0))
 
         async def call(
             address: str, method: bytes, path: bytes, *rest: object
@@ -179,7 +179,7 @@
             )
 
         with patch('samphirerill.relay.peer_help.call_once', call):
-            helper.consider('a', 2, 0)
+            helper.sync_if_behind('a', 2, 0)
             await asyncio.sleep(0.5)
         self.assertEqual(receiver.version, 2)
 
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -68,7 +68,7 @@
         await self.announce('engine-3', layers=(0, 80))
         await self.world.until_known(4)
         settings = replace(process.state.settings, retry_slack=80)
-        process.state.change_settings(settings)
+        process.state.apply_settings(settings)
         return process
 
     async def stream(
@@ -344,7 +344,7 @@
         while not self.sent():
             await asyncio.sleep(0.01)
         process = await self.world.until_ready()
-        process.begin_drain()
+        process.start_draining()
         self.assertFalse(process.is_ready())
         self.assertEqual(await stream, self.expect(5))
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -14,7 +14,7 @@
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings, load_edge_settings
 from samphirerill.platform.store import PlatformStore
-from samphirerill.relay.reload import Reloader, SettingsFile
+from samphirerill.relay.reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
 
 _TEMPLATE = Path(__file__).parents[2] / 'deploy' / 'settings.template'
@@ -95,7 +95,7 @@
         settings = load_edge_settings(str(self.path))
         self.state = EdgeState(settings, HttpPlatformAdapter())
         self.store = PlatformStore(settings.store)
-        self.reloader = Reloader(self.state, self.store, source)
+        self.reloader = SettingsReloader(self.state, self.store, source)
 
     def write(self, changes: dict[str, Any]) -> None:
         """Write the settings of the rendered template, with changes."""
@@ -106,7 +106,7 @@
     async def test_changed_limits_take_effect_without_restart(self) -> None:
         """A changed retry budget must take effect without a restart."""
         now = 10.0
-        budget = self.state.get_budget('llm')
+        budget = self.state.get_retry_budget('llm')
         self.assertTrue(budget.has_left(now, 8, is_urgent=True))
         self.write({'retry_slack': 0, 'leaving_ms': 900})
         self.reloader.reload()
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -42,9 +42,9 @@
             leaving.set()
             await asyncio.sleep(2 * SETTLE_S)
 
-        with patch('samphirerill.relay.members.Members.leave', leave):
+        with patch('samphirerill.relay.members.Membership.leave', leave):
             self.plain_endpoint.free.clear()
-            self.process.begin_drain()
+            self.process.start_draining()
             await leaving.wait()
             waiting = self.start(b'/pickup/x')
             await self.until(lambda: self.plain_endpoint.seen)
@@ -67,7 +67,7 @@
         writer.write(call)
         await self.until(lambda: self.plain_endpoint.seen)
         await asyncio.sleep(2 * SETTLE_S)
-        self.process.begin_drain()
+        self.process.start_draining()
         await asyncio.sleep(5 * SETTLE_S)
         received = await _count_received(reader)
         writer.close()
@@ -85,7 +85,7 @@
         self.plain_endpoint.free.clear()
         waiting = self.start(b'/pickup/x')
         await self.until(lambda: self.plain_endpoint.seen)
-        self.process.begin_drain()
+        self.process.start_draining()
         status, reason = await waiting
         self.plain_endpoint.free.set()
         self.assertIn(status, (502, 504), reason)
@@ -105,7 +105,7 @@
             headers = build_headers(request_id)
             writer.write(build_call(b'POST', b'/pickup/x', headers, b''))
         await self.until(lambda: self.plain_endpoint.seen)
-        self.process.begin_drain()
+        self.process.start_draining()
         self.plain_endpoint.free.set()
         body = await reader.read()
         writer.close()
@@ -117,7 +117,7 @@
         self.addCleanup(conn.close)
         for is_last in (False, True):
             if is_last:
-                self.process.begin_drain()
+                self.process.start_draining()
             call = build_call(b'POST', b'/pickup/x', build_headers('r'), b'')
             conn.send(call)
             deadline = asyncio.get_running_loop().time() + PATIENCE_S
@@ -131,7 +131,7 @@
         self.world.replicas[head].stop_after = 1
         counters = self.process.state.counters
         await self.until(lambda: counters['streams.broken'])
-        self.process.begin_drain()
+        self.process.start_draining()
         self.assert_whole(await waiting)
 
 
@@ -140,7 +140,7 @@
 
     async def asyncSetUp(self) -> None:
         fast_renewal = patch(
-            'samphirerill.relay.members._RENEW_S', SETTLE_S / 2
+            'samphirerill.relay.members._RENEW_INTERVAL_S', SETTLE_S / 2
         )
         fast_renewal.start()
         self.addCleanup(fast_renewal.stop)
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -176,7 +176,7 @@
         while not self.crash_times:
             await asyncio.sleep(0.01)
         state = self.nodes[0].state
-        state.listen(self.occupy_engines)
+        state.add_listener(self.occupy_engines)
         self.occupy_engines()
         head = await self.fetch_head()
         self.assertEqual(head.status, _UNAVAILABLE)
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -208,7 +208,7 @@
         await asyncio.sleep(0.01)
         following = asyncio.create_task(admit(set()))
         await asyncio.sleep(0.01)
-        state.notify()
+        state.notify_listeners()
         self.assertTrue(await following)
         self.assertFalse(await blocked)
 
--- a/samphirerill/tests/test_news.py
+++ b/samphirerill/tests/test_news.py
@@ -13,7 +13,7 @@
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.news import (
     MAX_LAG_S,
-    NewsSource,
+    ChangeSource,
     PeerRequestHandler,
 )
 from samphirerill.relay.pool import call_once
@@ -60,7 +60,7 @@
 
     async def asyncSetUp(self) -> None:
         self.log = ChangeLog()
-        self.log.restart(10)
+        self.log.reset(10)
         self.is_connected = True
         pages = PeerRequestHandler({}, self.log, lambda: self.is_connected)
         connections: set[CallerConnection] = set()
@@ -71,13 +71,13 @@
         watchers = list_watchers(self.names)
         own = next(name for name in self.names if name not in watchers)
         self.source = self.build_started_source(own)
-        self.watcher = self.source.choose()
+        self.watcher = self.source.select_watcher()
 
-    def build_started_source(self, own: str) -> NewsSource:
+    def build_started_source(self, own: str) -> ChangeSource:
         """Return the source of a node that is past its startup."""
         with patch('samphirerill.relay.news._STARTUP_S', 0):
-            source = NewsSource(own)
-        source.take_peers(self.names)
+            source = ChangeSource(own)
+        source.update_peers(self.names)
         return source
 
 
@@ -91,7 +91,7 @@
             StoredItem('servers/a', 11, b'x'),
             DeletedKey('servers/b', 12),
         ]
-        self.log.note(Changes(12, events))
+        self.log.append(Changes(12, events))
         async with asyncio.timeout(0.3):
             changes = await waiting
         self.assertEqual(changes.revision, 12)
@@ -104,7 +104,7 @@
     async def test_a_compacted_revision_is_an_error(self) -> None:
         with self.assertRaises(EndpointError):
             await self.source.watch(self.watcher, 9)
-        self.assertNotEqual(self.source.choose(), self.watcher)
+        self.assertNotEqual(self.source.select_watcher(), self.watcher)
 
     async def test_a_reset_of_the_log_during_a_long_poll_is_an_error(
         self,
@@ -116,7 +116,7 @@
         """
         waiting = asyncio.create_task(self.source.watch(self.watcher, 10))
         await asyncio.sleep(0.05)
-        self.log.restart(15)
+        self.log.reset(15)
         with self.assertRaises(EndpointError):
             await waiting
 
@@ -127,24 +127,24 @@
             StoredItem('servers/b', 9, b'same'),
             StoredItem('servers/gone', 9, b'x'),
         ]
-        self.source.log.restart(10, own)
+        self.source.log.reset(10, own)
         changed = StoredItem('servers/a', 13, b'new')
         added = StoredItem('servers/c', 12, b'y')
-        self.log.restart(15, [changed, own[1], added])
+        self.log.reset(15, [changed, own[1], added])
         changes = await self.source.watch(self.watcher, 10)
         self.assertEqual(changes.revision, 15)
         self.assertEqual(
             changes.events, [added, changed, DeletedKey('servers/gone', 15)]
         )
-        self.source.log.note(changes)
+        self.source.log.append(changes)
         more = await self.source.watch(self.watcher, 15)
         self.assertEqual(more.events, [])
 
     async def test_a_log_updated_from_a_snapshot_can_serve_it(self) -> None:
         """A listener may become a watcher later."""
-        self.source.log.restart(10, [StoredItem('servers/gone', 9, b'x')])
-        self.log.restart(15, [StoredItem('servers/a', 13, b'new')])
-        self.source.log.note(await self.source.watch(self.watcher, 10))
+        self.source.log.reset(10, [StoredItem('servers/gone', 9, b'x')])
+        self.log.reset(15, [StoredItem('servers/a', 13, b'new')])
+        self.source.log.append(await self.source.watch(self.watcher, 10))
         snapshot = self.source.log.encode_snapshot(10)
         self.assertEqual(snapshot, self.log.encode_snapshot(10))
 
@@ -161,10 +161,10 @@
         """
         waiting = asyncio.create_task(self.source.watch(self.watcher, 12))
         await asyncio.sleep(_MARGIN_S)
-        self.log.note(Changes(12, [StoredItem('servers/a', 12, b'x')]))
+        self.log.append(Changes(12, [StoredItem('servers/a', 12, b'x')]))
         await asyncio.sleep(_MARGIN_S)
         item = StoredItem('servers/a', 13, b'y')
-        self.log.note(Changes(13, [item]))
+        self.log.append(Changes(13, [item]))
         changes = await waiting
         self.assertEqual(changes.events, [item])
 
@@ -174,34 +174,34 @@
         """Guard against a refused watcher calling the store all the time."""
         own = list_watchers(self.names)[0]
         source = self.build_started_source(own)
-        self.assertEqual(source.choose(), '')
-        source.note_store(answers=False)
+        self.assertEqual(source.select_watcher(), '')
+        source.record_store_result(answers=False)
         self.assertTrue(source.was_refused_by_store())
-        self.assertIn(source.choose(), list_watchers(self.names)[1:])
+        self.assertIn(source.select_watcher(), list_watchers(self.names)[1:])
 
     async def test_a_watcher_resumes_as_soon_as_the_store_answers(
         self,
     ) -> None:
         """Guard against reporting no connection after the store is back."""
         source = self.build_started_source(list_watchers(self.names)[0])
-        source.note_store(answers=False)
-        source.note_store(answers=True)
+        source.record_store_result(answers=False)
+        source.record_store_result(answers=True)
         self.assertFalse(source.was_refused_by_store())
-        self.assertEqual(source.choose(), '')
-        self.assertTrue(source.may_ask_store())
+        self.assertEqual(source.select_watcher(), '')
+        self.assertTrue(source.may_call_store())
 
     async def test_a_node_that_lags_behind_its_peers_uses_the_store(
         self,
     ) -> None:
         self.source.note_peer_revision(known=15, own=12)
-        self.assertTrue(self.source.choose())
+        self.assertTrue(self.source.select_watcher())
         await asyncio.sleep(MAX_LAG_S + _MARGIN_S)
         self.source.note_peer_revision(known=15, own=15)
-        self.assertTrue(self.source.choose())
+        self.assertTrue(self.source.select_watcher())
         self.source.note_peer_revision(known=18, own=15)
         await asyncio.sleep(MAX_LAG_S + _MARGIN_S)
         self.source.note_peer_revision(known=18, own=15)
-        self.assertEqual(self.source.choose(), '')
+        self.assertEqual(self.source.select_watcher(), '')
 
 
 class TestLargeChanges(ChangesCase):
@@ -213,13 +213,13 @@
             b'{"route": "r%d", "service": "notes"}' % at for at in range(1500)
         )
         known = StoredItem('op/config', 10, self.text)
-        self.log.restart(10, [known])
-        self.source.log.restart(10, [known])
+        self.log.reset(10, [known])
+        self.source.log.reset(10, [known])
 
     def append_version(self, revision: int, text: bytes) -> StoredItem:
         """Append a version of the configuration to the watcher's log."""
         item = StoredItem('op/config', revision, text)
-        self.log.note(Changes(revision, [item]))
+        self.log.append(Changes(revision, [item]))
         return item
 
     async def test_a_large_configuration_is_sent_as_a_delta(
@@ -231,9 +231,9 @@
         traffic, and healthy replicas were taken to be dead.
         """
         before = StoredItem('op/config', 11, self.text)
-        self.log.note(Changes(11, [before]))
+        self.log.append(Changes(11, [before]))
         other = self.text.replace(b'"r7"', b'"r7-new"')
-        self.log.note(Changes(12, [StoredItem('op/config', 12, other)]))
+        self.log.append(Changes(12, [StoredItem('op/config', 12, other)]))
         status, body = await call_once(
             self.names[self.watcher],
             b'GET',
@@ -250,7 +250,7 @@
             item = self.append_version(revision, other)
             changes = await self.source.watch(self.watcher, revision - 1)
             self.assertEqual(changes.events, [item])
-            self.source.log.note(changes)
+            self.source.log.append(changes)
 
     async def test_missed_versions_are_sent_in_order(
         self,
@@ -263,7 +263,7 @@
         self.assertEqual(changes.events, versions)
 
     async def test_a_delta_to_an_unknown_text_is_an_error(self) -> None:
-        self.source.log.restart(
+        self.source.log.reset(
             10, [StoredItem('op/config', 10, self.text[:-1])]
         )
         self.append_version(11, self.text + b',{"route": "new"}')
@@ -274,4 +274,4 @@
         self.append_version(11, self.text * 2 + bytes(range(256)) * 64)
         with self.assertRaises(TooLargeError):
             await self.source.watch(self.watcher, 10)
-        self.assertEqual(self.source.choose(), self.watcher)
+        self.assertEqual(self.source.select_watcher(), self.watcher)
--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -31,7 +31,7 @@
 
     async def test_second_failure_has_retries_left(self) -> None:
         state = self.nodes[0].state
-        state.change_settings(replace(state.settings, retry_slack=_SLACK))
+        state.apply_settings(replace(state.settings, retry_slack=_SLACK))
         await self.stop_engines('first')
         await asyncio.sleep(_FAILURE_INTERVAL_S)
         await self.stop_engines('second')
@@ -41,7 +41,7 @@
     ) -> None:
         """Streams that fail during their prefill are not rejected with 502."""
         state = self.nodes[0].state
-        state.change_settings(replace(state.settings, retry_slack=_SLACK))
+        state.apply_settings(replace(state.settings, retry_slack=_SLACK))
         for engine in self.world.replicas.values():
             engine.begins_after_s = _PREFILL_S
         await self.stop_engines('first')
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -15,15 +15,15 @@
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.errors import DeafWatcherError, EndpointError
-from samphirerill.relay.follower import Follower
-from samphirerill.relay.news import NewsSource
+from samphirerill.relay.follower import StoreFollower
+from samphirerill.relay.news import ChangeSource
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
 from samphirerill.testing.virtual_time import run_virtually
 
 if TYPE_CHECKING:
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.follower import Folder
+    from samphirerill.relay.follower import ChangeHandler
 
 _WATCH_DELAY_S = 0.05
 _NODE_NAMES = [
@@ -34,15 +34,15 @@
 
 
 def _build_follower(
-    store: object, handlers: list[Folder], news: object
-) -> Follower:
+    store: object, handlers: list[ChangeHandler], news: object
+) -> StoreFollower:
     """Return a follower with a fake store and a fake source of changes."""
-    return Follower(
+    return StoreFollower(
         cast('EdgeState', Mock(spec=EdgeState, view=Mock())),
         cast('PlatformStore', store),
         StoreHealth(0),
         handlers,
-        cast('NewsSource', news),
+        cast('ChangeSource', news),
         ChangeLog(),
     )
 
@@ -53,14 +53,14 @@
     def __init__(self) -> None:
         self.revisions: list[int] = []
 
-    def choose(self) -> str:
+    def select_watcher(self) -> str:
         """Return the only watcher."""
         return 'watcher'
 
-    def note_store(self, *, answers: bool) -> None:
+    def record_store_result(self, *, answers: bool) -> None:
         """Ignore failures of the store."""
 
-    def may_ask_store(self) -> bool:
+    def may_call_store(self) -> bool:
         """Allow calls to the store at any time."""
         return True
 
@@ -103,14 +103,14 @@
     def __init__(self) -> None:
         self.keys: list[str] = []
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Ignore full listings."""
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Record a key."""
         self.keys.append(item.key)
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Ignore deletions."""
 
 
@@ -164,7 +164,7 @@
 
     async def _follow(self, duration_s: float) -> int:
         store = _ChangingStore()
-        follower = _build_follower(store, [], NewsSource('alone'))
+        follower = _build_follower(store, [], ChangeSource('alone'))
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(duration_s)
         task.cancel()
@@ -190,7 +190,7 @@
         raise StoreRefusedError('got status 503')
 
 
-class _CutOffWatchersSource(NewsSource):
+class _CutOffWatchersSource(ChangeSource):
     """Source of changes whose watchers can't reach the store for a time."""
 
     def __init__(self, own: str, recovers_at: float) -> None:
@@ -224,7 +224,7 @@
         own = next(name for name in _NODE_NAMES if name not in watchers)
         recovers_at = loop.time() + outage_s
         source = _CutOffWatchersSource(own, recovers_at)
-        source.take_peers(dict.fromkeys(_NODE_NAMES, '10.0.0.1:1'))
+        source.update_peers(dict.fromkeys(_NODE_NAMES, '10.0.0.1:1'))
         store = _UnavailableStore()
         handler = _RecordingHandler()
         follower = _build_follower(store, [handler], source)
--- a/samphirerill/tests/test_store_health.py
+++ b/samphirerill/tests/test_store_health.py
@@ -17,9 +17,9 @@
         after an outage would get work for seconds.
         """
         health = StoreHealth(0)
-        health.note_success(15.4)
-        self.assertLessEqual(health.find_grace(17.3, 1.7), 17.6)
-        self.assertEqual(health.find_grace(17.8, 1.7), 0)
+        health.record_success(15.4)
+        self.assertLessEqual(health.compute_grace_deadline(17.3, 1.7), 17.6)
+        self.assertEqual(health.compute_grace_deadline(17.8, 1.7), 0)
 
     def test_node_that_knew_the_fleet_plans_after_outage(self) -> None:
         """A node that still counts expired entries as present need not wait.
@@ -27,34 +27,34 @@
         Waiting in any case delayed the repair of pipelines.
         """
         health = StoreHealth(0)
-        health.note_success(1)
-        self.assertFalse(health.knows_fleet(2, 1.7))
-        self.assertTrue(health.knows_fleet(5, 1.7))
-        health.note_failure(OSError('gone'), 6)
-        self.assertFalse(health.knows_fleet(7, 1.7))
-        health.note_success(9)
-        self.assertTrue(health.knows_fleet(9.1, 1.7))
+        health.record_success(1)
+        self.assertFalse(health.is_view_complete(2, 1.7))
+        self.assertTrue(health.is_view_complete(5, 1.7))
+        health.record_failure(OSError('gone'), 6)
+        self.assertFalse(health.is_view_complete(7, 1.7))
+        health.record_success(9)
+        self.assertTrue(health.is_view_complete(9.1, 1.7))
 
     def test_planning_waits_once_missing_entries_stop_counting(
         self,
     ) -> None:
         health = StoreHealth(0)
-        health.note_success(1)
-        health.note_failure(OSError('gone'), 6)
-        health.note_success(9)
-        self.assertFalse(health.knows_fleet(10.6, 1.7))
-        self.assertFalse(health.knows_fleet(11.1, 1.7))
-        self.assertTrue(health.knows_fleet(11.3, 1.7))
+        health.record_success(1)
+        health.record_failure(OSError('gone'), 6)
+        health.record_success(9)
+        self.assertFalse(health.is_view_complete(10.6, 1.7))
+        self.assertFalse(health.is_view_complete(11.1, 1.7))
+        self.assertTrue(health.is_view_complete(11.3, 1.7))
 
     def test_node_started_after_outage_waits(self) -> None:
         health = StoreHealth(20)
-        health.note_success(20.1)
-        self.assertFalse(health.knows_fleet(21, 1.7))
-        self.assertTrue(health.knows_fleet(22.4, 1.7))
+        health.record_success(20.1)
+        self.assertFalse(health.is_view_complete(21, 1.7))
+        self.assertTrue(health.is_view_complete(22.4, 1.7))
 
     def test_short_failure_is_no_outage(self) -> None:
         health = StoreHealth(0)
-        health.note_success(10)
-        health.note_failure(OSError(), 20)
-        health.note_success(20.1)
-        self.assertFalse(health.may_lapse(20.2))
+        health.record_success(10)
+        health.record_failure(OSError(), 20)
+        health.record_success(20.1)
+        self.assertFalse(health.may_have_expired(20.2))
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -32,11 +32,11 @@
     def find_use(self) -> Use:
         """Return the present use of the retry budget."""
         now = asyncio.get_running_loop().time()
-        return self.process.state.get_budget('llm').find_use(now)
+        return self.process.state.get_retry_budget('llm').find_use(now)
 
     def assert_nothing_reserved(self) -> None:
         """Check that no capacity is reserved."""
-        self.assertEqual(dict(self.process.state.book.own()), {})
+        self.assertEqual(dict(self.process.state.load_tracker.own()), {})
 
 
 class TestHandover(HandoverCase):
@@ -71,7 +71,7 @@
         self.suspect(head)
         await self.until(lambda: self.world.replicas[other].seen)
         await asyncio.sleep(0.1)
-        self.assertEqual(set(self.process.state.book.own()), {head})
+        self.assertEqual(set(self.process.state.load_tracker.own()), {head})
         self.assert_whole(await stream)
         self.assert_nothing_reserved()
 
@@ -124,7 +124,7 @@
         A started stream without a path did not wait for one in the queue.
         """
         stream, head, other = await self.start_stream()
-        book = self.process.state.book
+        book = self.process.state.load_tracker
         book.take([other], _ALL_TOKENS)
         self.world.replicas[head].free.clear()
         await asyncio.sleep(0.5)
@@ -133,7 +133,7 @@
         )
         await asyncio.sleep(0.4)
         book.give_back([other], _ALL_TOKENS)
-        self.process.state.notify()
+        self.process.state.notify_listeners()
         async with asyncio.timeout(0.1):
             await self.until(lambda: self.world.replicas[other].seen)
         self.world.replicas[head].free.set()
@@ -157,7 +157,7 @@
             'op/config', build_configuration(8, maxAttempts=1)
         )
         await wait_until(lambda: state.version == 8)
-        state.change_settings(
+        state.apply_settings(
             replace(
                 state.settings, retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS
             )
@@ -174,7 +174,7 @@
         self.world.replicas[tail].free.clear()
         now = asyncio.get_running_loop().time()
         state.view.suspect(tail, now + 4, now, votes=2)
-        state.notify()
+        state.notify_listeners()
         try:
             body = await stream
         except EndpointError as exc:
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -194,7 +194,7 @@
         process = await self.world.until_ready()
         view = process.state.view
         settings = process.state.settings
-        process.state.change_settings(
+        process.state.apply_settings(
             replace(settings, retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS)
         )
         await self.announce('tail-2', 'draining')
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -34,9 +34,9 @@
         for node in nodes:
             node.add_peers(nodes)
             node.state.view.announce(build_replica('one', layers=(0, 80)), 1)
-            node.state.get_budget(_SERVICE).streams = _STREAMS
+            node.state.get_retry_budget(_SERVICE).streams = _STREAMS
             for _ in range(_STREAMS):
-                node.state.book.take(('one',), 160)
+                node.state.load_tracker.take(('one',), 160)
         tasks = [
             asyncio.create_task(node.status_sender.run()) for node in nodes
         ]
@@ -52,9 +52,9 @@
         now = asyncio.get_running_loop().time()
         for node in network.nodes.values():
             self.assertEqual(
-                node.state.book.requests('one'), count * _STREAMS, node.name
+                node.state.load_tracker.requests('one'), count * _STREAMS, node.name
             )
-            others = node.state.get_budget(_SERVICE).others.sum_up(now)
+            others = node.state.get_retry_budget(_SERVICE).others.sum_up(now)
             self.assertEqual(others.streams, (count - 1) * _STREAMS)
             self.assertEqual(node.state.count_nodes(), max(8, count))
 
--- a/samphirerill/tests/test_usage.py
+++ b/samphirerill/tests/test_usage.py
@@ -9,7 +9,7 @@
 
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.usage import Usage
+from samphirerill.relay.usage import UsageReporter
 from samphirerill.testing.platform_store import StandInStore
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
         store.calls = Counter({'watch': 3})
         state = Mock()
         state.counters = Counter({'orders': 2})
-        usage = Usage(state, cast('PlatformStore', store))
+        usage = UsageReporter(state, cast('PlatformStore', store))
         with patch('samphirerill.relay.usage._LOG') as log:
             usage.log()
             usage.log()
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -61,7 +61,7 @@
     def change(self, **changes: float) -> None:
         """Change settings of the node."""
         state = self.process.state
-        state.change_settings(replace(state.settings, **changes))
+        state.apply_settings(replace(state.settings, **changes))
 
     async def configure(self, text: bytes) -> None:
         """Write a configuration and wait until it is in force."""
@@ -115,7 +115,7 @@
         """Mark a replica as dead for a while, as after a silence."""
         now = asyncio.get_running_loop().time()
         self.process.state.view.suspect(name, now + for_s, now)
-        self.process.state.notify()
+        self.process.state.notify_listeners()
 
     async def drop_layers(self, name: str) -> None:
         """Announce that an engine drops its last layers."""
