--- a/samphirerill/platform/dialect.py
+++ b/samphirerill/platform/dialect.py
@@ -17,7 +17,7 @@
         Replica,
         Stage,
     )
-    from samphirerill.relay.connection import Head, Headers
+    from samphirerill.relay.connection import ResponseHead, Headers
     from samphirerill.relay.dialect import Attempt, ReplicaReport
     from samphirerill.relay.server import Request
 
@@ -117,7 +117,7 @@
             headers.append((words.PRIORITY, b'%d' % priority))
         return headers
 
-    def parse_response(self, head: Head) -> ResponseMetadata:
+    def parse_response(self, head: ResponseHead) -> ResponseMetadata:
         """Return the metadata of an endpoint's response."""
         encoding = (head.get(b'content-encoding') or b'identity').lower()
         is_other_replica = head.status == _MISDIRECTED
--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -22,9 +22,9 @@
     StoreRefusedError,
     StoreUnreachableError,
 )
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.errors import ConnectError, EndpointError
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -351,7 +351,7 @@
         if document is not None:
             headers.append((b'content-type', b'application/json'))
             body = json.encode(document)
-        request = build_call(method.encode(), target.encode(), headers, body)
+        request = serialize_request(method.encode(), target.encode(), headers, body)
         deadline = asyncio.get_running_loop().time() + timeout_s
         self.calls[purpose] += 1
         status, answer = await self._exchange(request, deadline)
@@ -372,7 +372,7 @@
             ) from exc
         try:
             connection.send(request)
-            status, body = await read_answer(connection, deadline)
+            status, body = await read_response(connection, deadline)
         except EndpointError as exc:
             connection.close()
             raise StoreUnreachableError(
--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -63,7 +63,7 @@
     """No live replica holds some layers; `wait_s` estimates the recovery."""
 
 
-class Admission:
+class AdmissionQueue:
     """The admission queue for the streams of this node.
 
     Parameters
@@ -137,10 +137,10 @@
             self._reject_during_outage(ticket, deadline)
         return await self._wait_for_grant(ticket, deadline)
 
-    def hold(
+    def reserve(
         self, engine: EngineSpec, stages: tuple[Stage, ...], tokens: float
     ) -> None:
-        """Reserve capacity on a path that `find` returned."""
+        """Reserve capacity on a path that `find_path` returned."""
         self._state.load_tracker.take(list_ids(stages), tokens)
         self._record_transfers(engine, stages, tokens)
 
@@ -149,7 +149,7 @@
         self._state.load_tracker.give_back(list_ids(stages), tokens)
         self._state.notify_listeners()
 
-    def find(
+    def find_path(
         self, service: str, engine: EngineSpec, wanted: PathRequest
     ) -> tuple[Stage, ...]:
         """Return a path with free capacity, or none, without reserving it."""
@@ -269,9 +269,9 @@
     def _reserve_path(
         self, service: str, engine: EngineSpec, wanted: PathRequest
     ) -> tuple[Stage, ...]:
-        stages = self.find(service, engine, wanted)
+        stages = self.find_path(service, engine, wanted)
         if stages:
-            self.hold(engine, stages, wanted.tokens)
+            self.reserve(engine, stages, wanted.tokens)
         return stages
 
     def _record_transfers(
--- a/samphirerill/relay/answers.py
+++ b/samphirerill/relay/answers.py
@@ -5,8 +5,8 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.connection import Head, Part, Whole
-from samphirerill.relay.errors import BrokenAnswerError
+from samphirerill.relay.connection import ResponseHead, BodyChunk, EndOfResponse
+from samphirerill.relay.errors import BrokenResponseError
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers, HttpConnection
@@ -32,7 +32,7 @@
 
 async def read_head(
     conn: HttpConnection, adapter: PlatformAdapter, request_id: bytes, deadline: float
-) -> tuple[Head, ResponseMetadata]:
+) -> tuple[ResponseHead, ResponseMetadata]:
     """Return the head of the response to this request.
 
     On a reused connection, responses to earlier requests may come first. They
@@ -40,8 +40,8 @@
     """
     for _ in range(_MAX_STALE_RESPONSES):
         head = await conn.read(deadline)
-        if not isinstance(head, Head):
-            raise BrokenAnswerError('expected a response head, got body bytes')
+        if not isinstance(head, ResponseHead):
+            raise BrokenResponseError('expected a response head, got body bytes')
         facts = adapter.parse_response(head)
         if not _is_stale(facts, request_id):
             check_success(head, facts)
@@ -49,7 +49,7 @@
         conn.is_reusable = False
         await skip_body(conn, deadline)
         conn.await_next_response()
-    raise BrokenAnswerError('too many responses to earlier requests')
+    raise BrokenResponseError('too many responses to earlier requests')
 
 
 async def skip_body(conn: HttpConnection, deadline: float) -> None:
@@ -62,20 +62,20 @@
     chunks: list[bytes] = []
     while True:
         part = await conn.read(deadline)
-        if isinstance(part, Whole):
+        if isinstance(part, EndOfResponse):
             return b''.join(chunks)
-        if isinstance(part, Part):
+        if isinstance(part, BodyChunk):
             chunks.append(part.body)
 
 
-def check_success(head: Head, facts: ResponseMetadata) -> None:
+def check_success(head: ResponseHead, facts: ResponseMetadata) -> None:
     """Reject a success without a signature or with an encoded body."""
     if head.status not in _SUCCESS_STATUSES:
         return
     if not facts.is_signed:
-        raise BrokenAnswerError('successful response has no signature')
+        raise BrokenResponseError('successful response has no signature')
     if facts.is_encoded:
-        raise BrokenAnswerError('response body has a content encoding')
+        raise BrokenResponseError('response body has a content encoding')
 
 
 def is_success(status: int) -> bool:
@@ -83,7 +83,7 @@
     return status in _SUCCESS_STATUSES
 
 
-def filter_headers(head: Head) -> Headers:
+def filter_headers(head: ResponseHead) -> Headers:
     """Return the headers that are passed on to the client."""
     return [pair for pair in head.headers if pair[0] not in _HOP_BY_HOP_HEADERS]
 
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -20,7 +20,7 @@
 from samphirerill.fleet.timing import PlanTiming
 from samphirerill.fleet.worth import Aims
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.probing import ask_report
+from samphirerill.relay.health.probing import fetch_report
 from samphirerill.relay.orders import ACCEPTED_STATUSES, send_order
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     )
     from samphirerill.fleet.repair import Moves
     from samphirerill.fleet.view import Known
-    from samphirerill.relay.health.survey import Survey
+    from samphirerill.relay.health.survey import LossProber
     from samphirerill.relay.leadership import Leadership
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
@@ -88,7 +88,7 @@
     health : StoreHealth
         Tells whether announcements may be missing because their leases
         expired during a store outage.
-    survey : Survey
+    survey : LossProber
         Probes replicas that have not been heard from since a failure began.
     """
 
@@ -97,7 +97,7 @@
         state: EdgeState,
         leadership: Leadership,
         health: StoreHealth,
-        survey: Survey,
+        survey: LossProber,
     ) -> None:
         self._survey = survey
         self._state = state
@@ -209,7 +209,7 @@
         present = self._list_present(service, now)
         if not self._state.view.loss_round.is_recent(now):
             return present
-        dead = await self._survey.ask_unheard(present)
+        dead = await self._survey.probe_unconfirmed(present)
         return [
             replica
             for replica in self._list_present(service, self._loop.time())
@@ -306,7 +306,7 @@
             )
             self._assignments.pop(replica.replica_id, None)
             return
-        report = await ask_report(self._state, replica)
+        report = await fetch_report(self._state, replica)
         if (
             report is None
             or report.is_busy
--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -17,11 +17,11 @@
 
 from samphirerill.node.loop_lag import lag_aware_timeout_at
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
+    BrokenResponseError,
     ConnectError,
-    NobodyListensError,
-    SilentEndpointError,
-    UnreachableError,
+    ConnectRefusedError,
+    EndpointTimeoutError,
+    ConnectTimeoutError,
 )
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Head:
+class ResponseHead:
     """Status and headers of a response; header names are in lower case."""
 
     status: int
@@ -58,14 +58,14 @@
 
 
 @dataclass(slots=True)
-class Part:
+class BodyChunk:
     """A chunk of the response body."""
 
     body: bytes
 
 
 @dataclass(slots=True)
-class Whole:
+class EndOfResponse:
     """The response is complete according to its framing."""
 
 
@@ -91,12 +91,12 @@
         self.idle_until = 0.0
         self.is_reusable = True
         # Called once, when the connection has ended on this side.
-        self.on_end: Callable[[], None] | None = None
+        self.on_close: Callable[[], None] | None = None
         self._transport: Any = None
         self._parser = HttpResponseParser(self)
-        self._parts: deque[Head | Part | Whole | ConnectionLost] = deque()
+        self._parts: deque[ResponseHead | BodyChunk | EndOfResponse | ConnectionLost] = deque()
         self._waiter: asyncio.Future[None] | None = None
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._awaits_response = False
         self._is_head_request = False
         self._buffered_bytes = 0
@@ -128,7 +128,7 @@
         if self.is_open():
             self._transport.write(call)
 
-    async def read(self, deadline: float) -> Head | Part | Whole:
+    async def read(self, deadline: float) -> ResponseHead | BodyChunk | EndOfResponse:
         """Return the next part of the response.
 
         Parameters
@@ -138,9 +138,9 @@
 
         Raises
         ------
-        BrokenAnswerError
+        BrokenResponseError
             The connection ended or sent an invalid response.
-        SilentEndpointError
+        EndpointTimeoutError
             Nothing came before the deadline.
         """
         if not self._parts:
@@ -148,8 +148,8 @@
         part = self._parts.popleft()
         if isinstance(part, ConnectionLost):
             self._parts.append(part)
-            raise BrokenAnswerError(f'{self.address}: {part.reason}')
-        if isinstance(part, Part):
+            raise BrokenResponseError(f'{self.address}: {part.reason}')
+        if isinstance(part, BodyChunk):
             self._release_buffer(len(part.body))
         return part
 
@@ -162,7 +162,7 @@
             await self._wait(deadline)
         part = self._parts[0]
         if isinstance(part, ConnectionLost):
-            raise BrokenAnswerError(f'{self.address}: {part.reason}')
+            raise BrokenResponseError(f'{self.address}: {part.reason}')
 
     def await_next_response(self) -> None:
         """Expect another response: the last one was to an earlier request."""
@@ -218,7 +218,7 @@
         ):
             self._awaits_response = False
             self.is_reusable = False
-            self._push(Whole())
+            self._push(EndOfResponse())
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the loss to the reader."""
@@ -229,13 +229,13 @@
     def on_header(self, name: bytes, text: bytes) -> None:
         """Parser callback: collect a header."""
         if self._head is None:
-            self._head = Head(0)
+            self._head = ResponseHead(0)
         self._head.headers.append((name.lower(), text.strip()))
 
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete."""
         if self._head is None:
-            self._head = Head(0)
+            self._head = ResponseHead(0)
         self._head.status = self._parser.get_status_code()
         if self._head.status < _FIRST_FINAL_STATUS:
             self._head = None
@@ -246,14 +246,14 @@
             # The parser would wait for a body that a HEAD response does not
             # have.
             self.is_reusable = False
-            self._push(Whole())
+            self._push(EndOfResponse())
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: bytes of the body."""
         self._buffered_bytes += len(body)
         if self._buffered_bytes > _HIGH_WATER_BYTES and self.is_open():
             self._transport.pause_reading()
-        self._push(Part(body))
+        self._push(BodyChunk(body))
 
     def on_message_complete(self) -> None:
         """Parser callback: the response is complete."""
@@ -261,7 +261,7 @@
             return
         self._head = None
         self._awaits_response = False
-        self._push(Whole())
+        self._push(EndOfResponse())
 
     async def _connect(self, until: float) -> None:
         host, _, port = self.address.rpartition(':')
@@ -270,15 +270,15 @@
             async with lag_aware_timeout_at(until):
                 await loop.create_connection(lambda: self, host, int(port))
         except ConnectionRefusedError as exc:
-            raise NobodyListensError(f'{self.address}: {exc!r}') from exc
+            raise ConnectRefusedError(f'{self.address}: {exc!r}') from exc
         except TimeoutError as exc:
-            raise UnreachableError(f'{self.address}: {exc!r}') from exc
+            raise ConnectTimeoutError(f'{self.address}: {exc!r}') from exc
         except (OSError, ValueError) as exc:
             raise ConnectError(f'{self.address}: {exc!r}') from exc
 
     def _notify_end(self) -> None:
-        callback = self.on_end
-        self.on_end = None
+        callback = self.on_close
+        self.on_close = None
         if callback is not None:
             callback()
 
@@ -292,11 +292,11 @@
             # After the loop was blocked, data is read just before the timers
             # fire, so parts may be there in spite of the timeout.
             if not self._parts:
-                raise SilentEndpointError(f'{self.address}: no answer') from exc
+                raise EndpointTimeoutError(f'{self.address}: no answer') from exc
         finally:
             self._waiter = None
 
-    def _push(self, part: Head | Part | Whole | ConnectionLost) -> None:
+    def _push(self, part: ResponseHead | BodyChunk | EndOfResponse | ConnectionLost) -> None:
         self._parts.append(part)
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
@@ -321,14 +321,14 @@
         has_length = self._head.get(b'content-length') is not None
         return not has_length and self._head.get(b'transfer-encoding') is None
 
-    def _note_keep_alive(self, head: Head) -> None:
+    def _note_keep_alive(self, head: ResponseHead) -> None:
         if (head.get(b'connection') or b'').lower() == b'close':
             self.is_reusable = False
         now = asyncio.get_running_loop().time()
         self.idle_until = now + _read_idle_s(head) - _IDLE_MARGIN_S
 
 
-def build_call(
+def serialize_request(
     method: bytes, target: bytes, headers: Headers, body: bytes
 ) -> bytes:
     """Return a serialized HTTP/1.1 request."""
@@ -339,7 +339,7 @@
     return b'\r\n'.join((*lines, b'', body))
 
 
-def _read_idle_s(head: Head) -> float:
+def _read_idle_s(head: ResponseHead) -> float:
     for word in (head.get(b'keep-alive') or b'').split(b','):
         name, _, text = word.strip().partition(b'=')
         if name.lower() == b'timeout' and text.isdigit():
--- a/samphirerill/relay/dialect.py
+++ b/samphirerill/relay/dialect.py
@@ -16,7 +16,7 @@
         Replica,
         Stage,
     )
-    from samphirerill.relay.connection import Head, Headers
+    from samphirerill.relay.connection import ResponseHead, Headers
     from samphirerill.relay.server import Request
 
 
@@ -169,7 +169,7 @@
     ) -> Headers:
         """Return the headers to send to the endpoint."""
 
-    def parse_response(self, head: Head) -> ResponseMetadata:
+    def parse_response(self, head: ResponseHead) -> ResponseMetadata:
         """Return the metadata of a response."""
 
     def decode_configuration(self, text: bytes) -> FleetConfiguration:
--- a/samphirerill/relay/errors.py
+++ b/samphirerill/relay/errors.py
@@ -19,11 +19,11 @@
     may_have_run = False
 
 
-class NobodyListensError(ConnectError):
+class ConnectRefusedError(ConnectError):
     """The connection was refused: the process at that address has ended."""
 
 
-class UnreachableError(ConnectError):
+class ConnectTimeoutError(ConnectError):
     """The connection timed out: the VM is down or cannot be reached."""
 
 
@@ -35,17 +35,17 @@
     """The request was quarantined before it was sent."""
 
 
-class BrokenAnswerError(EndpointError):
+class BrokenResponseError(EndpointError):
     """The connection ended early or carried no valid response to the call."""
 
 
-class SilentEndpointError(EndpointError):
+class EndpointTimeoutError(EndpointError):
     """No response came before the deadline."""
 
 
-class TooLargeError(EndpointError):
+class ChangeTooLargeError(EndpointError):
     """Another node refuses to relay a change of this size."""
 
 
-class DeafWatcherError(EndpointError):
+class WatchLostError(EndpointError):
     """A node that watches the store for others has lost its watch."""
--- a/samphirerill/relay/events.py
+++ b/samphirerill/relay/events.py
@@ -22,27 +22,27 @@
     ----------
     raw : bytes
         The event as received, with its terminating blank line.
-    number : int
+    event_id : int
         The event's id; -1 if it has none or it is not a number.
     """
 
     raw: bytes
-    number: int
+    event_id: int
 
 
 @dataclass(slots=True)
-class EventSplitter:
+class EventParser:
     """Buffers an incomplete event until the rest of it arrives."""
 
-    rest: bytes = field(default=b'')
+    buffer: bytes = field(default=b'')
 
     def feed(self, body: bytes) -> list[Event]:
         """Add received data; return the events completed by it."""
-        complete = (self.rest + body).split(_EVENT_END)
-        self.rest = complete.pop()
-        if len(self.rest) > _MAX_EVENT_BYTES:
-            complete.append(self.rest)
-            self.rest = b''
+        complete = (self.buffer + body).split(_EVENT_END)
+        self.buffer = complete.pop()
+        if len(self.buffer) > _MAX_EVENT_BYTES:
+            complete.append(self.buffer)
+            self.buffer = b''
         return [Event(raw + _EVENT_END, _read_id(raw)) for raw in complete]
 
 
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -13,10 +13,10 @@
     UNAVAILABLE,
     UNKNOWN_KEY,
     Refusal,
-    refuse,
+    send_refusal,
 )
 from samphirerill.relay.streaming import StreamExchange
-from samphirerill.relay.task import Task
+from samphirerill.relay.task import RequestContext
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -25,37 +25,37 @@
         FleetRoute,
         Service,
     )
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.dialect import RequestMetadata
-    from samphirerill.relay.health.examiner import Examiner
-    from samphirerill.relay.quarantine import Witness
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.quarantine import CrashDetector
+    from samphirerill.relay.server import ClientConnection, Request
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('requests')
 
 
-class Front:
+class RequestDispatcher:
     """Implements :class:`~samphirerill.relay.server.RequestHandler`.
 
     Parameters
     ----------
     state : EdgeState
         Shared state of this node.
-    admission : Admission
+    admission : AdmissionQueue
         The admission queue for streams.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes unresponsive replicas.
-    quarantine : Witness
+    quarantine : CrashDetector
         Detects requests that crash replicas.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        admission: Admission,
-        examiner: Examiner,
-        quarantine: Witness,
+        admission: AdmissionQueue,
+        examiner: ReplicaProber,
+        quarantine: CrashDetector,
     ) -> None:
         self._quarantine = quarantine
         self._state = state
@@ -71,13 +71,13 @@
         """Return whether connections should close after their response."""
         return self._state.is_draining
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Serve one request."""
         facts = self._state.adapter.parse_request(req)
         self._state.counters['requests'] += 1
         resolved = self._resolve(req, facts, conn)
         if isinstance(resolved, Refusal):
-            refuse(self._state, conn, facts, resolved)
+            send_refusal(self._state, conn, facts, resolved)
             return
         await self._serve(resolved)
         self._state.metrics.record(
@@ -86,7 +86,7 @@
             self._loop.time() - req.arrived_at,
         )
 
-    async def _serve(self, task: Task) -> None:
+    async def _serve(self, task: RequestContext) -> None:
         engine = task.service.engine
         if engine is None or not engine.layers:
             if not self._reject_if_ending(self._state.accept_requests_until, task):
@@ -101,17 +101,17 @@
                 self._quarantine,
             ).run()
 
-    def _reject_if_ending(self, until: float, task: Task) -> bool:
+    def _reject_if_ending(self, until: float, task: RequestContext) -> bool:
         """Reject a request if this node ends soon; return whether it did."""
         if self._loop.time() < until:
             return False
         refusal = Refusal(UNAVAILABLE, 'the node ends')
-        refuse(self._state, task.conn, task.facts, refusal)
+        send_refusal(self._state, task.conn, task.facts, refusal)
         return True
 
     def _resolve(
-        self, req: Request, facts: RequestMetadata, conn: CallerConnection
-    ) -> Task | Refusal:
+        self, req: Request, facts: RequestMetadata, conn: ClientConnection
+    ) -> RequestContext | Refusal:
         state = self._state
         if state.cfg is None or state.routes is None:
             # Without a configuration, 404 would be unfounded.
@@ -134,14 +134,14 @@
         self,
         req: Request,
         facts: RequestMetadata,
-        conn: CallerConnection,
+        conn: ClientConnection,
         route: FleetRoute,
         service: Service,
         account: ClientAccount | None,
-    ) -> Task:
+    ) -> RequestContext:
         route_timeout_s = route.timeout_s
         client_timeout_s = facts.deadline_s or route_timeout_s
-        return Task(
+        return RequestContext(
             req,
             facts,
             conn,
--- a/samphirerill/relay/health/__init__.py
+++ b/samphirerill/relay/health/__init__.py
@@ -1,8 +1,8 @@
 """Health checks of replicas, and the exchange of their results."""
 
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.examiner import Diagnosis, Examiner
-from samphirerill.relay.health.probing import ask_report
-from samphirerill.relay.health.survey import Survey
+from samphirerill.relay.health.examiner import Diagnosis, ReplicaProber
+from samphirerill.relay.health.probing import fetch_report
+from samphirerill.relay.health.survey import LossProber
 
-__all__ = ('Alarms', 'Diagnosis', 'Examiner', 'Survey', 'ask_report')
+__all__ = ('Alarms', 'Diagnosis', 'ReplicaProber', 'LossProber', 'fetch_report')
--- a/samphirerill/relay/health/examiner.py
+++ b/samphirerill/relay/health/examiner.py
@@ -74,7 +74,7 @@
     stalled: dict[str, str] = field(default_factory=dict)
 
 
-class Examiner:
+class ReplicaProber:
     """Probes replicas; concurrent callers share one probe of each.
 
     Parameters
@@ -95,7 +95,7 @@
         self._checks: set[asyncio.Task[set[str]]] = set()
         self._slots = asyncio.Semaphore(_MAX_CONCURRENT_PROBES)
 
-    async def examine(self, stages: tuple[Stage, ...]) -> Diagnosis:
+    async def diagnose_path(self, stages: tuple[Stage, ...]) -> Diagnosis:
         """Probe a path, and return why its streams are stalled.
 
         Parameters
@@ -117,7 +117,7 @@
             self._suspect_address(address)
         return diagnosis
 
-    async def ask_after(
+    async def probe_replicas(
         self, replicas: Sequence[Replica], since: float = 0.0
     ) -> set[str]:
         """Probe replicas; return the ids of those that are dead.
@@ -132,7 +132,7 @@
         probes = await self._probe_all(replicas, since)
         return await self._evaluate(replicas, probes)
 
-    def check(self, replica: Replica) -> None:
+    def probe_in_background(self, replica: Replica) -> None:
         """Probe in the background a replica that another one reports as faulty.
 
         Engines name the stage that they cannot reach; without the check, each
@@ -144,7 +144,7 @@
             and latest.at + _CHECK_INTERVAL_S > self._loop.time()
         ):
             return
-        task = self._loop.create_task(self.ask_after([replica]))
+        task = self._loop.create_task(self.probe_replicas([replica]))
         self._checks.add(task)
         task.add_done_callback(self._checks.discard)
 
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -11,9 +11,9 @@
 from samphirerill.relay.dialect import DocumentError
 from samphirerill.relay.errors import (
     EndpointError,
-    NobodyListensError,
-    SilentEndpointError,
-    UnreachableError,
+    ConnectRefusedError,
+    EndpointTimeoutError,
+    ConnectTimeoutError,
 )
 from samphirerill.relay.pool import call_once
 
@@ -53,9 +53,9 @@
     loop = asyncio.get_running_loop()
     try:
         report = await _read_report(state, replica, deadline)
-    except NobodyListensError:
+    except ConnectRefusedError:
         return Probe(loop.time(), Verdict.TERMINATED)
-    except (UnreachableError, SilentEndpointError):
+    except (ConnectTimeoutError, EndpointTimeoutError):
         return Probe(loop.time(), Verdict.UNRESPONSIVE)
     except EndpointError as exc:
         _log_no_report(replica, exc)
@@ -65,7 +65,7 @@
     return Probe(loop.time(), Verdict.ALIVE, report)
 
 
-async def ask_report(
+async def fetch_report(
     state: EdgeState, replica: Replica
 ) -> ReplicaReport | None:
     """Return a replica's status report, or none if it sent none."""
--- a/samphirerill/relay/health/signs.py
+++ b/samphirerill/relay/health/signs.py
@@ -24,7 +24,7 @@
         """Return the loop time of the last event; 0 before the first."""
 
 
-def list_unproven(
+def list_unconfirmed(
     streams: Iterable[ObservedStream], stages: Sequence[Stage], since: float
 ) -> tuple[Stage, ...]:
     """Return the stages of a path without a recent event of any stream.
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -20,7 +20,7 @@
     from samphirerill.fleet.model import Replica
     from samphirerill.fleet.view import Known
     from samphirerill.relay.health.alarms import Alarms
-    from samphirerill.relay.health.examiner import Examiner
+    from samphirerill.relay.health.examiner import ReplicaProber
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('survey')
@@ -35,14 +35,14 @@
 _POLL_INTERVAL_S = 0.25
 
 
-class Survey:
+class LossProber:
     """Probes this node's share of the fleet when a loss begins.
 
     Parameters
     ----------
     state : EdgeState
         State of this node.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes the replicas.
     alarms : Alarms
         Reports the results, and knows the other nodes.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         state: EdgeState,
-        examiner: Examiner,
+        examiner: ReplicaProber,
         alarms: Alarms,
         find_leader: Callable[[], str],
     ) -> None:
@@ -77,7 +77,7 @@
             await asyncio.sleep(_POLL_INTERVAL_S)
             await self._reprobe_dead()
 
-    async def ask_unheard(self, replicas: Iterable[Replica]) -> set[str]:
+    async def probe_unconfirmed(self, replicas: Iterable[Replica]) -> set[str]:
         """Probe replicas that are not known to work since the loss began.
 
         Returns
@@ -93,7 +93,7 @@
             if replica.replica_id not in alive
             and not loss.has_heard(replica.replica_id)
         ]
-        return await self._examiner.ask_after(unconfirmed)
+        return await self._examiner.probe_replicas(unconfirmed)
 
     def _on_state_change(self) -> None:
         """Probe if a loss has begun or continues."""
@@ -120,7 +120,7 @@
     async def _probe(self, names: Iterable[str]) -> set[str]:
         """Probe known replicas; return the ids of those that are dead."""
         known = self._state.view.known
-        return await self._examiner.ask_after(
+        return await self._examiner.probe_replicas(
             [known[name].replica for name in names]
         )
 
@@ -164,7 +164,7 @@
             if found.replica.replica_id not in alive
             and found.suspicion.sure_until <= since
         ]
-        dead = await self._examiner.ask_after(unconfirmed)
+        dead = await self._examiner.probe_replicas(unconfirmed)
         self._schedule_fallback()
         self._send_alive(share, since)
         if not unconfirmed:
--- a/samphirerill/relay/leaving.py
+++ b/samphirerill/relay/leaving.py
@@ -8,7 +8,7 @@
     from samphirerill.relay.stream_path import StreamPath
 
 
-def may_leave(path: StreamPath) -> bool:
+def should_seek_path(path: StreamPath) -> bool:
     """Return whether to look for an alternative path.
 
     A stream with a lost stage waits in the queue for one; a stream whose path
@@ -16,25 +16,25 @@
     """
     if not path.stages:
         return False
-    return bool(path.list_lost()) or _has_alternative(path)
+    return bool(path.list_failed()) or _has_alternative(path)
 
 
-def must_begin_here(path: StreamPath) -> bool:
+def must_resend_to_head(path: StreamPath) -> bool:
     """Return whether the stream must be resent to the same first replica.
 
     This is the case if a later stage was lost and every path with capacity
     starts at the same first replica, which did not reroute the stream itself.
     """
-    lost_replicas = path.list_lost()
+    lost_replicas = path.list_failed()
     if (
         not lost_replicas
         or path.head_id in lost_replicas
         or _has_alternative(path)
     ):
         return False
-    return bool(path.finder.find_other(lost_replicas))
+    return bool(path.finder.find_alternative(lost_replicas))
 
 
 def _has_alternative(path: StreamPath) -> bool:
-    path_request = path.finder.build_beside(path.head_id, path.list_lost())
-    return bool(path.finder.find(path_request))
+    path_request = path.finder.build_parallel_request(path.head_id, path.list_failed())
+    return bool(path.finder.find_path(path_request))
--- a/samphirerill/relay/listeners.py
+++ b/samphirerill/relay/listeners.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs
 
 from samphirerill.fleet.model import ClientLimits
-from samphirerill.relay.server import CallerConnection
+from samphirerill.relay.server import ClientConnection
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,14 +31,14 @@
     def __init__(self, pages: dict[bytes, Callable[[], Page]]) -> None:
         self._pages = pages
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Respond with the page of the path, or 404."""
         page = self._pages.get(req.target.partition(b'?')[0])
         if page is None:
-            conn.answer(_NOT_FOUND, [], b'')
+            conn.respond(_NOT_FOUND, [], b'')
             return
         status, body = page()
-        conn.answer(status, [], body)
+        conn.respond(status, [], body)
 
     def get_limits(self) -> ClientLimits:
         """Return the default limits; pages have no client account."""
@@ -52,13 +52,13 @@
 async def listen(
     address: str,
     handler: RequestHandler,
-    connections: set[CallerConnection],
+    connections: set[ClientConnection],
 ) -> asyncio.Server:
     """Open a listening socket."""
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
     return await loop.create_server(
-        lambda: CallerConnection(handler, connections),
+        lambda: ClientConnection(handler, connections),
         host,
         int(port),
         backlog=_BACKLOG,
--- a/samphirerill/relay/members.py
+++ b/samphirerill/relay/members.py
@@ -32,7 +32,7 @@
     from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.news import ChangeSource
     from samphirerill.relay.post import DatagramHandler
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
 
@@ -96,7 +96,7 @@
         )
         alarms.bind(self._status_sender)
         self._server: asyncio.Server | None = None
-        self._connections: set[CallerConnection] = set()
+        self._connections: set[ClientConnection] = set()
         self._lease = 0
         self._has_left = False
 
@@ -121,7 +121,7 @@
         if self._server is not None:
             self._server.close()
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
 
     async def run(self) -> None:
         """Renew the lease and send the status until cancelled."""
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -19,10 +19,10 @@
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.change_log import ChangeBatch, ChangeLog, Snapshot
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
-    DeafWatcherError,
+    BrokenResponseError,
+    WatchLostError,
     EndpointError,
-    TooLargeError,
+    ChangeTooLargeError,
 )
 from samphirerill.relay.listeners import PageHandler, read_revision
 from samphirerill.relay.pool import call_once
@@ -33,7 +33,7 @@
 
     from samphirerill.platform.store import Changes
     from samphirerill.relay.listeners import Page
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
     Form = TypeVar('Form')
 
@@ -102,7 +102,7 @@
         self._log = log
         self._receives_from_store = receives_from_store
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Respond with changes, a snapshot or a page."""
         path, _, query = req.target.partition(b'?')
         build_page = self._extra_pages.get(path)
@@ -114,7 +114,7 @@
             status, body = _NOT_FOUND, b''
         else:
             status, body = build_page(query)
-        conn.answer(status, [], body)
+        conn.respond(status, [], body)
 
     async def _serve_changes(self, query: bytes) -> Page:
         after = read_revision(query)
@@ -251,9 +251,9 @@
         """
         try:
             return await self._fetch_changes(self._peers[watcher], after)
-        except TooLargeError:
+        except ChangeTooLargeError:
             raise
-        except DeafWatcherError:
+        except WatchLostError:
             self._avoid_until[watcher] = (
                 self._loop.time() + _AVOID_DISCONNECTED_S
             )
@@ -274,11 +274,11 @@
         if status == _GONE:
             return await self._fetch_snapshot(address, after)
         if status == _TOO_LARGE:
-            raise TooLargeError(f'{address}: changes are too large to forward')
+            raise ChangeTooLargeError(f'{address}: changes are too large to forward')
         if status == _UNAVAILABLE:
-            raise DeafWatcherError(f'{address}: is not connected to the store')
+            raise WatchLostError(f'{address}: is not connected to the store')
         if status != _OK:
-            raise BrokenAnswerError(f'{address}: got status {status}')
+            raise BrokenResponseError(f'{address}: got status {status}')
         return _decode(address, body, ChangeBatch, self.log.decode)
 
     async def _fetch_snapshot(self, address: str, after: int) -> Changes:
@@ -287,7 +287,7 @@
         path = b'%b?after=%d' % (_SNAPSHOT_PATH, after)
         status, body = await call_once(address, b'GET', path, b'', deadline)
         if status != _OK:
-            raise BrokenAnswerError(f'{address}: got status {status}')
+            raise BrokenResponseError(f'{address}: got status {status}')
         changes = _decode(address, body, Snapshot, self.log.decode_snapshot)
         _LOG.info(
             'received a snapshot from a watcher',
@@ -306,4 +306,4 @@
     try:
         return read(msgpack.decode(body, type=form))
     except (DecodeError, ValidationError, DeltaError) as exc:
-        raise BrokenAnswerError(f'{address}: {exc}') from exc
+        raise BrokenResponseError(f'{address}: {exc}') from exc
--- a/samphirerill/relay/node_pages.py
+++ b/samphirerill/relay/node_pages.py
@@ -13,9 +13,9 @@
     from collections.abc import Callable
 
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.listeners import Page
-    from samphirerill.relay.quarantine import Keeper
+    from samphirerill.relay.quarantine import QuarantineManager
     from samphirerill.relay.state import EdgeState
 
 _OK = 200
@@ -29,13 +29,13 @@
     ----------
     state : EdgeState
         The node's state and counters.
-    admission : Admission
+    admission : AdmissionQueue
         The queue of streams that wait for a path.
     store : PlatformStore
         Client of the store, which counts its calls.
     count_busy : callable
         Returns the number of connections with a request in progress.
-    keeper : Keeper
+    keeper : QuarantineManager
         Lists the quarantined requests.
 
     Attributes
@@ -47,10 +47,10 @@
     def __init__(
         self,
         state: EdgeState,
-        admission: Admission,
+        admission: AdmissionQueue,
         store: PlatformStore,
         count_busy: Callable[[], int],
-        keeper: Keeper,
+        keeper: QuarantineManager,
     ) -> None:
         self._quarantine_keeper = keeper
         self._state = state
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -12,9 +12,9 @@
     from collections.abc import Collection
 
     from samphirerill.fleet.model import EngineSpec, Stage
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 # Head replicas to try for an isolated run; bounds the path searches.
 _MAX_ISOLATED_CANDIDATES = 3
@@ -36,11 +36,11 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
-    admission : Admission
+    admission : AdmissionQueue
         Searches paths with free capacity.
     """
 
@@ -59,9 +59,9 @@
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         engine: EngineSpec,
-        admission: Admission,
+        admission: AdmissionQueue,
     ) -> None:
         self.tokens = _estimate_tokens(engine, task)
         self.avoid: set[str] = set()
@@ -73,11 +73,11 @@
         self._engine = engine
         self._admission = admission
 
-    def find_other(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
+    def find_alternative(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
         """Return a path that avoids failed replicas; empty if there is none."""
         wanted = self.build_request(is_urgent=True)
         wanted.avoid = {*self.avoid, *failed_ids}
-        return self.find(wanted)
+        return self.find_path(wanted)
 
     def find_with_head(
         self,
@@ -104,7 +104,7 @@
             held=cached_ids,
             is_urgent=True,
         )
-        return self.find(wanted)
+        return self.find_path(wanted)
 
     def build_request(self, *, is_urgent: bool) -> PathRequest:
         """Return the requirements on a path for the stream."""
@@ -126,7 +126,7 @@
             wanted.heads = frozenset(
                 name for name in allowed if self.failed_sends[name] == count
             )
-            if self.find(wanted):
+            if self.find_path(wanted):
                 return wanted
         wanted.heads = allowed
         return wanted
@@ -144,11 +144,11 @@
         wanted = self.build_request(is_urgent=True)
         for replica_id in self._list_least_loaded_heads(excluded_ids):
             wanted.heads = frozenset((replica_id,))
-            if self.find(wanted):
+            if self.find_path(wanted):
                 return wanted.heads
         return ANY_HEAD
 
-    def build_beside(
+    def build_parallel_request(
         self, head_id: str, failed_ids: Collection[str]
     ) -> PathRequest:
         """Return the requirements on a path for a parallel run.
@@ -164,9 +164,9 @@
         wanted.avoid = {*wanted.avoid, *failed_ids, head_id}
         return wanted
 
-    def find(self, wanted: PathRequest) -> tuple[Stage, ...]:
+    def find_path(self, wanted: PathRequest) -> tuple[Stage, ...]:
         """Return a path with free capacity; empty if there is none."""
-        return self._admission.find(
+        return self._admission.find_path(
             self._task.service.name, self._engine, wanted
         )
 
@@ -206,7 +206,7 @@
         return frozenset(live)
 
 
-def _estimate_tokens(engine: EngineSpec, task: Task) -> float:
+def _estimate_tokens(engine: EngineSpec, task: RequestContext) -> float:
     """Return the KV-cache size that a stream is expected to need, in tokens.
 
     Clients often set the maximum answer length much higher than what is
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -19,22 +19,22 @@
     read_body,
     read_head,
 )
-from samphirerill.relay.connection import Head, build_call
+from samphirerill.relay.connection import ResponseHead, serialize_request
 from samphirerill.relay.dialect import Attempt
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
+    BrokenResponseError,
     ConnectError,
     EndpointError,
     QuarantinedError,
     ConnectionLimitError,
-    SilentEndpointError,
+    EndpointTimeoutError,
 )
 from samphirerill.relay.refusals import (
     FAILED,
     TIMED_OUT,
     UNAVAILABLE,
     Refusal,
-    refuse,
+    send_refusal,
 )
 from samphirerill.relay.send_budget import AttemptBudget
 
@@ -44,9 +44,9 @@
     from samphirerill.fleet.model import Replica
     from samphirerill.fleet.view import Known
     from samphirerill.relay.connection import HttpConnection
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('plain')
 _SERVER_ERROR = 500
@@ -73,7 +73,7 @@
 class _Outcome:
     """The result of one attempt; `head` is set if there is a response."""
 
-    head: Head | None = None
+    head: ResponseHead | None = None
     body: bytes = b''
     is_not_run: bool = False
     was_sent: bool = True
@@ -88,15 +88,15 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
-    quarantine : Witness
+    quarantine : CrashDetector
         Knows whether the request is quarantined; informed of attempts that
         break off.
     """
 
     def __init__(
-        self, state: EdgeState, task: Task, quarantine: Witness
+        self, state: EdgeState, task: RequestContext, quarantine: CrashDetector
     ) -> None:
         self._state = state
         self._task = task
@@ -125,7 +125,7 @@
                 self._budget.refund()
             if self._is_final(outcome):
                 break
-            await self._quarantine.rest(self._task)
+            await self._quarantine.delay_retry(self._task)
         self._respond(outcome)
 
     async def _wait_for_endpoint(self) -> Known | None:
@@ -153,7 +153,7 @@
 
     def _has_connection(self, replica_id: str) -> bool:
         max_open = self._state.get_connection_limit(self._task.service)
-        return self._state.pool.has_left(replica_id, max_open)
+        return self._state.pool.has_available(replica_id, max_open)
 
     def _may_send(self) -> bool:
         """Return whether another attempt is allowed, and reserve it."""
@@ -219,18 +219,18 @@
         except asyncio.CancelledError:
             conn.close()
             raise
-        self._state.pool.give_back(replica, conn)
+        self._state.pool.release(replica, conn)
         return outcome
 
     async def _connect(self, replica: Replica) -> HttpConnection:
-        conn = await self._state.pool.take(
+        conn = await self._state.pool.acquire(
             replica,
             fresh=not self._task.is_retryable,
-            most=self._state.get_connection_limit(self._task.service),
+            max_open=self._state.get_connection_limit(self._task.service),
         )
         if self._quarantine.find_held_until(self._task):
-            self._state.pool.give_back(replica, conn)
-            raise QuarantinedError(self._quarantine.explain(self._task))
+            self._state.pool.release(replica, conn)
+            raise QuarantinedError(self._quarantine.describe_hold(self._task))
         return conn
 
     async def _call(self, endpoint: Known, conn: HttpConnection) -> _Outcome:
@@ -243,7 +243,7 @@
         if facts.is_not_run and not is_success(head.status):
             return _Outcome(is_not_run=True, reason='endpoint refused')
         self._may_have_run = True
-        self._quarantine.note_whole(self._task)
+        self._quarantine.record_completion(self._task)
         return _Outcome(head, body)
 
     def _handle_error(
@@ -251,9 +251,9 @@
     ) -> _Outcome:
         self._may_have_run = True
         self._has_broken_run = True
-        if isinstance(exc, BrokenAnswerError):
-            self._quarantine.note_break(self._task, endpoint.replica)
-        is_silent = isinstance(exc, SilentEndpointError)
+        if isinstance(exc, BrokenResponseError):
+            self._quarantine.record_failure(self._task, endpoint.replica)
+        is_silent = isinstance(exc, EndpointTimeoutError)
         if is_silent and self._loop.time() - sent_at >= _MIN_SILENCE_S:
             self._avoid(endpoint, str(exc))
         return _Outcome(timed_out=is_silent, reason=str(exc))
@@ -267,7 +267,7 @@
         headers = self._state.adapter.build_headers(
             task.req, task.facts, attempt
         )
-        return build_call(
+        return serialize_request(
             task.req.method, task.req.target, headers, task.req.body
         )
 
@@ -309,13 +309,13 @@
         facts = self._task.facts
         head = outcome.head
         if head is not None:
-            conn.answer(head.status, filter_headers(head), outcome.body)
+            conn.respond(head.status, filter_headers(head), outcome.body)
             return
         now = self._loop.time()
         timed_out = now >= self._task.deadline
         reason, retry_s = outcome.reason, _DEFAULT_RETRY_S
         if self._quarantined_until:
-            reason = self._quarantine.explain(self._task)
+            reason = self._quarantine.describe_hold(self._task)
             retry_s = self._quarantined_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
@@ -323,4 +323,4 @@
             refusal = Refusal(
                 TIMED_OUT if is_timeout else FAILED, outcome.reason
             )
-        refuse(self._state, conn, facts, refusal)
+        send_refusal(self._state, conn, facts, refusal)
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -9,9 +9,9 @@
 
 from samphirerill.relay.connection import (
     HttpConnection,
-    Part,
-    Whole,
-    build_call,
+    BodyChunk,
+    EndOfResponse,
+    serialize_request,
 )
 from samphirerill.relay.errors import ConnectionLimitError
 
@@ -38,22 +38,22 @@
         # to.
         self._start_times: dict[str, int] = {}
 
-    def has_left(self, replica_id: str, most: int) -> bool:
+    def has_available(self, replica_id: str, max_open: int) -> bool:
         """Return whether a connection to a replica is available.
 
         Parameters
         ----------
         replica_id : str
             The replica.
-        most : int
+        max_open : int
             The limit of this node's connections to it; 0 for none.
         """
-        if not most or self._idle.get(replica_id):
+        if not max_open or self._idle.get(replica_id):
             return True
-        return self._open[replica_id] < most
+        return self._open[replica_id] < max_open
 
-    async def take(
-        self, replica: Replica, *, fresh: bool = False, most: int = 0
+    async def acquire(
+        self, replica: Replica, *, fresh: bool = False, max_open: int = 0
     ) -> HttpConnection:
         """Return an open connection; raise ``ConnectError`` on failure.
 
@@ -65,7 +65,7 @@
             Open a new connection. If the endpoint closes an idle connection
             just as it is reused, the request seems lost although it was not
             executed, and one that is not retryable could not be sent again.
-        most : int
+        max_open : int
             The limit of this node's connections to the replica; 0 for none. An
             endpoint resets connections beyond its limit over all nodes.
         """
@@ -78,14 +78,14 @@
                 self._counters['connections.reused'] += 1
                 return conn
             conn.close()
-        self._evict_idle(replica.replica_id, most)
+        self._evict_idle(replica.replica_id, max_open)
         conn = HttpConnection(replica.address)
         self._track_open(replica.replica_id, conn)
         await conn.open()
         self._counters['connections.made'] += 1
         return conn
 
-    def give_back(self, replica: Replica, conn: HttpConnection) -> None:
+    def release(self, replica: Replica, conn: HttpConnection) -> None:
         """Keep a connection whose response was read completely."""
         now = asyncio.get_running_loop().time()
         if replica.is_other_start(self._start_times.get(replica.replica_id, 0)):
@@ -97,7 +97,7 @@
         else:
             conn.close()
 
-    def sweep(self, present: set[str]) -> None:
+    def close_stale(self, present: set[str]) -> None:
         """Close idle connections that are expired or whose replica is gone."""
         now = asyncio.get_running_loop().time()
         for replica_id in tuple(self._idle):
@@ -125,18 +125,18 @@
                 conn.close()
         self._start_times[name] = replica.started_ms
 
-    def _evict_idle(self, replica_id: str, most: int) -> None:
+    def _evict_idle(self, replica_id: str, max_open: int) -> None:
         """Close an idle connection if the limit is reached."""
-        if not most or self._open[replica_id] < most:
+        if not max_open or self._open[replica_id] < max_open:
             return
         idle = self._idle[replica_id]
         if not idle:
-            raise ConnectionLimitError(f'{replica_id}: all {most} in use')
+            raise ConnectionLimitError(f'{replica_id}: all {max_open} in use')
         idle.pop(0).close()
 
     def _track_open(self, replica_id: str, conn: HttpConnection) -> None:
         self._open[replica_id] += 1
-        conn.on_end = partial(self._untrack_open, replica_id)
+        conn.on_close = partial(self._untrack_open, replica_id)
 
     def _untrack_open(self, replica_id: str) -> None:
         self._open[replica_id] -= 1
@@ -165,13 +165,13 @@
         headers.append((b'content-type', b'application/json'))
     try:
         await conn.open(deadline)
-        conn.send(build_call(method, path, headers, body))
-        return await read_answer(conn, deadline)
+        conn.send(serialize_request(method, path, headers, body))
+        return await read_response(conn, deadline)
     finally:
         conn.close()
 
 
-async def read_answer(
+async def read_response(
     conn: HttpConnection, deadline: float
 ) -> tuple[int, bytes]:
     """Read a complete short response; return its status and body."""
@@ -179,9 +179,9 @@
     chunks: list[bytes] = []
     while True:
         part = await conn.read(deadline)
-        if isinstance(part, Whole):
+        if isinstance(part, EndOfResponse):
             return status, b''.join(chunks)
-        if isinstance(part, Part):
+        if isinstance(part, BodyChunk):
             chunks.append(part.body)
         else:
             status = part.status
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -8,21 +8,21 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.admission import Admission
+from samphirerill.relay.admission import AdmissionQueue
 from samphirerill.relay.commander import LayerController
 from samphirerill.relay.follower import build_store_follower
-from samphirerill.relay.front import Front
-from samphirerill.relay.health import Alarms, Examiner, Survey
+from samphirerill.relay.front import RequestDispatcher
+from samphirerill.relay.health import Alarms, ReplicaProber, LossProber
 from samphirerill.relay.leadership import Leadership
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.members import Membership
 from samphirerill.relay.news import ChangeSource
 from samphirerill.relay.node_pages import StatusEndpoints
 from samphirerill.relay.quarantine import (
-    Keeper,
-    Sharing,
+    QuarantineManager,
+    EvidenceExchange,
     StoredHolds,
-    Witness,
+    CrashDetector,
 )
 from samphirerill.relay.reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
@@ -34,7 +34,7 @@
     from samphirerill.platform.settings import EdgeSettings
     from samphirerill.platform.store import PlatformStore
     from samphirerill.relay.dialect import PlatformAdapter
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 _LOG = get_logger('edge')
 _SWEEP_INTERVAL_S = 0.25
@@ -84,16 +84,16 @@
         self.state = EdgeState(settings, adapter)
         health = StoreHealth(self._loop.time())
         self._health = health
-        self._admission = Admission(self.state)
+        self._admission = AdmissionQueue(self.state)
         alarms = Alarms(self.state)
-        examiner = Examiner(self.state, alarms)
-        keeper = Keeper(self.state)
-        self._quarantine_sync = Sharing(self.state, keeper)
-        self._front = Front(
+        examiner = ReplicaProber(self.state, alarms)
+        keeper = QuarantineManager(self.state)
+        self._quarantine_sync = EvidenceExchange(self.state, keeper)
+        self._front = RequestDispatcher(
             self.state,
             self._admission,
             examiner,
-            Witness(self.state, examiner, keeper, self._quarantine_sync),
+            CrashDetector(self.state, examiner, keeper, self._quarantine_sync),
         )
         news = ChangeSource(settings.name)
         self._members = Membership(
@@ -104,7 +104,7 @@
         self._stored_quarantine = StoredHolds(
             self.state, store, keeper, leadership
         )
-        self._survey = Survey(
+        self._survey = LossProber(
             self.state, examiner, alarms, lambda: leadership.leader
         )
         self._commander = LayerController(
@@ -122,8 +122,8 @@
             self.state, self._admission, store, self._count_busy, keeper
         )
         self._reloader = SettingsReloader(self.state, store, source)
-        self._connections: set[CallerConnection] = set()
-        self._page_connections: set[CallerConnection] = set()
+        self._connections: set[ClientConnection] = set()
+        self._page_connections: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[asyncio.Server] = []
         self._ended = asyncio.Event()
@@ -159,7 +159,7 @@
         for server in self._servers:
             server.close()
         for conn in (*self._connections, *self._page_connections):
-            conn.end()
+            conn.shut_down()
         self._members.close()
         self._node_pages.usage.log()
         for task in tuple(self._tasks):
@@ -214,7 +214,7 @@
         self._handled_losses = self.state.view.losses
         self._commander.trigger()
         for stream in tuple(self.state.streams):
-            stream.check_path()
+            stream.handle_view_change()
 
     async def _sweep(self) -> None:
         while True:
@@ -222,7 +222,7 @@
             now = self._loop.time()
             removed = self.state.view.sweep(now)
             self.state.load_tracker.forget_silent(now)
-            self.state.pool.sweep(set(self.state.view.known))
+            self.state.pool.close_stale(set(self.state.view.known))
             if removed:
                 _LOG.info(
                     'replicas removed; announcements did not return',
@@ -278,7 +278,7 @@
             conn.close_idle()
 
     def _count_busy(self) -> int:
-        return sum(conn.has_work for conn in self._connections)
+        return sum(conn.has_pending_work for conn in self._connections)
 
     def _catch_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
--- a/samphirerill/relay/quarantine/keeper.py
+++ b/samphirerill/relay/quarantine/keeper.py
@@ -25,7 +25,7 @@
 _MAX_DELAY_S = 0.3
 
 
-class Keeper:
+class QuarantineManager:
     """Records evidence, logs changes of the quarantine and ends held streams.
 
     Parameters
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/sharing.py
@@ -28,7 +28,7 @@
 
     from samphirerill.quarantine.messages import ToldRecord
     from samphirerill.relay.post import DatagramSender
-    from samphirerill.relay.quarantine.keeper import Keeper
+    from samphirerill.relay.quarantine.keeper import QuarantineManager
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
@@ -65,20 +65,20 @@
     is_broadcast: bool = True
 
 
-class Sharing:
+class EvidenceExchange:
     """Sends and receives evidence.
 
     Parameters
     ----------
     state : EdgeState
         Holds the quarantine.
-    keeper : Keeper
+    keeper : QuarantineManager
         Applies the evidence of other nodes.
     """
 
     type_prefix = TYPE_PREFIX
 
-    def __init__(self, state: EdgeState, keeper: Keeper) -> None:
+    def __init__(self, state: EdgeState, keeper: QuarantineManager) -> None:
         self._state = state
         self._keeper = keeper
         self._loop = asyncio.get_running_loop()
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -30,7 +30,7 @@
         StoredItem,
     )
     from samphirerill.relay.leadership import Leadership
-    from samphirerill.relay.quarantine.keeper import Keeper
+    from samphirerill.relay.quarantine.keeper import QuarantineManager
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
@@ -62,7 +62,7 @@
         Holds the quarantine.
     store : PlatformStore
         Where holds are stored.
-    keeper : Keeper
+    keeper : QuarantineManager
         Applies the stored evidence.
     leadership : Leadership
         Whether this node is the leader.
@@ -74,7 +74,7 @@
         self,
         state: EdgeState,
         store: PlatformStore,
-        keeper: Keeper,
+        keeper: QuarantineManager,
         leadership: Leadership,
     ) -> None:
         self._state = state
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -21,12 +21,12 @@
     from collections.abc import Coroutine
 
     from samphirerill.fleet.model import Replica
-    from samphirerill.relay.health import Examiner
-    from samphirerill.relay.quarantine.keeper import Keeper
-    from samphirerill.relay.quarantine.sharing import Sharing
+    from samphirerill.relay.health import ReplicaProber
+    from samphirerill.relay.quarantine.keeper import QuarantineManager
+    from samphirerill.relay.quarantine.sharing import EvidenceExchange
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_times import RunTimes
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('quarantine')
 # Delays before each probe of a replica, as packets may be lost.
@@ -51,27 +51,27 @@
     at: float
 
 
-class Witness:
+class CrashDetector:
     """Attributes replica crashes to the requests that had just started there.
 
     Parameters
     ----------
     state : EdgeState
         Replicas and the quarantine.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes whether replicas have terminated.
-    keeper : Keeper
+    keeper : QuarantineManager
         Records the evidence.
-    sharing : Sharing
+    sharing : EvidenceExchange
         Sends it to the other nodes.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        examiner: Examiner,
-        keeper: Keeper,
-        sharing: Sharing,
+        examiner: ReplicaProber,
+        keeper: QuarantineManager,
+        sharing: EvidenceExchange,
     ) -> None:
         self._state = state
         self._examiner = examiner
@@ -83,14 +83,14 @@
         self._unresolved: Counter[bytes] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def find_held_until(self, task: Task) -> float:
+    def find_held_until(self, task: RequestContext) -> float:
         """Return until when a request is rejected; 0 if it may run."""
         quarantine = self._state.quarantine
         if not len(quarantine):
             return 0.0
         return quarantine.find_held_until(task.identity, self._loop.time())
 
-    def explain(self, task: Task) -> str:
+    def describe_hold(self, task: RequestContext) -> str:
         """Return why a request is rejected, for the log.
 
         It names the id of the first request with this content, which operators
@@ -101,7 +101,7 @@
             return 'it ended replicas'
         return f'it ends replicas, first as {record.deaths[0].request_id}'
 
-    def is_suspect(self, task: Task) -> bool:
+    def is_suspect(self, task: RequestContext) -> bool:
         """Return whether more than one replica crashed with a request."""
         quarantine = self._state.quarantine
         if not len(quarantine) and not self._unresolved:
@@ -113,13 +113,13 @@
         """Return the replicas that run a suspect."""
         return self._sharing.trials.list(self._loop.time())
 
-    def note_send(self, task: Task, replica: Replica) -> None:
+    def record_send(self, task: RequestContext, replica: Replica) -> None:
         """Tell all nodes if the request being sent is a suspect."""
         if self.is_suspect(task):
             self._state.counters['quarantine.trials'] += 1
             self._sharing.broadcast_trial(replica.replica_id)
 
-    async def rest(self, task: Task) -> None:
+    async def delay_retry(self, task: RequestContext) -> None:
         """Delay the retry of a suspect.
 
         The replica of the last run is being probed; if it is alive, no delay is
@@ -136,21 +136,21 @@
             )
             await asyncio.sleep(delay_s)
 
-    def note_break(
-        self, task: Task, replica: Replica, run: RunTimes | None = None
+    def record_failure(
+        self, task: RequestContext, replica: Replica, run: RunTimes | None = None
     ) -> None:
         """Probe whether the replica of a failed run has terminated.
 
         Parameters
         ----------
-        task : Task
+        task : RequestContext
             The task that was run.
         replica : Replica
             The replica that it was sent to.
         run : RunTimes, optional
             Progress of the run; omitted if it sent no events.
         """
-        if run is not None and run.has_survived:
+        if run is not None and run.has_outlasted_start:
             self._note_survival(task)
             return
         if self._state.view.is_leaving(replica.replica_id):
@@ -167,21 +167,21 @@
                 self._investigate(replica, process_name, failed_run.at)
             )
 
-    def note_progress(self, task: Task, run: RunTimes) -> None:
+    def record_progress(self, task: RequestContext, run: RunTimes) -> None:
         """Record that a run has sent events."""
-        if not len(self._state.quarantine) or not run.has_survived:
+        if not len(self._state.quarantine) or not run.has_outlasted_start:
             return
         now = self._loop.time()
-        if now >= run.note_at:
-            run.note_at = now + _NOTE_INTERVAL_S
+        if now >= run.next_report_at:
+            run.next_report_at = now + _NOTE_INTERVAL_S
             self._note_survival(task)
 
-    def note_whole(self, task: Task) -> None:
+    def record_completion(self, task: RequestContext) -> None:
         """Record that a run has completed, so that its replica is alive."""
         if len(self._state.quarantine):
             self._note_survival(task)
 
-    def _note_survival(self, task: Task) -> None:
+    def _note_survival(self, task: RequestContext) -> None:
         if self._keeper.record_survival(task.identity):
             self._sharing.broadcast((task.identity,))
 
@@ -221,7 +221,7 @@
             await asyncio.sleep(delay_s)
             if replica_id not in self._state.view.known:
                 return not self._state.view.is_leaving(replica_id)
-            if not await self._examiner.ask_after([replica], since):
+            if not await self._examiner.probe_replicas([replica], since):
                 return False
             if self._state.view.has_ended(replica_id):
                 return True
--- a/samphirerill/relay/refusals.py
+++ b/samphirerill/relay/refusals.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
     from samphirerill.relay.dialect import RequestMetadata
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('refusals')
@@ -38,9 +38,9 @@
     retry_s: float = 0.0
 
 
-def refuse(
+def send_refusal(
     state: EdgeState,
-    conn: CallerConnection,
+    conn: ClientConnection,
     facts: RequestMetadata,
     refusal: Refusal,
 ) -> None:
@@ -60,4 +60,4 @@
             'configuration': state.version,
         },
     )
-    conn.answer(refusal.status, headers, b'')
+    conn.respond(refusal.status, headers, b'')
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 
 class AttemptBudget:
@@ -20,13 +20,13 @@
     ----------
     state : EdgeState
         Retry budgets and the number of nodes.
-    task : Task
+    task : RequestContext
         The request.
     """
 
     __slots__ = ('_holds_retry', '_is_counted', '_state', '_task')
 
-    def __init__(self, state: EdgeState, task: Task) -> None:
+    def __init__(self, state: EdgeState, task: RequestContext) -> None:
         self._state = state
         self._task = task
         self._is_counted = False
--- a/samphirerill/relay/server.py
+++ b/samphirerill/relay/server.py
@@ -68,7 +68,7 @@
 class RequestHandler(Protocol):
     """Serves requests; cancelled if the client disconnects."""
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Serve one request."""
 
     def get_limits(self) -> ClientLimits:
@@ -78,7 +78,7 @@
         """Return whether connections should close after their response."""
 
 
-class CallerConnection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """The connection of one client.
 
     Parameters
@@ -90,7 +90,7 @@
     """
 
     def __init__(
-        self, handler: RequestHandler, connections: set[CallerConnection]
+        self, handler: RequestHandler, connections: set[ClientConnection]
     ) -> None:
         self.is_busy = False
         self.response_started = False
@@ -119,7 +119,7 @@
         self._closing = False
 
     @property
-    def has_work(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Return whether a request is in progress or its response unsent.
 
         A response may still be buffered for a client with a slow link; closing
@@ -249,7 +249,7 @@
             self._abort_parsing(HTTPStatus.BAD_REQUEST)
         self._start_next()
 
-    def start_answer(
+    def start_response(
         self, status: int, headers: Headers, length: int | None
     ) -> None:
         """Write a response head; `length` is ``None`` for chunked encoding."""
@@ -279,33 +279,33 @@
             body = b'%x\r\n%b\r\n' % (len(body), body)
         self._write(body)
 
-    def end_answer(self) -> None:
+    def finish_response(self) -> None:
         """Complete the response."""
         if self._chunked:
             self._write(b'0\r\n\r\n')
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete response."""
-        self.start_answer(status, headers, len(body))
+        self.start_response(status, headers, len(body))
         self._write(body)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection so that the response is seen as incomplete."""
         self._keeps_alive = False
         if self._transport is not None:
             self._transport.abort()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Close the connection because the node ends.
 
         A client without a response gets status 502, as its request may have
         been executed; a response that has started is aborted.
         """
         if not self.is_busy or self.response_started:
-            self.cut()
+            self.abort()
             return
         self._keeps_alive = False
-        self.answer(HTTPStatus.BAD_GATEWAY, [], b'')
+        self.respond(HTTPStatus.BAD_GATEWAY, [], b'')
         self._close()
 
     def close_idle(self) -> None:
@@ -325,7 +325,7 @@
                 'client reads too slowly',
                 extra={'waited_s': _SLOW_CLIENT_TIMEOUT_S},
             )
-            self.cut()
+            self.abort()
 
     def _ignore_upgrade(self, remaining: bytes) -> None:
         """Ignore an offer to upgrade the protocol and read on.
@@ -380,10 +380,10 @@
 
     def _respond_failed(self) -> None:
         if self.response_started:
-            self.cut()
+            self.abort()
         else:
             self._keeps_alive = False
-            self.answer(HTTPStatus.BAD_GATEWAY, [], b'')
+            self.respond(HTTPStatus.BAD_GATEWAY, [], b'')
 
     def _count_header(self, size: int, limit: int) -> None:
         self._header_bytes += size
@@ -402,7 +402,7 @@
             self._keeps_alive = False
             return
         self._keeps_alive = False
-        self.answer(status, [], b'')
+        self.respond(status, [], b'')
         self._close()
 
     def _write(self, data: bytes) -> None:
--- a/samphirerill/relay/stream_call.py
+++ b/samphirerill/relay/stream_call.py
@@ -5,13 +5,13 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.connection import build_call
+from samphirerill.relay.connection import serialize_request
 from samphirerill.relay.dialect import Attempt
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import FleetRoute, Stage
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 # Clients give up a stream after two seconds without an event, or after four
 # times the latency objective of the first event or eight times that between
@@ -24,7 +24,7 @@
 
 
 def build_stream_call(
-    state: EdgeState, task: Task, stages: tuple[Stage, ...], resume: bytes
+    state: EdgeState, task: RequestContext, stages: tuple[Stage, ...], resume: bytes
 ) -> bytes:
     """Return the HTTP request that sends a stream over a path.
 
@@ -32,7 +32,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     stages : tuple of Stage
         The path.
@@ -49,7 +49,7 @@
         resume,
     )
     headers = state.adapter.build_headers(task.req, task.facts, attempt)
-    return build_call(task.req.method, task.req.target, headers, task.req.body)
+    return serialize_request(task.req.method, task.req.target, headers, task.req.body)
 
 
 def get_stall_timeout_s(route: FleetRoute) -> float:
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -11,7 +11,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.errors import SilentEndpointError
+from samphirerill.relay.errors import EndpointTimeoutError
 from samphirerill.relay.stream_path import MoveResult
 
 if TYPE_CHECKING:
@@ -20,9 +20,9 @@
 
     from samphirerill.fleet.model import Stage
     from samphirerill.relay.connection import HttpConnection
-    from samphirerill.relay.health.examiner import Examiner
+    from samphirerill.relay.health.examiner import ReplicaProber
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
     Read = TypeVar('Read')
 
@@ -41,11 +41,11 @@
 
     Parameters
     ----------
-    task : Task
+    task : RequestContext
         The request.
     path : StreamPath
         The path of the stream.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes the replicas of silent paths.
     may_retry : callable
         Returns whether another attempt is allowed.
@@ -57,9 +57,9 @@
 
     def __init__(
         self,
-        task: Task,
+        task: RequestContext,
         path: StreamPath,
-        examiner: Examiner,
+        examiner: ReplicaProber,
         may_retry: Callable[[], bool],
         start_handover: Callable[[HttpConnection, str], bool],
     ) -> None:
@@ -97,7 +97,7 @@
         conn = self._conn
         if conn is None or not self._task.is_retryable:
             return
-        lost = self._path.list_lost()
+        lost = self._path.list_failed()
         if self._path.head_id in lost:
             self._leave_failed_head(conn)
         elif lost:
@@ -121,7 +121,7 @@
             until = min(self._task.deadline, self._loop.time() + silence_s)
             try:
                 return await read(conn, until)
-            except SilentEndpointError:
+            except EndpointTimeoutError:
                 if self._loop.time() >= self._task.deadline:
                     raise
                 silence_s = await self._diagnose_silence(since, silence_s)
@@ -138,7 +138,7 @@
         self._departure_timer = None
         if self._conn is not conn:
             return
-        if self._path.list_lost():
+        if self._path.list_failed():
             self.check_path()
         else:
             self._start_move(conn)
@@ -164,14 +164,14 @@
         Until its deadline, a stream without an alternative stays.
         """
         try:
-            outcome = await self._path.move()
+            outcome = await self._path.replace_later_stages()
         finally:
             if self._move_task is asyncio.current_task():
                 self._move_task = None
         if outcome is MoveResult.MOVED or self._conn is not conn:
             return
         must_leave = outcome is MoveResult.RESEND or bool(
-            self._path.list_lost()
+            self._path.list_failed()
         )
         if not must_leave or not self._can_resend():
             self._schedule_departure(conn)
@@ -180,7 +180,7 @@
 
     async def _diagnose_silence(self, since: float, silence_s: float) -> float:
         """Find out why the path is silent; return the next silence limit."""
-        unproven = self._path.list_unproven()
+        unproven = self._path.list_unconfirmed()
         if not unproven and self._loop.time() - since < _MAX_SILENCE_S:
             return _RECHECK_S
         await self._probe_path(since, unproven)
@@ -191,7 +191,7 @@
     ) -> None:
         """Probe the path and leave it if it cannot continue.
 
-        Raises ``SilentEndpointError`` if the stream has to be sent again.
+        Raises ``EndpointTimeoutError`` if the stream has to be sent again.
 
         Parameters
         ----------
@@ -201,7 +201,7 @@
             The stages that may be dead.
         """
         head_id = self._path.head_id
-        diagnosis = await self._examiner.examine(unproven)
+        diagnosis = await self._examiner.diagnose_path(unproven)
         if head_id in diagnosis.dead:
             self._leave_path(f'{head_id}: does not answer')
             return
@@ -221,9 +221,9 @@
     async def _replace_later_stages(self) -> bool:
         """Replace the later stages, or wait for a move in progress."""
         if self._move_task is None:
-            return await self._path.move() is MoveResult.MOVED
+            return await self._path.replace_later_stages() is MoveResult.MOVED
         await asyncio.wait((self._move_task,))
-        return not self._path.list_lost()
+        return not self._path.list_failed()
 
     def _leave_stalled_path(self, since: float) -> None:
         """Leave a path that is silent for long although all replicas work."""
@@ -235,4 +235,4 @@
         """Start a handover; raise if the stream has not started."""
         conn = self._conn
         if conn is None or not self._start_handover(conn, reason):
-            raise SilentEndpointError(reason)
+            raise EndpointTimeoutError(reason)
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -10,11 +10,11 @@
 from samphirerill.relay.stream_call import get_stall_timeout_s
 
 if TYPE_CHECKING:
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_sender import StreamProgress
     from samphirerill.relay.stream_times import StreamTimes
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 # Clients give up after two seconds without an event, also before the first one;
 # a request that waits longer for a path is rejected instead.
@@ -45,13 +45,13 @@
     ----------
     state : EdgeState
         Retry budgets and the number of nodes.
-    task : Task
+    task : RequestContext
         The request.
     progress : StreamProgress
         The progress of the stream.
     times : StreamTimes
         The times of its events.
-    quarantine : Witness
+    quarantine : CrashDetector
         Knows whether the request is quarantined.
     """
 
@@ -68,10 +68,10 @@
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         progress: StreamProgress,
         times: StreamTimes,
-        quarantine: Witness,
+        quarantine: CrashDetector,
     ) -> None:
         self._state = state
         self._task = task
@@ -90,7 +90,7 @@
         now = self._loop.time()
         quarantined_until = self._quarantine.find_held_until(self._task)
         if quarantined_until:
-            reason = self._quarantine.explain(self._task)
+            reason = self._quarantine.describe_hold(self._task)
             return AttemptDenial(reason, quarantined_until - now)
         denial = self._find_final_denial(now)
         if denial:
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -12,18 +12,18 @@
 from samphirerill.fleet.moves import predict_pause_ms
 from samphirerill.fleet.paths import predict_gap_ms
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.signs import list_unproven
+from samphirerill.relay.health.signs import list_unconfirmed
 from samphirerill.relay.orders import request_reroute
 from samphirerill.relay.path_finder import ANY_HEAD, PathFinder
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import EngineSpec, Stage
     from samphirerill.fleet.paths import PathRequest
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.health.examiner import Diagnosis
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('streams')
 # Share of the time left on a draining replica before a stream may move. Most
@@ -63,20 +63,20 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
-    admission : Admission
+    admission : AdmissionQueue
         Grants paths with free capacity.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         engine: EngineSpec,
-        admission: Admission,
+        admission: AdmissionQueue,
     ) -> None:
         self.engine = engine
         self.stages: tuple[Stage, ...] = ()
@@ -122,7 +122,7 @@
         self.stages = await self._admit(wanted, rank, deadline)
 
     async def find_isolated_head(
-        self, quarantine: Witness, until: float
+        self, quarantine: CrashDetector, until: float
     ) -> frozenset[str]:
         """Return the heads for a suspected request; empty for any.
 
@@ -150,7 +150,7 @@
         Its head differs, so that no replica runs the same stream twice at a
         time. Raises ``NoPathError`` if no path is found.
         """
-        wanted = self.finder.build_beside(self.head_id, self.list_lost())
+        wanted = self.finder.build_parallel_request(self.head_id, self.list_failed())
         return await self._admit(wanted, rank, deadline)
 
     def release(self) -> None:
@@ -160,9 +160,9 @@
 
     def has_alternative(self) -> bool:
         """Return whether a path over other replicas has capacity now."""
-        return bool(self.finder.find_other(self.list_lost()))
+        return bool(self.finder.find_alternative(self.list_failed()))
 
-    async def move(self) -> MoveResult:
+    async def replace_later_stages(self) -> MoveResult:
         """Replace the stages after the head, unless resending is faster."""
         cached_ids = frozenset(list_ids(self.stages))
         ending = self._list_ending_ids()
@@ -171,7 +171,7 @@
             return MoveResult.NONE
         if self._is_resend_faster(stages, cached_ids, ending):
             return MoveResult.RESEND
-        self._admission.hold(self.engine, stages, self.tokens)
+        self._admission.reserve(self.engine, stages, self.tokens)
         if await self._reroute(stages):
             return MoveResult.MOVED
         return MoveResult.NONE
@@ -198,14 +198,14 @@
         expires_at = until + _MOVE_MARGIN_S
         return expires_at if expires_at > now else 0.0
 
-    def list_unproven(self) -> tuple[Stage, ...]:
+    def list_unconfirmed(self) -> tuple[Stage, ...]:
         """Return the stages without recent proof that they work."""
         if not self._state.settings.policy.signs_of_life:
             return self.stages
         since = self._loop.time() - _LIVENESS_PROOF_S
-        return list_unproven(self._state.streams, self.stages, since)
+        return list_unconfirmed(self._state.streams, self.stages, since)
 
-    def list_lost(self) -> set[str]:
+    def list_failed(self) -> set[str]:
         """Return the replicas of the path that should be left at once."""
         now = self._loop.time()
         view = self._state.view
@@ -229,7 +229,7 @@
             name = stage.replica.replica_id
             if stage.replica.address == address or name in diagnosis.dead:
                 return name
-        return next(iter(self.list_lost()), '')
+        return next(iter(self.list_failed()), '')
 
     def predict_gap_s(self, stages: tuple[Stage, ...]) -> float:
         """Return the predicted time between two events on a path."""
@@ -273,7 +273,7 @@
 
     def _list_ending_ids(self) -> set[str]:
         """Return the replicas that have failed, drain or drop layers."""
-        return self.list_lost() | set(self._list_end_times(self._loop.time()))
+        return self.list_failed() | set(self._list_end_times(self._loop.time()))
 
     def _is_resend_faster(
         self,
@@ -288,9 +288,9 @@
         """
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
-        other = self.finder.find_other(ending)
+        other = self.finder.find_alternative(ending)
         concurrent = max(self._state.load_tracker.requests(name) for name in ending)
-        if not self.list_lost():
+        if not self.list_failed():
             concurrent = concurrent // _SPREAD_FACTOR + 1
         move_ms = predict_pause_ms(
             self.engine, stages, cached_ids, self.tokens, concurrent
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -13,7 +13,7 @@
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.answers import is_success, read_head
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
+    BrokenResponseError,
     ConnectError,
     EndpointError,
     ConnectionLimitError,
@@ -24,13 +24,13 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica, Stage
-    from samphirerill.relay.connection import Head, HttpConnection
+    from samphirerill.relay.connection import ResponseHead, HttpConnection
     from samphirerill.relay.dialect import ResponseMetadata
-    from samphirerill.relay.health import Examiner
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.health import ReplicaProber
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('streams')
 # Also the status when a path waits for a stage in vain.
@@ -58,7 +58,7 @@
         'attempts',
     )
 
-    def __init__(self, task: Task) -> None:
+    def __init__(self, task: RequestContext) -> None:
         self.last_id = parse_event_id(task.facts.resume_after)
         self.response_started_at = 0.0
         self.attempts = 0
@@ -93,15 +93,15 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     path : StreamPath
         The path, with the replicas that were used and those to avoid.
     progress : StreamProgress
         The progress, which is kept up to date.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes replicas that others report as the cause of a failure.
-    quarantine : Witness
+    quarantine : CrashDetector
         Knows whether the request is quarantined; informed of runs that break
         off.
     """
@@ -119,11 +119,11 @@
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         path: StreamPath,
         progress: StreamProgress,
-        examiner: Examiner,
-        quarantine: Witness,
+        examiner: ReplicaProber,
+        quarantine: CrashDetector,
     ) -> None:
         self._examiner = examiner
         self._quarantine = quarantine
@@ -136,10 +136,10 @@
     async def connect(self, replica: Replica) -> HttpConnection | None:
         """Return a connection, or none if the replica is unavailable now."""
         try:
-            conn = await self._state.pool.take(
+            conn = await self._state.pool.acquire(
                 replica,
                 fresh=not self._task.is_retryable,
-                most=self._state.get_connection_limit(self._task.service),
+                max_open=self._state.get_connection_limit(self._task.service),
             )
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
@@ -151,7 +151,7 @@
             if not self._quarantine.find_held_until(self._task):
                 return conn
             # The request was quarantined while connecting.
-            self._state.pool.give_back(replica, conn)
+            self._state.pool.release(replica, conn)
         return None
 
     def send(
@@ -184,7 +184,7 @@
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
             waited_ms=round(waited_s * MS_PER_S),
         )
-        self._quarantine.note_send(self._task, stages[0].replica)
+        self._quarantine.record_send(self._task, stages[0].replica)
         conn.send(self._build_call(stages))
         return is_new_head
 
@@ -210,8 +210,8 @@
             self._record_parallel_failure(
                 stages[0].replica.replica_id, str(exc)
             )
-            if isinstance(exc, BrokenAnswerError):
-                self._quarantine.note_break(self._task, stages[0].replica)
+            if isinstance(exc, BrokenResponseError):
+                self._quarantine.record_failure(self._task, stages[0].replica)
         finally:
             if head is None:
                 conn.close()
@@ -219,14 +219,14 @@
 
     async def read_head(
         self, conn: HttpConnection, deadline: float
-    ) -> tuple[Head, ResponseMetadata]:
+    ) -> tuple[ResponseHead, ResponseMetadata]:
         """Return the head of the response to this stream."""
         return await read_head(
             conn, self._state.adapter, self._task.facts.request_id, deadline
         )
 
     def handle_rejection(
-        self, head_id: str, head: Head, failed_address: str, *, is_new_head: bool
+        self, head_id: str, head: ResponseHead, failed_address: str, *, is_new_head: bool
     ) -> None:
         """Exclude the replica at fault after a path rejected the stream."""
         if is_new_head:
@@ -239,7 +239,7 @@
             and replica_id != head_id
             and head.status == _UNAVAILABLE
         ):
-            self._examiner.check(faulty.replica)
+            self._examiner.probe_in_background(faulty.replica)
         self._record_refusal(replica_id, f'engine refused with {head.status}')
 
     async def _start_run(
@@ -247,7 +247,7 @@
         conn: HttpConnection,
         stages: tuple[Stage, ...],
         deadline: float,
-    ) -> Head | None:
+    ) -> ResponseHead | None:
         """Return the response head of a started run; none if it was rejected.
 
         A run counts as started with its first event: if the engine broke off
--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -20,7 +20,7 @@
 # enough events of its own.
 _PREDICTED_GAP_FACTOR = 3.0
 # Lower limit of a silence: prompts of other streams cause gaps of this length.
-LEAST_SILENCE_S = 0.05
+MIN_SILENCE_S = 0.05
 _MIN_INITIAL_SILENCE_S = 0.09
 # Part of an acceptable gap that is needed to recover: probing the stages (up to
 # 0.09 s) and prefilling the stream elsewhere.
@@ -38,7 +38,7 @@
     two those of the first and latest event; 0 for none yet.
     """
 
-    __slots__ = ('events', 'first_at', 'last_at', 'note_at', 'sent_at')
+    __slots__ = ('events', 'first_at', 'last_at', 'next_report_at', 'sent_at')
 
     def __init__(self, sent_at: float) -> None:
         self.sent_at = sent_at
@@ -46,10 +46,10 @@
         self.first_at = 0.0
         self.last_at = 0.0
         # When to report again that the run goes on.
-        self.note_at = 0.0
+        self.next_report_at = 0.0
 
     @property
-    def has_survived(self) -> bool:
+    def has_outlasted_start(self) -> bool:
         """Return whether the run has lasted longer than the start phase."""
         return self.last_at - self.first_at >= BEGINNING_S
 
@@ -103,7 +103,7 @@
         max_gap_s: float = 0.0,
     ) -> None:
         self.last_at = 0.0
-        self._min_silence_s = max(LEAST_SILENCE_S, max_gap_s - _RECOVERY_S)
+        self._min_silence_s = max(MIN_SILENCE_S, max_gap_s - _RECOVERY_S)
         self._metrics = metrics
         self._policy = policy
         self._arrived_at = arrived_at
@@ -113,7 +113,7 @@
         self._max_gap_at = 0.0
         self._gaps = Smoothed()
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record events that are being passed on."""
         self._events += 1
         if self.last_at:
@@ -129,7 +129,7 @@
             self._first_at = now
         self.last_at = now
 
-    def find_silence_s(self, predicted_s: float) -> float:
+    def get_silence_limit_s(self, predicted_s: float) -> float:
         """Return after which time without an event the path is checked.
 
         The limit is the mean gap plus some deviations, and not a multiple of
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -19,20 +19,20 @@
     read_body,
 )
 from samphirerill.relay.connection import (
-    Head,
+    ResponseHead,
     HttpConnection,
-    Part,
-    Whole,
+    BodyChunk,
+    EndOfResponse,
 )
-from samphirerill.relay.errors import BrokenAnswerError, EndpointError
-from samphirerill.relay.events import EventSplitter
-from samphirerill.relay.leaving import may_leave, must_begin_here
+from samphirerill.relay.errors import BrokenResponseError, EndpointError
+from samphirerill.relay.events import EventParser
+from samphirerill.relay.leaving import should_seek_path, must_resend_to_head
 from samphirerill.relay.refusals import (
     FAILED,
     TIMED_OUT,
     UNAVAILABLE,
     Refusal,
-    refuse,
+    send_refusal,
 )
 from samphirerill.relay.stream_guard import StreamGuard
 from samphirerill.relay.stream_limits import StreamLimits
@@ -45,11 +45,11 @@
     from collections.abc import Awaitable, Coroutine
 
     from samphirerill.fleet.model import EngineSpec, Stage
-    from samphirerill.relay.admission import Admission
-    from samphirerill.relay.health.examiner import Examiner
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.admission import AdmissionQueue
+    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('streams')
 # Admission rank of started streams: ahead of all new ones.
@@ -73,26 +73,26 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
-    admission : Admission
+    admission : AdmissionQueue
         Grants paths with free capacity.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes unresponsive replicas.
-    quarantine : Witness
+    quarantine : CrashDetector
         Informed of runs that break off and of runs that go on.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         engine: EngineSpec,
-        admission: Admission,
-        examiner: Examiner,
-        quarantine: Witness,
+        admission: AdmissionQueue,
+        examiner: ReplicaProber,
+        quarantine: CrashDetector,
     ) -> None:
         self._state = state
         self._task = task
@@ -114,7 +114,7 @@
             state, task, self._progress, self._times, quarantine
         )
         self._ended = False
-        self._error_response: tuple[Head, bytes] | None = None
+        self._error_response: tuple[ResponseHead, bytes] | None = None
         self._run = RunTimes(0.0)
         self._conn: HttpConnection | None = None
         self._wait_scope: asyncio.Timeout | None = None
@@ -146,7 +146,7 @@
             self._handover.cancel()
             self._unregister()
 
-    def check_path(self) -> None:
+    def handle_view_change(self) -> None:
         """React to changed replica states without waiting for a silence."""
         self._guard.check_path()
 
@@ -160,7 +160,7 @@
             return
         if self._wait_scope is not None:
             self._wait_scope.reschedule(self._loop.time())
-        if self._run.has_survived:
+        if self._run.has_outlasted_start:
             return
         self._handover.cancel()
         if self._conn is not None:
@@ -191,7 +191,7 @@
             await self._wait_unless_quarantined(asyncio.sleep(backoff_s))
         if self._quarantine.is_suspect(self._task):
             await self._wait_unless_quarantined(
-                self._quarantine.rest(self._task)
+                self._quarantine.delay_retry(self._task)
             )
 
     async def _wait_for_path(self) -> bool:
@@ -277,7 +277,7 @@
             conn.close()
             raise
         else:
-            self._state.pool.give_back(replica, conn)
+            self._state.pool.release(replica, conn)
         finally:
             self._conn = None
             self._guard.stop()
@@ -286,7 +286,7 @@
         """Start a handover; return whether the stream has started."""
         if self._progress.has_started and self._task.is_retryable:
             self._log('stream leaves', reason=reason)
-            if must_begin_here(self._path) and self._limits.may_retry():
+            if must_resend_to_head(self._path) and self._limits.may_retry():
                 # The new run starts at the same head, which must not run the
                 # stream twice at a time.
                 conn.close()
@@ -296,7 +296,7 @@
 
     async def _start_parallel_run(self) -> StreamRun | None:
         """Start a parallel run, if a replica accepts it."""
-        if not may_leave(self._path):
+        if not should_seek_path(self._path):
             return None
         until = self._limits.get_admission_deadline()
         try:
@@ -360,43 +360,43 @@
         if not self._task.is_retryable:
             self._fail('it may have run', 0)
 
-    async def _relay(self, conn: HttpConnection, head: Head) -> None:
+    async def _relay(self, conn: HttpConnection, head: ResponseHead) -> None:
         """Pass the events on to the client."""
         client = self._task.conn
         if not self._progress.has_started:
             self._progress.response_started_at = self._loop.time()
-            client.start_answer(head.status, filter_headers(head), None)
-        splitter = EventSplitter()
+            client.start_response(head.status, filter_headers(head), None)
+        splitter = EventParser()
         predicted_s = self._path.predict_gap_s(self._path.stages)
         while not self._ended:
-            silence_s = self._times.find_silence_s(predicted_s)
+            silence_s = self._times.get_silence_limit_s(predicted_s)
             part = await self._guard.read(conn, silence_s, _read_part)
-            if isinstance(part, Whole):
+            if isinstance(part, EndOfResponse):
                 if self._run.events:
-                    self._quarantine.note_whole(self._task)
-                client.write_body(splitter.rest)
-                client.end_answer()
+                    self._quarantine.record_completion(self._task)
+                client.write_body(splitter.buffer)
+                client.finish_response()
                 self._ended = True
-            elif isinstance(part, Part):
+            elif isinstance(part, BodyChunk):
                 self._forward_events(splitter, part.body)
                 await client.drain()
 
-    def _forward_events(self, splitter: EventSplitter, body: bytes) -> None:
+    def _forward_events(self, splitter: EventParser, body: bytes) -> None:
         new_events = []
         events = splitter.feed(body)
         if events:
             if not self._run.events:
                 self._mark_path_working()
             self._run.record_events(len(events), self._loop.time())
-            self._quarantine.note_progress(self._task, self._run)
+            self._quarantine.record_progress(self._task, self._run)
         for event in events:
-            if event.number < 0 or event.number > self._progress.last_id:
+            if event.event_id < 0 or event.event_id > self._progress.last_id:
                 self._progress.last_id = max(
-                    self._progress.last_id, event.number
+                    self._progress.last_id, event.event_id
                 )
                 new_events.append(event.raw)
         if new_events:
-            self._times.note_event(self._loop.time())
+            self._times.record_event(self._loop.time())
             self._task.conn.write_body(b''.join(new_events))
 
     def _mark_path_working(self) -> None:
@@ -408,9 +408,9 @@
             self._state.view.trust(stage.replica.replica_id)
 
     def _handle_break(self, exc: EndpointError) -> None:
-        if isinstance(exc, BrokenAnswerError):
+        if isinstance(exc, BrokenResponseError):
             head = self._path.stages[0].replica
-            self._quarantine.note_break(self._task, head, self._run)
+            self._quarantine.record_failure(self._task, head, self._run)
         if self._handover.has_replacement:
             self._state.counters['streams.taken_over'] += 1
             return
@@ -418,7 +418,7 @@
             self._progress.may_have_run = True
             self._progress.has_broken_run = True
         self._progress.reason = str(exc)
-        self._path.avoid.update(self._path.list_lost(), (self._path.head_id,))
+        self._path.avoid.update(self._path.list_failed(), (self._path.head_id,))
         if not self._progress.has_advanced():
             # The replica may be restarting repeatedly: no stream of this node
             # should be sent there at once.
@@ -449,13 +449,13 @@
                 reason=self._progress.reason,
                 obstacle=denial,
             )
-            client.cut()
+            client.abort()
         elif self._error_response is None:
             refusal = self._build_refusal(denial, wait_s)
-            refuse(self._state, client, self._task.facts, refusal)
+            send_refusal(self._state, client, self._task.facts, refusal)
         else:
             head, body = self._error_response
-            client.answer(head.status, filter_headers(head), body)
+            client.respond(head.status, filter_headers(head), body)
 
     def _build_refusal(self, denial: str, wait_s: float) -> Refusal:
         reasons = filter(None, (self._progress.reason, denial))
@@ -482,5 +482,5 @@
 
 async def _read_part(
     conn: HttpConnection, deadline: float
-) -> Head | Part | Whole:
+) -> ResponseHead | BodyChunk | EndOfResponse:
     return await conn.read(deadline)
--- a/samphirerill/relay/succession.py
+++ b/samphirerill/relay/succession.py
@@ -18,7 +18,7 @@
     from collections.abc import Awaitable, Callable
 
     from samphirerill.fleet.model import Stage
-    from samphirerill.relay.connection import Head, HttpConnection
+    from samphirerill.relay.connection import ResponseHead, HttpConnection
 
 _LOG = get_logger('streams')
 
@@ -29,7 +29,7 @@
 
     stages: tuple[Stage, ...]
     conn: HttpConnection
-    head: Head
+    head: ResponseHead
 
 
 class Handover:
--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/task.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.model import ClientAccount, FleetRoute, Service
     from samphirerill.relay.dialect import RequestMetadata
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
 
 @dataclass(slots=True)
-class Task:
+class RequestContext:
     """The context in which one request is served.
 
     `deadline` is the earlier of the client's deadline and the route's timeout,
@@ -26,7 +26,7 @@
 
     req: Request
     facts: RequestMetadata
-    conn: CallerConnection
+    conn: ClientConnection
     route: FleetRoute
     service: Service
     account: ClientAccount | None
--- a/samphirerill/testing/ending_replica.py
+++ b/samphirerill/testing/ending_replica.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
 _CANCEL_TIMEOUT_S = 60.0
 
@@ -46,7 +46,7 @@
         self._on_marked = on_marked
         self._on_end = on_end
 
-    async def _serve(self, req: Request, conn: CallerConnection) -> None:
+    async def _serve(self, req: Request, conn: ClientConnection) -> None:
         if self._mark in req.body:
             self._on_marked()
         await super()._serve(req, conn)
--- a/samphirerill/testing/platform_replicas.py
+++ b/samphirerill/testing/platform_replicas.py
@@ -14,7 +14,7 @@
 from samphirerill.fleet.model import ClientLimits
 
 if TYPE_CHECKING:
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
 _OK = 200
 _ACCEPTED = 202
@@ -91,16 +91,16 @@
         """Return whether connections are closed after each response."""
         return False
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Handle one request."""
         if req.target in (b'/report', b'/order'):
             await self.free.wait()
         if req.target == b'/report':
-            conn.answer(_OK, [], json.encode(self._report()))
+            conn.respond(_OK, [], json.encode(self._report()))
             return
         if req.target == b'/order':
             self._take_order(json.decode(req.body))
-            conn.answer(self.order_status, [], b'')
+            conn.respond(self.order_status, [], b'')
             return
         self.seen.append(req)
         try:
@@ -109,7 +109,7 @@
             self.cancelled += 1
             raise
 
-    async def _serve(self, req: Request, conn: CallerConnection) -> None:
+    async def _serve(self, req: Request, conn: ClientConnection) -> None:
         headers = [
             (
                 b'X-Samphirerill-Request-Id',
@@ -118,37 +118,37 @@
         ]
         if self.resets:
             self.resets -= 1
-            conn.cut()
+            conn.abort()
             return
         is_limit_reached = 0 < self.most_runs < len(self.seen)
         if self.refuses or is_limit_reached:
             headers.append((b'X-Samphirerill-Not-Executed', b'1'))
-            conn.answer(_UNAVAILABLE, headers, b'')
+            conn.respond(_UNAVAILABLE, headers, b'')
             return
         seal = f'seal-{self.replica_id}'.encode()
         headers.append((b'X-Samphirerill-Response-Seal', seal))
         if self.fails:
             self.fails -= 1
-            conn.answer(_SERVER_ERROR, headers, b'failed')
+            conn.respond(_SERVER_ERROR, headers, b'failed')
         elif req.get(b'x-samphirerill-hop-count') is None:
             await self._wait_for_answer(req)
             body = b'plain ' + req.body + bytes(self.padding)
-            conn.answer(_OK, headers, body)
+            conn.respond(_OK, headers, body)
         else:
             await self._stream(req, conn, headers)
 
     async def _stream(
         self,
         req: Request,
-        conn: CallerConnection,
+        conn: ClientConnection,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
         headers.append((b'Content-Type', b'text/event-stream'))
         await asyncio.sleep(self.begins_after_s)
-        conn.start_answer(_OK, headers, None)
+        conn.start_response(_OK, headers, None)
         if self.cut_after_head:
             await asyncio.sleep(self.gap_s)
-            conn.cut()
+            conn.abort()
             return
         first = int(req.get(b'last-event-id') or b'0') + 1
         for number in range(first, self.events + 1):
@@ -157,12 +157,12 @@
                 # Half an event, then a close without the last chunk.
                 conn.write_body(b'id: %d\ndata: to' % number)
                 await asyncio.sleep(self.gap_s)
-                conn.cut()
+                conn.abort()
                 return
             if self.silent_after and number > self.silent_after:
                 await asyncio.sleep(60)
             conn.write_body(b'id: %d\ndata: token%d\n\n' % (number, number))
-        conn.end_answer()
+        conn.finish_response()
 
     async def _wait_for_answer(self, req: Request) -> None:
         """Wait as long as a plain request takes to execute."""
--- a/samphirerill/testing/platform_store.py
+++ b/samphirerill/testing/platform_store.py
@@ -16,7 +16,7 @@
 from samphirerill.fleet.model import ClientLimits
 
 if TYPE_CHECKING:
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
 _OK = 200
 _BAD_REQUEST = 400
@@ -62,11 +62,11 @@
         """Return whether connections are closed after each response."""
         return False
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Handle one API call."""
         self.calls += 1
         if self.busy:
-            conn.answer(_UNAVAILABLE, [], b'')
+            conn.respond(_UNAVAILABLE, [], b'')
             return
         parts = urlsplit(req.target.decode())
         query = {
@@ -76,9 +76,9 @@
         status, answer = await self._dispatch(parts.path, query, body)
         if self.lose_answers:
             self.lose_answers -= 1
-            conn.cut()
+            conn.abort()
             return
-        conn.answer(status, [], json.encode(answer))
+        conn.respond(status, [], json.encode(answer))
 
     async def put(self, key: str, text: bytes, lease: int = 0) -> int:
         """Write a key directly, in place of an operator or replica."""
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -8,16 +8,16 @@
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.platform.store import PlatformStore
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.relay.process import EdgeProcess
 from samphirerill.testing.platform_replicas import StandInReplica
 from samphirerill.testing.platform_store import StandInStore
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 _HOST = '127.0.0.1'
 _ANY_PORT = f'{_HOST}:0'
@@ -42,8 +42,8 @@
         self.service = StandInStore()
         self.replicas: dict[str, StandInReplica] = {}
         self.addresses: dict[str, str] = {}
-        self._connections: set[CallerConnection] = set()
-        self._replica_connections: dict[str, set[CallerConnection]] = {}
+        self._connections: set[ClientConnection] = set()
+        self._replica_connections: dict[str, set[ClientConnection]] = {}
         self._servers: dict[str, asyncio.Server] = {}
         self._stores: list[PlatformStore] = []
         self._store_address = ''
@@ -94,7 +94,7 @@
         for server in self._servers.values():
             server.close()
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
         for name in tuple(self._replica_connections):
             self.end_replica(name)
         for store in self._stores:
@@ -110,7 +110,7 @@
     async def run_replica(self, replica: StandInReplica) -> None:
         """Start listening for a replica."""
         name = replica.replica_id
-        connections: set[CallerConnection] = set()
+        connections: set[ClientConnection] = set()
         server = await listen(_ANY_PORT, replica, connections)
         self._servers[name] = server
         self._replica_connections[name] = connections
@@ -122,7 +122,7 @@
         """Stop a replica abruptly: close its port and all its connections."""
         self._servers[name].close()
         for conn in tuple(self._replica_connections.pop(name, ())):
-            conn.cut()
+            conn.abort()
 
     def expect_process(self) -> EdgeProcess:
         """Return the first node, ready or not."""
@@ -169,8 +169,8 @@
         """Send one request; return the status and the complete body."""
         conn = await self.connect(process)
         try:
-            conn.send(build_call(b'POST', target, headers, body))
+            conn.send(serialize_request(b'POST', target, headers, body))
             deadline = asyncio.get_running_loop().time() + _TEST_TIMEOUT_S
-            return await read_answer(conn, deadline)
+            return await read_response(conn, deadline)
         finally:
             conn.close()
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -7,13 +7,13 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.relay.connection import (
-    Head,
+    ResponseHead,
     HttpConnection,
-    Part,
-    build_call,
+    BodyChunk,
+    serialize_request,
 )
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.events import EventSplitter
+from samphirerill.relay.events import EventParser
 from samphirerill.relay.pool import call_once
 from samphirerill.testing.soak.environment import HOST, KEYS
 from samphirerill.testing.soak.replicas import count_events
@@ -216,7 +216,7 @@
                     f'{request_id}: got body {response.body!r}'
                 )
             return
-        splitter = EventSplitter()
+        splitter = EventParser()
         events = splitter.feed(response.body)
         for number, event in enumerate(events, 1):
             expected = f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
@@ -304,7 +304,7 @@
         (b'x-samphirerill-token-count', b'20,20'),
         (b'x-samphirerill-deadline-ms', b'8000'),
     ]
-    return build_call(b'POST', target.encode(), headers, b'{}')
+    return serialize_request(b'POST', target.encode(), headers, b'{}')
 
 
 async def _read_response(
@@ -312,13 +312,13 @@
 ) -> None:
     """Read a response into `answer`, keeping what arrived on an error."""
     head = await conn.read(deadline)
-    if not isinstance(head, Head):
+    if not isinstance(head, ResponseHead):
         raise TypeError(f'got {head!r}, expected a response head')
     response.status = head.status
     response.request_id = head.get(b'x-samphirerill-request-id') or b''
     while True:
         part = await conn.read(deadline)
-        if not isinstance(part, Part):
+        if not isinstance(part, BodyChunk):
             response.is_complete = True
             return
         response.body += part.body
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 HOST = 'soak.example'
 KEYS = {'suva': 'key-suva', 'nadi': 'key-nadi'}
@@ -117,7 +117,7 @@
         )
         self._replicas = ReplicaRegistry(self.truth)
         self._loop = asyncio.get_running_loop()
-        self._connections: set[CallerConnection] = set()
+        self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -152,7 +152,7 @@
         proxies.extend(self.store_proxies.values())
         await asyncio.gather(*(proxy.stop() for proxy in proxies))
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
         if self._server is not None:
             self._server.close()
 
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -16,7 +16,7 @@
 from samphirerill.relay.listeners import listen
 
 if TYPE_CHECKING:
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
     from samphirerill.testing.soak.truth import GroundTruth
 
 LAYERS = 80
@@ -95,7 +95,7 @@
         self._replicas = replicas
         self._truth = replicas.truth
         self._loop = asyncio.get_running_loop()
-        self._connections: set[CallerConnection] = set()
+        self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._busy_until = 0.0
         self._pipelines: dict[str, list[tuple[str, LayerRange]]] = {}
@@ -113,7 +113,7 @@
         if self._server is not None:
             self._server.close()
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
         if self._replicas.find(self.address) is self:
             self._replicas.by_address.pop(self.address)
 
@@ -144,16 +144,16 @@
         loaded = self.layers
         return loaded.first <= layers.first and layers.end <= loaded.end
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Handle one request."""
         if req.target == b'/report':
-            conn.answer(_OK, [], json.encode(self._report()))
+            conn.respond(_OK, [], json.encode(self._report()))
         elif req.target == b'/order':
-            conn.answer(self._take_order(json.decode(req.body)), [], b'')
+            conn.respond(self._take_order(json.decode(req.body)), [], b'')
         else:
             await self._serve(req, conn)
 
-    async def _serve(self, req: Request, conn: CallerConnection) -> None:
+    async def _serve(self, req: Request, conn: ClientConnection) -> None:
         expected = req.get(b'x-samphirerill-target-instance') or b''
         if expected != self.replica_id.encode():
             self._refuse(req, conn, _MISDIRECTED, self.address)
@@ -170,17 +170,17 @@
             return
         await self._stream(req, conn, pipeline)
 
-    async def _answer_plain(self, req: Request, conn: CallerConnection) -> None:
+    async def _answer_plain(self, req: Request, conn: ClientConnection) -> None:
         request_id = _read_id(req)
         self._truth.record_run(request_id, self.replica_id, _read_account(req))
         await asyncio.sleep(_SERVICE_TIME_S)
         body = f'{request_id} {self.service}'.encode()
-        conn.answer(_OK, self._build_headers(req), body)
+        conn.respond(_OK, self._build_headers(req), body)
 
     async def _stream(
         self,
         req: Request,
-        conn: CallerConnection,
+        conn: ClientConnection,
         pipeline: list[tuple[str, LayerRange]],
     ) -> None:
         request_id = _read_id(req)
@@ -191,16 +191,16 @@
             *self._build_headers(req),
             (b'content-type', b'text/event-stream'),
         ]
-        conn.start_answer(_OK, headers, None)
+        conn.start_response(_OK, headers, None)
         try:
             for number in range(first, count_events(request_id) + 1):
                 await asyncio.sleep(_EVENT_INTERVAL_S)
                 if not await self._wait_for_stages(request_id):
-                    conn.cut()
+                    conn.abort()
                     return
                 event = f'id: {number}\ndata: {request_id}-{number}\n\n'
                 conn.write_body(event.encode())
-            conn.end_answer()
+            conn.finish_response()
         finally:
             self._pipelines.pop(request_id, None)
 
@@ -262,14 +262,14 @@
         }
 
     def _refuse(
-        self, req: Request, conn: CallerConnection, status: int, failed_address: str
+        self, req: Request, conn: ClientConnection, status: int, failed_address: str
     ) -> None:
         headers = [
             (_REQUEST_ID_HEADER, req.get(_REQUEST_ID_HEADER) or b''),
             (b'x-samphirerill-not-executed', b'1'),
             (b'at-server', failed_address.encode()),
         ]
-        conn.answer(status, headers, b'')
+        conn.respond(status, headers, b'')
 
     def _build_headers(self, req: Request) -> list[tuple[bytes, bytes]]:
         return [
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -9,7 +9,7 @@
 from samphirerill.fleet.paths import PathRequest
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission, NoPathError, OutageError
+from samphirerill.relay.admission import AdmissionQueue, NoPathError, OutageError
 from samphirerill.relay.state import EdgeState
 from samphirerill.tests.fleets import ENGINE, build_replica
 
@@ -28,7 +28,7 @@
             self.state.view.announce(
                 build_replica(name, 'a', 'large', layers), 1
             )
-        self.admission = Admission(self.state)
+        self.admission = AdmissionQueue(self.state)
         self.loop = asyncio.get_running_loop()
 
     def admit(
--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -6,9 +6,9 @@
 
 from msgspec import json
 
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
     EVENTS,
@@ -102,7 +102,7 @@
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.process.get_port()
         )
-        writer.write(build_call(b'POST', b'/pickup/x', headers, b'gown'))
+        writer.write(serialize_request(b'POST', b'/pickup/x', headers, b'gown'))
         async with asyncio.timeout(2):
             head = await reader.readline()
         writer.close()
@@ -131,11 +131,11 @@
 
     async def try_send(self, conn: HttpConnection) -> bool:
         """Send a request; return whether it got a response."""
-        call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
+        call = serialize_request(b'POST', b'/pickup/x', build_headers('r1'), b'')
         conn.send(call)
         until = asyncio.get_running_loop().time() + PATIENCE_S
         try:
-            status, _ = await read_answer(conn, until)
+            status, _ = await read_response(conn, until)
         except EndpointError:
             return False
         return status == OK
--- a/samphirerill/tests/test_callers_input.py
+++ b/samphirerill/tests/test_callers_input.py
@@ -8,7 +8,7 @@
 
 from samphirerill.fleet.model import ClientLimits
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.server import CallerConnection, Request
+from samphirerill.relay.server import ClientConnection, Request
 
 _VALID = b'POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi'
 _RESPONSE_TIMEOUT_S = 3.0
@@ -26,9 +26,9 @@
     def __init__(self) -> None:
         self.bodies: list[bytes] = []
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         self.bodies.append(req.body)
-        conn.answer(200, [], req.body)
+        conn.respond(200, [], req.body)
 
     def get_limits(self) -> ClientLimits:
         return _LIMITS
@@ -42,7 +42,7 @@
 
     async def asyncSetUp(self) -> None:
         self.handler = _EchoHandler()
-        self.connections: set[CallerConnection] = set()
+        self.connections: set[ClientConnection] = set()
         self.server = await listen(
             '127.0.0.1:0', self.handler, self.connections
         )
@@ -51,7 +51,7 @@
     async def asyncTearDown(self) -> None:
         self.server.close()
         for conn in tuple(self.connections):
-            conn.cut()
+            conn.abort()
         await asyncio.sleep(0)
 
     async def exchange(self, raw: bytes, *, ends: bool = False) -> bytes:
--- a/samphirerill/tests/test_cfg_texts.py
+++ b/samphirerill/tests/test_cfg_texts.py
@@ -199,9 +199,9 @@
         pool = ConnectionPool(Counter())
         loop = asyncio.get_running_loop()
         with patch.object(loop, 'create_connection', connect):
-            task = asyncio.create_task(pool.take(build_replica('one'), most=1))
+            task = asyncio.create_task(pool.acquire(build_replica('one'), max_open=1))
             await asyncio.sleep(0.02)
-            self.assertFalse(pool.has_left('one', 1))
+            self.assertFalse(pool.has_available('one', 1))
             task.cancel()
             await asyncio.wait((task,))
-        self.assertTrue(pool.has_left('one', 1))
+        self.assertTrue(pool.has_available('one', 1))
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -8,12 +8,12 @@
 from unittest import IsolatedAsyncioTestCase
 
 from samphirerill.fleet.model import Replica
-from samphirerill.relay.connection import build_call
+from samphirerill.relay.connection import serialize_request
 from samphirerill.relay.errors import (
-    NobodyListensError,
+    ConnectRefusedError,
     ConnectionLimitError,
 )
-from samphirerill.relay.pool import ConnectionPool, read_answer
+from samphirerill.relay.pool import ConnectionPool, read_response
 from samphirerill.testing.platform_world import PlatformWorld
 from samphirerill.tests.fleets import build_replica
 
@@ -38,27 +38,27 @@
 
         Each request opened one, without a limit per node.
         """
-        first = await self.pool.take(self.endpoint, most=2)
-        await self.pool.take(self.endpoint, most=2)
-        self.assertFalse(self.pool.has_left('desk-1', 2))
+        first = await self.pool.acquire(self.endpoint, max_open=2)
+        await self.pool.acquire(self.endpoint, max_open=2)
+        self.assertFalse(self.pool.has_available('desk-1', 2))
         with self.assertRaises(ConnectionLimitError):
-            await self.pool.take(self.endpoint, most=2)
+            await self.pool.acquire(self.endpoint, max_open=2)
         first.close()
-        self.assertTrue(self.pool.has_left('desk-1', 2))
-        await self.pool.take(self.endpoint, most=2)
+        self.assertTrue(self.pool.has_available('desk-1', 2))
+        await self.pool.acquire(self.endpoint, max_open=2)
 
     async def test_idle_connection_is_evicted_for_a_new_one(self) -> None:
-        conn = await self.pool.take(self.endpoint, most=1)
-        conn.send(build_call(b'GET', b'/x', [(b'host', b'desk')], b''))
-        await read_answer(conn, asyncio.get_running_loop().time() + 2)
-        self.pool.give_back(self.endpoint, conn)
-        other = await self.pool.take(self.endpoint, fresh=True, most=1)
+        conn = await self.pool.acquire(self.endpoint, max_open=1)
+        conn.send(serialize_request(b'GET', b'/x', [(b'host', b'desk')], b''))
+        await read_response(conn, asyncio.get_running_loop().time() + 2)
+        self.pool.release(self.endpoint, conn)
+        other = await self.pool.acquire(self.endpoint, fresh=True, max_open=1)
         self.assertIsNot(other, conn)
         self.assertFalse(conn.is_open())
 
     async def test_failed_connections_do_not_count(self) -> None:
         unreachable = replace(self.endpoint, address='127.0.0.1:1')
         for _ in range(3):
-            with self.assertRaises(NobodyListensError):
-                await self.pool.take(unreachable, most=1)
-        self.assertTrue(self.pool.has_left('desk-1', 1))
+            with self.assertRaises(ConnectRefusedError):
+                await self.pool.acquire(unreachable, max_open=1)
+        self.assertTrue(self.pool.has_available('desk-1', 1))
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -8,9 +8,9 @@
 
 from msgspec.structs import replace
 
-from samphirerill.relay.connection import Head, HttpConnection, build_call
-from samphirerill.relay.errors import BrokenAnswerError
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.connection import ResponseHead, HttpConnection, serialize_request
+from samphirerill.relay.errors import BrokenResponseError
+from samphirerill.relay.pool import read_response
 from samphirerill.testing.platform_world import PlatformWorld
 from samphirerill.tests.platform_documents import (
     KEY,
@@ -121,9 +121,9 @@
         process.state.cfg = None
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
         await conn.open()
-        conn.send(build_call(b'POST', b'/notes/x', [_HOST, _ID], b''))
+        conn.send(serialize_request(b'POST', b'/notes/x', [_HOST, _ID], b''))
         deadline = asyncio.get_running_loop().time() + 2
-        status, _ = await read_answer(conn, deadline)
+        status, _ = await read_response(conn, deadline)
         conn.close()
         self.assertEqual(status, 503)
 
@@ -131,7 +131,7 @@
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].gap_s = 1.0
         conn = await self.world.connect()
-        conn.send(build_call(b'POST', b'/notes/x', _HEADERS, b''))
+        conn.send(serialize_request(b'POST', b'/notes/x', _HEADERS, b''))
         await asyncio.sleep(0.1)
         conn.close()
         await asyncio.sleep(0.1)
@@ -188,7 +188,7 @@
             await asyncio.sleep(0.01)
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].stop_after = 2
-        with self.assertRaises(BrokenAnswerError):
+        with self.assertRaises(BrokenResponseError):
             await self.stream()
         self.assertEqual(len(self.sent()), 1)
 
@@ -204,7 +204,7 @@
         await self.world.until_known(4)
         for name in ('engine-1', 'engine-2', 'engine-3'):
             self.world.replicas[name].stop_after = 1
-        with self.assertRaises(BrokenAnswerError):
+        with self.assertRaises(BrokenResponseError):
             await self.stream()
         self.assertLessEqual(len(set(self.sent())), 2)
 
@@ -219,7 +219,7 @@
         for name in ('engine-1', 'engine-2', 'engine-3'):
             self.world.replicas[name].stop_after = 2
             self.world.replicas[name].most_runs = 1
-        with self.assertRaises(BrokenAnswerError):
+        with self.assertRaises(BrokenResponseError):
             await self.stream()
         self.assertEqual(len(set(self.sent())), 2)
 
@@ -236,7 +236,7 @@
         while not self.sent():
             await asyncio.sleep(0.005)
         process.state.view.suspect(self.sent()[0], now + 9, now)
-        with self.assertRaises(BrokenAnswerError):
+        with self.assertRaises(BrokenResponseError):
             await stream
         self.assertLessEqual(len(set(self.sent())), 2)
 
@@ -265,10 +265,10 @@
     async def test_rejection_is_unavailable_with_retry_after(self) -> None:
         self.world.replicas['desk-1'].refuses = True
         conn = await self.world.connect()
-        conn.send(build_call(b'POST', b'/pickup/x', _HEADERS, b''))
+        conn.send(serialize_request(b'POST', b'/pickup/x', _HEADERS, b''))
         head = await conn.read(asyncio.get_running_loop().time() + 2)
         conn.close()
-        assert isinstance(head, Head)
+        assert isinstance(head, ResponseHead)
         self.assertEqual(head.status, 503)
         self.assertIsNotNone(head.get(b'retry-after'))
 
@@ -349,9 +349,9 @@
         self.assertEqual(await stream, self.expect(5))
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
         await conn.open()
-        conn.send(build_call(b'POST', b'/pickup/x', _HEADERS, b''))
+        conn.send(serialize_request(b'POST', b'/pickup/x', _HEADERS, b''))
         head = await conn.read(asyncio.get_running_loop().time() + 2)
         conn.close()
-        assert isinstance(head, Head)
+        assert isinstance(head, ResponseHead)
         self.assertEqual(head.status, _OK)
         self.assertEqual(head.get(b'connection'), b'close')
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -7,9 +7,9 @@
 
 from msgspec import json
 
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.members import PREFIX
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
     OK,
@@ -63,7 +63,7 @@
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
-        call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
+        call = serialize_request(b'POST', b'/pickup/x', build_headers('r1'), b'')
         writer.write(call)
         await self.until(lambda: self.plain_endpoint.seen)
         await asyncio.sleep(2 * SETTLE_S)
@@ -103,7 +103,7 @@
         )
         for request_id in ('r1', 'r2'):
             headers = build_headers(request_id)
-            writer.write(build_call(b'POST', b'/pickup/x', headers, b''))
+            writer.write(serialize_request(b'POST', b'/pickup/x', headers, b''))
         await self.until(lambda: self.plain_endpoint.seen)
         self.process.start_draining()
         self.plain_endpoint.free.set()
@@ -118,10 +118,10 @@
         for is_last in (False, True):
             if is_last:
                 self.process.start_draining()
-            call = build_call(b'POST', b'/pickup/x', build_headers('r'), b'')
+            call = serialize_request(b'POST', b'/pickup/x', build_headers('r'), b'')
             conn.send(call)
             deadline = asyncio.get_running_loop().time() + PATIENCE_S
-            status, _ = await read_answer(conn, deadline)
+            status, _ = await read_response(conn, deadline)
             self.assertEqual(status, OK)
 
     async def test_stream_waiting_for_new_path_is_finished(self) -> None:
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -12,7 +12,7 @@
 from msgspec import json
 
 from samphirerill.quarantine import digest_request
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.pool import call_once
 from samphirerill.tests.ending_engines import (
     EVENTS,
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from samphirerill.relay.connection import Head
+    from samphirerill.relay.connection import ResponseHead
     from samphirerill.relay.process import EdgeProcess
 
 _OK = 200
@@ -204,17 +204,17 @@
         self.assertEqual(held['first_request'], '0-0')
         self.assertNotIn(POISON, text)
 
-    def assert_long_retry_after(self, head: Head) -> None:
+    def assert_long_retry_after(self, head: ResponseHead) -> None:
         """Assert that the caller may retry after the hold only."""
         retry_s = float(head.get(b'retry-after') or b'0')
         self.assertGreater(retry_s, _MIN_RETRY_AFTER_S)
 
-    async def fetch_head(self) -> Head:
+    async def fetch_head(self) -> ResponseHead:
         """Send the request once more; return the response head."""
         conn: HttpConnection = await self.world.connect(self.nodes[0])
         try:
             conn.send(
-                build_call(b'POST', self.target, build_headers('h1'), POISON)
+                serialize_request(b'POST', self.target, build_headers('h1'), POISON)
             )
             head = await conn.read(self.loop.time() + 10)
         finally:
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_examiner.py
@@ -10,9 +10,9 @@
 
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.examiner import Examiner
+from samphirerill.relay.health.examiner import ReplicaProber
 from samphirerill.relay.health.patience import MAX_TIMEOUT_S
-from samphirerill.relay.stream_times import LEAST_SILENCE_S
+from samphirerill.relay.stream_times import MIN_SILENCE_S
 from samphirerill.testing.platform_world import PlatformWorld
 from samphirerill.tests.fleets import build_replica
 
@@ -49,13 +49,13 @@
             patched.start()
             self.addCleanup(patched.stop)
         process = self.world.expect_process()
-        self.examiner = Examiner(process.state, Alarms(process.state))
+        self.examiner = ReplicaProber(process.state, Alarms(process.state))
         await self.world.add('head')
 
     async def test_detection_and_probe_fit_into_the_accepted_pause(
         self,
     ) -> None:
-        spent_s = LEAST_SILENCE_S + MAX_TIMEOUT_S + _SWITCH_S
+        spent_s = MIN_SILENCE_S + MAX_TIMEOUT_S + _SWITCH_S
         self.assertLessEqual(spent_s, _PAUSE_S)
 
     async def test_a_terminated_replica_is_dead(self) -> None:
@@ -117,18 +117,18 @@
         async with asyncio.timeout(_LIMIT_S):
             await self._examine(stages[:1])
             for _ in range(5):
-                self.examiner.check(stages[1].replica)
+                self.examiner.probe_in_background(stages[1].replica)
             while not state.view.known['tail'].suspicion.dead_until:
                 await asyncio.sleep(0.01)
-        self.examiner.check(stages[1].replica)
+        self.examiner.probe_in_background(stages[1].replica)
         await asyncio.sleep(0)
         self.assertEqual(state.counters['reports.asked'], 2)
 
     async def test_streams_share_one_probe(self) -> None:
         await self.world.add('tail')
         stages = self._build_path(self.world.addresses['tail'])
-        await asyncio.gather(*(self.examiner.examine(stages) for _ in range(5)))
-        await self.examiner.examine(stages)
+        await asyncio.gather(*(self.examiner.diagnose_path(stages) for _ in range(5)))
+        await self.examiner.diagnose_path(stages)
         process = self.world.expect_process()
         self.assertEqual(process.state.counters['reports.asked'], 2)
 
@@ -148,7 +148,7 @@
 
     async def _examine(self, stages: tuple[Stage, ...]) -> set[str]:
         async with asyncio.timeout(_LIMIT_S):
-            diagnosis = await self.examiner.examine(stages)
+            diagnosis = await self.examiner.diagnose_path(stages)
         return diagnosis.dead
 
     def _build_path(self, address: str) -> tuple[Stage, ...]:
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -12,7 +12,7 @@
 from samphirerill.fleet.view import LAPSE_GRACE_S
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission, NoPathError
+from samphirerill.relay.admission import AdmissionQueue, NoPathError
 from samphirerill.relay.connection import HttpConnection
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_guard import StreamGuard
@@ -28,9 +28,9 @@
 )
 
 if TYPE_CHECKING:
-    from samphirerill.relay.health.examiner import Examiner
+    from samphirerill.relay.health.examiner import ReplicaProber
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
     from samphirerill.testing.platform_replicas import StandInReplica
 
 _STARTED_RANK = -1
@@ -191,7 +191,7 @@
         state = EdgeState(settings, HttpPlatformAdapter())
         state.view.announce(build_replica('one', 'a', 'large', (0, 40)), 1)
         state.view.announce(build_replica('two', 'a', 'large', (40, 80)), 1)
-        admission = Admission(state)
+        admission = AdmissionQueue(state)
 
         async def admit(avoid: set[str]) -> bool:
             now = asyncio.get_running_loop().time()
@@ -220,11 +220,11 @@
         self.head_id = 'head'
         self.moves = 0
 
-    def list_lost(self) -> set[str]:
+    def list_failed(self) -> set[str]:
         """Return the failed replicas."""
         return {'tail'}
 
-    async def move(self) -> MoveResult:
+    async def replace_later_stages(self) -> MoveResult:
         """Count the moves."""
         self.moves += 1
         return MoveResult.MOVED
@@ -247,9 +247,9 @@
         """
         path = _PathStub()
         guard = StreamGuard(
-            cast('Task', _RetryableTask()),
+            cast('RequestContext', _RetryableTask()),
             cast('StreamPath', path),
-            cast('Examiner', None),
+            cast('ReplicaProber', None),
             lambda: True,
             lambda *_: False,
         )
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -16,12 +16,12 @@
 from samphirerill.node.probes import fetch
 from samphirerill.relay.connection import (
     CONNECT_TIMEOUT_S,
-    Head,
+    ResponseHead,
     HttpConnection,
-    build_call,
+    serialize_request,
 )
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.examiner import Examiner
+from samphirerill.relay.health.examiner import ReplicaProber
 from samphirerill.testing.platform_world import PlatformWorld
 from samphirerill.tests.fleets import build_replica
 
@@ -29,7 +29,7 @@
     from samphirerill.fleet.model import Replica
 
 _OK = 200
-_REPORT_REQUEST = build_call(b'GET', b'/report', [(b'host', b'engine')], b'')
+_REPORT_REQUEST = serialize_request(b'GET', b'/report', [(b'host', b'engine')], b'')
 _RESPONSE_DELAY_S = 0.03
 _READ_TIMEOUT_S = 0.08
 _BLOCKED_S = 2 * CONNECT_TIMEOUT_S
@@ -92,7 +92,7 @@
         deadline = asyncio.get_running_loop().time() + _READ_TIMEOUT_S
         reading = asyncio.create_task(conn.read(deadline))
         await self.block_loop()
-        self.assertIsInstance(await reading, Head)
+        self.assertIsInstance(await reading, ResponseHead)
 
     async def test_connection_accepted_while_blocked_is_used(self) -> None:
         """An engine that accepted in time must not count as unreachable."""
@@ -126,11 +126,11 @@
         probed, control = self.build_engine('asked'), self.build_engine('other')
         process.state.view.announce(probed, 1)
         process.state.view.announce(control, 2)
-        examiner = Examiner(process.state, Alarms(process.state))
+        examiner = ReplicaProber(process.state, Alarms(process.state))
         for steps in range(_MAX_STEPS):
             with self.subTest(steps=steps):
                 now = asyncio.get_running_loop().time()
-                probe = asyncio.create_task(examiner.ask_after([probed], now))
+                probe = asyncio.create_task(examiner.probe_replicas([probed], now))
                 for _ in range(steps):
                     await asyncio.sleep(0)
                 await self.block_loop()
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -10,7 +10,7 @@
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.suspicion import SURE_VOTES, Suspicion, Word
 from samphirerill.fleet.view import FleetView
-from samphirerill.relay.health import Examiner, Survey
+from samphirerill.relay.health import ReplicaProber, LossProber
 from samphirerill.relay.health.probing import Probe, Verdict
 from samphirerill.testing.virtual_time import run_virtually
 from samphirerill.tests.fleets import build_replica
@@ -47,7 +47,7 @@
             build_replica(f'r{number}', 'abc'[number % 3], layers=(0, _LAYERS))
             for number in range(replicas)
         ]
-        self.examiners: dict[str, Examiner] = {}
+        self.examiners: dict[str, ReplicaProber] = {}
         self.tasks: list[asyncio.Task[None]] = []
         for node in self.nodes:
             self._start_node(node)
@@ -84,7 +84,7 @@
             for replica in self.replicas
             if replica.replica_id in path
         )
-        await self.examiners[node.name].examine(stages)
+        await self.examiners[node.name].diagnose_path(stages)
 
     def count_agreeing_nodes(self) -> int:
         """Return how many nodes take exactly the dead replicas for dead."""
@@ -101,9 +101,9 @@
         node.state.random.seed(node.name)
         for replica in self.replicas:
             node.state.view.announce(replica, 1)
-        examiner = Examiner(node.state, node.alarms)
+        examiner = ReplicaProber(node.state, node.alarms)
         self.examiners[node.name] = examiner
-        survey = Survey(
+        survey = LossProber(
             node.state, examiner, node.alarms, lambda: self.nodes[0].name
         )
         self.tasks.append(asyncio.create_task(survey.run()))
--- a/samphirerill/tests/test_news.py
+++ b/samphirerill/tests/test_news.py
@@ -9,7 +9,7 @@
 from samphirerill.fleet.watchers import choose_watcher, list_watchers
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
-from samphirerill.relay.errors import EndpointError, TooLargeError
+from samphirerill.relay.errors import EndpointError, ChangeTooLargeError
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.news import (
     MAX_LAG_S,
@@ -17,7 +17,7 @@
     PeerRequestHandler,
 )
 from samphirerill.relay.pool import call_once
-from samphirerill.relay.server import CallerConnection
+from samphirerill.relay.server import ClientConnection
 
 _MARGIN_S = 0.05
 _NAMES = [
@@ -63,7 +63,7 @@
         self.log.reset(10)
         self.is_connected = True
         pages = PeerRequestHandler({}, self.log, lambda: self.is_connected)
-        connections: set[CallerConnection] = set()
+        connections: set[ClientConnection] = set()
         server = await listen('127.0.0.1:0', pages, connections)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
@@ -272,6 +272,6 @@
 
     async def test_a_large_delta_is_left_to_the_store(self) -> None:
         self.append_version(11, self.text * 2 + bytes(range(256)) * 64)
-        with self.assertRaises(TooLargeError):
+        with self.assertRaises(ChangeTooLargeError):
             await self.source.watch(self.watcher, 10)
         self.assertEqual(self.source.select_watcher(), self.watcher)
--- a/samphirerill/tests/test_offers.py
+++ b/samphirerill/tests/test_offers.py
@@ -7,7 +7,7 @@
 
 from samphirerill.fleet.model import ClientLimits
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.server import CallerConnection, Request
+from samphirerill.relay.server import ClientConnection, Request
 
 _UPGRADE_HEADERS = b'Connection: Upgrade\r\nUpgrade: h2c\r\n'
 _SMUGGLED_REQUEST = b'GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n'
@@ -28,10 +28,10 @@
         """Return that the node is not shutting down."""
         return False
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Record a request."""
         self.requests.append((req.method, req.target, req.body))
-        conn.answer(200, [], b'')
+        conn.respond(200, [], b'')
 
 
 class TestUpgradeRequests(IsolatedAsyncioTestCase):
@@ -39,7 +39,7 @@
 
     async def asyncSetUp(self) -> None:
         self.handler = _RecordingHandler()
-        connections: set[CallerConnection] = set()
+        connections: set[ClientConnection] = set()
         server = await listen('127.0.0.1:0', self.handler, connections)
         self.addCleanup(server.close)
         self.port = server.sockets[0].getsockname()[1]
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -21,7 +21,7 @@
     LeaseNotFoundError,
     PlatformStore,
 )
-from samphirerill.relay.connection import Head
+from samphirerill.relay.connection import ResponseHead
 from samphirerill.relay.dialect import Attempt, DocumentError
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.server import Request
@@ -110,10 +110,10 @@
         self.assertEqual(headers[b'x-samphirerill-deadline-ms'], b'1500')
 
     def test_not_executed_is_distinguished_from_failure(self) -> None:
-        not_run = Head(503, [(b'x-samphirerill-not-executed', b'1')])
+        not_run = ResponseHead(503, [(b'x-samphirerill-not-executed', b'1')])
         self.assertTrue(self.adapter.parse_response(not_run).is_not_run)
-        self.assertTrue(self.adapter.parse_response(Head(421)).is_not_run)
-        self.assertFalse(self.adapter.parse_response(Head(503)).is_not_run)
+        self.assertTrue(self.adapter.parse_response(ResponseHead(421)).is_not_run)
+        self.assertFalse(self.adapter.parse_response(ResponseHead(503)).is_not_run)
 
     def test_invalid_headers_count_as_absent(self) -> None:
         req = Request(
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -7,7 +7,7 @@
 from unittest import TestCase
 
 from samphirerill.quarantine import Death, digest_request
-from samphirerill.relay.quarantine import Keeper, Sharing
+from samphirerill.relay.quarantine import QuarantineManager, EvidenceExchange
 from samphirerill.testing.virtual_time import run_virtually
 from samphirerill.tests.peers import Network, Node
 
@@ -33,8 +33,8 @@
         self.network = Network()
         self.sent_bytes = 0
         self.cut_off: set[str] = set()
-        self.keepers: dict[str, Keeper] = {}
-        self.sharings: dict[str, Sharing] = {}
+        self.keepers: dict[str, QuarantineManager] = {}
+        self.sharings: dict[str, EvidenceExchange] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.nodes: list[Node] = []
         self._deliver = self.network.send
@@ -48,8 +48,8 @@
         """Start a node."""
         data_centre = 'abc'[number % 3]
         node = Node(self.network, f'{data_centre}-{number}', data_centre)
-        keeper = Keeper(node.state)
-        sharing = Sharing(node.state, keeper)
+        keeper = QuarantineManager(node.state)
+        sharing = EvidenceExchange(node.state, keeper)
         sharing.bind(node.status_sender)
         node.receiver.add_handler(sharing.type_prefix, sharing.handle_datagram)
         self.keepers[node.name] = keeper
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -8,14 +8,14 @@
 
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission
+from samphirerill.relay.admission import AdmissionQueue
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_path import StreamPath
 from samphirerill.tests.fleets import ENGINE, build_replica
 from samphirerill.tests.two_engines import GAP_S, TwoEnginesCase
 
 if TYPE_CHECKING:
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _RUNS_PER_ENGINE = 2
 _STARTED_RANK = -1
@@ -71,9 +71,9 @@
             self.state.view.announce(later_stage, revision)
         self.path = StreamPath(
             self.state,
-            cast('Task', _TaskStub()),
+            cast('RequestContext', _TaskStub()),
             ENGINE,
-            Admission(self.state),
+            AdmissionQueue(self.state),
         )
         self.path.used_heads.update(('one', 'two'))
         self.path.avoid.update(('one', 'two'))
--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_starts.py
@@ -97,9 +97,9 @@
             started_ms=_FIRST_START_MS,
         )
         pool = ConnectionPool(Counter())
-        conn = await pool.take(first_process)
-        pool.give_back(first_process, conn)
-        again = await pool.take(
+        conn = await pool.acquire(first_process)
+        pool.release(first_process, conn)
+        again = await pool.acquire(
             replace(first_process, started_ms=_SECOND_START_MS)
         )
         self.assertIsNot(again, conn)
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -14,7 +14,7 @@
 from samphirerill.fleet.watchers import list_watchers
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
-from samphirerill.relay.errors import DeafWatcherError, EndpointError
+from samphirerill.relay.errors import WatchLostError, EndpointError
 from samphirerill.relay.follower import StoreFollower
 from samphirerill.relay.news import ChangeSource
 from samphirerill.relay.state import EdgeState
@@ -202,7 +202,7 @@
         await asyncio.sleep(0.01)
         if asyncio.get_running_loop().time() < self._recovers_at:
             self._avoid_until[watcher] = asyncio.get_running_loop().time() + 0.5
-            raise DeafWatcherError('watcher does not reach the store')
+            raise WatchLostError('watcher does not reach the store')
         return Changes(11, [StoredItem('op/config', 11, b'new')])
 
 
--- a/samphirerill/tests/test_usage.py
+++ b/samphirerill/tests/test_usage.py
@@ -13,14 +13,14 @@
 from samphirerill.testing.platform_store import StandInStore
 
 if TYPE_CHECKING:
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 
 class TestUsage(IsolatedAsyncioTestCase):
     """Counts by purpose, and periodic logs of their increase."""
 
     async def test_store_calls_are_counted_by_purpose(self) -> None:
-        connections: set[CallerConnection] = set()
+        connections: set[ClientConnection] = set()
         server = await listen('127.0.0.1:0', StandInStore(), connections)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -8,9 +8,9 @@
 from msgspec import json
 from msgspec.structs import replace
 
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.tests.platform_documents import KEY
 from samphirerill.tests.test_edge import EdgeCase
 
@@ -84,9 +84,9 @@
         conn = HttpConnection(f'127.0.0.1:{self.process.get_port()}')
         try:
             await conn.open()
-            conn.send(build_call(b'POST', target, headers, b''))
+            conn.send(serialize_request(b'POST', target, headers, b''))
             until = asyncio.get_running_loop().time() + PATIENCE_S
-            return await read_answer(conn, until)
+            return await read_response(conn, until)
         except EndpointError as exc:
             return _NO_RESPONSE, str(exc).encode()
         finally:
