--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -20,16 +20,16 @@
 
 from samphirerill.backends.store import (
     NO_LEASE,
-    Absent,
-    Committed,
-    Holds,
+    KeyAbsent,
+    TransactionResult,
+    ValueEquals,
     Put,
     RangeResult,
-    Stored,
-    StoreRefusedError,
+    StoredEntry,
+    StoreRejectedError,
     StoreUnreachableError,
     Transaction,
-    Unchanged,
+    RevisionEquals,
     WatchBatch,
 )
 
@@ -68,11 +68,11 @@
         entries = [_parse_entry(entry) for entry in document.get('kvs', ())]
         return RangeResult(entries, _parse_revision(document))
 
-    def commit(self, transaction: Transaction) -> Committed:
+    def commit(self, transaction: Transaction) -> TransactionResult:
         """Run a transaction in one call."""
-        otherwise = _build_put_operations(transaction.otherwise)
+        else_puts = _build_put_operations(transaction.else_puts)
         reads = [
-            {'request_range': {'key': _encode(key)}} for key in transaction.read
+            {'request_range': {'key': _encode(key)}} for key in transaction.else_reads
         ]
         payload = {
             'compare': [_compare(item) for item in transaction.conditions],
@@ -80,11 +80,11 @@
                 *_build_put_operations(transaction.puts),
                 *_build_delete_operations(transaction.deletes),
             ],
-            'failure': [*otherwise, *reads],
+            'failure': [*else_puts, *reads],
         }
         document = self._call('/v3/kv/txn', payload)
         found = _parse_entries(document.get('responses', ()))
-        return Committed(
+        return TransactionResult(
             bool(document.get('succeeded')), _parse_revision(document), found
         )
 
@@ -133,7 +133,7 @@
                 'got an answer that is not JSON', may_have_applied=True
             ) from exc
         if response.status != _OK:
-            raise StoreRefusedError(str(document.get('message', document)))
+            raise StoreRejectedError(str(document.get('message', document)))
         return document
 
     def _open(self, path: str, payload: Json, *, stream: bool) -> Any:
@@ -172,8 +172,8 @@
     raise TypeError(f'got {condition!r}, expected a condition of the store')
 
 
-@_compare.register(Absent)
-def _compare_absent(condition: Absent) -> Json:
+@_compare.register(KeyAbsent)
+def _compare_absent(condition: KeyAbsent) -> Json:
     return {
         'key': _encode(condition.key),
         'target': 'CREATE',
@@ -182,8 +182,8 @@
     }
 
 
-@_compare.register(Unchanged)
-def _compare_unchanged(condition: Unchanged) -> Json:
+@_compare.register(RevisionEquals)
+def _compare_unchanged(condition: RevisionEquals) -> Json:
     return {
         'key': _encode(condition.key),
         'target': 'MOD',
@@ -192,8 +192,8 @@
     }
 
 
-@_compare.register(Holds)
-def _compare_holds(condition: Holds) -> Json:
+@_compare.register(ValueEquals)
+def _compare_holds(condition: ValueEquals) -> Json:
     return {
         'key': _encode(condition.key),
         'target': 'VALUE',
@@ -229,7 +229,7 @@
     return [{'request_delete_range': {'key': _encode(key)}} for key in keys]
 
 
-def _parse_entries(responses: Any) -> dict[str, Stored]:
+def _parse_entries(responses: Any) -> dict[str, StoredEntry]:
     found = {}
     for response in responses:
         for entry in response.get('response_range', {}).get('kvs', ()):
@@ -248,18 +248,18 @@
 
 
 def _parse_batch(document: Json) -> WatchBatch:
-    changed = []
-    gone = []
+    puts = []
+    deleted_keys = []
     for event in document.get('events', ()):
         if event.get('type') == 'DELETE':
-            gone.append(_decode(event['kv']['key']))
+            deleted_keys.append(_decode(event['kv']['key']))
         else:
-            changed.append(_parse_entry(event['kv']))
-    return WatchBatch(_parse_revision(document), changed, gone)
+            puts.append(_parse_entry(event['kv']))
+    return WatchBatch(_parse_revision(document), puts, deleted_keys)
 
 
-def _parse_entry(entry: Json) -> Stored:
-    return Stored(
+def _parse_entry(entry: Json) -> StoredEntry:
+    return StoredEntry(
         _decode(entry['key']),
         _decode(entry.get('value', '')),
         int(entry['mod_revision']),
--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -28,13 +28,13 @@
     PeersStub,
     add_PeersServicer_to_server,
 )
-from samphirerill.control.claims import Batch, Claim, Settlement, Verdict
+from samphirerill.control.claims import ClaimBatch, Claim, Settlement, ClaimResult
 from samphirerill.core.commands import Outcome
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    ClaimBatchHandler = Callable[[Batch], Awaitable[list[Verdict]]]
+    ClaimBatchHandler = Callable[[ClaimBatch], Awaitable[list[ClaimResult]]]
 
 EXCHANGE_TIMEOUT_S = 0.8
 CLAIM_WRITE_TIMEOUT_S = 1.5
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Word:
+class PeerMessage:
     """State that a node sends to a peer; see ``peers.proto``."""
 
     node: str
@@ -73,7 +73,7 @@
     """gRPC server for calls from other nodes."""
 
     def __init__(
-        self, reply: Callable[[Word], Word], collect: ClaimBatchHandler
+        self, reply: Callable[[PeerMessage], PeerMessage], collect: ClaimBatchHandler
     ) -> None:
         self._servicer = _Servicer(reply, collect)
         self._server: Any = None
@@ -103,8 +103,8 @@
         self._channels: dict[str, Channel] = {}
 
     async def exchange(
-        self, address: str, message: Word
-    ) -> Result[Word, PeerError]:
+        self, address: str, message: PeerMessage
+    ) -> Result[PeerMessage, PeerError]:
         """Send a message and return the peer's reply."""
         stub = PeersStub(await self._get_channel(address))
         try:
@@ -115,9 +115,9 @@
             return Err(PeerError(f'no answer from {address}'))
         return Ok(_decode_message(reply))
 
-    async def collect(
-        self, address: str, batch: Batch
-    ) -> Result[list[Verdict], PeerError]:
+    async def write_claims(
+        self, address: str, batch: ClaimBatch
+    ) -> Result[list[ClaimResult], PeerError]:
         """Let another node write a batch of claims; return the results.
 
         If the call fails, the batch may have been written.
@@ -161,7 +161,7 @@
     """Dispatches gRPC calls to the node."""
 
     def __init__(
-        self, reply: Callable[[Word], Word], collect: ClaimBatchHandler
+        self, reply: Callable[[PeerMessage], PeerMessage], collect: ClaimBatchHandler
     ) -> None:
         self._build_reply = reply
         self._collect = collect
@@ -176,7 +176,7 @@
         return VerdictGroup(verdicts=map(_encode_verdict, verdicts))
 
 
-def _encode_group(batch: Batch) -> ClaimGroup:
+def _encode_group(batch: ClaimBatch) -> ClaimGroup:
     return ClaimGroup(
         claims=map(_encode_claim, batch.claims),
         settled=map(_encode_settlement, batch.settlements),
@@ -199,8 +199,8 @@
     return note
 
 
-def _decode_group(group: ClaimGroup) -> Batch:
-    return Batch(
+def _decode_group(group: ClaimGroup) -> ClaimBatch:
+    return ClaimBatch(
         [_decode_claim(note) for note in group.claims],
         [
             Settlement(
@@ -217,7 +217,7 @@
     return Claim(note.key, note.holder, note.request, note.fingerprint)
 
 
-def _encode_verdict(verdict: Verdict) -> VerdictNote:
+def _encode_verdict(verdict: ClaimResult) -> VerdictNote:
     return VerdictNote(
         request=verdict.claim.request_id,
         state=verdict.state,
@@ -226,17 +226,17 @@
     )
 
 
-def _decode_verdict(note: VerdictNote, claim: Claim) -> Verdict:
+def _decode_verdict(note: VerdictNote, claim: Claim) -> ClaimResult:
     answer = json.loads(note.answer)
-    return Verdict(claim, note.state, note.holder, answer)
+    return ClaimResult(claim, note.state, note.holder, answer)
 
 
-def measure_word(message: Word) -> int:
+def measure_message(message: PeerMessage) -> int:
     """Return the serialized size of a message in bytes."""
     return int(_encode_message(message).ByteSize())
 
 
-def _encode_message(message: Word) -> WireMessage:
+def _encode_message(message: PeerMessage) -> WireMessage:
     return WireMessage(
         node=message.node,
         version=message.version,
@@ -249,8 +249,8 @@
     )
 
 
-def _decode_message(wire_message: WireMessage) -> Word:
-    return Word(
+def _decode_message(wire_message: WireMessage) -> PeerMessage:
+    return PeerMessage(
         wire_message.node,
         wire_message.version,
         wire_message.store_read_age_s,
--- a/samphirerill/backends/store.py
+++ b/samphirerill/backends/store.py
@@ -32,16 +32,16 @@
         self.may_have_applied = may_have_applied
 
 
-class StoreRefusedError(StoreError):
+class StoreRejectedError(StoreError):
     """The service rejected the call."""
 
 
 @dataclass(slots=True, frozen=True)
-class Stored:
+class StoredEntry:
     """A key, its value and the revision of its last write."""
 
     key: str
-    text: str
+    stored_value: str
     revision: int
 
 
@@ -55,14 +55,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Absent:
+class KeyAbsent:
     """Condition: the key does not exist."""
 
     key: str
 
 
 @dataclass(slots=True, frozen=True)
-class Unchanged:
+class RevisionEquals:
     """Condition: the key was last written at `revision`; 0 if absent."""
 
     key: str
@@ -70,55 +70,55 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Holds:
+class ValueEquals:
     """Condition: the value of the key equals `text`."""
 
     key: str
     text: str
 
 
-Condition = Absent | Unchanged | Holds
+Condition = KeyAbsent | RevisionEquals | ValueEquals
 
 
 @dataclass(slots=True)
 class Transaction:
     """Writes that are applied atomically if all conditions hold.
 
-    Otherwise `otherwise` is written and the keys in `read` are read. Either
+    Otherwise `else_puts` is written and the keys in `else_reads` are read. Either
     way it is one call.
     """
 
     conditions: list[Condition] = field(default_factory=list)
     puts: list[Put] = field(default_factory=list)
     deletes: list[str] = field(default_factory=list)
-    otherwise: list[Put] = field(default_factory=list)
-    read: list[str] = field(default_factory=list)
+    else_puts: list[Put] = field(default_factory=list)
+    else_reads: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Committed:
-    """Result of a transaction; `found` has the keys that were read."""
+class TransactionResult:
+    """Result of a transaction; `entries` has the keys that were read."""
 
     succeeded: bool
     revision: int
-    found: dict[str, Stored] = field(default_factory=dict)
+    entries: dict[str, StoredEntry] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class RangeResult:
     """Entries under a prefix and the revision they were read at."""
 
-    entries: list[Stored]
+    entries: list[StoredEntry]
     revision: int
 
 
 @dataclass(slots=True)
 class WatchBatch:
-    """Changes since the previous batch; `gone` has the deleted keys."""
+    """Changes since the previous batch; `deleted_keys` has the deleted keys."""
 
     revision: int
-    changed: list[Stored]
-    gone: list[str]
+    puts: list[StoredEntry]
+    deleted_keys: list[str]
 
 
 class KeyValueStore(Protocol):
@@ -127,7 +127,7 @@
     def read_prefix(self, prefix: str) -> RangeResult:
         """Read all keys under a prefix, sorted."""
 
-    def commit(self, transaction: Transaction) -> Committed:
+    def commit(self, transaction: Transaction) -> TransactionResult:
         """Run a transaction."""
 
     def grant_lease(self, ttl_s: int) -> str:
--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -15,11 +15,11 @@
 
 from samphirerill.bench import slopes
 from samphirerill.bench.slopes import US_PER_S, fit_line
-from samphirerill.node.claim_carriers import COLLECTORS
+from samphirerill.node.claim_carriers import AGGREGATOR_COUNT
 from samphirerill.node.claim_writer import FLEET_WRITES_PER_S
 from samphirerill.node.follower import FLEET_READS_PER_S, LEAST_POLL_S
-from samphirerill.node.gossip import EVERY_S, PARTNERS
-from samphirerill.node.members import RENEWALS_A_LEASE
+from samphirerill.node.gossip import EXCHANGE_INTERVAL_S, FANOUT
+from samphirerill.node.members import RENEWALS_PER_LEASE
 from samphirerill.node.probes import POLLS_PER_S
 from samphirerill.node.vm_reader import FLEET_READERS
 from samphirerill.settings.model import StoreSettings
@@ -254,7 +254,7 @@
     renewals = costs['idle.writes_s'] * _MEASURED_LEASE_S / lease_s
     poll_s = max(LEAST_POLL_S, NODES / FLEET_READS_PER_S)
     keyed_requests_per_s = REQUESTS_PER_S * IDEMPOTENCY_KEY_SHARE
-    claim_wait_s = COLLECTORS / FLEET_WRITES_PER_S
+    claim_wait_s = AGGREGATOR_COUNT / FLEET_WRITES_PER_S
     changes_per_s = CONFIGURATION_CHANGES_A_DAY / _DAY_S
     writes_per_s = (
         NODES * renewals
@@ -266,7 +266,7 @@
             'at.lease_writes_s',
             NODES * renewals,
             'writes a second, the fleet',
-            f'idle.writes_s at leases of {lease_s} s, {RENEWALS_A_LEASE} '
+            f'idle.writes_s at leases of {lease_s} s, {RENEWALS_PER_LEASE} '
             'renewals each',
         ),
         Row(
@@ -279,7 +279,7 @@
             'at.claim_wait_s',
             claim_wait_s,
             's until a claim is written, at worst',
-            f'{COLLECTORS} nodes gather, {FLEET_WRITES_PER_S} writes a '
+            f'{AGGREGATOR_COUNT} nodes gather, {FLEET_WRITES_PER_S} writes a '
             'second for all',
             budget=0.3,
         ),
@@ -298,7 +298,7 @@
 def _extrapolate_node(costs: dict[str, float]) -> list[Row]:
     changes_per_s = CONFIGURATION_CHANGES_A_DAY / _DAY_S
     config_bytes_s = changes_per_s * costs['config.change_bytes'] * 4 / 3
-    peer_bytes_s = costs['peers.round_bytes'] / EVERY_S
+    peer_bytes_s = costs['peers.round_bytes'] / EXCHANGE_INTERVAL_S
     poll_bytes_s = POLLS_PER_S * costs['polls.bytes']
     vm_bytes_s = REPLICAS * costs['vms.entry_bytes'] / (NODES / FLEET_READERS)
     cpu_share = (
@@ -315,7 +315,7 @@
             'at.peer_bytes_s',
             peer_bytes_s,
             'bytes a second',
-            f'{PARTNERS} partners each {EVERY_S:g} s, payload',
+            f'{FANOUT} partners each {EXCHANGE_INTERVAL_S:g} s, payload',
         ),
         Row('at.poll_bytes_s', poll_bytes_s, 'bytes a second', 'load polls'),
         Row(
@@ -344,7 +344,7 @@
         ),
         Row(
             'at.in_force_s',
-            costs['peers.rounds'] * EVERY_S,
+            costs['peers.rounds'] * EXCHANGE_INTERVAL_S,
             's until in force, by peers alone',
             'peers.rounds',
             budget=5,
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -17,10 +17,10 @@
 from typing import Any
 
 from samphirerill.backends.etcd import EtcdStore
-from samphirerill.backends.peers import measure_word
+from samphirerill.backends.peers import measure_message
 from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
 from samphirerill.control.claims import (
-    Batch,
+    ClaimBatch,
     Settlement,
     build_claim,
     build_transaction,
@@ -40,7 +40,7 @@
 from samphirerill.core.model import build_configuration
 from samphirerill.core.router import Router
 from samphirerill.node.accounts import KeyIndex
-from samphirerill.node.gossip import PARTNERS, Gossip
+from samphirerill.node.gossip import FANOUT, Gossip
 from samphirerill.node.probes import build_fetch
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
@@ -206,7 +206,7 @@
     while any(item.follower.view.version < 2 for item in gossips):
         rounds += 1
         for gossip in gossips:
-            for partner in rng.sample(gossips, PARTNERS):
+            for partner in rng.sample(gossips, FANOUT):
                 total_bytes += gossip.exchange_with(partner)
     spent_us = (time.process_time_ns() - started) / 1000
     return {
@@ -304,8 +304,8 @@
         Settlement(claim, Outcome.ANSWERED, answer) for claim in claims
     ]
     store = _CountingStore()
-    store.commit(build_transaction(Batch(claims, []), ''))
-    store.commit(build_transaction(Batch([], settlements), ''))
+    store.commit(build_transaction(ClaimBatch(claims, []), ''))
+    store.commit(build_transaction(ClaimBatch([], settlements), ''))
     return {'bytes': store.bytes_sent, 'calls': store.calls}
 
 
@@ -330,14 +330,14 @@
         self.follower = follower
         self._node = node
         self._follower = follower
-        self._heard = {}
+        self._peer_statuses = {}
 
     def exchange_with(self, other: _LocalGossip) -> int:
         """Exchange messages with another node; return the bytes of both."""
-        message = self._build_word()
-        answer = other._answer(message)  # noqa: SLF001
-        self._hear(answer)
-        return measure_word(message) + measure_word(answer)
+        message = self._build_message()
+        answer = other._build_reply(message)  # noqa: SLF001
+        self._handle_message(answer)
+        return measure_message(message) + measure_message(answer)
 
 
 def _build_gossip(number: int) -> _LocalGossip:
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -339,12 +339,12 @@
     def submit_patches(number: int) -> None:
         for _ in range(_PATCHES_PER_OPERATOR):
             entries = store.read_prefix(_COUNTER_KEY).entries
-            count = int(entries[0].text) if entries else 0
+            count = int(entries[0].stored_value) if entries else 0
             put = Put(_COUNTER_KEY, str(count + 1))
             store.commit(Transaction(puts=[put]))
 
     _run_threads(submit_patches, _OPERATOR_COUNT)
-    final_value = int(store.read_prefix(_COUNTER_KEY).entries[0].text)
+    final_value = int(store.read_prefix(_COUNTER_KEY).entries[0].stored_value)
     accepted = _OPERATOR_COUNT * _PATCHES_PER_OPERATOR
     metrics: dict[str, Any] = {
         'accepted': accepted,
--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -13,18 +13,18 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.backends.store import (
-    Absent,
-    Holds,
+    KeyAbsent,
+    ValueEquals,
     Put,
     Transaction,
 )
 
 if TYPE_CHECKING:
-    from samphirerill.backends.store import Committed, Stored
+    from samphirerill.backends.store import TransactionResult, StoredEntry
     from samphirerill.core.commands import Outcome, WriteClaim
 
 CLAIMS_PREFIX = 'claims/'
-MAX_KEPT_ANSWER = 65_536
+MAX_STORED_RESPONSE_SIZE = 65_536
 RUNNING = 'running'
 MISMATCH = 'mismatch'
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class ClaimResult:
     """The result of one claim, as decided by the service.
 
     `state` is ``won``, ``running``, ``answered``, ``may-have-run`` or
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class Batch:
+class ClaimBatch:
     """Claims and outcomes that are written in one transaction."""
 
     claims: list[Claim] = field(default_factory=list)
@@ -112,7 +112,7 @@
     )
 
 
-def build_transaction(batch: Batch, lease: str) -> Transaction:
+def build_transaction(batch: ClaimBatch, lease: str) -> Transaction:
     """Return one transaction for a batch.
 
     Claims are written only if none of their keys exists; outcomes are written
@@ -123,29 +123,29 @@
     for settlement in batch.settlements:
         _add_settlement(settlement, lease, transaction)
     for claim in batch.claims:
-        transaction.conditions.append(Absent(claim.key))
+        transaction.conditions.append(KeyAbsent(claim.key))
         transaction.puts.append(Put(claim.key, claim.to_text(), lease))
-        transaction.read.append(claim.key)
+        transaction.else_reads.append(claim.key)
     return transaction
 
 
 def build_release(claim: Claim) -> Transaction:
     """Return a transaction that removes a claim if it is unchanged."""
     return Transaction(
-        conditions=[Holds(claim.key, claim.to_text())], deletes=[claim.key]
+        conditions=[ValueEquals(claim.key, claim.to_text())], deletes=[claim.key]
     )
 
 
-def read_verdicts(
-    claims: list[Claim], committed: Committed
-) -> tuple[list[Verdict], list[Claim]]:
+def read_results(
+    claims: list[Claim], committed: TransactionResult
+) -> tuple[list[ClaimResult], list[Claim]]:
     """Return the decided claims and those to write again."""
     if committed.succeeded:
-        return [Verdict(claim, 'won') for claim in claims], []
+        return [ClaimResult(claim, 'won') for claim in claims], []
     verdicts = []
     unresolved = []
     for claim in claims:
-        stored = committed.found.get(claim.key)
+        stored = committed.entries.get(claim.key)
         if stored is None:
             unresolved.append(claim)
         else:
@@ -153,19 +153,19 @@
     return verdicts, unresolved
 
 
-def _compare_claim(claim: Claim, stored: Stored) -> Verdict:
+def _compare_claim(claim: Claim, stored: StoredEntry) -> ClaimResult:
     """Compare a claim with what is stored under its key.
 
     The stored claim is this one if the reply to an earlier write was lost and
     the write was repeated.
     """
-    document = json.loads(stored.text)
+    document = json.loads(stored.stored_value)
     holder = document['holder']
     if document['request'] == claim.request_id and holder == claim.holder:
-        return Verdict(claim, 'won')
+        return ClaimResult(claim, 'won')
     if document['fingerprint'] != claim.fingerprint:
-        return Verdict(claim, MISMATCH, holder)
-    return Verdict(claim, document['state'], holder, document['answer'])
+        return ClaimResult(claim, MISMATCH, holder)
+    return ClaimResult(claim, document['state'], holder, document['answer'])
 
 
 def _add_settlement(
@@ -182,4 +182,4 @@
     )
     put = Put(claim.key, settled.to_text(), lease)
     transaction.puts.append(put)
-    transaction.otherwise.append(put)
+    transaction.else_puts.append(put)
--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -23,10 +23,10 @@
 
 from samphirerill.backends.store import (
     Put,
-    Stored,
+    StoredEntry,
     StoreUnreachableError,
     Transaction,
-    Unchanged,
+    RevisionEquals,
 )
 from samphirerill.control.errors import ConfigurationError, InvalidPatchError
 from samphirerill.control.parts import PART_CHARS, PartStore
@@ -34,7 +34,7 @@
 from samphirerill.settings.checks import check_configuration
 
 if TYPE_CHECKING:
-    from samphirerill.backends.store import Committed, KeyValueStore
+    from samphirerill.backends.store import TransactionResult, KeyValueStore
 
 HEAD_KEY = 'shared/config/head'
 LOG = 'shared/config/log/'
@@ -140,9 +140,9 @@
             0
         ]
 
-    def read_change(self, entry: Stored) -> Change:
+    def read_change(self, entry: StoredEntry) -> Change:
         """Return a log entry's change, fetching its parts if any."""
-        document = json.loads(entry.text)
+        document = json.loads(entry.stored_value)
         if 'parts' in document:
             text = self._parts.read(document['id'])
             document['patch'] = json.loads(text)
@@ -208,7 +208,7 @@
         if version != change.version - 1:
             raise StaleBaseError(change.version - 1, version)
         transaction = Transaction(
-            conditions=[Unchanged(self._key(HEAD_KEY), revision)],
+            conditions=[RevisionEquals(self._key(HEAD_KEY), revision)],
             puts=[
                 Put(
                     self._key(HEAD_KEY), json.dumps({'version': change.version})
@@ -218,7 +218,7 @@
                     self._serialize_change(change),
                 ),
             ],
-            read=[self._log_key(change.version), self._key(HEAD_KEY)],
+            else_reads=[self._log_key(change.version), self._key(HEAD_KEY)],
         )
         self._commit_change(change, transaction)
 
@@ -231,11 +231,11 @@
         """
         committed = self._commit_with_retries(change, transaction)
         if not committed.succeeded:
-            self._check_own_change(change, committed.found)
+            self._check_own_change(change, committed.entries)
 
     def _commit_with_retries(
         self, change: Change, transaction: Transaction
-    ) -> Committed:
+    ) -> TransactionResult:
         deadline = time.monotonic() + _COMMIT_TIMEOUT_S
         may_have_applied = False
         while time.monotonic() <= deadline:
@@ -249,13 +249,13 @@
         raise UnknownResultError(change.version)
 
     def _check_own_change(
-        self, change: Change, stored: dict[str, Stored]
+        self, change: Change, stored: dict[str, StoredEntry]
     ) -> None:
         entry = stored.get(self._log_key(change.version))
-        if entry and json.loads(entry.text)['id'] == change.change_id:
+        if entry and json.loads(entry.stored_value)['id'] == change.change_id:
             return
         head = stored.get(self._key(HEAD_KEY))
-        current = json.loads(head.text)['version'] if head else 0
+        current = json.loads(head.stored_value)['version'] if head else 0
         raise StaleBaseError(change.version - 1, current)
 
     def _serialize_change(self, change: Change) -> str:
@@ -296,11 +296,11 @@
         return [self._log_key(number) for number in range(first, last)]
 
     def _read_snapshot(
-        self, entry: Stored | None
+        self, entry: StoredEntry | None
     ) -> tuple[int, dict[str, Any]]:
         if entry is None:
             return 0, {}
-        spec = json.loads(entry.text)
+        spec = json.loads(entry.stored_value)
         return spec['version'], json.loads(self._parts.read(spec['id']))
 
     def _key(self, name: str) -> str:
@@ -321,8 +321,8 @@
     )
 
 
-def _read_head(entries: list[Stored]) -> tuple[int, int]:
+def _read_head(entries: list[StoredEntry]) -> tuple[int, int]:
     """Return the accepted version and the revision that wrote it."""
     if not entries:
         return 0, 0
-    return json.loads(entries[0].text)['version'], entries[0].revision
+    return json.loads(entries[0].stored_value)['version'], entries[0].revision
--- a/samphirerill/control/parts.py
+++ b/samphirerill/control/parts.py
@@ -36,4 +36,4 @@
     def read(self, name: str) -> str:
         """Return the text stored under a name."""
         stored = self._store.read_prefix(f'{self._prefix}{name}/')
-        return ''.join(entry.text for entry in stored.entries)
+        return ''.join(entry.stored_value for entry in stored.entries)
--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/actions.py
@@ -11,7 +11,7 @@
 from samphirerill.backends.calls import build_request
 from samphirerill.backends.engine import EngineCall, build_engine_request
 from samphirerill.backends.service import ServiceCall
-from samphirerill.control.claims import MAX_KEPT_ANSWER
+from samphirerill.control.claims import MAX_STORED_RESPONSE_SIZE
 from samphirerill.core.commands import (
     CancelAttempt,
     DeliverService,
@@ -118,7 +118,7 @@
 def execute_replay(command: ReplayAnswer, node: Node) -> None:
     """Repeat the answer to the first request with this idempotency key."""
     session = node.sessions.pop(command.request_id)
-    answer = _get_claim_writer(node).answers.pop(command.request_id, {})
+    answer = _get_claim_writer(node).stored_responses.pop(command.request_id, {})
     text = answer.get('text')
     body = answer.get('body')
     if text is not None:
@@ -145,7 +145,7 @@
 @execute.register(WriteClaim)
 def execute_write_claim(command: WriteClaim, node: Node) -> None:
     """Queue a claim on an idempotency key for writing."""
-    _get_claim_writer(node).write(command)
+    _get_claim_writer(node).queue_claim(command)
 
 
 @execute.register(SettleClaim)
@@ -153,7 +153,7 @@
     """Queue a claim's outcome, with the answer unless it is too large."""
     session = node.sessions.get(command.request_id)
     answer = {} if session is None else _build_stored_answer(command, session)
-    _get_claim_writer(node).settle(command, answer)
+    _get_claim_writer(node).queue_outcome(command, answer)
 
 
 @execute.register(ProbeEndpoint)
@@ -233,9 +233,9 @@
             'headers': session.stored_response.headers,
             'body': body,
         }
-        return packed if len(body) <= MAX_KEPT_ANSWER else {}
+        return packed if len(body) <= MAX_STORED_RESPONSE_SIZE else {}
     text = ''.join(session.token_texts)
-    if len(text) > MAX_KEPT_ANSWER:
+    if len(text) > MAX_STORED_RESPONSE_SIZE:
         return {}
     return {'text': text, 'tokens': len(session.token_texts)}
 
--- a/samphirerill/node/claim_carriers.py
+++ b/samphirerill/node/claim_carriers.py
@@ -16,20 +16,20 @@
 
 from samphirerill.backends.store import StoreUnreachableError
 from samphirerill.control.claims import (
-    Batch,
+    ClaimBatch,
     Claim,
-    Verdict,
+    ClaimResult,
     build_transaction,
-    read_verdicts,
+    read_results,
 )
 
 if TYPE_CHECKING:
     from samphirerill.backends.peers import PeerClients
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
     from samphirerill.node.store_worker import StoreWorker
 
-COLLECTORS = 8
-COLLECT_ABOVE = 16
+AGGREGATOR_COUNT = 8
+MAX_DIRECT_WRITERS = 16
 UNKNOWN_STATE = ''
 CLAIM_TTL_S = 86_400
 _LEASE_REUSE_S = 3600.0
@@ -39,8 +39,8 @@
     """Writes batches of claims to the service."""
 
     async def write_batch(
-        self, batch: Batch
-    ) -> tuple[list[Verdict], list[Claim]]:
+        self, batch: ClaimBatch
+    ) -> tuple[list[ClaimResult], list[Claim]]:
         """Write a batch; return the results and the claims to retry.
 
         Raises
@@ -59,14 +59,14 @@
         self._lease_until = 0.0
 
     async def write_batch(
-        self, batch: Batch
-    ) -> tuple[list[Verdict], list[Claim]]:
+        self, batch: ClaimBatch
+    ) -> tuple[list[ClaimResult], list[Claim]]:
         """Write a batch in one transaction."""
         lease = await self._get_lease()
         transaction_result = await self._worker.run(
             self._worker.store.commit, build_transaction(batch, lease)
         )
-        return read_verdicts(batch.claims, transaction_result)
+        return read_results(batch.claims, transaction_result)
 
     async def _get_lease(self) -> str:
         """Return a lease with which claims expire after `CLAIM_TTL_S`."""
@@ -87,10 +87,10 @@
         self._address = address
 
     async def write_batch(
-        self, batch: Batch
-    ) -> tuple[list[Verdict], list[Claim]]:
+        self, batch: ClaimBatch
+    ) -> tuple[list[ClaimResult], list[Claim]]:
         """Send a batch to the aggregating node and wait for the results."""
-        answer = await self._clients.collect(self._address, batch)
+        answer = await self._clients.write_claims(self._address, batch)
         if isinstance(answer, Err):
             raise StoreUnreachableError(
                 str(answer.err_value), may_have_applied=True
@@ -107,23 +107,23 @@
         return claim_results, []
 
 
-def pick_collector(node_id: str, members: Members) -> str:
+def choose_aggregator(node_id: str, members: Membership) -> str:
     """Return the address of the node that aggregates for this one, or ''.
 
     Empty if this node writes directly: the fleet is small, or this node is an
     aggregator. Nodes with different views of the membership may choose
     differently, which only costs additional writes.
     """
-    if members.count <= COLLECT_ABOVE:
+    if members.count <= MAX_DIRECT_WRITERS:
         return ''
-    ids = sorted([node_id, *members.others], key=_compute_rank)
-    aggregators = ids[:COLLECTORS]
+    ids = sorted([node_id, *members.peers], key=_compute_rank)
+    aggregators = ids[:AGGREGATOR_COUNT]
     if node_id in aggregators:
         return ''
     chosen = min(
         aggregators, key=lambda other: _compute_rank(f'{node_id}/{other}')
     )
-    return members.others[chosen].peer_address
+    return members.peers[chosen].peer_address
 
 
 def _compute_rank(name: str) -> str:
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -14,22 +14,22 @@
 
 from samphirerill.backends.store import StoreError
 from samphirerill.control.claims import (
-    Batch,
+    ClaimBatch,
     Claim,
     Settlement,
-    Verdict,
+    ClaimResult,
     build_claim,
 )
 from samphirerill.core.commands import Outcome
 from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
 from samphirerill.node.claim_carriers import (
-    COLLECT_ABOVE,
-    COLLECTORS,
+    MAX_DIRECT_WRITERS,
+    AGGREGATOR_COUNT,
     UNKNOWN_STATE,
     BatchWriter,
     DirectBatchWriter,
     PeerBatchWriter,
-    pick_collector,
+    choose_aggregator,
 )
 from samphirerill.node.claim_releases import ClaimReleaseQueue
 from samphirerill.node.logs import get_logger
@@ -38,7 +38,7 @@
     from samphirerill.backends.calls import EventSink
     from samphirerill.backends.peers import PeerClients
     from samphirerill.core.commands import SettleClaim, WriteClaim
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
     from samphirerill.node.store_worker import StoreWorker
 
 _LOG = get_logger('claims')
@@ -46,7 +46,7 @@
 FLEET_WRITES_PER_S = 150
 MIN_WRITE_INTERVAL_S = 0.02
 CLAIM_TIMEOUT_S = 2.0
-RELEASE_AFTER_S = 4.0
+RELEASE_DELAY_S = 4.0
 _PEER_CLAIM_TIMEOUT_S = 1.0
 _RETRY_DELAY_S = 0.25
 _MAX_BATCH = 50
@@ -62,7 +62,7 @@
 
     claim: Claim
     deadline: float
-    result_future: asyncio.Future[Verdict] | None = None
+    result_future: asyncio.Future[ClaimResult] | None = None
 
 
 @dataclass(slots=True)
@@ -109,7 +109,7 @@
         Prefix of the project's keys.
     sink : EventSink
         Receives the results as events.
-    members : Members
+    members : Membership
         The known nodes, from which aggregators are chosen.
     clients : PeerClients
         Channels to the aggregating node of a large fleet.
@@ -121,13 +121,13 @@
         holder: str,
         prefix: str,
         sink: EventSink,
-        members: Members,
+        members: Membership,
         clients: PeerClients,
     ) -> None:
-        self.answers: dict[str, dict[str, Any]] = {}
+        self.stored_responses: dict[str, dict[str, Any]] = {}
         self.counters = ClaimCounters()
         self._worker = worker
-        self.name = holder
+        self.node_id = holder
         self._prefix = prefix
         self._sink = sink
         self._members = members
@@ -138,15 +138,15 @@
         self._own_claims: dict[str, Claim] = {}
         self._has_work = asyncio.Event()
 
-    def write(self, command: WriteClaim) -> None:
+    def queue_claim(self, command: WriteClaim) -> None:
         """Queue a claim; its result is emitted as an event."""
-        claim = build_claim(command, self.name, self._prefix)
+        claim = build_claim(command, self.node_id, self._prefix)
         deadline = time.monotonic() + CLAIM_TIMEOUT_S
         self._own_claims[command.request_id] = claim
         self._queue.pending.append(_PendingClaim(claim, deadline))
         self._has_work.set()
 
-    def settle(self, command: SettleClaim, answer: dict[str, Any]) -> None:
+    def queue_outcome(self, command: SettleClaim, answer: dict[str, Any]) -> None:
         """Queue the outcome of an acquired claim, or its release."""
         claim = self._own_claims.pop(command.request_id, None)
         if claim is None:
@@ -158,7 +158,7 @@
             self._queue.settlements.append(_PendingOutcome(settlement))
         self._has_work.set()
 
-    async def collect(self, batch: Batch) -> list[Verdict]:
+    async def write_for_peer(self, batch: ClaimBatch) -> list[ClaimResult]:
         """Write a batch for another node; return a result for each claim.
 
         An empty state in a result means that the result is unknown.
@@ -210,17 +210,17 @@
     def _get_write_interval_s(self) -> float:
         """Return the time between two calls within the fleet's limit."""
         writers = self._members.count
-        if writers > COLLECT_ABOVE:
-            writers = COLLECTORS
+        if writers > MAX_DIRECT_WRITERS:
+            writers = AGGREGATOR_COUNT
         return max(MIN_WRITE_INTERVAL_S, writers / FLEET_WRITES_PER_S)
 
     async def _flush(self) -> None:
         dequeued = self._dequeue()
         claims = [item.claim for item in dequeued.pending]
-        batch = Batch(
+        batch = ClaimBatch(
             claims, [item.settlement for item in dequeued.settlements]
         )
-        claim_results: list[Verdict] = []
+        claim_results: list[ClaimResult] = []
         retries: list[Claim] = []
         try:
             if batch:
@@ -243,11 +243,11 @@
                 _resolve_future(item.written_future, None)
 
     async def _write_batch(
-        self, batch: Batch
-    ) -> tuple[list[Verdict], list[Claim]]:
+        self, batch: ClaimBatch
+    ) -> tuple[list[ClaimResult], list[Claim]]:
         """Write a batch, directly or through the aggregating node."""
         self.counters.calls += 1
-        address = pick_collector(self.name, self._members)
+        address = choose_aggregator(self.node_id, self._members)
         batch_writer: BatchWriter = self._direct
         if address:
             batch_writer = PeerBatchWriter(self._clients, address)
@@ -278,12 +278,12 @@
                 self._abandon_claim(item.claim, exc)
             else:
                 _resolve_future(
-                    item.result_future, Verdict(item.claim, UNKNOWN_STATE)
+                    item.result_future, ClaimResult(item.claim, UNKNOWN_STATE)
                 )
 
     def _abandon_claim(self, claim: Claim, exc: StoreError) -> None:
         self.counters.failed += 1
-        self._releases.add(claim, time.monotonic() + RELEASE_AFTER_S)
+        self._releases.add(claim, time.monotonic() + RELEASE_DELAY_S)
         self._own_claims.pop(claim.request_id, None)
         _LOG.warning(
             'claim not written in time', extra={'reason': type(exc).__name__}
@@ -291,7 +291,7 @@
         self._sink.apply(ClaimFailed(claim.request_id))
 
     def _dispatch_results(
-        self, pending: list[_PendingClaim], claim_results: list[Verdict]
+        self, pending: list[_PendingClaim], claim_results: list[ClaimResult]
     ) -> None:
         futures = {
             item.claim.request_id: item.result_future for item in pending
@@ -303,7 +303,7 @@
                 continue
             _resolve_future(future, claim_result)
 
-    def _handle_own_result(self, claim_result: Verdict) -> None:
+    def _handle_own_result(self, claim_result: ClaimResult) -> None:
         self.counters.claims += 1
         request_id = claim_result.claim.request_id
         if claim_result.state == 'won':
@@ -311,12 +311,12 @@
             return
         self._own_claims.pop(request_id, None)
         if claim_result.state == 'answered':
-            self.answers[request_id] = claim_result.answer
+            self.stored_responses[request_id] = claim_result.answer
         is_holder_alive = self._members.is_alive(claim_result.holder)
         self._sink.apply(
             ClaimTaken(request_id, claim_result.state, is_holder_alive)
         )
-        self.answers.pop(request_id, None)
+        self.stored_responses.pop(request_id, None)
 
 
 def _resolve_future(
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from samphirerill.backends.store import (
-    Absent,
+    KeyAbsent,
     Put,
     StoreError,
     Transaction,
@@ -71,10 +71,10 @@
 
     def handle_watch_batch(self, batch: WatchBatch) -> None:
         """Update the id of the leader from the watch."""
-        for entry in batch.changed:
+        for entry in batch.puts:
             if entry.key == self._leader_key:
-                self._leader_id = entry.text
-        if self._leader_key in batch.gone:
+                self._leader_id = entry.stored_value
+        if self._leader_key in batch.deleted_keys:
             self._leader_id = ''
 
     def describe(self) -> dict[str, object]:
@@ -128,14 +128,14 @@
         requested_at = self._node.loop.time()
         self._lease = await self._worker.run(store.grant_lease, LEASE_S)
         transaction = Transaction(
-            conditions=[Absent(self._leader_key)],
+            conditions=[KeyAbsent(self._leader_key)],
             puts=[Put(self._leader_key, self._node.node_id, self._lease)],
-            read=[self._leader_key],
+            else_reads=[self._leader_key],
         )
         outcome = await self._worker.run(store.commit, transaction)
         if not outcome.succeeded:
             self._leader_id = (
-                outcome.found[self._leader_key].text if outcome.found else ''
+                outcome.entries[self._leader_key].stored_value if outcome.entries else ''
             )
             return
         now = self._node.loop.time()
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -36,7 +36,7 @@
 from samphirerill.node.vm_reader import parse_leaving_endpoints
 
 if TYPE_CHECKING:
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
@@ -53,7 +53,7 @@
     """Keeps the configuration and the membership of a node up to date."""
 
     def __init__(
-        self, node: Node, worker: StoreWorker, members: Members
+        self, node: Node, worker: StoreWorker, members: Membership
     ) -> None:
         self.view = ConfigurationView()
         self.evidence = Evidence(node.loop.time())
@@ -217,14 +217,14 @@
         log_prefix = f'{self._prefix}{LOG}'
         changes = [
             self.log.read_change(entry)
-            for entry in batch.changed
+            for entry in batch.puts
             if entry.key.startswith(log_prefix)
         ]
         loop = self._node.loop
         if not loop.is_closed():
             loop.call_soon_threadsafe(self._handle_batch, changes, batch)
         # Events up to the revision of an empty batch may still be pending.
-        return batch.revision if batch.changed or batch.gone else 0
+        return batch.revision if batch.puts or batch.deleted_keys else 0
 
     def _handle_batch(self, changes: list[Change], batch: WatchBatch) -> None:
         self._members.handle_watch_batch(batch)
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -19,7 +19,7 @@
     PeerClients,
     PeerError,
     PeerServer,
-    Word,
+    PeerMessage,
 )
 from samphirerill.control.configuration_log import parse_change
 from samphirerill.control.evidence import FORGET_AFTER_S
@@ -35,13 +35,13 @@
 )
 
 if TYPE_CHECKING:
-    from samphirerill.control.claims import Batch, Verdict
+    from samphirerill.control.claims import ClaimBatch, ClaimResult
     from samphirerill.node.follower import ConfigurationFollower
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
     from samphirerill.node.node import Node
 
-EVERY_S = 1.0
-PARTNERS = 2
+EXCHANGE_INTERVAL_S = 1.0
+FANOUT = 2
 _MAX_CHANNELS = 16
 _MAX_EVIDENCE_RECORDS = 16
 _MAX_READ_AGE_S = 1e9
@@ -62,14 +62,14 @@
     """Periodic exchange of messages with random peers."""
 
     def __init__(
-        self, node: Node, follower: ConfigurationFollower, members: Members
+        self, node: Node, follower: ConfigurationFollower, members: Membership
     ) -> None:
         self._node = node
         self._follower = follower
         self._members = members
         self.clients = PeerClients(_MAX_CHANNELS)
-        self._server = PeerServer(self._answer, self._write_claims)
-        self._heard: dict[str, PeerStatus] = {}
+        self._server = PeerServer(self._build_reply, self._write_claims)
+        self._peer_statuses: dict[str, PeerStatus] = {}
 
     async def start(self) -> int:
         """Start listening for peers; return the port."""
@@ -82,7 +82,7 @@
     async def run(self) -> None:
         """Exchange messages with random peers until cancelled."""
         while True:
-            await asyncio.sleep(add_jitter(EVERY_S))
+            await asyncio.sleep(add_jitter(EXCHANGE_INTERVAL_S))
             await asyncio.gather(
                 *(self._exchange(address) for address in self._choose_peers())
             )
@@ -94,7 +94,7 @@
 
     async def query_versions(self) -> list[dict[str, Any]]:
         """Query all known nodes for their configuration version."""
-        members = list(self._members.others.values())
+        members = list(self._members.peers.values())
         replies = await asyncio.gather(
             *(self._exchange(member.peer_address) for member in members)
         )
@@ -113,29 +113,29 @@
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the last message of each peer, for the state dump."""
-        return [asdict(status) for status in self._heard.values()]
+        return [asdict(status) for status in self._peer_statuses.values()]
 
     def _choose_peers(self) -> list[str]:
         addresses = [
-            member.peer_address for member in self._members.others.values()
+            member.peer_address for member in self._members.peers.values()
         ]
         addresses = addresses or list(self._node.settings.peers.seeds)
-        return random.sample(addresses, min(PARTNERS, len(addresses)))
+        return random.sample(addresses, min(FANOUT, len(addresses)))
 
-    async def _exchange(self, address: str) -> Word | None:
-        reply = await self.clients.exchange(address, self._build_word())
+    async def _exchange(self, address: str) -> PeerMessage | None:
+        reply = await self.clients.exchange(address, self._build_message())
         if isinstance(reply, Err):
             _LOG.debug(
                 'peer did not respond', extra={'reason': str(reply.err_value)}
             )
             return None
-        self._hear(reply.ok_value)
+        self._handle_message(reply.ok_value)
         return reply.ok_value
 
-    def _answer(self, message: Word) -> Word:
+    def _build_reply(self, message: PeerMessage) -> PeerMessage:
         """Reply to a message, with the changes that the peer lacks."""
-        self._hear(message)
-        reply = self._build_word()
+        self._handle_message(message)
+        reply = self._build_message()
         view = self._follower.view
         if message.version < view.version:
             changes = view.list_after(message.version)
@@ -147,14 +147,14 @@
                 ]
         return reply
 
-    async def _write_claims(self, batch: Batch) -> list[Verdict]:
+    async def _write_claims(self, batch: ClaimBatch) -> list[ClaimResult]:
         claim_writer = self._node.claim_writer
-        return [] if claim_writer is None else await claim_writer.collect(batch)
+        return [] if claim_writer is None else await claim_writer.write_for_peer(batch)
 
-    def _hear(self, message: Word) -> None:
+    def _handle_message(self, message: PeerMessage) -> None:
         now = self._node.loop.time()
         self._remove_expired(now)
-        self._heard[message.node] = PeerStatus(
+        self._peer_statuses[message.node] = PeerStatus(
             message.node, message.version, message.store_read_age_s, now
         )
         self._follower.evidence.note_peer(
@@ -173,7 +173,7 @@
                 VmListRead(frozenset(), frozenset(message.leaving))
             )
 
-    def _handle_evidence(self, message: Word) -> None:
+    def _handle_evidence(self, message: PeerMessage) -> None:
         if not message.evidence:
             return
         try:
@@ -187,9 +187,9 @@
         self._node.apply(EvidenceTold(records))
 
     def _remove_expired(self, now: float) -> None:
-        for name, status in tuple(self._heard.items()):
+        for name, status in tuple(self._peer_statuses.items()):
             if now - status.heard_at > FORGET_AFTER_S:
-                self._heard.pop(name)
+                self._peer_statuses.pop(name)
 
     def _encode_evidence(self, now: float) -> bytes:
         state = self._node.router.state
@@ -197,11 +197,11 @@
         records = list_evidence(state, now, _MAX_EVIDENCE_RECORDS)
         return encode_told(records) if records else b''
 
-    def _build_word(self) -> Word:
+    def _build_message(self) -> PeerMessage:
         node = self._node
         now = node.loop.time()
         age_s = min(_MAX_READ_AGE_S, self._follower.evidence.own_age_s(now))
-        return Word(
+        return PeerMessage(
             node.node_id,
             self._follower.view.version,
             age_s,
--- a/samphirerill/node/members.py
+++ b/samphirerill/node/members.py
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.backends.store import Stored, WatchBatch
+    from samphirerill.backends.store import StoredEntry, WatchBatch
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
 NODES_PREFIX = 'shared/nodes/'
 REMOVAL_DELAY_S = 10.0
-RENEWALS_A_LEASE = 3
+RENEWALS_PER_LEASE = 3
 _RETRY_INTERVAL_S = 0.5
 _REMOVAL_CHECK_INTERVAL_S = 1.0
 _LOG = get_logger('members')
@@ -38,7 +38,7 @@
     peer_address: str
 
 
-class Members:
+class Membership:
     """The known nodes.
 
     A node whose key was deleted is removed after a delay. After an outage of
@@ -49,7 +49,7 @@
 
     def __init__(self, node: Node, worker: StoreWorker) -> None:
         self.peer_address = ''
-        self.others: dict[str, Member] = {}
+        self.peers: dict[str, Member] = {}
         self._node = node
         self._worker = worker
         self._prefix = node.settings.store.prefix
@@ -59,17 +59,17 @@
     @property
     def count(self) -> int:
         """Number of nodes, including this one."""
-        return len(self.others) + 1
+        return len(self.peers) + 1
 
     def is_alive(self, node_id: str) -> bool:
         """Return whether a node id belongs to a known node."""
-        return node_id == self._node.node_id or node_id in self.others
+        return node_id == self._node.node_id or node_id in self.peers
 
     def handle_watch_batch(self, batch: WatchBatch) -> None:
         """Update the membership from the watch."""
-        for entry in batch.changed:
+        for entry in batch.puts:
             self._add_member(entry)
-        for key in batch.gone:
+        for key in batch.deleted_keys:
             if key.startswith(f'{self._prefix}{NODES_PREFIX}'):
                 node_id = key.rpartition('/')[2]
                 now = self._node.loop.time()
@@ -78,11 +78,11 @@
                 )
         self._report_node_count()
 
-    def list_missing_keys(self, entries: Iterable[Stored]) -> list[str]:
+    def list_missing_keys(self, entries: Iterable[StoredEntry]) -> list[str]:
         """Return the keys of known nodes that are not among `entries`."""
         existing_keys = {entry.key for entry in entries}
         keys = (
-            f'{self._prefix}{NODES_PREFIX}{node_id}' for node_id in self.others
+            f'{self._prefix}{NODES_PREFIX}{node_id}' for node_id in self.peers
         )
         return [key for key in keys if key not in existing_keys]
 
@@ -91,7 +91,7 @@
         await self._load_members()
         lease_s = self._node.settings.store.lease_s
         while True:
-            interval_s = lease_s / RENEWALS_A_LEASE
+            interval_s = lease_s / RENEWALS_PER_LEASE
             try:
                 await self._renew(lease_s)
             except StoreError as exc:
@@ -107,7 +107,7 @@
             for node_id, deadline in tuple(self._removal_deadlines.items()):
                 if deadline <= now:
                     self._removal_deadlines.pop(node_id)
-                    self.others.pop(node_id, None)
+                    self.peers.pop(node_id, None)
                     _LOG.info('node removed', extra={'node': node_id})
             self._report_node_count()
 
@@ -149,14 +149,14 @@
             self._report_node_count()
             return
 
-    def _add_member(self, entry: Stored) -> None:
+    def _add_member(self, entry: StoredEntry) -> None:
         if not entry.key.startswith(f'{self._prefix}{NODES_PREFIX}'):
             return
-        spec = json.loads(entry.text)
+        spec = json.loads(entry.stored_value)
         member = Member(spec['id'], spec['data_centre'], spec['peer'])
         self._removal_deadlines.pop(member.node_id, None)
         if member.node_id != self._node.node_id:
-            self.others[member.node_id] = member
+            self.peers[member.node_id] = member
 
     def _report_node_count(self) -> None:
         if self._node.router.state.node_count != self.count:
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operations.py
@@ -92,7 +92,7 @@
             else {},
             'members': {
                 name: asdict(member)
-                for name, member in self._process.members.others.items()
+                for name, member in self._process.members.peers.items()
             },
             'peers': self._process.gossip.describe(),
             'orders': self._follower.engine_controller.describe(),
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -18,7 +18,7 @@
 from samphirerill.node.follower import ConfigurationFollower
 from samphirerill.node.gossip import Gossip
 from samphirerill.node.logs import get_logger
-from samphirerill.node.members import Members
+from samphirerill.node.members import Membership
 from samphirerill.node.node import Node
 from samphirerill.node.operations import NodeOperations
 from samphirerill.node.probes import poll_loads
@@ -49,7 +49,7 @@
     def __init__(self, settings: Settings) -> None:
         self.node = Node(settings)
         self.worker = StoreWorker(EtcdStore(settings.store))
-        self.members = Members(self.node, self.worker)
+        self.members = Membership(self.node, self.worker)
         self.follower = ConfigurationFollower(
             self.node, self.worker, self.members
         )
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import WatchBatch
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
@@ -34,7 +34,7 @@
     """Periodically reads the VM list and publishes leaving endpoints."""
 
     def __init__(
-        self, node: Node, worker: StoreWorker, members: Members
+        self, node: Node, worker: StoreWorker, members: Membership
     ) -> None:
         self._node = node
         self._worker = worker
@@ -93,12 +93,12 @@
     key_prefix = f'{prefix}{LEAVING_PREFIX}'
     leaving = {
         entry.key.removeprefix(key_prefix)
-        for entry in batch.changed
+        for entry in batch.puts
         if entry.key.startswith(key_prefix)
     }
     removed = {
         key.removeprefix(key_prefix)
-        for key in batch.gone
+        for key in batch.deleted_keys
         if key.startswith(key_prefix)
     }
     if not leaving and not removed:
--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -1,7 +1,7 @@
 """Asynchronous client of the platform's key-value store.
 
 Connections are kept alive and reused; concurrent calls, such as a watch, each
-use their own. Every call ends with an answer, ``StoreRefusedError`` (nothing
+use their own. Every call ends with an answer, ``StoreRejectedError`` (nothing
 was done) or ``StoreUnreachableError`` (outcome unknown). After a write whose
 answer was lost, the caller must read the keys back to find out whether it was
 applied.
@@ -19,7 +19,7 @@
 
 from samphirerill.backends.store import (
     StoreError,
-    StoreRefusedError,
+    StoreRejectedError,
     StoreUnreachableError,
 )
 from samphirerill.relay.connection import HttpConnection, build_call
@@ -358,7 +358,7 @@
         if status == _GONE:
             raise HistoryGoneError('the store has compacted this revision')
         if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
-            raise StoreRefusedError(f'{method} {path}: got status {status}')
+            raise StoreRejectedError(f'{method} {path}: got status {status}')
         return status, answer
 
     async def _exchange(
--- a/samphirerill/properties/agreement.py
+++ b/samphirerill/properties/agreement.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from samphirerill.backends.store import Absent, Put, Transaction
+from samphirerill.backends.store import KeyAbsent, Put, Transaction
 from samphirerill.control.configuration_log import (
     ConfigurationLog,
     Loaded,
@@ -190,7 +190,7 @@
     ) -> None:
         node.lease = self.store_state.grant({'TTL': LEASE_S}, self.now)['ID']
         campaign = Transaction(
-            conditions=[Absent(_LEADER_KEY)],
+            conditions=[KeyAbsent(_LEADER_KEY)],
             puts=[Put(_LEADER_KEY, node.name, node.lease)],
         )
         done = MemoryStore(self.store_state).commit(campaign)
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -13,13 +13,13 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.control.claims import (
-    Batch,
+    ClaimBatch,
     Claim,
     Settlement,
     build_claim,
     build_release,
     build_transaction,
-    read_verdicts,
+    read_results,
 )
 from samphirerill.core import commands as core_commands
 from samphirerill.core import events
@@ -320,11 +320,11 @@
         With `lose_reply` the claim is committed, but no verdict delivered.
         """
         item = self.pending_claims[request_id]
-        transaction = build_transaction(Batch([item.claim]), '')
+        transaction = build_transaction(ClaimBatch([item.claim]), '')
         done = self.store.commit(transaction)
         if lose_reply:
             return
-        verdicts, _ = read_verdicts([item.claim], done)
+        verdicts, _ = read_results([item.claim], done)
         self.pending_claims.pop(request_id)
         for verdict in verdicts:
             if verdict.state == 'won':
@@ -342,7 +342,7 @@
 
     def commit_settlements(self) -> None:
         """Commit the outcomes of settled claims to the store."""
-        batch = Batch(settlements=self.unsaved_settlements)
+        batch = ClaimBatch(settlements=self.unsaved_settlements)
         self.store.commit(build_transaction(batch, ''))
         self.unsaved_settlements = []
 
--- a/samphirerill/testing/memory_store.py
+++ b/samphirerill/testing/memory_store.py
@@ -11,7 +11,7 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.backends.store import (
-    StoreRefusedError,
+    StoreRejectedError,
     StoreUnreachableError,
     WatchBatch,
 )
@@ -51,7 +51,7 @@
         try:
             answer = self._run(path, call)
         except InvalidCallError as exc:
-            raise StoreRefusedError(str(exc)) from exc
+            raise StoreRejectedError(str(exc)) from exc
         if self.lose_replies:
             self.lose_replies -= 1
             raise StoreUnreachableError('reply lost', may_have_applied=True)
--- a/samphirerill/tests/test_catch_up.py
+++ b/samphirerill/tests/test_catch_up.py
@@ -9,10 +9,10 @@
 
 from result import Ok
 
-from samphirerill.backends.store import RangeResult, Stored
+from samphirerill.backends.store import RangeResult, StoredEntry
 from samphirerill.control.configuration_log import Loaded
 from samphirerill.node.follower import ConfigurationFollower
-from samphirerill.node.members import Members
+from samphirerill.node.members import Membership
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,10 +21,10 @@
 _MEMBER_JSON = '{{"id": "{0}", "data_centre": "a", "peer": "x"}}'
 
 
-def _build_entry(name: str) -> Stored:
-    entry = MagicMock(spec=Stored)
+def _build_entry(name: str) -> StoredEntry:
+    entry = MagicMock(spec=StoredEntry)
     entry.key = _MEMBER_KEY.format(name)
-    entry.text = _MEMBER_JSON.format(name)
+    entry.stored_value = _MEMBER_JSON.format(name)
     return entry
 
 
@@ -39,8 +39,8 @@
         worker = MagicMock()
         worker.try_run = self.try_run
         worker.store.read_prefix = self.read_prefix
-        self.entries: list[Stored] = []
-        self.members = Members(node, worker)
+        self.entries: list[StoredEntry] = []
+        self.members = Membership(node, worker)
         self.follower = ConfigurationFollower(node, worker, self.members)
         self.follower.install = MagicMock()  # type: ignore[method-assign]
         self.follower.log = MagicMock()
@@ -66,7 +66,7 @@
         although the watch covers the members, too.
         """
         await self.resynchronize('n1', 'n2', 'n3')
-        self.assertEqual(set(self.members.others), {'n2', 'n3'})
+        self.assertEqual(set(self.members.peers), {'n2', 'n3'})
         await self.resynchronize('n1', 'n3')
         missing = self.members.list_missing_keys(self.entries)
         self.assertEqual(missing, [_MEMBER_KEY.format('n2')])
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -7,18 +7,18 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from samphirerill.backends.peers import PeerClients, PeerServer
-from samphirerill.control.claims import Batch, Claim
+from samphirerill.control.claims import ClaimBatch, Claim
 from samphirerill.core.commands import Outcome, SettleClaim, WriteClaim
 from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
-from samphirerill.node.claim_carriers import COLLECT_ABOVE, pick_collector
-from samphirerill.node.claim_writer import RELEASE_AFTER_S, ClaimWriter
+from samphirerill.node.claim_carriers import MAX_DIRECT_WRITERS, choose_aggregator
+from samphirerill.node.claim_writer import RELEASE_DELAY_S, ClaimWriter
 from samphirerill.node.members import Member
 from samphirerill.node.store_worker import StoreWorker
 from samphirerill.testing.kv_rules import Rules
 from samphirerill.testing.memory_store import MemoryStore
 
 if TYPE_CHECKING:
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
 
 
 class _Sink:
@@ -32,19 +32,19 @@
     def apply(self, event: object) -> None:
         self.events.append(event)
         if self.writer is not None:
-            self.answers.update(self.writer.answers)
+            self.answers.update(self.writer.stored_responses)
 
 
 class _Members:
     """The nodes known to a writer."""
 
     def __init__(self, name: str) -> None:
-        self.others: dict[str, Any] = {}
+        self.peers: dict[str, Any] = {}
         self._name = name
 
     @property
     def count(self) -> int:
-        return len(self.others) + 1
+        return len(self.peers) + 1
 
     def is_alive(self, holder: str) -> bool:
         return holder != 'dead'
@@ -64,7 +64,7 @@
             name,
             '/p/',
             self.sink,
-            cast('Members', self.members),
+            cast('Membership', self.members),
             PeerClients(4),
         )
         self.sink.writer = self.writer
@@ -73,7 +73,7 @@
     async def claim(self, request_id: str, key: str, body: str = 'b') -> Any:
         """Claim a key and return the resulting event."""
         before = len(self.sink.events)
-        self.writer.write(WriteClaim(request_id, 'viti', 'notices', key, body))
+        self.writer.queue_claim(WriteClaim(request_id, 'viti', 'notices', key, body))
         for _ in range(400):
             await asyncio.sleep(0.01)
             if len(self.sink.events) > before:
@@ -84,7 +84,7 @@
         self, request_id: str, outcome: Outcome, answer: dict[str, Any]
     ) -> None:
         """Record an outcome and wait until it is written."""
-        self.writer.settle(SettleClaim(request_id, outcome), answer)
+        self.writer.queue_outcome(SettleClaim(request_id, outcome), answer)
         await asyncio.sleep(0.1)
 
 
@@ -130,7 +130,7 @@
         """
         await self.one.claim('r1', 'k')
         self.one.store.lose_replies = 1
-        self.one.writer.settle(SettleClaim('r1', Outcome.NOT_RUN), {})
+        self.one.writer.queue_outcome(SettleClaim('r1', Outcome.NOT_RUN), {})
         await asyncio.sleep(0.06)
         self.assertEqual(await self.two.claim('r2', 'k'), ClaimWon('r2'))
         await asyncio.sleep(0.5)
@@ -170,7 +170,7 @@
             await self.two.claim('r2', 'k'), ClaimTaken('r2', 'running', True)
         )
         self.one.store.down = False
-        await asyncio.sleep(RELEASE_AFTER_S + 0.5)
+        await asyncio.sleep(RELEASE_DELAY_S + 0.5)
         self.assertEqual(await self.two.claim('r3', 'k'), ClaimWon('r3'))
 
     async def test_claims_are_written_in_batches(self) -> None:
@@ -178,7 +178,7 @@
         await self.one.claim('warm', 'up')
         before = self.one.store.calls
         for number in range(40):
-            self.one.writer.write(
+            self.one.writer.queue_claim(
                 WriteClaim(f'r{number}', 'viti', 'notices', f'{number}', 'b')
             )
         await asyncio.sleep(0.3)
@@ -194,7 +194,7 @@
         """A conflict in a batch affects only that claim."""
         await self.one.claim('r1', 'taken')
         for key in ('a', 'taken', 'b'):
-            self.two.writer.write(
+            self.two.writer.queue_claim(
                 WriteClaim(f'two-{key}', 'viti', 'notices', key, 'b')
             )
         await asyncio.sleep(0.4)
@@ -207,7 +207,7 @@
 
     async def test_equal_keys_of_two_accounts_do_not_conflict(self) -> None:
         await self.one.claim('r1', 'k')
-        self.two.writer.write(WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b'))
+        self.two.writer.queue_claim(WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b'))
         await asyncio.sleep(0.2)
         self.assertEqual(self.two.sink.events, [ClaimWon('r2')])
 
@@ -221,23 +221,23 @@
         self.nodes = [_Node(f'n{index}', self.rules) for index in range(2)]
         self.servers = []
         for node in self.nodes:
-            server = PeerServer(lambda word: word, node.writer.collect)
+            server = PeerServer(lambda word: word, node.writer.write_for_peer)
             self.servers.append(server)
             node.address = f'127.0.0.1:{await server.start("127.0.0.1", 0)}'
         for node, other in zip(self.nodes, self.nodes[::-1], strict=True):
-            node.members.others = {
+            node.members.peers = {
                 f'other-{index}': Member(f'other-{index}', 'a', other.address)
-                for index in range(COLLECT_ABOVE + 10)
+                for index in range(MAX_DIRECT_WRITERS + 10)
             }
         self.sender = next(
             node
             for node in self.nodes
-            if pick_collector(node.writer.name, cast('Members', node.members))
+            if choose_aggregator(node.writer.node_id, cast('Membership', node.members))
         )
         self.collector = next(
             node for node in self.nodes if node is not self.sender
         )
-        self.collector.members.others = {}
+        self.collector.members.peers = {}
 
     async def asyncTearDown(self) -> None:
         for node in self.nodes:
@@ -279,7 +279,7 @@
         remote_claim = Claim('/p/claims/k', 'n2', 'r1', 'b')
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(
-                node.writer.collect(Batch([remote_claim])), timeout=0.5
+                node.writer.write_for_peer(ClaimBatch([remote_claim])), timeout=0.5
             )
         await asyncio.sleep(1.5)
         node.store.down = False
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from unittest import IsolatedAsyncioTestCase, TestCase
 
-from samphirerill.backends.peers import PeerClients, PeerServer, Word
+from samphirerill.backends.peers import PeerClients, PeerServer, PeerMessage
 from samphirerill.core.commands import (
     Command,
     OpenAttempt,
@@ -31,7 +31,7 @@
 from samphirerill.quarantine import digest_request
 
 if TYPE_CHECKING:
-    from samphirerill.control.claims import Batch, Verdict
+    from samphirerill.control.claims import ClaimBatch, ClaimResult
 
 _CRASHING = digest_request('coach', b'plans', b'ends them')
 _HARMLESS = digest_request('coach', b'plans', b'harmless')
@@ -211,17 +211,17 @@
     async def test_evidence_goes_both_ways(self) -> None:
         received: list[bytes] = []
 
-        def answer(word: Word) -> Word:
+        def answer(word: PeerMessage) -> PeerMessage:
             received.append(word.evidence)
-            return Word('n2', 1, 0.0, evidence=b'answer')
+            return PeerMessage('n2', 1, 0.0, evidence=b'answer')
 
-        async def collect(batch: Batch) -> list[Verdict]:
+        async def collect(batch: ClaimBatch) -> list[ClaimResult]:
             return []
 
         server = PeerServer(answer, collect)
         port = await server.start('127.0.0.1', 0)
         clients = PeerClients(2)
-        word = Word('n1', 1, 0.0, evidence=b'question')
+        word = PeerMessage('n1', 1, 0.0, evidence=b'question')
         reply = await clients.exchange(f'127.0.0.1:{port}', word)
         await clients.close()
         await server.stop()
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -9,7 +9,7 @@
 
 from samphirerill.backends.store import (
     StoreError,
-    StoreRefusedError,
+    StoreRejectedError,
     StoreUnreachableError,
 )
 from samphirerill.fleet.model import LayerRange, Repeat, Stage
@@ -221,7 +221,7 @@
 
     async def test_refused_write_is_not_applied(self) -> None:
         self.service.busy = True
-        with self.assertRaises(StoreRefusedError):
+        with self.assertRaises(StoreRejectedError):
             await self.store.write({'a': b'1'}, {})
         self.assertEqual(self.service.keys, {})
 
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -10,7 +10,7 @@
 from unittest import IsolatedAsyncioTestCase, TestCase
 from unittest.mock import Mock
 
-from samphirerill.backends.store import StoreRefusedError
+from samphirerill.backends.store import StoreRejectedError
 from samphirerill.fleet.watchers import list_watchers
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
@@ -86,13 +86,13 @@
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
         """Answer the first call only."""
         if not self.is_up:
-            raise StoreRefusedError('got status 503')
+            raise StoreRejectedError('got status 503')
         self.is_up = False
         return [], 10
 
     async def watch(self, prefix: str, after: int) -> Changes:
         """Refuse."""
-        raise StoreRefusedError('got status 503')
+        raise StoreRejectedError('got status 503')
 
 
 class _RecordingHandler:
@@ -181,13 +181,13 @@
         """Answer the first call; refuse further ones."""
         self.calls += 1
         if self.calls > 1:
-            raise StoreRefusedError('got status 503')
+            raise StoreRejectedError('got status 503')
         return [], 10
 
     async def watch(self, prefix: str, after: int) -> Changes:
         """Refuse."""
         self.calls += 1
-        raise StoreRefusedError('got status 503')
+        raise StoreRejectedError('got status 503')
 
 
 class _CutOffWatchersSource(NewsSource):
