--- a/samphirerill/backends/calls.py
+++ b/samphirerill/backends/calls.py
@@ -14,7 +14,7 @@
 
 from httptools import HttpParserError, HttpResponseParser
 
-from samphirerill.core.events import AttemptBroke, AttemptSent
+from samphirerill.core.events import AttemptFailed, AttemptSent
 
 if TYPE_CHECKING:
     from samphirerill.core.commands import Stage
@@ -131,10 +131,10 @@
     def _fail(
         self, detail: str, *, connected: bool = True, stage: int = -1
     ) -> None:
-        """Emit ``AttemptBroke`` once and close the connection."""
+        """Emit ``AttemptFailed`` once and close the connection."""
         if self._closed:
             return
-        event = AttemptBroke(self.attempt_id, detail, stage, connected)
+        event = AttemptFailed(self.attempt_id, detail, stage, connected)
         self._sink.apply(event)
         self.close()
 
--- a/samphirerill/backends/engine.py
+++ b/samphirerill/backends/engine.py
@@ -22,7 +22,7 @@
     LoadReported,
     TokenArrived,
 )
-from samphirerill.core.prefixes import CacheNews
+from samphirerill.core.prefixes import CacheEvents
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -242,7 +242,7 @@
     metrics = report.named_metrics
     cache = report.cache
     if cache is not None:
-        cache_events = CacheNews(
+        cache_events = CacheEvents(
             cache.first, cache.last, cache.stored, cache.evicted
         )
         sink.apply(CacheReported(endpoint, cache_events))
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -33,7 +33,7 @@
 from samphirerill.core.events import (
     AttemptSent,
     ConfigurationAccepted,
-    NodesSeen,
+    NodeCountReported,
     RequestArrived,
     TokenArrived,
 )
@@ -376,7 +376,7 @@
     document = build_large_document(replicas, accounts, 16)
     event = ConfigurationAccepted(build_configuration(document, 1))
     router.apply(event, 0)
-    router.apply(NodesSeen(400), 0)
+    router.apply(NodeCountReported(400), 0)
     return router
 
 
--- a/samphirerill/core/commands.py
+++ b/samphirerill/core/commands.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class DeliverService:
+class DeliverServiceResponse:
     """Send a plain service's complete answer to the caller."""
 
     request_id: str
@@ -135,7 +135,7 @@
     OpenAttempt
     | CancelAttempt
     | DeliverToken
-    | DeliverService
+    | DeliverServiceResponse
     | ReplayAnswer
     | FinishAnswer
     | RefuseRequest
--- a/samphirerill/core/ending.py
+++ b/samphirerill/core/ending.py
@@ -24,7 +24,7 @@
     It is "not run" only if no attempt may have run: each was either never sent
     or explicitly refused by its endpoint.
     """
-    if req.unsure_attempts or req.delivered:
+    if req.ambiguous_attempts or req.delivered:
         return Outcome.MAY_HAVE_RUN
     return Outcome.NOT_RUN
 
@@ -57,7 +57,7 @@
 def remove_request(state: CoreState, req: RequestState) -> None:
     """Remove a request, its queue entry and its running attempt."""
     if req.phase is Phase.QUEUED:
-        queue = state.pools.get(get_queue_name(req))
+        queue = state.queues.get(get_queue_name(req))
         if queue is not None:
             queue.remove(req.request_id, req.account, req.priority)
     else:
--- a/samphirerill/core/events.py
+++ b/samphirerill/core/events.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.core.model import Configuration
-    from samphirerill.core.prefixes import CacheNews
+    from samphirerill.core.prefixes import CacheEvents
     from samphirerill.quarantine.messages import ToldRecord
 
 
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class CallerLeft:
+class ClientDisconnected:
     """The caller disconnected before its answer was complete."""
 
     request_id: str
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True)
-class AttemptBroke:
+class AttemptFailed:
     """The attempt's connection failed or the engine reported an error.
 
     `failed_stage` is the position of the pipeline stage that failed according
@@ -112,14 +112,14 @@
 
 
 @dataclass(slots=True)
-class ClaimWon:
+class ClaimAcquired:
     """The idempotency key is claimed for this request."""
 
     request_id: str
 
 
 @dataclass(slots=True)
-class ClaimTaken:
+class ClaimConflicted:
     """Another request has claimed the idempotency key.
 
     `state` is ``running``, ``answered``, ``may-have-run`` or ``mismatch``;
@@ -139,20 +139,20 @@
 
 
 @dataclass(slots=True)
-class ProbeAnswered:
+class ProbeFinished:
     """A probe of an endpoint over a new connection has finished.
 
-    `has_ended` is whether the connection was refused, so that the process has
+    `is_refused` is whether the connection was refused, so that the process has
     ended; one that only does not answer may still be running.
     """
 
     endpoint: str
     alive: bool
-    has_ended: bool = False
+    is_refused: bool = False
 
 
 @dataclass(slots=True)
-class EvidenceTold:
+class EvidenceReceived:
     """Another node sent its crash records of requests."""
 
     records: list[ToldRecord]
@@ -176,7 +176,7 @@
 
 
 @dataclass(slots=True)
-class NodesSeen:
+class NodeCountReported:
     """The number of nodes that share the endpoints, this one included."""
 
     count: int
@@ -187,7 +187,7 @@
     """What an engine stored and evicted since the last report."""
 
     endpoint: str
-    news: CacheNews
+    events: CacheEvents
 
 
 @dataclass(slots=True)
@@ -196,19 +196,19 @@
 
 
 @dataclass(slots=True)
-class ServingForbidden:
+class ServingSuspended:
     """The node cannot confirm that its configuration is in force."""
 
     reason: str
 
 
 @dataclass(slots=True)
-class ServingAllowed:
+class ServingResumed:
     """The configuration is confirmed to be in force again."""
 
 
 @dataclass(slots=True)
-class TimePassed:
+class TimerFired:
     """The node's timer fired for the core's next deadline.
 
     `lag_s` is the delay between that deadline and the timer.
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -7,7 +7,7 @@
 
 from samphirerill.core.commands import (
     CancelAttempt,
-    DeliverService,
+    DeliverServiceResponse,
     DeliverToken,
     ProbeEndpoint,
 )
@@ -17,7 +17,7 @@
     remove_attempt,
 )
 from samphirerill.core.events import (
-    AttemptBroke,
+    AttemptFailed,
     AttemptProgressed,
     AttemptRefused,
     AttemptSent,
@@ -69,7 +69,7 @@
     if attempt is None or attempt.sent:
         return
     attempt.sent = True
-    state.requests[attempt.request_id].unsure_attempts += 1
+    state.requests[attempt.request_id].ambiguous_attempts += 1
 
 
 @handle.register(TokenArrived)
@@ -88,7 +88,7 @@
         return
     if attempt.epoch != event.epoch:
         state.counters['dropped.epoch'] += 1
-        failure = AttemptBroke(event.attempt_id, 'a token of another epoch')
+        failure = AttemptFailed(event.attempt_id, 'a token of another epoch')
         on_attempt_broke(failure, state, now)
         return
     req = state.requests[attempt.request_id]
@@ -97,7 +97,7 @@
         return
     if event.index > req.delivered:
         state.counters['dropped.gap'] += 1
-        failure = AttemptBroke(event.attempt_id, 'a token is missing')
+        failure = AttemptFailed(event.attempt_id, 'a token is missing')
         on_attempt_broke(failure, state, now)
         return
     req.delivered += 1
@@ -139,7 +139,7 @@
     req = state.requests[attempt.request_id]
     head = attempt.stages[0].endpoint
     if attempt.sent:
-        req.unsure_attempts -= 1
+        req.ambiguous_attempts -= 1
     remove_attempt(state, attempt)
     state.emit(CancelAttempt(attempt.attempt_id))
     req.avoid.add(head)
@@ -158,8 +158,8 @@
     dispatch_queue(state, get_queue_name(req), now)
 
 
-@handle.register(AttemptBroke)
-def on_attempt_broke(event: AttemptBroke, state: CoreState, now: float) -> None:
+@handle.register(AttemptFailed)
+def on_attempt_broke(event: AttemptFailed, state: CoreState, now: float) -> None:
     """Exclude the failed stage, then retry elsewhere or end the request."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
@@ -193,7 +193,7 @@
         state.counters['dropped.late'] += 1
         return
     req = state.requests[attempt.request_id]
-    state.emit(DeliverService(req.request_id, event.attempt_id))
+    state.emit(DeliverServiceResponse(req.request_id, event.attempt_id))
     _finish_attempt(state, attempt, req, now)
 
 
@@ -216,7 +216,7 @@
 def _exclude_failed_stage(
     state: CoreState,
     attempt: AttemptState,
-    event: AttemptBroke,
+    event: AttemptFailed,
     req: RequestState,
     now: float,
 ) -> bool:
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -17,7 +17,7 @@
     refuse_request,
     remove_request,
 )
-from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
+from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import (
     dispatch_queue,
@@ -32,8 +32,8 @@
 _OUTAGE_RETRY_S = 5.0
 
 
-@handle.register(ClaimWon)
-def on_claim_won(event: ClaimWon, state: CoreState, now: float) -> None:
+@handle.register(ClaimAcquired)
+def on_claim_won(event: ClaimAcquired, state: CoreState, now: float) -> None:
     """Start the request that now holds its key.
 
     If the request ended while its claim was being written, nothing ran and the
@@ -49,8 +49,8 @@
         requeue_at_front(state, req, now)
 
 
-@handle.register(ClaimTaken)
-def on_claim_taken(event: ClaimTaken, state: CoreState, now: float) -> None:
+@handle.register(ClaimConflicted)
+def on_claim_taken(event: ClaimConflicted, state: CoreState, now: float) -> None:
     """Tell a retry the outcome of the first request with its key."""
     req = state.requests.get(event.request_id)
     if req is None:
@@ -83,7 +83,7 @@
     dispatch_queue(state, get_queue_name(req), now)
 
 
-def _explain_taken(event: ClaimTaken) -> Problem:
+def _explain_taken(event: ClaimConflicted) -> Problem:
     if event.state == 'mismatch':
         return Problem(
             HTTPStatus.UNPROCESSABLE_ENTITY,
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -18,7 +18,7 @@
     get_queue_name,
     refuse_request,
 )
-from samphirerill.core.events import EvidenceTold
+from samphirerill.core.events import EvidenceReceived
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import dispatch_queue
 from samphirerill.quarantine import Death
@@ -26,7 +26,7 @@
 from samphirerill.quarantine.messages import take_told
 
 if TYPE_CHECKING:
-    from samphirerill.core.events import ProbeAnswered
+    from samphirerill.core.events import ProbeFinished
     from samphirerill.core.state import AttemptState, CoreState, RequestState
 
 QUARANTINE_DETAIL = 'endpoints end when they run this request'
@@ -34,8 +34,8 @@
 _TIMER_SLACK_S = 0.005
 
 
-@handle.register(EvidenceTold)
-def on_evidence_told(event: EvidenceTold, state: CoreState, now: float) -> None:
+@handle.register(EvidenceReceived)
+def on_evidence_told(event: EvidenceReceived, state: CoreState, now: float) -> None:
     """Merge another node's crash records."""
     if take_told(state.quarantine, event.records, now):
         _schedule_evaluation(state, now)
@@ -76,10 +76,10 @@
     return True
 
 
-def record_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
+def record_probe(state: CoreState, event: ProbeFinished, now: float) -> None:
     """Count the suspected crashes of an endpoint if it has ended."""
     crashes = state.suspected_crashes.pop(event.endpoint, {})
-    if not event.has_ended:
+    if not event.is_refused:
         return
     for identity, death in crashes.items():
         state.quarantine.note_death(identity, death, now)
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -8,8 +8,8 @@
     CacheReported,
     ConfigurationAccepted,
     LoadReported,
-    NodesSeen,
-    ProbeAnswered,
+    NodeCountReported,
+    ProbeFinished,
     VmListRead,
 )
 from samphirerill.core.handling import handle
@@ -107,9 +107,9 @@
         dispatch_queue(state, replica.endpoint.model, now)
 
 
-@handle.register(ProbeAnswered)
+@handle.register(ProbeFinished)
 def on_probe_answered(
-    event: ProbeAnswered, state: CoreState, now: float
+    event: ProbeFinished, state: CoreState, now: float
 ) -> None:
     """Use an endpoint again, or keep it suspect and probe again later."""
     record_probe(state, event, now)
@@ -124,8 +124,8 @@
         dispatch_all_queues(state, now)
 
 
-@handle.register(NodesSeen)
-def on_nodes_seen(event: NodesSeen, state: CoreState, now: float) -> None:
+@handle.register(NodeCountReported)
+def on_nodes_seen(event: NodeCountReported, state: CoreState, now: float) -> None:
     """Record the number of nodes that share limits and endpoints."""
     state.node_count = max(1, event.count)
 
@@ -135,4 +135,4 @@
     event: CacheReported, state: CoreState, now: float
 ) -> None:
     """Record which prompt prefixes an engine stored and evicted."""
-    state.prefixes.apply_events(event.endpoint, event.news)
+    state.prefixes.apply_events(event.endpoint, event.events)
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -13,11 +13,11 @@
     remove_request,
 )
 from samphirerill.core.events import (
-    CallerLeft,
+    ClientDisconnected,
     DrainRequested,
     RequestArrived,
-    ServingAllowed,
-    ServingForbidden,
+    ServingResumed,
+    ServingSuspended,
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.model import choose_priority
@@ -59,8 +59,8 @@
     dispatch_queue(state, queue_name, now)
 
 
-@handle.register(CallerLeft)
-def on_caller_left(event: CallerLeft, state: CoreState, now: float) -> None:
+@handle.register(ClientDisconnected)
+def on_caller_left(event: ClientDisconnected, state: CoreState, now: float) -> None:
     """Stop the request, unless a retry may ask for its answer.
 
     A request with a claimed key runs on: its caller may return with the same
@@ -87,17 +87,17 @@
     state.draining = True
 
 
-@handle.register(ServingForbidden)
+@handle.register(ServingSuspended)
 def on_serving_forbidden(
-    event: ServingForbidden, state: CoreState, now: float
+    event: ServingSuspended, state: CoreState, now: float
 ) -> None:
     """Accept no new requests while the configuration is unconfirmed."""
     state.suspension_reason = event.reason
 
 
-@handle.register(ServingAllowed)
+@handle.register(ServingResumed)
 def on_serving_allowed(
-    event: ServingAllowed, state: CoreState, now: float
+    event: ServingResumed, state: CoreState, now: float
 ) -> None:
     """Accept new requests again."""
     state.suspension_reason = ''
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -8,7 +8,7 @@
 
 from samphirerill.core.commands import ProbeEndpoint
 from samphirerill.core.ending import get_queue_name, refuse_request
-from samphirerill.core.events import AttemptBroke, TimePassed
+from samphirerill.core.events import AttemptFailed, TimerFired
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import on_attempt_broke
 from samphirerill.core.on_endings import evaluate_quarantine
@@ -25,8 +25,8 @@
 _MAX_EXTENSION_S = 0.3
 
 
-@handle.register(TimePassed)
-def on_time_passed(event: TimePassed, state: CoreState, now: float) -> None:
+@handle.register(TimerFired)
+def on_time_passed(event: TimerFired, state: CoreState, now: float) -> None:
     """Act on every deadline that has passed."""
     if event.lag_s > _MIN_LAG_S:
         _extend_attempts(state, now + min(event.lag_s, _MAX_EXTENSION_S))
@@ -93,7 +93,7 @@
     state.requests[attempt.request_id].avoid.update(
         stage.endpoint for stage in attempt.stages
     )
-    on_attempt_broke(AttemptBroke(name, 'the endpoint went silent'), state, now)
+    on_attempt_broke(AttemptFailed(name, 'the endpoint went silent'), state, now)
 
 
 def _check_endpoint(state: CoreState, name: str, now: float) -> None:
--- a/samphirerill/core/prefixes.py
+++ b/samphirerill/core/prefixes.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CacheNews:
+class CacheEvents:
     """Consecutive cache events of an engine.
 
     `first` is the number of the first event the engine still has available,
@@ -45,15 +45,15 @@
         self._endpoints: OrderedDict[str, set[str]] = OrderedDict()
         self._last_events: dict[str, int] = {}
 
-    def last_seen(self, endpoint: str) -> int:
+    def get_last_event(self, endpoint: str) -> int:
         """Return the number of the last event received from an engine."""
         return self._last_events.get(endpoint, 0)
 
-    def apply_events(self, endpoint: str, events: CacheNews) -> None:
+    def apply_events(self, endpoint: str, events: CacheEvents) -> None:
         """Apply events, after discarding all entries if some were missed."""
-        if events.first > self.last_seen(endpoint) + 1:
+        if events.first > self.get_last_event(endpoint) + 1:
             self.remove_endpoint(endpoint)
-        if events.last < self.last_seen(endpoint):
+        if events.last < self.get_last_event(endpoint):
             self.remove_endpoint(endpoint)
         self._last_events[endpoint] = events.last
         for digest in events.stored:
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -24,7 +24,7 @@
         'nodes': state.node_count,
         'requests': _count_phases(state),
         'attempts': len(state.attempts),
-        'waiting': {name: pool.size() for name, pool in state.pools.items()},
+        'waiting': {name: pool.size() for name, pool in state.queues.items()},
         'endpoints': _describe_endpoints(state, now),
         'retry_budgets': {
             name: round(budget.balance, 1)
@@ -36,17 +36,17 @@
     }
 
 
-def count_open(state: CoreState) -> int:
+def count_open_requests(state: CoreState) -> int:
     """Return the number of requests without a final answer."""
     return len(state.requests)
 
 
-def list_leaving(state: CoreState) -> list[str]:
+def list_leaving_endpoints(state: CoreState) -> list[str]:
     """Return the endpoints known to be leaving, sorted."""
     return sorted(state.leaving)
 
 
-def list_evidence(state: CoreState, now: float, limit: int) -> list[ToldRecord]:
+def list_crash_records(state: CoreState, now: float, limit: int) -> list[ToldRecord]:
     """Return up to `limit` crash records of requests, for other nodes."""
     records = islice(state.quarantine.list_records(), limit)
     return [build_told(request, record, now) for request, record in records]
--- a/samphirerill/core/router.py
+++ b/samphirerill/core/router.py
@@ -66,7 +66,7 @@
         self.state.commands = []
         return commands
 
-    def next_wake(self) -> float | None:
-        """Return when ``TimePassed`` is due next, or None."""
+    def next_deadline(self) -> float | None:
+        """Return when ``TimerFired`` is due next, or None."""
         deadlines = self.state.deadlines
         return deadlines[0][0] if deadlines else None
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/starting.py
@@ -26,14 +26,14 @@
 
 def get_queue(state: CoreState, name: str) -> FairQueue:
     """Return the queue with a name, created on first use."""
-    if name not in state.pools:
-        state.pools[name] = FairQueue()
-    return state.pools[name]
+    if name not in state.queues:
+        state.queues[name] = FairQueue()
+    return state.queues[name]
 
 
 def dispatch_all_queues(state: CoreState, now: float) -> None:
     """Start queued requests of every queue."""
-    for name in tuple(state.pools):
+    for name in tuple(state.queues):
         dispatch_queue(state, name, now)
 
 
@@ -204,7 +204,7 @@
 def _may_retry(req: RequestState) -> bool:
     if req.route.idempotent:
         return True
-    return not req.unsure_attempts and not req.delivered
+    return not req.ambiguous_attempts and not req.delivered
 
 
 def _withdraw_retry(state: CoreState, req: RequestState) -> bool:
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -48,7 +48,7 @@
 class RequestState:
     """One request without a final answer.
 
-    `delivered` is the index of the next token to deliver. `unsure_attempts`
+    `delivered` is the index of the next token to deliver. `ambiguous_attempts`
     counts attempts that may have run; `failures` counts those that failed
     since the last token.
     """
@@ -70,7 +70,7 @@
     delivered: int = 0
     attempts: int = 0
     failures: int = 0
-    unsure_attempts: int = 0
+    ambiguous_attempts: int = 0
     attempt_id: str = ''
     avoid: set[str] = field(default_factory=set)
 
@@ -148,7 +148,7 @@
         'node',
         'node_count',
         'now',
-        'pools',
+        'queues',
         'prefixes',
         'quarantine',
         'random',
@@ -166,7 +166,7 @@
         self.attempts: dict[str, AttemptState] = {}
         self.endpoints: dict[str, EndpointState] = {}
         self.by_model: dict[str, list[EndpointState]] = {}
-        self.pools: dict[str, FairQueue] = {}
+        self.queues: dict[str, FairQueue] = {}
         self.budgets: dict[str, RetryBudget] = {}
         self.leaving: dict[str, float] = {}
         self.links = LinkLatencies()
@@ -189,7 +189,7 @@
         self.commands.append(command)
 
     def schedule_wake(self, deadline: float, kind: str, name: str) -> None:
-        """Request a ``TimePassed`` event at a deadline."""
+        """Request a ``TimerFired`` event at a deadline."""
         heapq.heappush(self.deadlines, (deadline, kind, name))
 
     def mark_leaving(self, name: str, now: float) -> None:
--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/actions.py
@@ -14,7 +14,7 @@
 from samphirerill.control.claims import MAX_STORED_RESPONSE_SIZE
 from samphirerill.core.commands import (
     CancelAttempt,
-    DeliverService,
+    DeliverServiceResponse,
     DeliverToken,
     FinishAnswer,
     OpenAttempt,
@@ -82,8 +82,8 @@
     session.deliver_token(command.index, command.text, command.finish)
 
 
-@execute.register(DeliverService)
-def execute_deliver_service(command: DeliverService, node: Node) -> None:
+@execute.register(DeliverServiceResponse)
+def execute_deliver_service(command: DeliverServiceResponse, node: Node) -> None:
     """Send the response of a plain service to the client."""
     session = node.sessions[command.request_id]
     call = node.calls.pop(command.attempt_id)
--- a/samphirerill/node/arrivals.py
+++ b/samphirerill/node/arrivals.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.core.events import CallerLeft, RequestArrived
+from samphirerill.core.events import ClientDisconnected, RequestArrived
 from samphirerill.core.model import MODEL_ROUTE, choose_priority
 from samphirerill.core.prefixes import digest_prefixes
 from samphirerill.edges.callers import MODELS
@@ -52,7 +52,7 @@
         self._node.start_task(self._handle_request(session, sock), 'admit')
 
     def _on_disconnect(self, request_id: str) -> None:
-        self._node.apply(CallerLeft(request_id))
+        self._node.apply(ClientDisconnected(request_id))
 
     async def _handle_request(
         self, session: Session, sock: socket.socket
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -21,7 +21,7 @@
     build_claim,
 )
 from samphirerill.core.commands import Outcome
-from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
+from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
 from samphirerill.node.claim_carriers import (
     MAX_DIRECT_WRITERS,
     AGGREGATOR_COUNT,
@@ -307,14 +307,14 @@
         self.counters.claims += 1
         request_id = claim_result.claim.request_id
         if claim_result.state == 'won':
-            self._sink.apply(ClaimWon(request_id))
+            self._sink.apply(ClaimAcquired(request_id))
             return
         self._own_claims.pop(request_id, None)
         if claim_result.state == 'answered':
             self.stored_responses[request_id] = claim_result.answer
         is_holder_alive = self._members.is_alive(claim_result.holder)
         self._sink.apply(
-            ClaimTaken(request_id, claim_result.state, is_holder_alive)
+            ClaimConflicted(request_id, claim_result.state, is_holder_alive)
         )
         self.stored_responses.pop(request_id, None)
 
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -26,8 +26,8 @@
 from samphirerill.control.evidence import Evidence
 from samphirerill.core.events import (
     ConfigurationAccepted,
-    ServingAllowed,
-    ServingForbidden,
+    ServingResumed,
+    ServingSuspended,
 )
 from samphirerill.core.model import build_configuration
 from samphirerill.node.engine_controller import EngineController
@@ -91,7 +91,7 @@
             )
             if reason != self._suspension_reason:
                 self._suspension_reason = reason
-                event = ServingForbidden(reason) if reason else ServingAllowed()
+                event = ServingSuspended(reason) if reason else ServingResumed()
                 _LOG.warning('serving changed', extra={'doubt': reason})
                 self._node.apply(event)
             await asyncio.sleep(_FRESHNESS_CHECK_INTERVAL_S)
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -23,8 +23,8 @@
 )
 from samphirerill.control.configuration_log import parse_change
 from samphirerill.control.evidence import FORGET_AFTER_S
-from samphirerill.core.events import EvidenceTold, VmListRead
-from samphirerill.core.queries import list_evidence, list_leaving
+from samphirerill.core.events import EvidenceReceived, VmListRead
+from samphirerill.core.queries import list_crash_records, list_leaving_endpoints
 from samphirerill.edges.serving import ListenError
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
@@ -184,7 +184,7 @@
                 extra={'node': message.node, 'error': str(exc)},
             )
             return
-        self._node.apply(EvidenceTold(records))
+        self._node.apply(EvidenceReceived(records))
 
     def _remove_expired(self, now: float) -> None:
         for name, status in tuple(self._peer_statuses.items()):
@@ -194,7 +194,7 @@
     def _encode_evidence(self, now: float) -> bytes:
         state = self._node.router.state
         state.quarantine.forget(now)
-        records = list_evidence(state, now, _MAX_EVIDENCE_RECORDS)
+        records = list_crash_records(state, now, _MAX_EVIDENCE_RECORDS)
         return encode_told(records) if records else b''
 
     def _build_message(self) -> PeerMessage:
@@ -206,6 +206,6 @@
             self._follower.view.version,
             age_s,
             draining=node.router.state.draining,
-            leaving=list_leaving(node.router.state),
+            leaving=list_leaving_endpoints(node.router.state),
             evidence=self._encode_evidence(now),
         )
--- a/samphirerill/node/members.py
+++ b/samphirerill/node/members.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from samphirerill.backends.store import Put, StoreError, Transaction
-from samphirerill.core.events import NodesSeen
+from samphirerill.core.events import NodeCountReported
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
 
@@ -160,7 +160,7 @@
 
     def _report_node_count(self) -> None:
         if self._node.router.state.node_count != self.count:
-            self._node.apply(NodesSeen(self.count))
+            self._node.apply(NodeCountReported(self.count))
 
     def _build_key(self) -> str:
         return f'{self._prefix}{NODES_PREFIX}{self._node.node_id}'
--- a/samphirerill/node/node.py
+++ b/samphirerill/node/node.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.core.events import TimePassed
+from samphirerill.core.events import TimerFired
 from samphirerill.core.router import Router
 from samphirerill.node.accounts import KeyIndex
 from samphirerill.node.actions import execute
@@ -104,7 +104,7 @@
             )
 
     def _schedule_timer(self) -> None:
-        wake_at = self.router.next_wake()
+        wake_at = self.router.next_deadline()
         if wake_at is None or wake_at >= self._timer_at:
             return
         if self._timer is not None:
@@ -116,4 +116,4 @@
         lag_s = self.loop.time() - self._timer_at
         self._timer_at = float('inf')
         self._timer = None
-        self.apply(TimePassed(lag_s))
+        self.apply(TimerFired(lag_s))
--- a/samphirerill/node/probes.py
+++ b/samphirerill/node/probes.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.backends.engine import emit_load_report
-from samphirerill.core.events import ProbeAnswered
+from samphirerill.core.events import ProbeFinished
 from samphirerill.core.model import ENGINE
 from samphirerill.node.loop_lag import lag_aware_timeout_at
 
@@ -34,7 +34,7 @@
         is_alive = False
     else:
         is_alive = True
-    node.apply(ProbeAnswered(command.endpoint, is_alive, is_refused))
+    node.apply(ProbeFinished(command.endpoint, is_alive, is_refused))
 
 
 async def poll_loads(node: Node) -> None:
@@ -83,10 +83,10 @@
 
 
 async def _poll_load(name: str, address: str, node: Node) -> None:
-    last_event = node.router.state.prefixes.last_seen(name)
+    last_event = node.router.state.prefixes.get_last_event(name)
     body = await fetch(address, f'/load?cache_after={last_event}')
     if body is None:
-        node.apply(ProbeAnswered(name, alive=False))
+        node.apply(ProbeFinished(name, alive=False))
     else:
         emit_load_report(name, body, node)
 
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -9,7 +9,7 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.core.events import DrainRequested
-from samphirerill.core.queries import count_open
+from samphirerill.core.queries import count_open_requests
 from samphirerill.edges.callers import CallersRoot
 from samphirerill.edges.operators import OperatorsRoot
 from samphirerill.edges.serving import HttpServer, ListenError
@@ -159,7 +159,7 @@
         """Count open requests, plus one if claims are still unwritten."""
         claim_writer = self.node.claim_writer
         unwritten = 0 if claim_writer is None or claim_writer.is_idle() else 1
-        return count_open(self.node.router.state) + unwritten
+        return count_open_requests(self.node.router.state) + unwritten
 
     async def _stop(self) -> None:
         self.follower.stop()
--- a/samphirerill/properties/machine.py
+++ b/samphirerill/properties/machine.py
@@ -103,7 +103,7 @@
             return
         if attempt.sent and ran:
             self.simulation.run(attempt_id)
-        broke = events.AttemptBroke(attempt_id, 'died', stage, attempt.sent)
+        broke = events.AttemptFailed(attempt_id, 'died', stage, attempt.sent)
         self.simulation.apply(attempt.node, broke)
 
     @precondition(lambda self: self.simulation.list_sent())
@@ -150,7 +150,7 @@
         request_id = found[pick % len(found)]
         request = self.simulation.requests[request_id]
         request.has_left = True
-        self.simulation.apply(request.node, events.CallerLeft(request_id))
+        self.simulation.apply(request.node, events.ClientDisconnected(request_id))
 
     @precondition(lambda self: self._disturbance_count < _MAX_DISTURBANCES)
     @rule(
@@ -174,7 +174,7 @@
     @rule(node=_NODES)
     def trust(self, node: int) -> None:
         """Allow a node to serve again after it was isolated."""
-        self.simulation.apply(node, events.ServingAllowed())
+        self.simulation.apply(node, events.ServingResumed())
 
     @invariant()
     def promises_hold(self) -> None:
@@ -183,7 +183,7 @@
 
     def _build_disturbance(self, kind: str, pick: int) -> object:
         if kind == 'doubt':
-            return events.ServingForbidden('cut off')
+            return events.ServingSuspended('cut off')
         if kind == 'report':
             return events.LoadReported(f'e{pick}', pick, pick // 2)
         old = self.simulation.build((4,))
--- a/samphirerill/properties/oracle.py
+++ b/samphirerill/properties/oracle.py
@@ -96,7 +96,7 @@
         running == state.running_by_account,
         f'counted as running: {state.running_by_account}, actual: {running}',
     )
-    waiting = sum(pool.size() for pool in state.pools.values())
+    waiting = sum(pool.size() for pool in state.queues.values())
     queued = len(state.requests) - running.total()
     expect(
         waiting == queued,
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -204,7 +204,7 @@
         """Advance the clock of every node."""
         self.now += seconds
         for node in range(len(self.routers)):
-            self.apply(node, events.TimePassed())
+            self.apply(node, events.TimerFired())
 
     def restart(self, node: int) -> None:
         """Kill a node and start a new process in its place.
@@ -312,7 +312,7 @@
         """Answer every outstanding probe."""
         probes, self.probes = self.probes, []
         for node, endpoint in probes:
-            self.apply(node, events.ProbeAnswered(endpoint, alive))
+            self.apply(node, events.ProbeFinished(endpoint, alive))
 
     def commit_claim(self, request_id: str, *, lose_reply: bool) -> None:
         """Commit a pending claim and deliver the verdict to its node.
@@ -329,10 +329,10 @@
         for verdict in verdicts:
             if verdict.state == 'won':
                 self.won_claims[request_id] = item.claim
-                self.apply(item.node, events.ClaimWon(request_id))
+                self.apply(item.node, events.ClaimAcquired(request_id))
                 continue
             alive = verdict.holder not in self.killed_processes
-            taken = events.ClaimTaken(request_id, verdict.state, alive)
+            taken = events.ClaimConflicted(request_id, verdict.state, alive)
             self.apply(item.node, taken)
 
     def fail_claim(self, request_id: str) -> None:
--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -15,14 +15,14 @@
     RefuseRequest,
 )
 from samphirerill.core.events import (
-    AttemptBroke,
+    AttemptFailed,
     AttemptProgressed,
     AttemptSent,
     ConfigurationAccepted,
-    NodesSeen,
-    ProbeAnswered,
+    NodeCountReported,
+    ProbeFinished,
     RequestArrived,
-    TimePassed,
+    TimerFired,
     TokenArrived,
 )
 from samphirerill.core.model import HIGH, NORMAL, build_configuration
@@ -140,7 +140,7 @@
 
     def test_account_limit_is_shared_by_nodes(self) -> None:
         """With four nodes, each runs a quarter of the limit."""
-        self.router.apply(NodesSeen(4), 0)
+        self.router.apply(NodeCountReported(4), 0)
         commands = [
             command
             for number in range(3)
@@ -170,7 +170,7 @@
         self.assertLessEqual(attempts, 200 + 50 + 0.2 * 200 + 1)
 
     def _fail(self, attempt_id: str) -> list[Command]:
-        failure = AttemptBroke(attempt_id, 'reset')
+        failure = AttemptFailed(attempt_id, 'reset')
         return list(self.router.apply(failure, 1.0))
 
     def _finish(self, attempt: OpenAttempt, now: float) -> None:
@@ -208,7 +208,7 @@
     def _pass_time(self, now: float) -> list[OpenAttempt]:
         return [
             command
-            for command in self.router.apply(TimePassed(), now)
+            for command in self.router.apply(TimerFired(), now)
             if isinstance(command, OpenAttempt)
         ]
 
@@ -272,10 +272,10 @@
             self.router.apply(AttemptSent(opened.attempt_id), 0.1)
             token = TokenArrived(opened.attempt_id, opened.epoch, index, 'x')
             self.router.apply(token, 0.1)
-            failure = AttemptBroke(opened.attempt_id, 'died', failed_stage=0)
+            failure = AttemptFailed(opened.attempt_id, 'died', failed_stage=0)
             commands = self.router.apply(failure, 0.1)
             for name in self.router.state.endpoints:
-                self.router.apply(ProbeAnswered(name, alive=True), 0.1)
+                self.router.apply(ProbeFinished(name, alive=True), 0.1)
             retried = [
                 item for item in commands if isinstance(item, OpenAttempt)
             ]
@@ -294,7 +294,7 @@
         self.router.apply(AttemptSent(attempt.attempt_id), 0.1)
         refusals = [
             command
-            for command in self.router.apply(TimePassed(), 2.0)
+            for command in self.router.apply(TimerFired(), 2.0)
             if isinstance(command, RefuseRequest)
         ]
         self.assertEqual(len(refusals), 1)
@@ -310,19 +310,19 @@
         attempt = self.ask('r1', 0)[0]
         assert isinstance(attempt, OpenAttempt)
         self.router.apply(AttemptSent(attempt.attempt_id), 0.1)
-        commands = self.router.apply(TimePassed(lag_s=4.0), 5.0)
+        commands = self.router.apply(TimerFired(lag_s=4.0), 5.0)
         self.assertEqual(commands, [])
         token = TokenArrived(attempt.attempt_id, 0, 0, 'x')
         self.router.apply(token, 5.01)
-        commands = self.router.apply(TimePassed(), 5.2)
+        commands = self.router.apply(TimerFired(), 5.2)
         self.assertEqual(commands, [])
 
     def test_silence_after_the_lag_still_counts(self) -> None:
         attempt = self.ask('r1', 0)[0]
         assert isinstance(attempt, OpenAttempt)
         self.router.apply(AttemptSent(attempt.attempt_id), 0.1)
-        self.router.apply(TimePassed(lag_s=4.0), 5.0)
-        commands = self.router.apply(TimePassed(), 5.4)
+        self.router.apply(TimerFired(lag_s=4.0), 5.0)
+        commands = self.router.apply(TimerFired(), 5.4)
         opened = [item for item in commands if isinstance(item, OpenAttempt)]
         self.assertEqual(len(opened), 1)
 
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -9,7 +9,7 @@
 from samphirerill.backends.peers import PeerClients, PeerServer
 from samphirerill.control.claims import ClaimBatch, Claim
 from samphirerill.core.commands import Outcome, SettleClaim, WriteClaim
-from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
+from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
 from samphirerill.node.claim_carriers import MAX_DIRECT_WRITERS, choose_aggregator
 from samphirerill.node.claim_writer import RELEASE_DELAY_S, ClaimWriter
 from samphirerill.node.members import Member
@@ -103,9 +103,9 @@
 
     async def test_second_claim_gets_state_of_the_first(self) -> None:
         """A retry at another node gets the state of the first request."""
-        self.assertEqual(await self.one.claim('r1', 'k'), ClaimWon('r1'))
+        self.assertEqual(await self.one.claim('r1', 'k'), ClaimAcquired('r1'))
         running = await self.two.claim('r2', 'k')
-        self.assertEqual(running, ClaimTaken('r2', 'running', True))
+        self.assertEqual(running, ClaimConflicted('r2', 'running', True))
         await self.one.settle('r1', Outcome.ANSWERED, {'text': 'done'})
         answered = await self.two.claim('r3', 'k')
         self.assertEqual(answered.state, 'answered')
@@ -120,7 +120,7 @@
         """A retry of a request that never ran may run."""
         await self.one.claim('r1', 'k')
         await self.one.settle('r1', Outcome.NOT_RUN, {})
-        self.assertEqual(await self.two.claim('r2', 'k'), ClaimWon('r2'))
+        self.assertEqual(await self.two.claim('r2', 'k'), ClaimAcquired('r2'))
 
     async def test_repeated_release_keeps_a_later_claim(self) -> None:
         """A release sent twice does not remove the claim of a retry.
@@ -132,10 +132,10 @@
         self.one.store.lose_replies = 1
         self.one.writer.queue_outcome(SettleClaim('r1', Outcome.NOT_RUN), {})
         await asyncio.sleep(0.06)
-        self.assertEqual(await self.two.claim('r2', 'k'), ClaimWon('r2'))
+        self.assertEqual(await self.two.claim('r2', 'k'), ClaimAcquired('r2'))
         await asyncio.sleep(0.5)
         third = await self.two.claim('r3', 'k')
-        self.assertEqual(third, ClaimTaken('r3', 'running', True))
+        self.assertEqual(third, ClaimConflicted('r3', 'running', True))
 
     async def test_lost_reply_is_resolved_by_reading_back(self) -> None:
         """A claim whose reply was lost is recognised as this node's own.
@@ -144,7 +144,7 @@
         """
         await self.one.claim('warm', 'up')
         self.one.store.lose_replies = 1
-        self.assertEqual(await self.one.claim('r1', 'k'), ClaimWon('r1'))
+        self.assertEqual(await self.one.claim('r1', 'k'), ClaimAcquired('r1'))
 
     async def test_claim_given_up_in_an_outage_is_released(self) -> None:
         """A claim given up is removed once the service is back.
@@ -167,11 +167,11 @@
         verdict = await self.one.claim('r1', 'k')
         self.assertEqual(verdict, ClaimFailed('r1'))
         self.assertEqual(
-            await self.two.claim('r2', 'k'), ClaimTaken('r2', 'running', True)
+            await self.two.claim('r2', 'k'), ClaimConflicted('r2', 'running', True)
         )
         self.one.store.down = False
         await asyncio.sleep(RELEASE_DELAY_S + 0.5)
-        self.assertEqual(await self.two.claim('r3', 'k'), ClaimWon('r3'))
+        self.assertEqual(await self.two.claim('r3', 'k'), ClaimAcquired('r3'))
 
     async def test_claims_are_written_in_batches(self) -> None:
         """Claims that arrive together share a transaction."""
@@ -185,7 +185,7 @@
         won = [
             event
             for event in self.one.sink.events
-            if isinstance(event, ClaimWon)
+            if isinstance(event, ClaimAcquired)
         ]
         self.assertEqual(len(won), 41)
         self.assertLessEqual(self.one.store.calls - before, 3)
@@ -201,7 +201,7 @@
         won = {
             event.request_id
             for event in self.two.sink.events
-            if isinstance(event, ClaimWon)
+            if isinstance(event, ClaimAcquired)
         }
         self.assertEqual(won, {'two-a', 'two-b'})
 
@@ -209,7 +209,7 @@
         await self.one.claim('r1', 'k')
         self.two.writer.queue_claim(WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b'))
         await asyncio.sleep(0.2)
-        self.assertEqual(self.two.sink.events, [ClaimWon('r2')])
+        self.assertEqual(self.two.sink.events, [ClaimAcquired('r2')])
 
 
 class TestCollectedClaims(unittest.IsolatedAsyncioTestCase):
@@ -248,7 +248,7 @@
 
     async def test_claims_and_outcomes_go_through_the_collector(self) -> None:
         """The sender itself does not call the service."""
-        self.assertEqual(await self.sender.claim('r1', 'k'), ClaimWon('r1'))
+        self.assertEqual(await self.sender.claim('r1', 'k'), ClaimAcquired('r1'))
         await self.sender.settle('r1', Outcome.ANSWERED, {'text': 'done'})
         await asyncio.sleep(0.2)
         again = await self.sender.claim('r2', 'k')
@@ -283,7 +283,7 @@
             )
         await asyncio.sleep(1.5)
         node.store.down = False
-        self.assertEqual(await node.claim('r2', 'other'), ClaimWon('r2'))
+        self.assertEqual(await node.claim('r2', 'other'), ClaimAcquired('r2'))
 
 
 if __name__ == '__main__':
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -15,17 +15,17 @@
     RefuseRequest,
 )
 from samphirerill.core.events import (
-    AttemptBroke,
+    AttemptFailed,
     AttemptSent,
     ConfigurationAccepted,
-    EvidenceTold,
-    ProbeAnswered,
+    EvidenceReceived,
+    ProbeFinished,
     RequestArrived,
-    TimePassed,
+    TimerFired,
     TokenArrived,
 )
 from samphirerill.core.model import build_configuration
-from samphirerill.core.queries import describe_state, list_evidence
+from samphirerill.core.queries import describe_state, list_crash_records
 from samphirerill.core.router import Router
 from samphirerill.properties.world import build_document
 from samphirerill.quarantine import digest_request
@@ -69,10 +69,10 @@
     def test_other_nodes_refuse_it_too(self) -> None:
         for number in range(12):
             self.send_request(f'r{number}')
-        records = list_evidence(self.router.state, self.now, 16)
+        records = list_crash_records(self.router.state, self.now, 16)
         other = _start_router('n2')
-        other.apply(EvidenceTold(records), self.now)
-        other.apply(TimePassed(), self.now + _EVALUATION_DELAY_S)
+        other.apply(EvidenceReceived(records), self.now)
+        other.apply(TimerFired(), self.now + _EVALUATION_DELAY_S)
         self.router = other
         self.now += _EVALUATION_DELAY_S
         self.assert_refused(self.ask('last', _CRASHING))
@@ -80,13 +80,13 @@
     def test_request_whose_endpoints_survive_is_not_quarantined(self) -> None:
         """Attempts fail, but probes find the endpoints alive."""
         for number in range(12):
-            self.send_request(f'r{number}', has_ended=False)
+            self.send_request(f'r{number}', is_refused=False)
         self.assertFalse(describe_state(self.router.state, 0)['quarantine'])
 
     def test_request_that_streams_for_a_while_is_not_quarantined(self) -> None:
         for number in range(12):
             self.send_request(f'r{number}', tokens=8)
-        listed = list_evidence(self.router.state, self.now, 16)
+        listed = list_crash_records(self.router.state, self.now, 16)
         self.assertFalse([item for item in listed if item.deaths])
 
     def test_other_requests_are_served(self) -> None:
@@ -100,14 +100,14 @@
         """No engine has a free slot; another node reports the crashes."""
         for number in range(12):
             self.send_request(f'r{number}')
-        records = list_evidence(self.router.state, self.now, 16)
+        records = list_crash_records(self.router.state, self.now, 16)
         self.router = _start_router('n2')
         for replica in self.router.state.endpoints.values():
             replica.in_flight = 1000
         self.assertEqual(self.ask('waits', _CRASHING), [])
-        self.apply(EvidenceTold(records))
+        self.apply(EvidenceReceived(records))
         self.now += _EVALUATION_DELAY_S
-        self.assert_refused(self.apply(TimePassed()))
+        self.assert_refused(self.apply(TimerFired()))
 
     def test_request_that_may_have_run_is_not_refused_as_not_run(self) -> None:
         """A 503 states that nothing ran, which must hold for every attempt."""
@@ -137,7 +137,7 @@
         opened = self.ask('r', _CRASHING)[0]
         assert isinstance(opened, OpenAttempt)
         self.apply(AttemptSent(opened.attempt_id))
-        commands = self.apply(AttemptBroke(opened.attempt_id, 'it closed'))
+        commands = self.apply(AttemptFailed(opened.attempt_id, 'it closed'))
         probed = [
             command.endpoint
             for command in commands
@@ -147,7 +147,7 @@
         self.assertEqual(probed, stages)
 
     def send_request(
-        self, name: str, *, has_ended: bool = True, tokens: int = 1
+        self, name: str, *, is_refused: bool = True, tokens: int = 1
     ) -> list[Command]:
         """Send the request; each attempt crashes its first engine."""
         commands = self.ask(name, _CRASHING)
@@ -155,15 +155,15 @@
         while pending:
             command = pending.pop(0)
             if isinstance(command, OpenAttempt):
-                emitted = self.run_attempt(command, tokens, has_ended)
+                emitted = self.run_attempt(command, tokens, is_refused)
                 commands += emitted
                 pending += emitted
         self.now += 1.0
-        commands += self.apply(TimePassed())
+        commands += self.apply(TimerFired())
         return commands
 
     def run_attempt(
-        self, opened: OpenAttempt, tokens: int, has_ended: bool
+        self, opened: OpenAttempt, tokens: int, is_refused: bool
     ) -> list[Command]:
         """Run an attempt until it fails; return the resulting commands."""
         self.runs += 1
@@ -174,14 +174,14 @@
             token = TokenArrived(opened.attempt_id, opened.epoch, index, 'x')
             commands += self.apply(token)
         self.now += 0.05
-        commands += self.apply(AttemptBroke(opened.attempt_id, 'it closed'))
+        commands += self.apply(AttemptFailed(opened.attempt_id, 'it closed'))
         head = opened.stages[0].endpoint
-        probe = ProbeAnswered(head, alive=False, has_ended=has_ended)
+        probe = ProbeFinished(head, alive=False, is_refused=is_refused)
         commands += self.apply(probe)
         for name in self.router.state.endpoints:
-            commands += self.apply(ProbeAnswered(name, alive=True))
+            commands += self.apply(ProbeFinished(name, alive=True))
         self.now += _EVALUATION_DELAY_S
-        commands += self.apply(TimePassed())
+        commands += self.apply(TimerFired())
         return commands
 
     def ask(self, name: str, identity: bytes) -> list[Command]:
--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -7,7 +7,7 @@
 from samphirerill.core.commands import OpenAttempt
 from samphirerill.core.events import AttemptSent, CacheReported, TokenArrived
 from samphirerill.core.links import LinkLatencies
-from samphirerill.core.prefixes import CacheNews
+from samphirerill.core.prefixes import CacheEvents
 from samphirerill.testing.clients import complete
 from samphirerill.testing.cluster import wait_for
 from samphirerill.testing.layout import COACH_KEY
@@ -76,7 +76,7 @@
         first = self.open()
         head = first.stages[0].endpoint
         self.finish(first, _FAST_MS)
-        events = CacheNews(1, 1, ('digest',))
+        events = CacheEvents(1, 1, ('digest',))
         self.router.apply(CacheReported(head, events), 0.1)
         for number in range(2):
             again = self.begin(f'slow{number}', prefixes=('digest',))
--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -6,7 +6,7 @@
 
 from samphirerill.core.prefixes import (
     BLOCK_CHARS,
-    CacheNews,
+    CacheEvents,
     PrefixIndex,
     digest_prefixes,
 )
@@ -43,8 +43,8 @@
     def setUp(self) -> None:
         """Index the caches of two engines."""
         self.index = PrefixIndex()
-        self.index.apply_events('e1', CacheNews(1, 2, ('a', 'b')))
-        self.index.apply_events('e2', CacheNews(1, 1, ('a',)))
+        self.index.apply_events('e1', CacheEvents(1, 2, ('a', 'b')))
+        self.index.apply_events('e2', CacheEvents(1, 1, ('a',)))
 
     def test_longest_indexed_prefix_decides(self) -> None:
         """The engine that has more of the prompt cached is preferred."""
@@ -58,17 +58,17 @@
         Guards against sending an account's requests to an engine that has
         evicted their prefix.
         """
-        self.index.apply_events('e1', CacheNews(9, 9, ('c',)))
+        self.index.apply_events('e1', CacheEvents(9, 9, ('c',)))
         self.assertEqual(self.index.find_endpoints(('a', 'b')), {'e2'})
         self.assertEqual(self.index.find_endpoints(('c',)), {'e1'})
 
     def test_engine_restart(self) -> None:
         """Its event numbers start again and its cache is empty."""
-        self.index.apply_events('e1', CacheNews(1, 1, ()))
+        self.index.apply_events('e1', CacheEvents(1, 1, ()))
         self.assertEqual(self.index.find_endpoints(('b',)), frozenset())
 
     def test_evictions_are_applied(self) -> None:
-        self.index.apply_events('e1', CacheNews(3, 3, (), ('b',)))
+        self.index.apply_events('e1', CacheEvents(3, 3, (), ('b',)))
         self.assertEqual(self.index.find_endpoints(('b',)), frozenset())
 
 
