--- a/samphirerill/__init__.py
+++ b/samphirerill/__init__.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from samphirerill.control.configuration_log import ConfigurationLog
     from samphirerill.control.configuration_view import ConfigurationView
-    from samphirerill.control.evidence import Evidence
-    from samphirerill.control.orders import Tenure
+    from samphirerill.control.evidence import ConfigurationFreshness
+    from samphirerill.control.orders import LeaderTerm
     from samphirerill.core.model import Configuration, build_configuration
     from samphirerill.core.router import Router
 
@@ -21,18 +21,18 @@
     'Configuration',
     'ConfigurationLog',
     'ConfigurationView',
-    'Evidence',
+    'ConfigurationFreshness',
     'Router',
-    'Tenure',
+    'LeaderTerm',
     'build_configuration',
 )
 _HOMES = {
     'Configuration': 'core.model',
     'ConfigurationLog': 'control.configuration_log',
     'ConfigurationView': 'control.configuration_view',
-    'Evidence': 'control.evidence',
+    'ConfigurationFreshness': 'control.evidence',
     'Router': 'core.router',
-    'Tenure': 'control.orders',
+    'LeaderTerm': 'control.orders',
     'build_configuration': 'core.model',
 }
 
--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -17,11 +17,11 @@
 from samphirerill.bench.slopes import US_PER_S, fit_line
 from samphirerill.node.claim_carriers import AGGREGATOR_COUNT
 from samphirerill.node.claim_writer import FLEET_WRITES_PER_S
-from samphirerill.node.follower import FLEET_READS_PER_S, LEAST_POLL_S
+from samphirerill.node.follower import FLEET_READS_PER_S, MIN_POLL_INTERVAL_S
 from samphirerill.node.gossip import EXCHANGE_INTERVAL_S, FANOUT
 from samphirerill.node.members import RENEWALS_PER_LEASE
-from samphirerill.node.probes import POLLS_PER_S
-from samphirerill.node.vm_reader import FLEET_READERS
+from samphirerill.node.probes import LOAD_POLLS_PER_S
+from samphirerill.node.vm_reader import FLEET_READS_PER_INTERVAL
 from samphirerill.settings.model import StoreSettings
 
 PAGE_PATH = Path('docs/CAPACITY.md')
@@ -252,7 +252,7 @@
 def _extrapolate_store(costs: dict[str, float]) -> list[Row]:
     lease_s = StoreSettings().lease_s
     renewals = costs['idle.writes_s'] * _MEASURED_LEASE_S / lease_s
-    poll_s = max(LEAST_POLL_S, NODES / FLEET_READS_PER_S)
+    poll_s = max(MIN_POLL_INTERVAL_S, NODES / FLEET_READS_PER_S)
     keyed_requests_per_s = REQUESTS_PER_S * IDEMPOTENCY_KEY_SHARE
     claim_wait_s = AGGREGATOR_COUNT / FLEET_WRITES_PER_S
     changes_per_s = CONFIGURATION_CHANGES_A_DAY / _DAY_S
@@ -299,8 +299,8 @@
     changes_per_s = CONFIGURATION_CHANGES_A_DAY / _DAY_S
     config_bytes_s = changes_per_s * costs['config.change_bytes'] * 4 / 3
     peer_bytes_s = costs['peers.round_bytes'] / EXCHANGE_INTERVAL_S
-    poll_bytes_s = POLLS_PER_S * costs['polls.bytes']
-    vm_bytes_s = REPLICAS * costs['vms.entry_bytes'] / (NODES / FLEET_READERS)
+    poll_bytes_s = LOAD_POLLS_PER_S * costs['polls.bytes']
+    vm_bytes_s = REPLICAS * costs['vms.entry_bytes'] / (NODES / FLEET_READS_PER_INTERVAL)
     cpu_share = (
         costs['full.cpu'] + changes_per_s * costs['config.change_ms'] / 1000
     )
--- a/samphirerill/bench/scenes.py
+++ b/samphirerill/bench/scenes.py
@@ -15,7 +15,7 @@
 from samphirerill.bench.load import LoadAccount, LoadPlan, LoadRun, run_load
 from samphirerill.bench.oracle import Verdict, check_results
 from samphirerill.bench.targets import Target, list_executed_prompts
-from samphirerill.edges.operators import hash_key
+from samphirerill.edges.operators import hash_api_key
 from samphirerill.testing.layout import (
     BRIDAL_KEY,
     COACH_KEY,
@@ -208,7 +208,7 @@
 def build_overload_layout() -> Layout:
     """Return the default layout with a third, small client account."""
     layout = build_layout()
-    layout.accounts['small'] = {'keys': [hash_key(SMALL_ACCOUNT_KEY)]}
+    layout.accounts['small'] = {'keys': [hash_api_key(SMALL_ACCOUNT_KEY)]}
     layout.routes['plans'] = {
         'kind': 'model',
         'model': 'strength',
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -27,7 +27,7 @@
 )
 from samphirerill.control.configuration_log import Change
 from samphirerill.control.configuration_view import ConfigurationView
-from samphirerill.control.evidence import Evidence
+from samphirerill.control.evidence import ConfigurationFreshness
 from samphirerill.control.patches import apply_patch
 from samphirerill.core.commands import OpenAttempt, Outcome, WriteClaim
 from samphirerill.core.events import (
@@ -41,7 +41,7 @@
 from samphirerill.core.router import Router
 from samphirerill.node.accounts import KeyIndex
 from samphirerill.node.gossip import FANOUT, Gossip
-from samphirerill.node.probes import build_fetch
+from samphirerill.node.probes import build_fetch_request
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import EngineStandIn
@@ -197,9 +197,9 @@
     rng = random.Random(seed)  # noqa: S311
     gossips = [_build_gossip(number) for number in range(nodes)]
     for gossip in gossips:
-        gossip.follower.view.install(1, {'seen': []})
+        gossip.follower.view.replace_document(1, {'seen': []})
     patch = [{'op': 'add', 'path': '/seen/-', 'value': 1}]
-    gossips[0].follower.offer(Change(2, 'f' * 32, patch, 'operator', 0))
+    gossips[0].follower.apply_change(Change(2, 'f' * 32, patch, 'operator', 0))
     rounds = 0
     total_bytes = 0
     started = time.process_time_ns()
@@ -349,7 +349,7 @@
         router=router,
     )
     follower = SimpleNamespace(
-        view=view, evidence=Evidence(0), offer=view.offer
+        view=view, evidence=ConfigurationFreshness(0), apply_change=view.apply_change
     )
     return _LocalGossip(node, follower)
 
@@ -359,7 +359,7 @@
     address = await engine.start('127.0.0.1', 0)
     host, _, port = address.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
-    request = build_fetch('/load', address)
+    request = build_fetch_request('/load', address)
     writer.write(request)
     head = await reader.readuntil(b'\r\n\r\n')
     body = await reader.readuntil(b'}}')
--- a/samphirerill/cli/main.py
+++ b/samphirerill/cli/main.py
@@ -15,7 +15,7 @@
 )
 from samphirerill.settings.checks import check_document
 from samphirerill.settings.errors import InvalidDocumentError
-from samphirerill.settings.jsonc import read_commented
+from samphirerill.settings.jsonc import read_jsonc
 from samphirerill.settings.model import load_settings
 
 if TYPE_CHECKING:
@@ -218,7 +218,7 @@
 
 
 def _check(options: argparse.Namespace) -> int:
-    parsed = read_commented(options.file)
+    parsed = read_jsonc(options.file)
     if isinstance(parsed.document, dict) and 'traffic' in parsed.document:
         from samphirerill.emulator.scenario import load_scenario
 
@@ -249,7 +249,7 @@
 def _patch_config(options: argparse.Namespace) -> int:
     submission = {
         'base': options.base,
-        'patch': read_commented(options.file).document,
+        'patch': read_jsonc(options.file).document,
         'author': options.author,
         'dry_run': options.dry_run,
     }
@@ -283,9 +283,9 @@
 
 
 def _hash_key(options: argparse.Namespace) -> int:
-    from samphirerill.edges.operators import hash_key
+    from samphirerill.edges.operators import hash_api_key
 
-    _print_line(hash_key(sys.stdin.readline().strip()))
+    _print_line(hash_api_key(sys.stdin.readline().strip()))
     return EXIT_OK
 
 
--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -37,7 +37,7 @@
     from samphirerill.backends.store import TransactionResult, KeyValueStore
 
 HEAD_KEY = 'shared/config/head'
-LOG = 'shared/config/log/'
+LOG_PREFIX = 'shared/config/log/'
 SNAPSHOT_KEY = 'shared/config/snapshot'
 SNAPSHOT_INTERVAL = 50
 RETAINED_CHANGES = 500
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedConfiguration:
     """A complete configuration read from the service."""
 
     version: int
@@ -108,14 +108,14 @@
         self,
         store: KeyValueStore,
         prefix: str,
-        settle_pause_s: float = _RETRY_PAUSE_S,
+        retry_pause_s: float = _RETRY_PAUSE_S,
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._retry_pause_s = settle_pause_s
+        self._retry_pause_s = retry_pause_s
         self._parts = PartStore(store, prefix)
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedConfiguration:
         """Read the newest snapshot and all later changes."""
         stored = self._store.read_prefix(f'{self._prefix}shared/config/')
         by_key = {
@@ -126,13 +126,13 @@
         changes = [
             self.read_change(entry)
             for key, entry in by_key.items()
-            if key.startswith(LOG)
+            if key.startswith(LOG_PREFIX)
         ]
         for change in changes:
             if change.version == version + 1:
                 document = apply_patch(document, change.patch)
                 version = change.version
-        return Loaded(version, document, stored.revision, changes)
+        return LoadedConfiguration(version, document, stored.revision, changes)
 
     def read_version(self) -> int:
         """Return the accepted version with one small read."""
@@ -150,7 +150,7 @@
 
     def read_changes(self, after: int) -> list[Change]:
         """Return the changes after a version, in order."""
-        stored = self._store.read_prefix(self._key(LOG))
+        stored = self._store.read_prefix(self._key(LOG_PREFIX))
         return [
             self.read_change(entry)
             for entry in stored.entries
@@ -307,7 +307,7 @@
         return f'{self._prefix}{name}'
 
     def _log_key(self, version: int) -> str:
-        return self._key(f'{LOG}{version:012}')
+        return self._key(f'{LOG_PREFIX}{version:012}')
 
 
 def parse_change(document: dict[str, Any]) -> Change:
--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -16,27 +16,27 @@
 class ConfigurationView:
     """The document in force at this node and its recent changes."""
 
-    __slots__ = ('_pending', 'document', 'known_version', 'recent', 'version')
+    __slots__ = ('_pending', 'document', 'known_version', 'recent_changes', 'version')
 
     def __init__(self) -> None:
         self.version = 0
         self.known_version = 0
         self.document: dict[str, Any] = {}
-        self.recent: deque[Change] = deque(maxlen=_MAX_RECENT_CHANGES)
+        self.recent_changes: deque[Change] = deque(maxlen=_MAX_RECENT_CHANGES)
         self._pending: dict[int, Change] = {}
 
-    def install(self, version: int, document: dict[str, Any]) -> bool:
+    def replace_document(self, version: int, document: dict[str, Any]) -> bool:
         """Replace the document by a newer one; return whether it was."""
         if version <= self.version:
             return False
         self.version = version
         self.document = document
-        self.recent.clear()
+        self.recent_changes.clear()
         self._discard_applied()
         self._apply_pending()
         return True
 
-    def offer(self, change: Change) -> bool:
+    def apply_change(self, change: Change) -> bool:
         """Apply a change when its turn comes; return whether the version rose.
 
         Changes may arrive late, twice or out of order, from the service or
@@ -47,11 +47,11 @@
         previous_version = self.version
         if change.version > self.version:
             self._pending[change.version] = change
-            self.note_known(change.version)
+            self.record_accepted_version(change.version)
             self._apply_pending()
         return self.version > previous_version
 
-    def note_known(self, version: int) -> None:
+    def record_accepted_version(self, version: int) -> None:
         """Record that a version has been accepted."""
         self.known_version = max(self.known_version, version)
 
@@ -59,9 +59,9 @@
         """Return whether a newer version is known to be accepted."""
         return self.known_version > self.version
 
-    def list_after(self, version: int) -> list[Change] | None:
+    def list_changes_after(self, version: int) -> list[Change] | None:
         """Return the changes after a version, or None if not kept."""
-        changes = [item for item in self.recent if item.version > version]
+        changes = [item for item in self.recent_changes if item.version > version]
         if len(changes) == self.version - version:
             return changes
         return None
@@ -71,9 +71,9 @@
             change = self._pending.pop(self.version + 1)
             self.document = apply_patch(self.document, change.patch)
             self.version = change.version
-            self.recent.append(change)
+            self.recent_changes.append(change)
         self._discard_applied()
-        self.note_known(self.version)
+        self.record_accepted_version(self.version)
 
     def _discard_applied(self) -> None:
         for version in tuple(self._pending):
--- a/samphirerill/control/errors.py
+++ b/samphirerill/control/errors.py
@@ -17,5 +17,5 @@
 
     def __init__(self, findings: list[Finding], detail: str = '') -> None:
         self.findings = findings
-        lines = [finding.describe('patched') for finding in findings]
+        lines = [finding.format_line('patched') for finding in findings]
         super().__init__('\n'.join(lines) or detail)
--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -20,7 +20,7 @@
 
 FRESH_FOR_S = 4.0
 GRACE_S = 6.0
-FORGET_AFTER_S = 60.0
+PEER_EXPIRY_S = 60.0
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     version: int
 
 
-class Evidence:
+class ConfigurationFreshness:
     """Tracks recent reads of the service, own and reported by peers."""
 
     __slots__ = ('_own_read_at', '_peers', '_started_at', '_unconfirmed_since')
@@ -43,21 +43,21 @@
         self._unconfirmed_since = float('inf')
         self._peers: dict[str, PeerReport] = {}
 
-    def note_store_read(self, now: float) -> None:
+    def record_store_read(self, now: float) -> None:
         """Record that this node has read the accepted version."""
         self._own_read_at = max(self._own_read_at, now)
 
-    def note_peer(
+    def record_peer_report(
         self, peer: str, now: float, read_age_s: float, version: int
     ) -> None:
         """Record a peer's version and the age of its last read."""
         self._peers[peer] = PeerReport(now, now - read_age_s, version)
 
-    def own_age_s(self, now: float) -> float:
+    def get_read_age_s(self, now: float) -> float:
         """Return the age of this node's last read of the service."""
         return now - self._own_read_at
 
-    def find_doubt(self, now: float, version: int, known_nodes: int) -> str:
+    def find_suspension_reason(self, now: float, version: int, known_nodes: int) -> str:
         """Return why no new work may be accepted, or an empty string.
 
         Parameters
@@ -81,7 +81,7 @@
 
     def _remove_silent_peers(self, now: float) -> None:
         for peer, report in tuple(self._peers.items()):
-            if now - report.received_at > FORGET_AFTER_S:
+            if now - report.received_at > PEER_EXPIRY_S:
                 self._peers.pop(peer)
 
     def _find_reason(self, now: float, version: int, known_nodes: int) -> str:
--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Status:
+class EngineStatus:
     """The state that an engine reports.
 
     `is_loading` is true while it reads from the weight store.
@@ -44,43 +44,43 @@
     endpoint: str
     address: str
     desired: DesiredState
-    fence: int
+    fencing_token: int
     needs_weights: bool
 
 
 @dataclass(slots=True)
-class Tenure:
+class LeaderTerm:
     """One leader's term; times are on its own monotonic clock.
 
-    `act_until` counts from before the renewal was sent, less a safety margin,
+    `valid_until` counts from before the renewal was sent, less a safety margin,
     so it precedes the expiry of the lease however late the reply arrives. A
     leader that was paused finds that it has passed.
     """
 
-    fence: int
+    fencing_token: int
     acquired_at: float
-    act_until: float
+    valid_until: float
 
     @classmethod
-    def begin(
-        cls, fence: int, requested_at: float, acquired_at: float
-    ) -> Tenure:
+    def start(
+        cls, fencing_token: int, requested_at: float, acquired_at: float
+    ) -> LeaderTerm:
         """Return the term of a leader that has just acquired its key."""
-        return cls(fence, acquired_at, requested_at + LEASE_S - SAFETY_MARGIN_S)
+        return cls(fencing_token, acquired_at, requested_at + LEASE_S - SAFETY_MARGIN_S)
 
     def renew(self, requested_at: float) -> None:
         """Extend the term by a renewal that was sent at a given time."""
-        self.act_until = max(
-            self.act_until, requested_at + LEASE_S - SAFETY_MARGIN_S
+        self.valid_until = max(
+            self.valid_until, requested_at + LEASE_S - SAFETY_MARGIN_S
         )
 
-    def may_order(self, now: float, *, checks_fencing: bool) -> bool:
+    def may_send_orders(self, now: float, *, checks_fencing: bool) -> bool:
         """Return whether sending an order to an engine is safe now.
 
         Otherwise an engine could load an outdated version after it had loaded
         the desired one.
         """
-        if now + ORDER_TIMEOUT_S >= self.act_until:
+        if now + ORDER_TIMEOUT_S >= self.valid_until:
             return False
         safe_at = self.acquired_at + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
         return checks_fencing or now >= safe_at
@@ -88,8 +88,8 @@
 
 def plan_orders(
     endpoints: Iterable[Endpoint],
-    statuses: dict[str, Status],
-    tenure: Tenure,
+    statuses: dict[str, EngineStatus],
+    tenure: LeaderTerm,
     now: float,
     loads_at_once: int,
 ) -> list[Order]:
@@ -99,9 +99,9 @@
     ----------
     endpoints : iterable of Endpoint
         The configured endpoints.
-    statuses : dict of str to Status
+    statuses : dict of str to EngineStatus
         The reported state of each engine that answered.
-    tenure : Tenure
+    tenure : LeaderTerm
         The leader's term.
     now : float
         Seconds on the leader's monotonic clock.
@@ -123,8 +123,8 @@
 
 def _plan_order(
     endpoint: Endpoint,
-    statuses: dict[str, Status],
-    tenure: Tenure,
+    statuses: dict[str, EngineStatus],
+    tenure: LeaderTerm,
     now: float,
 ) -> Order | None:
     desired = endpoint.desired
@@ -133,7 +133,7 @@
         return None
     if _matches_desired(desired, status):
         return None
-    if not tenure.may_order(now, checks_fencing=endpoint.checks_fencing):
+    if not tenure.may_send_orders(now, checks_fencing=endpoint.checks_fencing):
         return None
     has_weights = desired.version == status.version and (
         set(desired.adapters) <= set(status.adapters)
@@ -142,12 +142,12 @@
         endpoint.name,
         endpoint.address,
         desired,
-        tenure.fence,
+        tenure.fencing_token,
         needs_weights=not has_weights,
     )
 
 
-def _matches_desired(desired: DesiredState, status: Status) -> bool:
+def _matches_desired(desired: DesiredState, status: EngineStatus) -> bool:
     return (
         desired.version == status.version
         and set(desired.adapters) == set(status.adapters)
--- a/samphirerill/edges/callers.py
+++ b/samphirerill/edges/callers.py
@@ -25,15 +25,15 @@
     render_json,
     render_problem,
 )
-from samphirerill.node.answers import CallerRequest
+from samphirerill.node.answers import ClientRequest
 
 if TYPE_CHECKING:
     import socket
     from collections.abc import Callable
 
-    RequestHandler = Callable[[CallerRequest, socket.socket], None]
+    RequestHandler = Callable[[ClientRequest, socket.socket], None]
 
-MODELS = 'models'
+MODEL_LIST_REQUEST = 'models'
 MODEL_REQUEST = 'model'
 SERVICE_REQUEST = 'service'
 _MAX_IDEMPOTENCY_KEY_LENGTH = 255
@@ -51,7 +51,7 @@
 _SERVICE_PREFIX = '/svc/'
 
 
-class CallersRoot:
+class ClientApi:
     """CherryPy handler for all paths of the caller API.
 
     Parameters
@@ -97,12 +97,12 @@
     index = default
 
 
-def _parse_request() -> CallerRequest | None:
+def _parse_request() -> ClientRequest | None:
     environ = cherrypy.request.wsgi_environ
     path = environ['PATH_INFO']
     method = cherrypy.request.method
     if path == '/v1/models':
-        return CallerRequest(MODELS, read_bearer_token(), '')
+        return ClientRequest(MODEL_LIST_REQUEST, read_bearer_token(), '')
     if path in {'/v1/completions', '/v1/chat/completions'}:
         if method != 'POST':
             raise cherrypy.HTTPError(
@@ -114,10 +114,10 @@
     return None
 
 
-def _parse_model_request(*, is_chat: bool) -> CallerRequest:
+def _parse_model_request(*, is_chat: bool) -> ClientRequest:
     body = parse_completion_body(_read_payload(), is_chat=is_chat)
     headers = cherrypy.request.headers
-    return CallerRequest(
+    return ClientRequest(
         MODEL_REQUEST,
         read_bearer_token(),
         body['model'],
@@ -130,13 +130,13 @@
     )
 
 
-def _parse_service_request(method: str, uri: str) -> CallerRequest:
+def _parse_service_request(method: str, uri: str) -> ClientRequest:
     route, slash, rest = uri.partition(_SERVICE_PREFIX)[2].partition('/')
     if not slash:
         route, question_mark, query = route.partition('?')
         rest = f'{question_mark}{query}'
     headers = cherrypy.request.headers
-    return CallerRequest(
+    return ClientRequest(
         SERVICE_REQUEST,
         read_bearer_token(),
         route,
--- a/samphirerill/edges/handoff.py
+++ b/samphirerill/edges/handoff.py
@@ -18,7 +18,7 @@
 from cheroot.wsgi import Gateway_10, Server
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.node.answers import OUTCOME_HEADER, describe_problem
+from samphirerill.node.answers import OUTCOME_HEADER, build_problem_document
 from samphirerill.node.logs import get_logger
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         problem = Problem(
             int(status_code), code, msg or reason, Outcome.NOT_RUN
         )
-        body = json.dumps(describe_problem(problem, '')).encode()
+        body = json.dumps(build_problem_document(problem, '')).encode()
         lines = (
             f'{self.server.protocol} {status_code} {reason}',
             f'Content-Length: {len(body)}',
--- a/samphirerill/edges/operators.py
+++ b/samphirerill/edges/operators.py
@@ -50,10 +50,10 @@
     def read_configuration(self) -> dict[str, Any]:
         """Return the version and document of the active configuration."""
 
-    def read_nodes(self) -> list[dict[str, Any]]:
+    def read_node_versions(self) -> list[dict[str, Any]]:
         """Return the active configuration version of each node."""
 
-    def read_history(self) -> list[Change]:
+    def read_changes(self) -> list[Change]:
         """Return the retained configuration changes."""
 
     def submit_patch(
@@ -68,14 +68,14 @@
         """Start a graceful shutdown."""
 
 
-def hash_key(key: str) -> str:
+def hash_api_key(key: str) -> str:
     """Return a key's digest in the format that documents store."""
     return f'sha256:{sha256(key.encode()).hexdigest()}'
 
 
 def matches_any_digest(key: str, digests: tuple[str, ...]) -> bool:
     """Return whether a key matches a digest, in constant time."""
-    digest = hash_key(key)
+    digest = hash_api_key(key)
     is_match = False
     for expected in digests:
         is_match = hmac.compare_digest(digest, expected) or is_match
@@ -89,7 +89,7 @@
 
     @wraps(handler)
     def check_key_and_handle(
-        self: OperatorsRoot, *args: str, **query: str
+        self: OperatorApi, *args: str, **query: str
     ) -> bytes:
         if not matches_any_digest(
             read_bearer_token(), self.settings.operators.key_digests
@@ -105,7 +105,7 @@
     return check_key_and_handle
 
 
-class OperatorsRoot:
+class OperatorApi:
     """CherryPy handlers of the operator API; one method per path."""
 
     def __init__(self, settings: Settings, operations: Operations) -> None:
@@ -136,13 +136,13 @@
     @_require_operator_key
     def nodes(self) -> bytes:
         """Return the active configuration version of each node."""
-        return render_json(self._operations.read_nodes())
+        return render_json(self._operations.read_node_versions())
 
     @cherrypy.expose
     @_require_operator_key
     def history(self) -> bytes:
         """Return the retained configuration changes."""
-        changes = self._operations.read_history()
+        changes = self._operations.read_changes()
         return render_json([change.to_json() for change in changes])
 
     @cherrypy.expose
--- a/samphirerill/edges/serving.py
+++ b/samphirerill/edges/serving.py
@@ -10,7 +10,7 @@
 
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.edges.handoff import HandoffServer
-from samphirerill.node.answers import OUTCOME_HEADER, describe_problem
+from samphirerill.node.answers import OUTCOME_HEADER, build_problem_document
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -104,7 +104,7 @@
     response.headers[OUTCOME_HEADER] = problem.outcome.value
     if problem.retry_after_s:
         response.headers['Retry-After'] = str(round(problem.retry_after_s))
-    return json.dumps(describe_problem(problem, '')).encode()
+    return json.dumps(build_problem_document(problem, '')).encode()
 
 
 def render_json(document: Any, status: int = 200) -> bytes:
--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -8,7 +8,7 @@
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.worth import Aims
 from samphirerill.settings.errors import Finding, InvalidDocumentError
-from samphirerill.settings.jsonc import read_commented
+from samphirerill.settings.jsonc import read_jsonc
 
 
 class AcceleratorFigures(Struct, frozen=True, forbid_unknown_fields=True):
@@ -119,7 +119,7 @@
     InvalidDocumentError
         The file can't be parsed, or a value has the wrong type.
     """
-    parsed = read_commented(path)
+    parsed = read_jsonc(path)
     try:
         return convert(parsed.document, Scenario)
     except ValidationError as exc:
--- a/samphirerill/node/answers.py
+++ b/samphirerill/node/answers.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class CallerRequest:
+class ClientRequest:
     """A client's request as the HTTP server has parsed it.
 
     `timeout_s` is the timeout that the client asked for; 0 if none. `body` is
@@ -50,7 +50,7 @@
     body: bytes
 
 
-def get_prompt_text(client_request: CallerRequest) -> str:
+def get_prompt_text(client_request: ClientRequest) -> str:
     """Return the prompt of a model request as text."""
     if client_request.is_chat:
         return '\n'.join(
@@ -68,7 +68,7 @@
     tokens: int
 
 
-def build_chunk_prefix(request_id: str, client_request: CallerRequest) -> bytes:
+def build_chunk_prefix(request_id: str, client_request: ClientRequest) -> bytes:
     """Return the JSON that every chunk of a stream starts with."""
     kind = (
         'chat.completion.chunk' if client_request.is_chat else 'text_completion'
@@ -92,7 +92,7 @@
 
 
 def build_completion(
-    request_id: str, client_request: CallerRequest, completion: Completion
+    request_id: str, client_request: ClientRequest, completion: Completion
 ) -> dict[str, Any]:
     """Return the document of an answer that is not streamed."""
     choice: dict[str, Any] = {'index': 0, 'finish_reason': completion.finish}
@@ -110,7 +110,7 @@
     }
 
 
-def describe_problem(problem: Problem, request_id: str) -> dict[str, Any]:
+def build_problem_document(problem: Problem, request_id: str) -> dict[str, Any]:
     """Return a problem document (RFC 9457) with the request's outcome."""
     document: dict[str, Any] = {
         'type': f'{_PROBLEM_TYPE_PREFIX}{problem.code}',
--- a/samphirerill/node/arrivals.py
+++ b/samphirerill/node/arrivals.py
@@ -12,7 +12,7 @@
 from samphirerill.core.events import ClientDisconnected, RequestArrived
 from samphirerill.core.model import MODEL_ROUTE, choose_priority
 from samphirerill.core.prefixes import digest_prefixes
-from samphirerill.edges.callers import MODELS
+from samphirerill.edges.callers import MODEL_LIST_REQUEST
 from samphirerill.node.answers import get_prompt_text
 from samphirerill.node.sessions import Session
 from samphirerill.quarantine import digest_request
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     import socket
 
-    from samphirerill.node.answers import CallerRequest
+    from samphirerill.node.answers import ClientRequest
     from samphirerill.node.node import Node
 
 
@@ -37,7 +37,7 @@
         self._node = node
 
     def receive_from_thread(
-        self, client_request: CallerRequest, sock: socket.socket
+        self, client_request: ClientRequest, sock: socket.socket
     ) -> None:
         """Receive a request on a thread of the HTTP server."""
         self._node.loop.call_soon_threadsafe(
@@ -45,7 +45,7 @@
         )
 
     def _create_session(
-        self, client_request: CallerRequest, sock: socket.socket
+        self, client_request: ClientRequest, sock: socket.socket
     ) -> None:
         session = Session(uuid.uuid4().hex, client_request, self._on_disconnect)
         session.arrived_at = self._node.loop.time()
@@ -65,7 +65,7 @@
         problem = self._check_request(session)
         if problem:
             session.send_problem(problem)
-        elif client_request.kind == MODELS:
+        elif client_request.kind == MODEL_LIST_REQUEST:
             self._send_models(session)
         else:
             self._submit_to_core(session)
@@ -118,7 +118,7 @@
                 'got no key of an account',
             )
         client_request = session.client_request
-        if client_request.kind == MODELS:
+        if client_request.kind == MODEL_LIST_REQUEST:
             return None
         allowed = configuration.accounts[session.account].routes
         route = configuration.routes.get(client_request.route)
@@ -153,7 +153,7 @@
         session.send_response(HTTPStatus.OK, [], body, Outcome.ANSWERED)
 
 
-def _compute_fingerprint(client_request: CallerRequest) -> str:
+def _compute_fingerprint(client_request: ClientRequest) -> str:
     """Return a digest that detects reuse of a key for another request."""
     fields = [client_request.method, client_request.target, client_request.body]
     digest = hashlib.sha256(json.dumps(fields, sort_keys=True).encode())
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -21,13 +21,13 @@
     ORDER_TIMEOUT_S,
     RENEW_EVERY_S,
     Order,
-    Status,
-    Tenure,
+    EngineStatus,
+    LeaderTerm,
     plan_orders,
 )
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
-from samphirerill.node.probes import fetch
+from samphirerill.node.probes import try_fetch
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import WatchBatch
@@ -63,11 +63,11 @@
         self._node = node
         self._worker = worker
         self._leader_key = f'{node.settings.store.prefix}{LEADER_KEY}'
-        self._term: Tenure | None = None
+        self._term: LeaderTerm | None = None
         self._lease = ''
         self._renew_at = 0.0
         self._leader_id = ''
-        self._statuses: dict[str, Status] = {}
+        self._statuses: dict[str, EngineStatus] = {}
 
     def handle_watch_batch(self, batch: WatchBatch) -> None:
         """Update the id of the leader from the watch."""
@@ -80,7 +80,7 @@
     def describe(self) -> dict[str, object]:
         """Return the leader, for the state dump."""
         term = self._term
-        fence = 0 if term is None else term.fence
+        fence = 0 if term is None else term.fencing_token
         return {'commander': self._leader_id, 'own_fence': fence}
 
     async def run(self) -> None:
@@ -111,9 +111,9 @@
 
     async def _maintain_leadership(self) -> None:
         now = self._node.loop.time()
-        if self._term is not None and now >= self._term.act_until:
+        if self._term is not None and now >= self._term.valid_until:
             _LOG.warning(
-                'leadership expired', extra={'fence': self._term.fence}
+                'leadership expired', extra={'fence': self._term.fencing_token}
             )
             self._term = None
         if self._term is None:
@@ -139,11 +139,11 @@
             )
             return
         now = self._node.loop.time()
-        self._term = Tenure.begin(outcome.revision, requested_at, now)
+        self._term = LeaderTerm.start(outcome.revision, requested_at, now)
         self._renew_at = requested_at + RENEW_EVERY_S
         _LOG.info('leadership acquired', extra={'fence': outcome.revision})
 
-    async def _renew(self, term: Tenure) -> None:
+    async def _renew(self, term: LeaderTerm) -> None:
         requested_at = self._node.loop.time()
         is_renewed = await self._worker.run(
             self._worker.store.renew_lease, self._lease
@@ -154,7 +154,7 @@
         term.renew(requested_at)
         self._renew_at = requested_at + RENEW_EVERY_S
 
-    async def _send_orders(self, term: Tenure) -> None:
+    async def _send_orders(self, term: LeaderTerm) -> None:
         polled = self._choose_engines_to_poll()
         responses = await asyncio.gather(*map(_fetch_status, polled))
         status_by_name = dict(
@@ -176,25 +176,25 @@
             *(self._send_order(order, term) for order in orders)
         )
 
-    async def _send_order(self, order: Order, term: Tenure) -> None:
+    async def _send_order(self, order: Order, term: LeaderTerm) -> None:
         now = self._node.loop.time()
-        if now + ORDER_TIMEOUT_S >= term.act_until:
+        if now + ORDER_TIMEOUT_S >= term.valid_until:
             return
         desired = order.desired
         body = json.dumps(
             {
-                'fence': order.fence,
+                'fence': order.fencing_token,
                 'version': desired.version,
                 'adapters': desired.adapters,
                 'role': desired.role,
             }
         )
-        answer = await fetch(order.address, '/orders', body.encode())
+        answer = await try_fetch(order.address, '/orders', body.encode())
         _LOG.info(
             'ordered',
             extra={
                 'endpoint': order.endpoint,
-                'fence': order.fence,
+                'fence': order.fencing_token,
                 'answered': answer is not None,
             },
         )
@@ -228,12 +228,12 @@
         ]
 
 
-async def _fetch_status(endpoint: Endpoint) -> Status | None:
-    body = await fetch(endpoint.address, '/status')
+async def _fetch_status(endpoint: Endpoint) -> EngineStatus | None:
+    body = await try_fetch(endpoint.address, '/status')
     if body is None:
         return None
     try:
         answer = _STATUS_DECODER.decode(body)
     except DecodeError:
         return None
-    return Status(answer.version, answer.adapters, answer.role, answer.loading)
+    return EngineStatus(answer.version, answer.adapters, answer.role, answer.loading)
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -16,14 +16,14 @@
 
 from samphirerill.backends.store import StoreError, WatchBatch
 from samphirerill.control.configuration_log import (
-    LOG,
+    LOG_PREFIX,
     Change,
     ConfigurationLog,
-    Loaded,
+    LoadedConfiguration,
 )
 from samphirerill.control.configuration_view import ConfigurationView
 from samphirerill.control.errors import ConfigurationError
-from samphirerill.control.evidence import Evidence
+from samphirerill.control.evidence import ConfigurationFreshness
 from samphirerill.core.events import (
     ConfigurationAccepted,
     ServingResumed,
@@ -43,7 +43,7 @@
 _LOG = get_logger('config')
 SHARED_PREFIX = 'shared/'
 FLEET_READS_PER_S = 200
-LEAST_POLL_S = 1.0
+MIN_POLL_INTERVAL_S = 1.0
 _MIN_BACKOFF_S = 0.2
 _MAX_BACKOFF_S = 5.0
 _FRESHNESS_CHECK_INTERVAL_S = 0.5
@@ -56,7 +56,7 @@
         self, node: Node, worker: StoreWorker, members: Membership
     ) -> None:
         self.view = ConfigurationView()
-        self.evidence = Evidence(node.loop.time())
+        self.evidence = ConfigurationFreshness(node.loop.time())
         prefix = node.settings.store.prefix
         self.log = ConfigurationLog(worker.store, prefix)
         self.engine_controller = EngineController(node, worker)
@@ -86,7 +86,7 @@
     async def monitor_freshness(self) -> None:
         """Suspend serving while the configuration may be stale."""
         while True:
-            reason = self.evidence.find_doubt(
+            reason = self.evidence.find_suspension_reason(
                 self._node.loop.time(), self.view.version, self._members.count
             )
             if reason != self._suspension_reason:
@@ -96,10 +96,10 @@
                 self._node.apply(event)
             await asyncio.sleep(_FRESHNESS_CHECK_INTERVAL_S)
 
-    def offer(self, change: Change) -> None:
+    def apply_change(self, change: Change) -> None:
         """Apply a configuration change from the service or a peer."""
         try:
-            is_newer = self.view.offer(change)
+            is_newer = self.view.apply_change(change)
         except ConfigurationError as exc:
             _LOG.error(
                 'invalid configuration change ignored',
@@ -109,21 +109,21 @@
         if is_newer:
             self._activate()
 
-    def install(self, version: int, document: dict[str, Any]) -> None:
+    def apply_document(self, version: int, document: dict[str, Any]) -> None:
         """Apply a complete configuration from the service or a peer."""
-        if self.view.install(version, document):
+        if self.view.replace_document(version, document):
             self._activate()
 
     def stop(self) -> None:
         """Stop the watch thread."""
         self._stop_requested.set()
 
-    async def _load_first(self) -> Loaded:
+    async def _load_first(self) -> LoadedConfiguration:
         backoff_s = _MIN_BACKOFF_S
         while True:
             loaded = await self._worker.try_run(self.log.load)
             if isinstance(loaded, Ok):
-                self.evidence.note_store_read(self._node.loop.time())
+                self.evidence.record_store_read(self._node.loop.time())
                 return loaded.ok_value
             error = str(loaded.err_value)
             _LOG.warning(
@@ -133,10 +133,10 @@
             await asyncio.sleep(add_jitter(backoff_s, WIDE_JITTER))
             backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
 
-    def _apply_loaded(self, loaded: Loaded) -> None:
-        self.install(loaded.version, loaded.document)
+    def _apply_loaded(self, loaded: LoadedConfiguration) -> None:
+        self.apply_document(loaded.version, loaded.document)
         for change in loaded.changes:
-            self.view.recent.append(change)
+            self.view.recent_changes.append(change)
 
     def _activate(self) -> None:
         previous = self._node.router.state.configuration
@@ -160,8 +160,8 @@
                 extra={'error': str(version.err_value)},
             )
             return
-        self.evidence.note_store_read(self._node.loop.time())
-        self.view.note_known(version.ok_value)
+        self.evidence.record_store_read(self._node.loop.time())
+        self.view.record_accepted_version(version.ok_value)
         if self.view.is_behind():
             await self._resynchronize()
 
@@ -179,7 +179,7 @@
             error = str(loaded.err() or shared.err())
             _LOG.warning('resynchronization failed', extra={'error': error})
             return
-        self.install(loaded.ok_value.version, loaded.ok_value.document)
+        self.apply_document(loaded.ok_value.version, loaded.ok_value.document)
         entries = shared.ok_value.entries
         deleted_keys = self._members.list_missing_keys(entries)
         revision = shared.ok_value.revision
@@ -188,7 +188,7 @@
 
     def _get_poll_interval_s(self) -> float:
         """Return a poll interval that keeps the fleet within its read limit."""
-        interval_s = max(LEAST_POLL_S, self._members.count / FLEET_READS_PER_S)
+        interval_s = max(MIN_POLL_INTERVAL_S, self._members.count / FLEET_READS_PER_S)
         return add_jitter(interval_s, WIDE_JITTER)
 
     def _watch_forever(self) -> None:
@@ -214,7 +214,7 @@
             backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
 
     def _post_to_loop(self, batch: WatchBatch) -> int:
-        log_prefix = f'{self._prefix}{LOG}'
+        log_prefix = f'{self._prefix}{LOG_PREFIX}'
         changes = [
             self.log.read_change(entry)
             for entry in batch.puts
@@ -233,4 +233,4 @@
         if leaving is not None:
             self._node.apply(leaving)
         for change in changes:
-            self.offer(change)
+            self.apply_change(change)
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -22,7 +22,7 @@
     PeerMessage,
 )
 from samphirerill.control.configuration_log import parse_change
-from samphirerill.control.evidence import FORGET_AFTER_S
+from samphirerill.control.evidence import PEER_EXPIRY_S
 from samphirerill.core.events import EvidenceReceived, VmListRead
 from samphirerill.core.queries import list_crash_records, list_leaving_endpoints
 from samphirerill.edges.serving import ListenError
@@ -138,7 +138,7 @@
         reply = self._build_message()
         view = self._follower.view
         if message.version < view.version:
-            changes = view.list_after(message.version)
+            changes = view.list_changes_after(message.version)
             if changes is None:
                 reply.document = json.dumps(view.document).encode()
             else:
@@ -157,16 +157,16 @@
         self._peer_statuses[message.node] = PeerStatus(
             message.node, message.version, message.store_read_age_s, now
         )
-        self._follower.evidence.note_peer(
+        self._follower.evidence.record_peer_report(
             message.node, now, message.store_read_age_s, message.version
         )
-        self._follower.view.note_known(message.version)
+        self._follower.view.record_accepted_version(message.version)
         if message.document:
-            self._follower.install(
+            self._follower.apply_document(
                 message.version, json.loads(message.document)
             )
         for change in message.changes:
-            self._follower.offer(parse_change(json.loads(change)))
+            self._follower.apply_change(parse_change(json.loads(change)))
         self._handle_evidence(message)
         if message.leaving:
             self._node.apply(
@@ -188,7 +188,7 @@
 
     def _remove_expired(self, now: float) -> None:
         for name, status in tuple(self._peer_statuses.items()):
-            if now - status.heard_at > FORGET_AFTER_S:
+            if now - status.heard_at > PEER_EXPIRY_S:
                 self._peer_statuses.pop(name)
 
     def _encode_evidence(self, now: float) -> bytes:
@@ -200,7 +200,7 @@
     def _build_message(self) -> PeerMessage:
         node = self._node
         now = node.loop.time()
-        age_s = min(_MAX_READ_AGE_S, self._follower.evidence.own_age_s(now))
+        age_s = min(_MAX_READ_AGE_S, self._follower.evidence.get_read_age_s(now))
         return PeerMessage(
             node.node_id,
             self._follower.view.version,
--- a/samphirerill/node/loop_lag.py
+++ b/samphirerill/node/loop_lag.py
@@ -15,7 +15,7 @@
     from collections.abc import AsyncIterator
 
 # Smaller delays of a timer are not regarded as lag.
-LEAST_LAG_S = 0.003
+MIN_LAG_S = 0.003
 # Limit of the extension of a timeout.
 MAX_EXTENSION_S = 0.3
 
@@ -49,7 +49,7 @@
         now = self._loop.time()
         lag_s = now - self._deadline
         self._final_deadline = self._final_deadline or now + MAX_EXTENSION_S
-        if lag_s <= LEAST_LAG_S or now >= self._final_deadline:
+        if lag_s <= MIN_LAG_S or now >= self._final_deadline:
             self._scope.reschedule(now)
             return
         self._deadline = min(now + lag_s, self._final_deadline)
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operations.py
@@ -49,13 +49,13 @@
             lambda: {'version': view.version, 'document': view.document}
         )
 
-    def read_nodes(self) -> list[dict[str, Any]]:
+    def read_node_versions(self) -> list[dict[str, Any]]:
         """Query each node for its configuration version."""
         coroutine = self._process.gossip.query_versions()
         future = asyncio.run_coroutine_threadsafe(coroutine, self._node.loop)
         return future.result(_TIMEOUT_S)
 
-    def read_history(self) -> list[Change]:
+    def read_changes(self) -> list[Change]:
         """Return the accepted configuration changes that are still stored."""
         return self._follower.log.read_changes(after=0)
 
@@ -65,7 +65,7 @@
         """Submit a configuration patch to the service."""
         change = self._follower.log.submit(patch, base, author, dry_run=dry_run)
         if not dry_run:
-            self._node.loop.call_soon_threadsafe(self._follower.offer, change)
+            self._node.loop.call_soon_threadsafe(self._follower.apply_change, change)
         return change
 
     def drain(self) -> None:
@@ -85,7 +85,7 @@
             'open_sessions': len(node.sessions),
             'cpu_s': usage.ru_utime + usage.ru_stime,
             'max_memory_bytes': usage.ru_maxrss * _BYTES_PER_KIB,
-            'store_read_age_s': self._follower.evidence.own_age_s(now),
+            'store_read_age_s': self._follower.evidence.get_read_age_s(now),
             'store_calls': dict(self._process.worker.calls),
             'claims': asdict(node.claim_writer.describe())
             if node.claim_writer
--- a/samphirerill/node/probes.py
+++ b/samphirerill/node/probes.py
@@ -16,7 +16,7 @@
     from samphirerill.node.node import Node
 
 PROBE_TIMEOUT_S = 0.4
-POLLS_PER_S = 8.0
+LOAD_POLLS_PER_S = 8.0
 LOAD_REPORT_TTL_S = 1.0
 _IDLE_INTERVAL_S = 0.25
 _MAX_BODY_BYTES = 65_536
@@ -54,10 +54,10 @@
             endpoint_state.endpoint.name, endpoint_state.endpoint.address, node
         )
         node.start_task(coroutine, 'load poll')
-        await asyncio.sleep(1 / POLLS_PER_S)
+        await asyncio.sleep(1 / LOAD_POLLS_PER_S)
 
 
-async def fetch(
+async def try_fetch(
     address: str, target: str, body: bytes | None = None
 ) -> bytes | None:
     """Return the body of a response, or None if the request failed.
@@ -70,7 +70,7 @@
         return None
 
 
-def build_fetch(target: str, address: str, body: bytes | None = None) -> bytes:
+def build_fetch_request(target: str, address: str, body: bytes | None = None) -> bytes:
     """Serialize the request of a health check, load poll or order."""
     method, length = 'GET', ''
     if body is not None:
@@ -84,7 +84,7 @@
 
 async def _poll_load(name: str, address: str, node: Node) -> None:
     last_event = node.router.state.prefixes.get_last_event(name)
-    body = await fetch(address, f'/load?cache_after={last_event}')
+    body = await try_fetch(address, f'/load?cache_after={last_event}')
     if body is None:
         node.apply(ProbeFinished(name, alive=False))
     else:
@@ -114,7 +114,7 @@
 async def _fetch(address: str, target: str, body: bytes | None) -> bytes:
     host, _, port = address.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
-    writer.write(build_fetch(target, address, body))
+    writer.write(build_fetch_request(target, address, body))
     try:
         head = await reader.readuntil(b'\r\n\r\n')
         return await reader.readexactly(_parse_content_length(head))
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -10,8 +10,8 @@
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.core.events import DrainRequested
 from samphirerill.core.queries import count_open_requests
-from samphirerill.edges.callers import CallersRoot
-from samphirerill.edges.operators import OperatorsRoot
+from samphirerill.edges.callers import ClientApi
+from samphirerill.edges.operators import OperatorApi
 from samphirerill.edges.serving import HttpServer, ListenError
 from samphirerill.node.arrivals import RequestReceiver
 from samphirerill.node.claim_writer import ClaimWriter
@@ -179,7 +179,7 @@
         spec = self._settings.callers
         request_receiver = RequestReceiver(self.node)
         return HttpServer(
-            CallersRoot(
+            ClientApi(
                 request_receiver.receive_from_thread,
                 lambda: self.node.is_healthy,
             ),
@@ -192,7 +192,7 @@
 
     def _build_operator_server(self) -> HttpServer:
         spec = self._settings.operators
-        root = OperatorsRoot(self._settings, NodeOperations(self))
+        root = OperatorApi(self._settings, NodeOperations(self))
         return HttpServer(
             root,
             spec.host,
--- a/samphirerill/node/sessions.py
+++ b/samphirerill/node/sessions.py
@@ -12,13 +12,13 @@
 from samphirerill.core.commands import Outcome
 from samphirerill.node.answers import (
     OUTCOME_HEADER,
-    CallerRequest,
+    ClientRequest,
     Completion,
     StoredResponse,
     build_chunk_prefix,
     build_completion,
     build_final_chunk,
-    describe_problem,
+    build_problem_document,
     format_status_line,
 )
 
@@ -39,7 +39,7 @@
     ----------
     request_id : str
         Identifies the request in responses and logs.
-    client_request : CallerRequest
+    client_request : ClientRequest
         The parsed request.
     on_disconnect : callable
         Called once if the client disconnects before the response is complete.
@@ -48,7 +48,7 @@
     def __init__(
         self,
         request_id: str,
-        client_request: CallerRequest,
+        client_request: ClientRequest,
         on_disconnect: Callable[[str], None],
     ) -> None:
         self.request_id = request_id
@@ -148,7 +148,7 @@
         A stream that has started ends without the terminating HTTP chunk, so
         that clients detect the truncated response.
         """
-        document = describe_problem(problem, self.request_id)
+        document = build_problem_document(problem, self.request_id)
         if self._headers_sent:
             error_chunk = {'error': document}
             self._send_event(json.dumps(error_chunk).encode())
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -26,7 +26,7 @@
     from samphirerill.node.store_worker import StoreWorker
 
 LEAVING_PREFIX = 'shared/leaving/'
-FLEET_READERS = 8
+FLEET_READS_PER_INTERVAL = 8
 _LOG = get_logger('vms')
 
 
@@ -68,7 +68,7 @@
     def _get_read_interval_s(self) -> float:
         """Return the interval between reads within the fleet's limit."""
         every_s = self._node.settings.vm_list.every_s
-        return every_s * max(1, self._members.count / FLEET_READERS)
+        return every_s * max(1, self._members.count / FLEET_READS_PER_INTERVAL)
 
     async def _publish(self, added: list[str], removed: list[str]) -> None:
         prefix = f'{self._node.settings.store.prefix}{LEAVING_PREFIX}'
--- a/samphirerill/platform/settings.py
+++ b/samphirerill/platform/settings.py
@@ -10,7 +10,7 @@
 
 from samphirerill.fleet.policy import Policy
 from samphirerill.settings.errors import Finding, InvalidDocumentError
-from samphirerill.settings.jsonc import read_commented
+from samphirerill.settings.jsonc import read_jsonc
 
 SETTINGS_VARIABLE = 'SAMPHIRERILL_SETTINGS'
 
@@ -82,7 +82,7 @@
     InvalidDocumentError
         The file can't be read or a value is invalid.
     """
-    parsed = read_commented(path)
+    parsed = read_jsonc(path)
     try:
         return convert(parsed.document, EdgeSettings)
     except ValidationError as exc:
--- a/samphirerill/properties/agreement.py
+++ b/samphirerill/properties/agreement.py
@@ -16,11 +16,11 @@
 from samphirerill.backends.store import KeyAbsent, Put, Transaction
 from samphirerill.control.configuration_log import (
     ConfigurationLog,
-    Loaded,
+    LoadedConfiguration,
     StaleBaseError,
 )
 from samphirerill.control.configuration_view import ConfigurationView
-from samphirerill.control.orders import LEASE_S, Tenure
+from samphirerill.control.orders import LEASE_S, LeaderTerm
 from samphirerill.properties.oracle import expect
 from samphirerill.testing.kv_rules import Rules
 from samphirerill.testing.memory_store import MemoryStore
@@ -60,9 +60,9 @@
     def __init__(self, name: str, rules: Rules) -> None:
         self.name = name
         self.store = FaultyStore(rules)
-        self.log = ConfigurationLog(self.store, _PREFIX, settle_pause_s=0)
+        self.log = ConfigurationLog(self.store, _PREFIX, retry_pause_s=0)
         self.view = ConfigurationView()
-        self.tenure: Tenure | None = None
+        self.tenure: LeaderTerm | None = None
         self.lease = ''
         self.highest_version = 0
 
@@ -78,7 +78,7 @@
         self.nodes = [self._start_node() for _ in range(NODES)]
         self.accepted: dict[int, str] = {}
         self.patch_count = 0
-        self.past_reads: list[Loaded] = []
+        self.past_reads: list[LoadedConfiguration] = []
 
     @rule(node=_NODES, lose=st.integers(0, 2), rival=st.booleans())
     def submit(self, node: int, lose: int, rival: bool) -> None:
@@ -95,14 +95,14 @@
         """Load the full configuration on a node, as at startup."""
         loaded = self.nodes[node].log.load()
         self.past_reads.append(loaded)
-        self.nodes[node].view.install(loaded.version, loaded.document)
+        self.nodes[node].view.replace_document(loaded.version, loaded.document)
 
     @rule(node=_NODES, pick=st.integers(0, 50))
     def read_stale(self, node: int, pick: int) -> None:
         """Deliver the result of an earlier read with a delay."""
         if self.past_reads:
             loaded = self.past_reads[pick % len(self.past_reads)]
-            self.nodes[node].view.install(loaded.version, loaded.document)
+            self.nodes[node].view.replace_document(loaded.version, loaded.document)
 
     @rule(node=_NODES, picks=st.lists(st.integers(0, 50), max_size=4))
     def hear_changes(self, node: int, picks: list[int]) -> None:
@@ -111,7 +111,7 @@
         for pick in picks:
             if changes:
                 change = changes[pick % len(changes)]
-                self.nodes[node].view.offer(change)
+                self.nodes[node].view.apply_change(change)
 
     @rule(node=_NODES, peer=_NODES)
     def hear_peer(self, node: int, peer: int) -> None:
@@ -120,12 +120,12 @@
         ours = self.nodes[node].view
         if theirs.version <= ours.version:
             return
-        changes = theirs.list_after(ours.version)
+        changes = theirs.list_changes_after(ours.version)
         if changes is None:
-            ours.install(theirs.version, theirs.document)
+            ours.replace_document(theirs.version, theirs.document)
             return
         for change in changes:
-            ours.offer(change)
+            ours.apply_change(change)
 
     @rule(node=_NODES)
     def replace(self, node: int) -> None:
@@ -181,7 +181,7 @@
             node.name
             for node in self.nodes
             if node.tenure is not None
-            and node.tenure.may_order(self.now, checks_fencing=False)
+            and node.tenure.may_send_orders(self.now, checks_fencing=False)
         ]
         expect(len(leaders) <= 1, f'several leaders at once: {leaders}')
 
@@ -196,7 +196,7 @@
         done = MemoryStore(self.store_state).commit(campaign)
         self._advance_time(delay_s)
         if done.succeeded:
-            node.tenure = Tenure.begin(done.revision, asked_at, self.now)
+            node.tenure = LeaderTerm.start(done.revision, asked_at, self.now)
 
     def _submit(self, node: NodeModel, base: int, lose: int) -> None:
         self.patch_count += 1
--- a/samphirerill/relay/health/patience.py
+++ b/samphirerill/relay/health/patience.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.smoothing import Smoothed
-from samphirerill.node.loop_lag import LEAST_LAG_S
+from samphirerill.node.loop_lag import MIN_LAG_S
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -103,6 +103,6 @@
         else:
             await asyncio.sleep(timeout_s)
         lag_s = self._loop.time() - expected_at
-        if lag_s > LEAST_LAG_S:
+        if lag_s > MIN_LAG_S:
             self.deadline += lag_s + self._retry_delay_s
             self.lag_s += lag_s
--- a/samphirerill/settings/errors.py
+++ b/samphirerill/settings/errors.py
@@ -17,7 +17,7 @@
     line: int
     message: str
 
-    def describe(self, source: str) -> str:
+    def format_line(self, source: str) -> str:
         """Format the finding as ``file:line: pointer: message``."""
         location = self.pointer or 'the document'
         return f'{source}:{self.line or 1}: {location}: {self.message}'
@@ -30,5 +30,5 @@
         self.source = source
         self.findings = findings
         super().__init__(
-            '\n'.join(finding.describe(source) for finding in findings),
+            '\n'.join(finding.format_line(source) for finding in findings),
         )
--- a/samphirerill/settings/jsonc.py
+++ b/samphirerill/settings/jsonc.py
@@ -71,7 +71,7 @@
     return ParsedDocument(source, document, lines)
 
 
-def read_commented(path: str) -> ParsedDocument:
+def read_jsonc(path: str) -> ParsedDocument:
     """Read and parse a file; see :func:`parse_jsonc`."""
     try:
         with open(path, encoding='utf-8') as stream:
--- a/samphirerill/settings/model.py
+++ b/samphirerill/settings/model.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from samphirerill.settings.checks import check_document
-from samphirerill.settings.jsonc import ParsedDocument, read_commented
+from samphirerill.settings.jsonc import ParsedDocument, read_jsonc
 
 
 @dataclass(slots=True, frozen=True)
@@ -104,7 +104,7 @@
     InvalidDocumentError
         The file cannot be read or has errors; all of them are listed.
     """
-    parsed = read_commented(path)
+    parsed = read_jsonc(path)
     check_document(parsed)
     return _build_settings(parsed)
 
--- a/samphirerill/testing/cluster.py
+++ b/samphirerill/testing/cluster.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.edges.operators import hash_key
+from samphirerill.edges.operators import hash_api_key
 from samphirerill.testing.clients import call_json
 from samphirerill.testing.layout import OPERATOR_KEY
 
@@ -275,7 +275,7 @@
         'operators': {
             'host': _HOST,
             'port': 0,
-            'key_digests': [hash_key(OPERATOR_KEY)],
+            'key_digests': [hash_api_key(OPERATOR_KEY)],
         },
         'peers': {'host': _HOST, 'port': 0},
         'log': {'form': 'json'},
--- a/samphirerill/testing/layout.py
+++ b/samphirerill/testing/layout.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from samphirerill.edges.operators import hash_key
+from samphirerill.edges.operators import hash_api_key
 
 OPERATOR_KEY = 'operator-key'
 COACH_KEY = 'coach-key'
@@ -111,7 +111,7 @@
 
     def _describe_accounts(self, routes: list[str]) -> dict[str, Any]:
         accounts = {
-            name: {'keys': [hash_key(key)], 'routes': routes}
+            name: {'keys': [hash_api_key(key)], 'routes': routes}
             for name, key in ACCOUNT_KEYS.items()
         }
         for name, spec in self.accounts.items():
--- a/samphirerill/tests/test_catch_up.py
+++ b/samphirerill/tests/test_catch_up.py
@@ -10,7 +10,7 @@
 from result import Ok
 
 from samphirerill.backends.store import RangeResult, StoredEntry
-from samphirerill.control.configuration_log import Loaded
+from samphirerill.control.configuration_log import LoadedConfiguration
 from samphirerill.node.follower import ConfigurationFollower
 from samphirerill.node.members import Membership
 
@@ -42,9 +42,9 @@
         self.entries: list[StoredEntry] = []
         self.members = Membership(node, worker)
         self.follower = ConfigurationFollower(node, worker, self.members)
-        self.follower.install = MagicMock()  # type: ignore[method-assign]
+        self.follower.apply_document = MagicMock()  # type: ignore[method-assign]
         self.follower.log = MagicMock()
-        self.follower.log.load = lambda: Loaded(7, {}, 20, [])
+        self.follower.log.load = lambda: LoadedConfiguration(7, {}, 20, [])
 
     async def try_run(self, call: Callable[..., Any], *args: Any) -> Ok[Any]:
         """Run the call immediately."""
--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -222,7 +222,7 @@
     def setUp(self) -> None:
         """Start at version 1 with an empty list."""
         self.view = ConfigurationView()
-        self.view.install(1, {'seen': []})
+        self.view.replace_document(1, {'seen': []})
 
     def test_late_repeated_and_early_changes(self) -> None:
         """Each change is applied once and in order, however it arrives.
@@ -231,30 +231,30 @@
         peer arrives again from a slow watch.
         """
         for version in (3, 2, 2, 5, 3, 4, 2):
-            self.view.offer(self._build_change(version))
+            self.view.apply_change(self._build_change(version))
         self.assertEqual(self.view.document, {'seen': [2, 3, 4, 5]})
         self.assertEqual(self.view.version, 5)
         self.assertFalse(self.view.is_behind())
 
     def test_gap_is_reported_and_not_skipped(self) -> None:
         """A change that is ahead waits for those before it."""
-        self.view.offer(self._build_change(4))
+        self.view.apply_change(self._build_change(4))
         self.assertEqual(self.view.version, 1)
         self.assertTrue(self.view.is_behind())
 
     def test_older_document_is_ignored(self) -> None:
         """A slow read does not revert the configuration."""
-        self.view.offer(self._build_change(2))
-        self.assertFalse(self.view.install(1, {'seen': ['old']}))
+        self.view.apply_change(self._build_change(2))
+        self.assertFalse(self.view.replace_document(1, {'seen': ['old']}))
         self.assertEqual(self.view.document, {'seen': [2]})
 
     def test_peers_get_the_changes_they_lack(self) -> None:
         """Or None, if those changes are no longer kept."""
         for version in range(2, 6):
-            self.view.offer(self._build_change(version))
-        missing = self.view.list_after(3) or []
+            self.view.apply_change(self._build_change(version))
+        missing = self.view.list_changes_after(3) or []
         self.assertEqual([change.version for change in missing], [4, 5])
-        self.assertIsNone(self.view.list_after(0))
+        self.assertIsNone(self.view.list_changes_after(0))
 
     def _build_change(self, version: int) -> Change:
         patch = [{'op': 'add', 'path': '/seen/-', 'value': version}]
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -13,7 +13,7 @@
 
 from msgspec import json
 
-from samphirerill.node.probes import fetch
+from samphirerill.node.probes import try_fetch
 from samphirerill.relay.connection import (
     CONNECT_TIMEOUT_S,
     Head,
@@ -109,7 +109,7 @@
 
     async def test_probe_answered_while_blocked_succeeds(self) -> None:
         """An endpoint must not be suspected because the node read late."""
-        probe = asyncio.create_task(fetch(self.start_engine(), '/load'))
+        probe = asyncio.create_task(try_fetch(self.start_engine(), '/load'))
         await self.block_loop()
         self.assertEqual(await probe, json.encode(_REPORT))
 
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -9,8 +9,8 @@
     LEASE_S,
     ORDER_TIMEOUT_S,
     SAFETY_MARGIN_S,
-    Status,
-    Tenure,
+    EngineStatus,
+    LeaderTerm,
     plan_orders,
 )
 from samphirerill.core.model import DesiredState, Endpoint
@@ -38,7 +38,7 @@
 
     def setUp(self) -> None:
         """Acquire the key at a known time."""
-        self.tenure = Tenure.begin(7, requested_at=_NOW, acquired_at=_NOW + 0.1)
+        self.tenure = LeaderTerm.start(7, requested_at=_NOW, acquired_at=_NOW + 0.1)
 
     def test_paused_leader_sends_no_orders(self) -> None:
         """A pause past the lease is noticed by the clock.
@@ -47,52 +47,52 @@
         sends what it had planned: an engine would load an outdated version.
         """
         late = _NOW + LEASE_S - SAFETY_MARGIN_S
-        self.assertFalse(self.tenure.may_order(late, checks_fencing=True))
+        self.assertFalse(self.tenure.may_send_orders(late, checks_fencing=True))
         self.tenure.renew(requested_at=_NOW + 5)
-        self.assertTrue(self.tenure.may_order(late, checks_fencing=True))
+        self.assertTrue(self.tenure.may_send_orders(late, checks_fencing=True))
 
     def test_renewal_counts_from_its_request(self) -> None:
         """A slow reply does not extend the term."""
         self.tenure.renew(requested_at=_NOW - 50)
-        end = self.tenure.act_until
+        end = self.tenure.valid_until
         self.assertEqual(end, _NOW + LEASE_S - SAFETY_MARGIN_S)
 
     def test_engines_without_fencing_need_a_wait(self) -> None:
         """Orders of the previous leader must have arrived before."""
         soon = _NOW + 1
-        self.assertTrue(self.tenure.may_order(soon, checks_fencing=True))
-        self.assertFalse(self.tenure.may_order(soon, checks_fencing=False))
+        self.assertTrue(self.tenure.may_send_orders(soon, checks_fencing=True))
+        self.assertFalse(self.tenure.may_send_orders(soon, checks_fencing=False))
         later = _NOW + 0.2 + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
-        self.assertTrue(self.tenure.may_order(later, checks_fencing=False))
+        self.assertTrue(self.tenure.may_send_orders(later, checks_fencing=False))
 
 
 class TestPlanOrders(unittest.TestCase):
     """Orders bring engines to their desired state and no further."""
 
-    def plan(self, statuses: dict[str, Status], loads: int = 2) -> list[str]:
+    def plan(self, statuses: dict[str, EngineStatus], loads: int = 2) -> list[str]:
         """Return which engines get an order."""
         endpoints = [_build_endpoint(f'e{index}') for index in range(4)]
-        tenure = Tenure.begin(7, _NOW, _NOW)
+        tenure = LeaderTerm.start(7, _NOW, _NOW)
         orders = plan_orders(endpoints, statuses, tenure, _NOW + 1, loads)
         return [order.endpoint for order in orders]
 
     def test_weight_store_load_is_limited(self) -> None:
         """Engines that are loading count against the fleet's limit."""
-        idle = Status()
-        loading = Status(is_loading=True)
+        idle = EngineStatus()
+        loading = EngineStatus(is_loading=True)
         statuses = {'e0': loading, 'e1': idle, 'e2': idle, 'e3': idle}
         self.assertEqual(self.plan(statuses), ['e1'])
         self.assertEqual(self.plan(statuses, loads=1), [])
 
     def test_desired_state_needs_no_order(self) -> None:
         """The order of the adapters does not matter."""
-        reached = Status('v2', ('knee',), 'both')
+        reached = EngineStatus('v2', ('knee',), 'both')
         self.assertEqual(self.plan({'e0': reached}), [])
 
     def test_role_change_needs_no_weights(self) -> None:
         """It is ordered although the weight store is busy."""
-        other_role = Status('v2', ('knee',), 'decode')
-        loading = Status(is_loading=True)
+        other_role = EngineStatus('v2', ('knee',), 'decode')
+        loading = EngineStatus(is_loading=True)
         statuses = {'e0': loading, 'e1': loading, 'e2': other_role}
         self.assertEqual(self.plan(statuses), ['e2'])
 
