--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -44,7 +44,7 @@
 from samphirerill.node.probes import build_fetch
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
-from samphirerill.testing.engine import EngineStandIn
+from samphirerill.testing.engine import FakeEngine
 from samphirerill.testing.layout import COACH_KEY, build_three_stages
 
 # Also the number of nanoseconds in a millisecond.
@@ -355,7 +355,7 @@
 
 
 async def _measure_polls() -> dict[str, float]:
-    engine = EngineStandIn()
+    engine = FakeEngine()
     address = await engine.start('127.0.0.1', 0)
     host, _, port = address.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
--- a/samphirerill/bench/start_up.py
+++ b/samphirerill/bench/start_up.py
@@ -15,10 +15,10 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from samphirerill.testing.clients import call_raw
+from samphirerill.testing.clients import send_request
 from samphirerill.testing.cluster import (
-    build_listening,
-    read_serving,
+    build_listen_settings,
+    read_listening_ports,
     wait_for,
 )
 
@@ -37,7 +37,7 @@
     """
     with TemporaryDirectory() as directory:
         settings = {
-            **build_listening('start'),
+            **build_listen_settings('start'),
             'store': {'addresses': ['127.0.0.1:1']},
         }
         path = Path(directory) / 'settings.json'
@@ -51,11 +51,11 @@
                 env={**os.environ, 'SHIV_ROOT': str(root)},
             )
         try:
-            wait_for(lambda: read_serving(log_path), 'the node to listen')
-            port = read_serving(log_path)['callers']
+            wait_for(lambda: read_listening_ports(log_path), 'the node to listen')
+            port = read_listening_ports(log_path)['callers']
             wait_for(
                 lambda: (
-                    call_raw(
+                    send_request(
                         f'127.0.0.1:{port}', '/health', '', b'', method='GET'
                     ).status
                 ),
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -24,10 +24,10 @@
 from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.clients import (
-    Answer,
+    ClientResponse,
     CallError,
     call_json,
-    call_raw,
+    send_request,
 )
 from samphirerill.testing.cluster import NodeProcess, wait_for
 from samphirerill.testing.layout import COACH_KEY, OPERATOR_KEY
@@ -259,14 +259,14 @@
     )
 
 
-def _send_keyed_requests(target: Target, name: str, count: int) -> list[Answer]:
+def _send_keyed_requests(target: Target, name: str, count: int) -> list[ClientResponse]:
     """Send a request for each key twice at once, to different processes."""
     addresses = target.list_addresses()
 
-    def send(number: int) -> Answer:
+    def send(number: int) -> ClientResponse:
         key = f'{name}-{number // 2}'
         address = addresses[number % len(addresses)]
-        return call_raw(
+        return send_request(
             address,
             '/svc/notices/pickup',
             COACH_KEY,
@@ -279,7 +279,7 @@
         return list(threads.map(send, range(2 * count)))
 
 
-def _check_outcome(answer: Answer, verdict: Verdict) -> None:
+def _check_outcome(answer: ClientResponse, verdict: Verdict) -> None:
     if not answer.outcome and not (answer.status == _OK and answer.body):
         verdict.missing_outcomes += 1
         verdict.notes.append(
--- a/samphirerill/bench/targets.py
+++ b/samphirerill/bench/targets.py
@@ -106,7 +106,7 @@
 
     def __enter__(self) -> BaselineTarget:
         """Start the simulated endpoints and the baseline proxies."""
-        self.cluster.start_stand_ins()
+        self.cluster.start_fakes()
         for _ in range(self._count):
             self._start_proxy()
         return self
--- a/samphirerill/properties/agreement.py
+++ b/samphirerill/properties/agreement.py
@@ -22,7 +22,7 @@
 from samphirerill.control.configuration_view import ConfigurationView
 from samphirerill.control.orders import LEASE_S, Tenure
 from samphirerill.properties.oracle import expect
-from samphirerill.testing.kv_rules import Rules
+from samphirerill.testing.kv_rules import EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 class FaultyStore(MemoryStore):
     """A store that loses the replies to a given number of commits."""
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: EtcdState) -> None:
         super().__init__(rules)
         self.replies_to_lose = 0
         self.before_commit: Callable[[], None] | None = None
@@ -57,7 +57,7 @@
 class NodeModel:
     """A node's store client, configuration view and leadership term."""
 
-    def __init__(self, name: str, rules: Rules) -> None:
+    def __init__(self, name: str, rules: EtcdState) -> None:
         self.name = name
         self.store = FaultyStore(rules)
         self.log = ConfigurationLog(self.store, _PREFIX, settle_pause_s=0)
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.store_state = Rules()
+        self.store_state = EtcdState()
         self.now = 0.0
         self.start_count = 0
         self.nodes = [self._start_node() for _ in range(NODES)]
--- a/samphirerill/testing/chain.py
+++ b/samphirerill/testing/chain.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from samphirerill.testing.engine import EngineStandIn
+    from samphirerill.testing.engine import FakeEngine
     from samphirerill.testing.httpd import Connection
 
 _FRAME_TIMEOUT_S = 0.3
@@ -74,7 +74,7 @@
 
     async def run(
         self,
-        engine: EngineStandIn,
+        engine: FakeEngine,
         pipeline: Pipeline,
         position: int,
         size: int,
@@ -139,7 +139,7 @@
 class StageServer:
     """Serves frames and HTTP on one port."""
 
-    def __init__(self, engine: EngineStandIn, runner: StageRunner) -> None:
+    def __init__(self, engine: FakeEngine, runner: StageRunner) -> None:
         self._engine = engine
         self._runner = runner
 
--- a/samphirerill/testing/clients.py
+++ b/samphirerill/testing/clients.py
@@ -23,8 +23,8 @@
 
 
 @dataclass(slots=True)
-class Answer:
-    """A caller's response; `broken` if the connection ended early."""
+class ClientResponse:
+    """A caller's response; `is_interrupted` if the connection ended early."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -33,7 +33,7 @@
     outcome: str = ''
     problem: dict[str, Any] = field(default_factory=dict)
     body: bytes = b''
-    broken: bool = False
+    is_interrupted: bool = False
 
     @property
     def text(self) -> str:
@@ -67,7 +67,7 @@
     return answer
 
 
-def complete(
+def request_completion(
     address: str,
     key: str,
     route: str,
@@ -77,7 +77,7 @@
     stream: bool = True,
     headers: dict[str, str] | None = None,
     timeout_s: float = 60,
-) -> Answer:
+) -> ClientResponse:
     """Request a completion and return the response."""
     body = {
         'model': route,
@@ -85,7 +85,7 @@
         'max_tokens': max_tokens,
         'stream': stream,
     }
-    return call_raw(
+    return send_request(
         address,
         '/v1/completions',
         key,
@@ -95,7 +95,7 @@
     )
 
 
-def call_raw(
+def send_request(
     address: str,
     target: str,
     key: str,
@@ -104,9 +104,9 @@
     method: str = 'POST',
     headers: dict[str, str] | None = None,
     timeout_s: float = 60,
-) -> Answer:
+) -> ClientResponse:
     """Send one request and read its response, streamed or complete."""
-    answer = Answer()
+    answer = ClientResponse()
     pool = _open_pool(address, timeout_s)
     try:
         response = pool.request(
@@ -122,7 +122,7 @@
         }
         _read_response(response, answer)
     except HTTPError:
-        answer.broken = True
+        answer.is_interrupted = True
     finally:
         pool.close()
     return answer
@@ -138,7 +138,7 @@
     )
 
 
-def _read_response(response: Any, answer: Answer) -> None:
+def _read_response(response: Any, answer: ClientResponse) -> None:
     content_type = answer.headers.get('content-type', '')
     if content_type.startswith('text/event-stream'):
         buffer = b''
@@ -155,7 +155,7 @@
         _read_completion(json.loads(answer.body), answer)
 
 
-def _read_completion(document: Any, answer: Answer) -> None:
+def _read_completion(document: Any, answer: ClientResponse) -> None:
     if isinstance(document, dict) and document.get('choices'):
         choice = document['choices'][0]
         text = choice.get('text')
@@ -164,7 +164,7 @@
         answer.texts.append(text)
 
 
-def _read_event(event: bytes, answer: Answer) -> None:
+def _read_event(event: bytes, answer: ClientResponse) -> None:
     payload = event.removeprefix(_DATA_PREFIX)
     if payload == b'[DONE]':
         return
--- a/samphirerill/testing/cluster.py
+++ b/samphirerill/testing/cluster.py
@@ -88,7 +88,7 @@
             return self.process.wait(_EXIT_TIMEOUT_S)
 
     def _is_listening(self) -> bool:
-        event = read_serving(self.log_path)
+        event = read_listening_ports(self.log_path)
         if not event:
             return False
         self.callers = f'{_HOST}:{event["callers"]}'
@@ -146,7 +146,7 @@
 
     def start(self) -> None:
         """Start fakes and nodes, and submit the first configuration."""
-        self.start_stand_ins()
+        self.start_fakes()
         for _ in range(self._node_count):
             self._launch_node([])
         for node in self.nodes:
@@ -156,7 +156,7 @@
         self.submit([{'op': 'replace', 'path': '', 'value': document}])
         self.wait_ready(self.version)
 
-    def start_stand_ins(self) -> None:
+    def start_fakes(self) -> None:
         """Start only the fakes."""
         self._fakes_process = subprocess.Popen(
             _build_command(
@@ -235,7 +235,7 @@
 
     def _build_settings(self, name: str) -> dict[str, Any]:
         settings: dict[str, Any] = {
-            **build_listening(name),
+            **build_listen_settings(name),
             'store': {'addresses': [self.addresses['kv']], 'lease_s': 3},
             'vm_list': {
                 'address': self.addresses['vm_list'],
@@ -267,7 +267,7 @@
         time.sleep(_POLL_INTERVAL_S)
 
 
-def build_listening(name: str) -> dict[str, Any]:
+def build_listen_settings(name: str) -> dict[str, Any]:
     """Return the settings of a node that listens on free ports."""
     return {
         'node': {'name': name, 'data_centre': 'a'},
@@ -283,7 +283,7 @@
     }
 
 
-def read_serving(log_path: Path) -> dict[str, Any]:
+def read_listening_ports(log_path: Path) -> dict[str, Any]:
     """Return the event with the ports from a node's log, or an empty dict."""
     for line in log_path.read_text(encoding='utf-8').splitlines():
         if '"event": "serving"' in line:
--- a/samphirerill/testing/demo.py
+++ b/samphirerill/testing/demo.py
@@ -6,7 +6,7 @@
 import threading
 from typing import Any
 
-from samphirerill.testing.clients import Answer, complete
+from samphirerill.testing.clients import ClientResponse, request_completion
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import make_token
 from samphirerill.testing.layout import COACH_KEY, build_three_stages
@@ -30,7 +30,7 @@
         _print_line('Sending one streamed request and killing a stage in use.')
         kill_timer = threading.Timer(_KILL_AFTER_S, _kill_stage, (cluster,))
         kill_timer.start()
-        answer = complete(
+        answer = request_completion(
             cluster.nodes[0].callers,
             COACH_KEY,
             'plans',
@@ -55,7 +55,7 @@
         _print_line(f'Killed {name}.')
 
 
-def _report_response(answer: Answer, names: dict[str, str]) -> int:
+def _report_response(answer: ClientResponse, names: dict[str, str]) -> int:
     _print_line(f'Response: {answer.text}')
     for group in _group_layers(answer.layers):
         _print_line(_describe_group(group, names))
--- a/samphirerill/testing/ending_replica.py
+++ b/samphirerill/testing/ending_replica.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.testing.platform_replicas import StandInReplica
+from samphirerill.testing.platform_replicas import FakeReplica
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -15,7 +15,7 @@
 _CANCEL_TIMEOUT_S = 60.0
 
 
-class EndingReplica(StandInReplica):
+class CrashingReplica(FakeReplica):
     """Crashes while it executes a request whose body contains a marker.
 
     Parameters
--- a/samphirerill/testing/engine.py
+++ b/samphirerill/testing/engine.py
@@ -108,7 +108,7 @@
     return f'{_WORDS[word_index]} '
 
 
-class EngineStandIn:
+class FakeEngine:
     """A fake engine on one port.
 
     Parameters
--- a/samphirerill/testing/host.py
+++ b/samphirerill/testing/host.py
@@ -15,7 +15,7 @@
 import sys
 from typing import Any
 
-from samphirerill.testing.engine import EngineStandIn
+from samphirerill.testing.engine import FakeEngine
 from samphirerill.testing.kv import FakeKeyValueService
 from samphirerill.testing.services import FakeService, FakeVmList
 
@@ -44,7 +44,7 @@
     engines = spec.get('engines', {})
     engine_addresses = await asyncio.gather(
         *(
-            EngineStandIn(**options).start(_HOST, 0)
+            FakeEngine(**options).start(_HOST, 0)
             for options in engines.values()
         )
     )
--- a/samphirerill/testing/kv.py
+++ b/samphirerill/testing/kv.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.testing.httpd import Connection
-from samphirerill.testing.kv_rules import InvalidCallError, Rules
+from samphirerill.testing.kv_rules import InvalidCallError, EtcdState
 
 if TYPE_CHECKING:
     from samphirerill.testing.httpd import Request
@@ -38,7 +38,7 @@
     """The key-value service on one port."""
 
     def __init__(self) -> None:
-        self.rules = Rules()
+        self.rules = EtcdState()
         self.calls: Counter[str] = Counter()
         self.calls_by_second: dict[int, Counter[str]] = defaultdict(Counter)
         self.down = False
--- a/samphirerill/testing/kv_rules.py
+++ b/samphirerill/testing/kv_rules.py
@@ -38,7 +38,7 @@
     entry: Entry | None
 
 
-class Rules:
+class EtcdState:
     """State of the service; calls are applied one at a time."""
 
     def __init__(self) -> None:
--- a/samphirerill/testing/memory_store.py
+++ b/samphirerill/testing/memory_store.py
@@ -16,7 +16,7 @@
     WatchBatch,
 )
 from samphirerill.settings.model import StoreSettings
-from samphirerill.testing.kv_rules import InvalidCallError, Rules
+from samphirerill.testing.kv_rules import InvalidCallError, EtcdState
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -27,13 +27,13 @@
 
     Parameters
     ----------
-    rules : Rules, optional
+    rules : EtcdState, optional
         State of the service, to be shared by several clients.
     """
 
-    def __init__(self, rules: Rules | None = None) -> None:
+    def __init__(self, rules: EtcdState | None = None) -> None:
         super().__init__(StoreSettings())
-        self.rules = rules or Rules()
+        self.rules = rules or EtcdState()
         self.down = False
         self.lose_replies = 0
         self.calls = 0
--- a/samphirerill/testing/platform_replicas.py
+++ b/samphirerill/testing/platform_replicas.py
@@ -22,7 +22,7 @@
 _SERVER_ERROR = 500
 
 
-class StandInReplica:
+class FakeReplica:
     """A fake replica.
 
     Parameters
--- a/samphirerill/testing/platform_store.py
+++ b/samphirerill/testing/platform_store.py
@@ -31,7 +31,7 @@
 _ABSENT: Json = {'revision': 0}
 
 
-class StandInStore:
+class FakePlatformStore:
     """In-memory keys, leases and change history of the service.
 
     `busy` responds with 503; `deaf` withholds changes from watches;
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -12,8 +12,8 @@
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.pool import read_answer
 from samphirerill.relay.process import EdgeProcess
-from samphirerill.testing.platform_replicas import StandInReplica
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_replicas import FakeReplica
+from samphirerill.testing.platform_store import FakePlatformStore
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
@@ -26,7 +26,7 @@
 _POLL_INTERVAL_S = 0.01
 
 
-class PlatformWorld:
+class PlatformHarness:
     """A fake store, fake replicas and one or more nodes.
 
     Parameters
@@ -39,8 +39,8 @@
     def __init__(self, ports: tuple[int, int] = (0, 0)) -> None:
         self._ports = ports
         self._nodes: list[tuple[EdgeProcess, asyncio.Task[int]]] = []
-        self.service = StandInStore()
-        self.replicas: dict[str, StandInReplica] = {}
+        self.service = FakePlatformStore()
+        self.replicas: dict[str, FakeReplica] = {}
         self.addresses: dict[str, str] = {}
         self._connections: set[CallerConnection] = set()
         self._replica_connections: dict[str, set[CallerConnection]] = {}
@@ -101,13 +101,13 @@
             store.close()
         await asyncio.sleep(0.02)
 
-    async def add(self, name: str, events: int = 5) -> StandInReplica:
+    async def add(self, name: str, events: int = 5) -> FakeReplica:
         """Start a replica without registering it; tests write its entry."""
-        replica = StandInReplica(name, events)
+        replica = FakeReplica(name, events)
         await self.run_replica(replica)
         return replica
 
-    async def run_replica(self, replica: StandInReplica) -> None:
+    async def run_replica(self, replica: FakeReplica) -> None:
         """Start listening for a replica."""
         name = replica.replica_id
         connections: set[CallerConnection] = set()
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -8,7 +8,7 @@
 from msgspec import json
 
 from samphirerill.relay.listeners import listen
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_store import FakePlatformStore
 from samphirerill.testing.soak.nodes import SoakNode
 from samphirerill.testing.soak.proxy import LoopbackProxy
 from samphirerill.testing.soak.replicas import (
@@ -91,7 +91,7 @@
         services: int = 2,
     ) -> None:
         self.truth = GroundTruth()
-        self.service = StandInStore()
+        self.service = FakePlatformStore()
         self.version = 0
         self.committed_at: dict[int, float] = {}
         self._store_address = f'{_STORE_HOST}:{port}'
--- a/samphirerill/testing/virtual_time.py
+++ b/samphirerill/testing/virtual_time.py
@@ -48,7 +48,7 @@
         return self._virtual_selector.now
 
 
-def run_virtually(coroutine: Coroutine[None, None, Result]) -> Result:
+def run_with_virtual_time(coroutine: Coroutine[None, None, Result]) -> Result:
     """Run a coroutine to completion on a virtual clock."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(coroutine)
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -11,8 +11,8 @@
 from msgspec.structs import replace
 
 from samphirerill.relay.errors import EndpointError
-from samphirerill.testing.ending_replica import EndingReplica
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.ending_replica import CrashingReplica
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.platform_documents import (
     KEY,
     build_configuration,
@@ -71,7 +71,7 @@
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.world = PlatformWorld(find_ports())
+        self.world = PlatformHarness(find_ports())
         self.crash_times: list[float] = []
         self.crashed: set[str] = set()
         self.poison_sent_at: list[float] = []
@@ -94,7 +94,7 @@
     async def start_engine(self) -> None:
         """Start an engine under a new id."""
         name = f'engine-{len(self.world.replicas)}'
-        engine = EndingReplica(name, POISON, self._record_poison, self._crash)
+        engine = CrashingReplica(name, POISON, self._record_poison, self._crash)
         engine.layers = self.layers or (0, 0)
         engine.gap_s = _GAP_S
         engine.events = self.events
--- a/samphirerill/tests/test_bad_input.py
+++ b/samphirerill/tests/test_bad_input.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from samphirerill.testing.clients import call_raw, complete
+from samphirerill.testing.clients import send_request, request_completion
 from samphirerill.testing.layout import BRIDAL_KEY, COACH_KEY
 from samphirerill.tests.support import ClusterCase
 
@@ -23,12 +23,12 @@
 
     def test_unknown_route_is_rejected(self) -> None:
         """A route that does not exist is reported as unknown."""
-        response = complete(self.callers, COACH_KEY, 'nowhere', 'x', 2)
+        response = request_completion(self.callers, COACH_KEY, 'nowhere', 'x', 2)
         self.assert_refused(response, 404, 'unknown-route')
 
     def test_unknown_key_is_rejected(self) -> None:
         """A key that belongs to no account is rejected."""
-        response = complete(self.callers, 'guessed', 'plans', 'x', 2)
+        response = request_completion(self.callers, 'guessed', 'plans', 'x', 2)
         self.assert_refused(response, 401, 'unknown-key')
 
     def test_invalid_bodies_are_rejected(self) -> None:
@@ -48,7 +48,7 @@
         }
         for name, body in bodies.items():
             with self.subTest(name):
-                response = call_raw(
+                response = send_request(
                     self.callers, '/v1/completions', COACH_KEY, body
                 )
                 self.assert_refused(response, 400, 'bad-request')
@@ -59,19 +59,19 @@
         body = json.dumps(
             {**_VALID_BODY, 'prompt': 'x' * _MAX_BODY_BYTES}
         ).encode()
-        response = call_raw(self.callers, '/v1/completions', COACH_KEY, body)
+        response = send_request(self.callers, '/v1/completions', COACH_KEY, body)
         self.assert_refused(response, 413, 'request-entity-too-large')
 
     def test_wrong_method_is_rejected(self) -> None:
         """Completions only accept POST."""
-        response = call_raw(
+        response = send_request(
             self.callers, '/v1/completions', COACH_KEY, b'', method='PUT'
         )
         self.assert_refused(response, 405, 'bad-request')
 
     def test_invalid_timeout_is_rejected(self) -> None:
         """A timeout that is not a number is rejected."""
-        response = complete(
+        response = request_completion(
             self.callers,
             COACH_KEY,
             'plans',
@@ -83,12 +83,12 @@
 
     def test_non_idempotent_route_requires_a_key(self) -> None:
         """Without a key, retries are indistinguishable from new requests."""
-        response = call_raw(self.callers, '/svc/notices/x', BRIDAL_KEY, b'{}')
+        response = send_request(self.callers, '/svc/notices/x', BRIDAL_KEY, b'{}')
         self.assert_refused(response, 400, 'key-required')
 
     def test_models_of_the_account_are_listed(self) -> None:
         """The list contains the models that the account may use."""
-        response = call_raw(
+        response = send_request(
             self.callers, '/v1/models', COACH_KEY, b'', method='GET'
         )
         names = {model['id'] for model in json.loads(response.body)['data']}
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -14,7 +14,7 @@
 from samphirerill.node.claim_writer import RELEASE_AFTER_S, ClaimWriter
 from samphirerill.node.members import Member
 from samphirerill.node.store_worker import StoreWorker
-from samphirerill.testing.kv_rules import Rules
+from samphirerill.testing.kv_rules import EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
 class _Node:
     """One node's claim writer over a shared store."""
 
-    def __init__(self, name: str, rules: Rules) -> None:
+    def __init__(self, name: str, rules: EtcdState) -> None:
         self.address = ''
         self.store = MemoryStore(rules)
         self.sink = _Sink()
@@ -92,7 +92,7 @@
     """Two nodes and one unreliable key-value service."""
 
     async def asyncSetUp(self) -> None:
-        self.rules = Rules()
+        self.rules = EtcdState()
         self.one = _Node('n1', self.rules)
         self.two = _Node('n2', self.rules)
 
@@ -217,7 +217,7 @@
 
     async def asyncSetUp(self) -> None:
         """Start two writers that know a large fleet, and peer servers."""
-        self.rules = Rules()
+        self.rules = EtcdState()
         self.nodes = [_Node(f'n{index}', self.rules) for index in range(2)]
         self.servers = []
         for node in self.nodes:
@@ -272,7 +272,7 @@
         task that writes claims, so that the node refused all requests with
         keys.
         """
-        node = _Node('n1', Rules())
+        node = _Node('n1', EtcdState())
         self.addCleanup(node.worker.stop)
         self.addCleanup(node.task.cancel)
         node.store.down = True
--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -20,7 +20,7 @@
 from samphirerill.core.model import build_configuration
 from samphirerill.properties.world import build_document
 from samphirerill.settings.checks import check_configuration
-from samphirerill.testing.kv_rules import MAX_VALUE, Rules
+from samphirerill.testing.kv_rules import MAX_VALUE, EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 _SET_WEIGHT = [
@@ -44,7 +44,7 @@
 
     def setUp(self) -> None:
         """Accept a first configuration."""
-        self.rules = Rules()
+        self.rules = EtcdState()
         self.store = MemoryStore(self.rules)
         self.log = ConfigurationLog(self.store, '/p/')
         self.other = ConfigurationLog(MemoryStore(self.rules), '/p/')
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -14,7 +14,7 @@
     ConnectionLimitError,
 )
 from samphirerill.relay.pool import ConnectionPool, read_answer
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import build_replica
 
 
@@ -22,7 +22,7 @@
     """One endpoint to which a node may open two connections."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformWorld()
+        self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.add('desk-1')
         self.pool = ConnectionPool(Counter())
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -11,7 +11,7 @@
 from samphirerill.relay.connection import Head, HttpConnection, build_call
 from samphirerill.relay.errors import BrokenAnswerError
 from samphirerill.relay.pool import read_answer
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.platform_documents import (
     KEY,
     build_configuration,
@@ -34,7 +34,7 @@
     """Two engines that hold all layers, and a plain service."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformWorld()
+        self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
         await self.world.service.put('op/config', build_configuration())
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_examiner.py
@@ -13,7 +13,7 @@
 from samphirerill.relay.health.examiner import Examiner
 from samphirerill.relay.health.patience import MAX_TIMEOUT_S
 from samphirerill.relay.stream_times import LEAST_SILENCE_S
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import build_replica
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     """A path of two replicas of which the second one fails."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformWorld()
+        self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
         for bound in ('MIN_TIMEOUT_S', '_INITIAL_TIMEOUT_S', 'MAX_TIMEOUT_S'):
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 from samphirerill.testing.clients import (
-    Answer,
+    ClientResponse,
     CallError,
     call_json,
-    call_raw,
-    complete,
+    send_request,
+    request_completion,
 )
 from samphirerill.testing.cluster import (
     NodeProcess,
-    build_listening,
+    build_listen_settings,
     wait_for,
 )
 from samphirerill.testing.layout import (
@@ -36,12 +36,12 @@
 
     def __init__(self, address: str, prompt: str, tokens: int) -> None:
         super().__init__()
-        self.answer = Answer()
+        self.answer = ClientResponse()
         self._request = (address, COACH_KEY, 'plans', prompt, tokens)
 
     def run(self) -> None:
         """Send the request and keep the response."""
-        self.answer = complete(*self._request)
+        self.answer = request_completion(*self._request)
 
 
 class TestFrozenEngine(ClusterCase):
@@ -130,7 +130,7 @@
         answer = self._send_notice('outage')
         self.assert_refused(answer, 503, 'claim-unavailable')
         self.assertIn('retry-after', answer.headers)
-        completion = complete(self.callers, COACH_KEY, 'plans', 'outage', 4)
+        completion = request_completion(self.callers, COACH_KEY, 'plans', 'outage', 4)
         self.assert_whole(completion.texts, 'outage', 4)
         with self.assertRaises(CallError) as caught:
             self.cluster.submit([])
@@ -140,8 +140,8 @@
 
     def _send_notice(
         self, key: str, node: int = 0, body: bytes = b'{"notice": 1}'
-    ) -> Answer:
-        return call_raw(
+    ) -> ClientResponse:
+        return send_request(
             self.cluster.nodes[node].callers,
             '/svc/notices/pickup',
             BRIDAL_KEY,
@@ -204,7 +204,7 @@
         self.cluster.control(desk, delay_s=1.5)
         killed_node = self.cluster.nodes[0]
         caller = threading.Thread(
-            target=call_raw,
+            target=send_request,
             args=(killed_node.callers, '/svc/notices/x', BRIDAL_KEY, b'{}'),
             kwargs={'headers': {'Idempotency-Key': 'doomed'}},
         )
@@ -217,7 +217,7 @@
         caller.join()
         self.cluster.control(desk, delay_s=0)
         other = self.cluster.nodes[1].callers
-        retry = call_raw(
+        retry = send_request(
             other,
             '/svc/notices/x',
             BRIDAL_KEY,
@@ -227,7 +227,7 @@
         self.assertEqual(retry.status, 409)
         self.assertEqual(retry.outcome, 'may-have-run')
         self.assertEqual(list(self.cluster.read_stats(desk).values()), [1])
-        completion = complete(other, COACH_KEY, 'plans', 'after', 4)
+        completion = request_completion(other, COACH_KEY, 'plans', 'after', 4)
         self.assert_whole(completion.texts, 'after', 4)
 
 
@@ -241,7 +241,7 @@
         self.cluster.control(engines['stage0-1'], repeat=True)
         for number in range(4):
             prompt = f'crossed {number}'
-            answer = complete(self.callers, COACH_KEY, 'plans', prompt, 10)
+            answer = request_completion(self.callers, COACH_KEY, 'plans', prompt, 10)
             self.assert_whole(answer.texts, prompt, 10)
 
 
@@ -264,7 +264,7 @@
         )
         before = self._count_sequences(engines['stage0-0'])
         for node in self.cluster.nodes:
-            answer = complete(node.callers, COACH_KEY, 'plans', 'new', 3)
+            answer = request_completion(node.callers, COACH_KEY, 'plans', 'new', 3)
             self.assertEqual(answer.outcome, 'answered')
         self.assertEqual(self._count_sequences(engines['stage0-0']), before)
         caller.join()
@@ -295,7 +295,7 @@
         node.process.send_signal(signal.SIGTERM)
         wait_for(
             lambda: (
-                call_raw(node.callers, '/health', '', b'', method='GET').status
+                send_request(node.callers, '/health', '', b'', method='GET').status
                 == 503
             ),
             'a failing health check',
@@ -317,7 +317,7 @@
         node.process.send_signal(signal.SIGTERM)
         self.assertEqual(node.process.wait(10), 3)
         caller.join()
-        self.assertTrue(caller.answer.broken)
+        self.assertTrue(caller.answer.is_interrupted)
         self.assertIn('"cut": 1', node.log_path.read_text(encoding='utf-8'))
         self.cluster.nodes.remove(node)
 
@@ -337,7 +337,7 @@
             lambda: node.is_ready(self.cluster.version),
             'the configuration from a peer',
         )
-        answer = complete(node.callers, COACH_KEY, 'plans', 'seed', 3)
+        answer = request_completion(node.callers, COACH_KEY, 'plans', 'seed', 3)
         self.assert_whole(answer.texts, 'seed', 3)
 
     def test_unreachable_store_refuses_requests(self) -> None:
@@ -346,7 +346,7 @@
             node = NodeProcess(_build_settings_without_store(0), Path(folder))
             self.addCleanup(node.stop)
             node.wait_listening()
-            answer = complete(node.callers, COACH_KEY, 'plans', 'x', 2)
+            answer = request_completion(node.callers, COACH_KEY, 'plans', 'x', 2)
             self.assert_refused(answer, 503, 'no-configuration')
             self.assertIn('retry-after', answer.headers)
             self.assertEqual(node.stop(), 0)
@@ -367,7 +367,7 @@
 
 def _build_settings_without_store(callers: int) -> dict[str, Any]:
     """Return the settings of a node whose store is unreachable."""
-    settings = build_listening('alone')
+    settings = build_listen_settings('alone')
     settings['callers']['port'] = callers
     settings['store'] = {'addresses': ['127.0.0.1:1']}
     return settings
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -31,7 +31,7 @@
     from samphirerill.relay.health.examiner import Examiner
     from samphirerill.relay.stream_path import StreamPath
     from samphirerill.relay.task import Task
-    from samphirerill.testing.platform_replicas import StandInReplica
+    from samphirerill.testing.platform_replicas import FakeReplica
 
 _STARTED_RANK = -1
 
@@ -174,7 +174,7 @@
         view = self.process.state.view
         await self.until(lambda: name not in view.known)
 
-    def list_engines(self) -> list[StandInReplica]:
+    def list_engines(self) -> list[FakeReplica]:
         """Return both engines."""
         return [self.world.replicas[f'engine-{number}'] for number in (1, 2)]
 
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -10,7 +10,7 @@
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.moves import predict_pause_ms
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import ENGINE, build_replica
 from samphirerill.tests.platform_documents import (
     KEY,
@@ -36,7 +36,7 @@
     """A fleet where each path is the only head and one of two tails."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformWorld()
+        self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
         await self.world.service.put('op/config', build_configuration())
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -22,7 +22,7 @@
 )
 from samphirerill.relay.health.alarms import Alarms
 from samphirerill.relay.health.examiner import Examiner
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import build_replica
 
 if TYPE_CHECKING:
@@ -119,7 +119,7 @@
 
     async def test_engine_probed_by_blocked_loop_is_not_dead(self) -> None:
         """A blocked node must not end the streams of a live engine."""
-        world = PlatformWorld()
+        world = PlatformHarness()
         self.addAsyncCleanup(world.stop)
         await world.start()
         process = world.expect_process()
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -12,7 +12,7 @@
 from samphirerill.fleet.view import FleetView
 from samphirerill.relay.health import Examiner, Survey
 from samphirerill.relay.health.probing import Probe, Verdict
-from samphirerill.testing.virtual_time import run_virtually
+from samphirerill.testing.virtual_time import run_with_virtual_time
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.peers import Network, Node
 
@@ -143,11 +143,11 @@
 
     def test_nodes_that_crash_with_the_replicas_are_replaced(self) -> None:
         """Guard against replicas whose probing nodes are lost as well."""
-        run_virtually(self._check_with_crashed_nodes())
+        run_with_virtual_time(self._check_with_crashed_nodes())
 
     def check_detection(self, nodes: int, replicas: int) -> None:
         """Assert that all nodes know the whole loss within half a second."""
-        run_virtually(self._check_detection(nodes, replicas))
+        run_with_virtual_time(self._check_detection(nodes, replicas))
 
     async def _check_detection(self, nodes: int, replicas: int) -> None:
         fleet = _Fleet(nodes, replicas)
@@ -192,7 +192,7 @@
     """Nodes that are cut off suspect replicas that work."""
 
     def test_a_node_that_is_cut_off_reports_nothing(self) -> None:
-        run_virtually(self._check_cut_off())
+        run_with_virtual_time(self._check_cut_off())
 
     def test_newer_evidence_outweighs_suspicions(self) -> None:
         """Guard against two cut-off nodes making a working replica dead.
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -25,7 +25,7 @@
 from samphirerill.relay.dialect import Attempt, DocumentError
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.server import Request
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_store import FakePlatformStore
 from samphirerill.tests.fleets import build_replica
 from samphirerill.tests.platform_documents import CONFIGURATION, KEY
 
@@ -168,7 +168,7 @@
     """The client of the key-value store, with failures of the store."""
 
     async def asyncSetUp(self) -> None:
-        self.service = StandInStore()
+        self.service = FakePlatformStore()
         self.server = await listen('127.0.0.1:0', self.service, set())
         port = self.server.sockets[0].getsockname()[1]
         self.store = PlatformStore(f'127.0.0.1:{port}')
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -8,7 +8,7 @@
 
 from samphirerill.quarantine import Death, digest_request
 from samphirerill.relay.quarantine import Keeper, Sharing
-from samphirerill.testing.virtual_time import run_virtually
+from samphirerill.testing.virtual_time import run_with_virtual_time
 from samphirerill.tests.peers import Network, Node
 
 if TYPE_CHECKING:
@@ -122,7 +122,7 @@
 
     def run_check(self, work: Coroutine[None, None, None]) -> None:
         """Run on a virtual clock."""
-        run_virtually(work)
+        run_with_virtual_time(work)
 
     async def _check_broadcast(self, count: int) -> None:
         fleet = _Fleet(count)
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -19,7 +19,7 @@
 from samphirerill.relay.news import NewsSource
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
-from samphirerill.testing.virtual_time import run_virtually
+from samphirerill.testing.virtual_time import run_with_virtual_time
 
 if TYPE_CHECKING:
     from samphirerill.platform.store import PlatformStore
@@ -159,7 +159,7 @@
         While a fleet starts, every node watches the store itself, as it does
         not know the others yet.
         """
-        calls = run_virtually(self._follow(3.0))
+        calls = run_with_virtual_time(self._follow(3.0))
         self.assertLessEqual(calls, 10)
 
     async def _follow(self, duration_s: float) -> int:
@@ -214,7 +214,7 @@
 
         The other nodes must still get the first change soon after it ends.
         """
-        calls, delay_s = run_virtually(self._simulate_outage(8.0))
+        calls, delay_s = run_with_virtual_time(self._simulate_outage(8.0))
         self.assertLessEqual(calls, 5)
         self.assertLess(delay_s, 1.2)
 
--- a/samphirerill/tests/test_usage.py
+++ b/samphirerill/tests/test_usage.py
@@ -10,7 +10,7 @@
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.usage import Usage
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_store import FakePlatformStore
 
 if TYPE_CHECKING:
     from samphirerill.relay.server import CallerConnection
@@ -21,7 +21,7 @@
 
     async def test_store_calls_are_counted_by_purpose(self) -> None:
         connections: set[CallerConnection] = set()
-        server = await listen('127.0.0.1:0', StandInStore(), connections)
+        server = await listen('127.0.0.1:0', FakePlatformStore(), connections)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
         store = PlatformStore(f'{host}:{port}')
--- a/samphirerill/tests/test_whole_path.py
+++ b/samphirerill/tests/test_whole_path.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from samphirerill.testing.clients import call_raw, complete
+from samphirerill.testing.clients import send_request, request_completion
 from samphirerill.testing.engine import make_token
 from samphirerill.testing.layout import BRIDAL_KEY, COACH_KEY
 from samphirerill.tests.support import ClusterCase
@@ -18,7 +18,7 @@
 
     def test_streamed_response_has_trace_and_outcome(self) -> None:
         """The stages that ran a token cover each layer exactly once."""
-        response = complete(
+        response = request_completion(
             self.callers,
             COACH_KEY,
             'plans',
@@ -38,7 +38,7 @@
 
     def test_non_streamed_response(self) -> None:
         """A response that is not streamed contains the complete text."""
-        response = complete(
+        response = request_completion(
             self.callers,
             COACH_KEY,
             'plans',
@@ -57,7 +57,7 @@
             'messages': [{'role': 'user', 'content': 'hello'}],
             'max_tokens': 3,
         }
-        response = call_raw(
+        response = send_request(
             self.callers,
             '/v1/chat/completions',
             COACH_KEY,
@@ -69,7 +69,7 @@
 
     def test_request_is_forwarded_to_plain_service(self) -> None:
         """Method, path and body are forwarded to the plain service."""
-        response = call_raw(
+        response = send_request(
             self.callers,
             '/svc/lookups/orders/7?full=1',
             BRIDAL_KEY,
@@ -93,9 +93,9 @@
         Guards against a memory leak by attempts that are not removed.
         """
         for number in range(3):
-            complete(self.callers, COACH_KEY, 'plans', f'p{number}', 3)
-        call_raw(self.callers, '/svc/lookups/x', BRIDAL_KEY, b'')
-        complete(
+            request_completion(self.callers, COACH_KEY, 'plans', f'p{number}', 3)
+        send_request(self.callers, '/svc/lookups/x', BRIDAL_KEY, b'')
+        request_completion(
             self.callers,
             COACH_KEY,
             'plans',
@@ -131,7 +131,7 @@
 
         crash_thread = threading.Thread(target=crash_middle_stage)
         crash_thread.start()
-        response = complete(self.callers, COACH_KEY, 'plans', 'knee', 50)
+        response = request_completion(self.callers, COACH_KEY, 'plans', 'knee', 50)
         crash_thread.join()
         self.assertEqual(len(crashed), 1)
         self.assert_whole(response.texts, 'knee', 50)
