--- a/samphirerill/testing/ending_replica.py
+++ b/samphirerill/testing/ending_replica.py
@@ -39,7 +39,7 @@
     ) -> None:
         super().__init__(replica_id)
         # Number of events sent before the crash.
-        self.ends_after = 1
+        self.crash_after_events = 1
         # Execution time of a plain request before the crash.
         self.execution_s = 0.02
         self._mark = mark
@@ -59,7 +59,7 @@
 
     async def _wait_for_event(self, req: Request, done: int) -> None:
         await super()._wait_for_event(req, done)
-        if self._mark in req.body and done == self.ends_after:
+        if self._mark in req.body and done == self.crash_after_events:
             await self._crash()
 
     async def _crash(self) -> None:
--- a/samphirerill/testing/platform_replicas.py
+++ b/samphirerill/testing/platform_replicas.py
@@ -34,20 +34,20 @@
 
     Attributes
     ----------
-    gap_s : float
+    event_interval_s : float
         Time between two events.
-    seen : list of Request
+    received_requests : list of Request
         Received requests, without orders and reports.
     orders : list of dict
         Received placement orders.
-    stop_after, silent_after : int
+    close_after_event, stall_after_event : int
         Id of the event after which the connection is closed, or after which no
         more events are sent; 0 for never.
     cut_after_head : bool
         Close the connection after the response head.
     refuses : bool
         Refuse requests as not executed.
-    fails : int
+    failures_left : int
         Number of requests to answer with status 500.
     cancelled : int
         Number of requests whose connection closed before the response ended.
@@ -56,31 +56,31 @@
     def __init__(self, replica_id: str, events: int = 5) -> None:
         self.replica_id = replica_id
         self.events = events
-        self.gap_s = 0.01
-        self.seen: list[Request] = []
+        self.event_interval_s = 0.01
+        self.received_requests: list[Request] = []
         self.orders: list[dict[str, Any]] = []
         self.layers = (0, 0)
-        self.stop_after = 0
-        self.silent_after = 0
+        self.close_after_event = 0
+        self.stall_after_event = 0
         self.cut_after_head = False
         self.refuses = False
         # Number of requests after which it refuses; 0 for no limit.
-        self.most_runs = 0
-        self.fails = 0
+        self.max_requests = 0
+        self.failures_left = 0
         self.answers_other_first = False
         # While cleared, the replica sends neither events nor responses.
-        self.free = asyncio.Event()
-        self.free.set()
+        self.responding = asyncio.Event()
+        self.responding.set()
         # While cleared, it sends no events, but responds to orders and reports.
-        self.goes_on = asyncio.Event()
-        self.goes_on.set()
+        self.streaming = asyncio.Event()
+        self.streaming.set()
         # Time to process a prompt before the response starts.
-        self.begins_after_s = 0.0
+        self.prefill_s = 0.0
         self.order_status = _ACCEPTED
         # Number of requests to reset instead of responding.
-        self.resets = 0
+        self.resets_left = 0
         # Number of bytes added to a plain response.
-        self.padding = 0
+        self.padding_bytes = 0
         self.cancelled = 0
 
     def get_limits(self) -> ClientLimits:
@@ -94,7 +94,7 @@
     async def handle(self, req: Request, conn: CallerConnection) -> None:
         """Handle one request."""
         if req.target in (b'/report', b'/order'):
-            await self.free.wait()
+            await self.responding.wait()
         if req.target == b'/report':
             conn.answer(_OK, [], json.encode(self._report()))
             return
@@ -102,7 +102,7 @@
             self._take_order(json.decode(req.body))
             conn.answer(self.order_status, [], b'')
             return
-        self.seen.append(req)
+        self.received_requests.append(req)
         try:
             await self._serve(req, conn)
         except asyncio.CancelledError:
@@ -116,23 +116,23 @@
                 req.get(b'x-samphirerill-request-id') or b'',
             ),
         ]
-        if self.resets:
-            self.resets -= 1
+        if self.resets_left:
+            self.resets_left -= 1
             conn.cut()
             return
-        is_limit_reached = 0 < self.most_runs < len(self.seen)
+        is_limit_reached = 0 < self.max_requests < len(self.received_requests)
         if self.refuses or is_limit_reached:
             headers.append((b'X-Samphirerill-Not-Executed', b'1'))
             conn.answer(_UNAVAILABLE, headers, b'')
             return
         seal = f'seal-{self.replica_id}'.encode()
         headers.append((b'X-Samphirerill-Response-Seal', seal))
-        if self.fails:
-            self.fails -= 1
+        if self.failures_left:
+            self.failures_left -= 1
             conn.answer(_SERVER_ERROR, headers, b'failed')
         elif req.get(b'x-samphirerill-hop-count') is None:
             await self._wait_for_answer(req)
-            body = b'plain ' + req.body + bytes(self.padding)
+            body = b'plain ' + req.body + bytes(self.padding_bytes)
             conn.answer(_OK, headers, body)
         else:
             await self._stream(req, conn, headers)
@@ -144,35 +144,35 @@
         headers: list[tuple[bytes, bytes]],
     ) -> None:
         headers.append((b'Content-Type', b'text/event-stream'))
-        await asyncio.sleep(self.begins_after_s)
+        await asyncio.sleep(self.prefill_s)
         conn.start_answer(_OK, headers, None)
         if self.cut_after_head:
-            await asyncio.sleep(self.gap_s)
+            await asyncio.sleep(self.event_interval_s)
             conn.cut()
             return
         first = int(req.get(b'last-event-id') or b'0') + 1
         for number in range(first, self.events + 1):
             await self._wait_for_event(req, number - first)
-            if self.stop_after and number > self.stop_after:
+            if self.close_after_event and number > self.close_after_event:
                 # Half an event, then a close without the last chunk.
                 conn.write_body(b'id: %d\ndata: to' % number)
-                await asyncio.sleep(self.gap_s)
+                await asyncio.sleep(self.event_interval_s)
                 conn.cut()
                 return
-            if self.silent_after and number > self.silent_after:
+            if self.stall_after_event and number > self.stall_after_event:
                 await asyncio.sleep(60)
             conn.write_body(b'id: %d\ndata: token%d\n\n' % (number, number))
         conn.end_answer()
 
     async def _wait_for_answer(self, req: Request) -> None:
         """Wait as long as a plain request takes to execute."""
-        await self.free.wait()
+        await self.responding.wait()
 
     async def _wait_for_event(self, req: Request, done: int) -> None:
         """Wait as long as the next event takes; `done` events were sent."""
-        await asyncio.sleep(self.gap_s)
-        await self.free.wait()
-        await self.goes_on.wait()
+        await asyncio.sleep(self.event_interval_s)
+        await self.responding.wait()
+        await self.streaming.wait()
 
     def _take_order(self, order: dict[str, Any]) -> None:
         self.orders.append(order)
--- a/samphirerill/testing/platform_store.py
+++ b/samphirerill/testing/platform_store.py
@@ -34,8 +34,9 @@
 class FakePlatformStore:
     """In-memory keys, leases and change history of the service.
 
-    `busy` responds with 503; `deaf` withholds changes from watches;
-    `lose_answers` is a number of requests to apply without responding.
+    `is_unavailable` responds with 503; `withholds_changes` withholds changes
+    from watches; `responses_to_lose` is a number of requests to apply without
+    responding.
     """
 
     def __init__(self) -> None:
@@ -43,11 +44,11 @@
         self.events: list[Json] = []
         self.revision = 0
         self.compacted_revision = 0
-        self.calls = 0
-        self.busy = False
-        self.deaf = False
-        self.lose_answers = 0
-        self.page = 500
+        self.call_count = 0
+        self.is_unavailable = False
+        self.withholds_changes = False
+        self.responses_to_lose = 0
+        self.page_size = 500
         self._leases: dict[int, set[str]] = {}
         self._lease_deadlines: dict[int, float] = {}
         self._ttl_s: dict[int, float] = {}
@@ -64,8 +65,8 @@
 
     async def handle(self, req: Request, conn: CallerConnection) -> None:
         """Handle one API call."""
-        self.calls += 1
-        if self.busy:
+        self.call_count += 1
+        if self.is_unavailable:
             conn.answer(_UNAVAILABLE, [], b'')
             return
         parts = urlsplit(req.target.decode())
@@ -74,8 +75,8 @@
         }
         body = json.decode(req.body) if req.body else {}
         status, answer = await self._dispatch(parts.path, query, body)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             conn.cut()
             return
         conn.answer(status, [], json.encode(answer))
@@ -91,11 +92,11 @@
         self._delete(key)
         await self._notify_watches()
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Compact the history: watches from older revisions get 410."""
         self.compacted_revision = self.revision
 
-    async def end_leases(self) -> None:
+    async def expire_leases(self) -> None:
         """Expire all leases."""
         for lease in tuple(self._leases):
             self._expire_lease(lease)
@@ -140,7 +141,7 @@
             if key.startswith(query.get('prefix', ''))
             and key > query.get('after', '')
         )
-        page = names[: self.page]
+        page = names[: self.page_size]
         return _OK, {
             'items': [self.keys[key] for key in page],
             'morePages': len(names) > len(page),
@@ -155,7 +156,7 @@
             async with asyncio.timeout(int(query['waitMs']) / _MS_PER_S):
                 async with self._changed:
                     await self._changed.wait_for(
-                        lambda: not self.deaf and self.revision > after
+                        lambda: not self.withholds_changes and self.revision > after
                     )
         except TimeoutError:
             return _OK, {'events': [], 'currentRev': after}
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -39,7 +39,7 @@
     def __init__(self, ports: tuple[int, int] = (0, 0)) -> None:
         self._ports = ports
         self._nodes: list[tuple[EdgeProcess, asyncio.Task[int]]] = []
-        self.service = FakePlatformStore()
+        self.store = FakePlatformStore()
         self.replicas: dict[str, FakeReplica] = {}
         self.addresses: dict[str, str] = {}
         self._connections: set[CallerConnection] = set()
@@ -47,15 +47,15 @@
         self._servers: dict[str, asyncio.Server] = {}
         self._stores: list[PlatformStore] = []
         self._store_address = ''
-        self.process: EdgeProcess | None = None
+        self.first_node: EdgeProcess | None = None
 
     async def start(self) -> None:
         """Start the store and the first node."""
-        server = await listen(_ANY_PORT, self.service, self._connections)
+        server = await listen(_ANY_PORT, self.store, self._connections)
         self._servers[''] = server
         port = server.sockets[0].getsockname()[1]
         self._store_address = f'{_HOST}:{port}'
-        self.process = self.start_node()
+        self.first_node = self.start_node()
 
     def start_node(self) -> EdgeProcess:
         """Start another node, on its own loopback address."""
@@ -96,18 +96,18 @@
         for conn in tuple(self._connections):
             conn.cut()
         for name in tuple(self._replica_connections):
-            self.end_replica(name)
+            self.crash_replica(name)
         for store in self._stores:
             store.close()
         await asyncio.sleep(0.02)
 
-    async def add(self, name: str, events: int = 5) -> FakeReplica:
+    async def add_replica(self, name: str, events: int = 5) -> FakeReplica:
         """Start a replica without registering it; tests write its entry."""
         replica = FakeReplica(name, events)
-        await self.run_replica(replica)
+        await self.start_replica(replica)
         return replica
 
-    async def run_replica(self, replica: FakeReplica) -> None:
+    async def start_replica(self, replica: FakeReplica) -> None:
         """Start listening for a replica."""
         name = replica.replica_id
         connections: set[CallerConnection] = set()
@@ -118,33 +118,33 @@
         self.addresses[name] = f'{_HOST}:{port}'
         self.replicas[name] = replica
 
-    def end_replica(self, name: str) -> None:
+    def crash_replica(self, name: str) -> None:
         """Stop a replica abruptly: close its port and all its connections."""
         self._servers[name].close()
         for conn in tuple(self._replica_connections.pop(name, ())):
             conn.cut()
 
-    def expect_process(self) -> EdgeProcess:
+    def require_first_node(self) -> EdgeProcess:
         """Return the first node, ready or not."""
-        if self.process is None:
+        if self.first_node is None:
             raise RuntimeError('no node is running: call start() first')
-        return self.process
+        return self.first_node
 
-    async def until_ready(
+    async def wait_until_ready(
         self, process: EdgeProcess | None = None
     ) -> EdgeProcess:
         """Wait until a node, by default the first, is ready."""
-        node = process or self.expect_process()
+        node = process or self.require_first_node()
         async with asyncio.timeout(_TEST_TIMEOUT_S):
             while not node.is_ready():
                 await asyncio.sleep(_POLL_INTERVAL_S)
         return node
 
-    async def until_known(
+    async def wait_for_replica_count(
         self, count: int, process: EdgeProcess | None = None
     ) -> None:
         """Wait until a node, by default the first, knows `count` replicas."""
-        process = await self.until_ready(process)
+        process = await self.wait_until_ready(process)
         async with asyncio.timeout(_TEST_TIMEOUT_S):
             while len(process.state.view.known) != count:
                 await asyncio.sleep(_POLL_INTERVAL_S)
@@ -153,13 +153,13 @@
         self, process: EdgeProcess | None = None
     ) -> HttpConnection:
         """Open a client connection to a node, by default the first."""
-        node = await self.until_ready(process)
+        node = await self.wait_until_ready(process)
         host = node.state.settings.host
         conn = HttpConnection(f'{host}:{node.get_port()}')
         await conn.open()
         return conn
 
-    async def ask(
+    async def send_request(
         self,
         target: bytes,
         headers: Headers,
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -200,9 +200,9 @@
 
     def clear_faults(self) -> None:
         """Clear all faults except stopped processes and replicas."""
-        self.service.busy = False
-        self.service.deaf = False
-        self.service.lose_answers = 0
+        self.service.is_unavailable = False
+        self.service.withholds_changes = False
+        self.service.responses_to_lose = 0
         for proxy in self.store_proxies.values():
             proxy.clear_faults()
         for slot in self.slots:
--- a/samphirerill/testing/soak/faults.py
+++ b/samphirerill/testing/soak/faults.py
@@ -211,24 +211,24 @@
 
     async def _make_store_busy(self) -> None:
         async with self._fault('store busy'):
-            self._environment.service.busy = True
+            self._environment.service.is_unavailable = True
             await self._wait_random()
-            self._environment.service.busy = False
+            self._environment.service.is_unavailable = False
 
     async def _lose_store_responses(self) -> None:
         async with self._fault('store loses answers'):
-            self._environment.service.lose_answers += self._random.randrange(
+            self._environment.service.responses_to_lose += self._random.randrange(
                 1, 6
             )
             await self._wait_random()
 
     async def _compact_store_history(self) -> None:
         async with self._fault('store forgets its history'):
-            self._environment.service.deaf = True
+            self._environment.service.withholds_changes = True
             await self._environment.configure()
             await self._wait_random()
-            self._environment.service.forget_history()
-            self._environment.service.deaf = False
+            self._environment.service.compact_history()
+            self._environment.service.withholds_changes = False
             for proxy in self._environment.store_proxies.values():
                 proxy.reset()
 
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -79,10 +79,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.addAsyncCleanup(self._stop)
         await self.world.start()
-        await self.world.service.put('op/config', self.build_configuration())
+        await self.world.store.put('op/config', self.build_configuration())
         for _ in range(_ENGINE_COUNT):
             await self.start_engine()
-        self.nodes = [self.world.expect_process()]
+        self.nodes = [self.world.require_first_node()]
         await self.prepare(self.nodes[0])
 
     def build_configuration(self) -> bytes:
@@ -96,12 +96,12 @@
         name = f'engine-{len(self.world.replicas)}'
         engine = CrashingReplica(name, POISON, self._record_poison, self._crash)
         engine.layers = self.layers or (0, 0)
-        engine.gap_s = _GAP_S
+        engine.event_interval_s = _GAP_S
         engine.events = self.events
-        await self.world.run_replica(engine)
+        await self.world.start_replica(engine)
         address = self.world.addresses[name]
         entry = build_entry(self.service, address, self.kind, self.layers)
-        await self.world.service.put(f'servers/{name}', entry)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def announce_leaving(self, name: str) -> None:
         """Let an engine announce that it shuts down."""
@@ -112,7 +112,7 @@
             self.layers,
             'draining',
         )
-        await self.world.service.put(f'servers/{name}', entry)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def add_node(self) -> EdgeProcess:
         """Start another node."""
@@ -123,7 +123,7 @@
 
     async def prepare(self, node: EdgeProcess) -> None:
         """Wait until a node is ready, and raise its retry budget."""
-        await self.world.until_ready(node)
+        await self.world.wait_until_ready(node)
         async with asyncio.timeout(5):
             while not node.state.view.known:
                 await asyncio.sleep(0.01)
@@ -141,7 +141,7 @@
         """Send a request; the status is 0 if the response breaks off."""
         headers = build_headers(request_id, key)
         try:
-            return await self.world.ask(self.target, headers, body, node)
+            return await self.world.send_request(self.target, headers, body, node)
         except EndpointError as exc:
             return FAILED, str(exc).encode()
 
@@ -155,7 +155,7 @@
         return {
             (req.get(b'x-samphirerill-request-id') or b'').decode()
             for engine in self.world.replicas.values()
-            for req in engine.seen
+            for req in engine.received_requests
             if POISON in req.body
         }
 
@@ -182,7 +182,7 @@
         self.crashed.add(name)
         task = asyncio.create_task(self._restart())
         self._tasks.add(task)
-        self.world.end_replica(name)
+        self.world.crash_replica(name)
 
     async def _restart(self) -> None:
         await asyncio.sleep(_RESTART_DELAY_S)
--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -31,7 +31,7 @@
         document['services'] = document['services'][1:]
         document['tenants'] = [{'name': 'other', 'apiKeys': ['other']}]
         await self.configure(json.encode(document))
-        self.world.replicas[head].stop_after = 1
+        self.world.replicas[head].close_after_event = 1
         self.assert_whole(await stream)
         self.assertEqual(len(set(self.sent())), 2)
 
@@ -42,20 +42,20 @@
             8, trafficSplit=shares, timeoutMs=100, maxAttempts=1
         )
         await self.configure(text)
-        self.world.replicas[head].stop_after = 1
+        self.world.replicas[head].close_after_event = 1
         self.assert_whole(await stream)
         self.assertEqual(len(set(self.sent())), 2)
 
     async def test_changed_settings_interrupt_nothing(self) -> None:
         plain_replica = self.world.replicas['desk-1']
-        plain_replica.free.clear()
+        plain_replica.responding.clear()
         stream, _, _ = await self.start_stream()
         plain_request = self.start(b'/pickup/x')
-        await self.until(lambda: plain_replica.seen)
+        await self.until(lambda: plain_replica.received_requests)
         self.change(retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1)
-        self.world.service.busy = True
+        self.world.store.is_unavailable = True
         await asyncio.sleep(SETTLE_S)
-        plain_replica.free.set()
+        plain_replica.responding.set()
         status, _ = await plain_request
         self.assertEqual(status, OK)
         self.assert_whole(await stream)
@@ -66,12 +66,12 @@
 
     async def test_reset_is_retried_or_answered_as_bad_gateway(self) -> None:
         for replica in self.world.replicas.values():
-            replica.gap_s = GAP_S / EVENTS
+            replica.event_interval_s = GAP_S / EVENTS
         for target in (b'/notes/x', b'/pickup/x'):
             status, _ = await self.request(target)
             self.assertEqual(status, OK)
         for replica in self.world.replicas.values():
-            replica.resets = 1
+            replica.resets_left = 1
         self.assert_whole(await self.request(b'/notes/x'))
         status, _ = await self.request(b'/pickup/x')
         self.assertEqual(status, 502)
@@ -81,7 +81,7 @@
     ) -> None:
         await self.configure(build_configuration(8, resumable=False))
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].resets = 1
+            self.world.replicas[name].resets_left = 1
         status, _ = await self.request(b'/notes/x')
         self.assertEqual(status, 502)
 
@@ -127,7 +127,7 @@
             await asyncio.sleep(0.097 + number * 0.0005)
             answered += await self.try_send(conn)
             conn.close()
-        self.assertEqual(answered, len(plain_replica.seen))
+        self.assertEqual(answered, len(plain_replica.received_requests))
 
     async def try_send(self, conn: HttpConnection) -> bool:
         """Send a request; return whether it got a response."""
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -24,7 +24,7 @@
     async def asyncSetUp(self) -> None:
         self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
-        await self.world.add('desk-1')
+        await self.world.add_replica('desk-1')
         self.pool = ConnectionPool(Counter())
         self.endpoint = self.find_replica()
 
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -37,14 +37,14 @@
         self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
-        await self.world.service.put('op/config', build_configuration())
+        await self.world.store.put('op/config', build_configuration())
         for name in ('engine-1', 'engine-2'):
-            replica = await self.world.add(name)
+            replica = await self.world.add_replica(name)
             replica.layers = (0, 80)
             await self.announce(name, layers=(0, 80))
-        await self.world.add('desk-1')
+        await self.world.add_replica('desk-1')
         await self.announce('desk-1', 'desk', kind='')
-        await self.world.until_known(3)
+        await self.world.wait_for_replica_count(3)
 
     async def announce(
         self,
@@ -58,15 +58,15 @@
         entry = build_entry(
             service, self.world.addresses[name], kind, layers, state
         )
-        await self.world.service.put(f'servers/{name}', entry)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def add_third_engine(self) -> EdgeProcess:
         """Add a third engine and enough retries for any test."""
-        process = await self.world.until_ready()
-        await self.world.add('engine-3')
+        process = await self.world.wait_until_ready()
+        await self.world.add_replica('engine-3')
         self.world.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
-        await self.world.until_known(4)
+        await self.world.wait_for_replica_count(4)
         settings = replace(process.state.settings, retry_slack=80)
         process.state.change_settings(settings)
         return process
@@ -75,7 +75,7 @@
         self, headers: list[tuple[bytes, bytes]] = _HEADERS
     ) -> bytes:
         """Return the complete body of one stream."""
-        status, body = await self.world.ask(b'/notes/x', headers)
+        status, body = await self.world.send_request(b'/notes/x', headers)
         self.assertEqual(status, _OK)
         return body
 
@@ -88,7 +88,7 @@
         return [
             name
             for name, replica in self.world.replicas.items()
-            for _ in replica.seen
+            for _ in replica.received_requests
             if name.startswith('engine')
         ]
 
@@ -98,9 +98,9 @@
 
     async def test_streams_and_plain_responses_are_complete(self) -> None:
         self.assertEqual(await self.stream(), self.expect(5))
-        status, body = await self.world.ask(b'/pickup/x', _HEADERS, b'gown')
+        status, body = await self.world.send_request(b'/pickup/x', _HEADERS, b'gown')
         self.assertEqual((status, body), (_OK, b'plain gown'))
-        seen = self.world.replicas['desk-1'].seen[0]
+        seen = self.world.replicas['desk-1'].received_requests[0]
         self.assertIsNone(seen.get(b'authorization'))
         self.assertEqual(seen.get(b'x-samphirerill-tenant'), b'suva')
 
@@ -112,12 +112,12 @@
         }
         for target, (headers, status) in expected.items():
             with self.subTest(target):
-                got, _ = await self.world.ask(target, headers)
+                got, _ = await self.world.send_request(target, headers)
                 self.assertEqual(got, status)
         self.assertEqual(self.sent(), [])
 
     async def test_node_without_configuration_is_unavailable(self) -> None:
-        process = await self.world.until_ready()
+        process = await self.world.wait_until_ready()
         process.state.cfg = None
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
         await conn.open()
@@ -129,7 +129,7 @@
 
     async def test_client_disconnect_cancels_the_run(self) -> None:
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].gap_s = 1.0
+            self.world.replicas[name].event_interval_s = 1.0
         conn = await self.world.connect()
         conn.send(build_call(b'POST', b'/notes/x', _HEADERS, b''))
         await asyncio.sleep(0.1)
@@ -148,15 +148,15 @@
         A partial event was passed on, or the last event id was not kept.
         """
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].stop_after = 2
+            self.world.replicas[name].close_after_event = 2
         stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.005)
         first = self.sent()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
-        self.world.replicas[other].stop_after = 0
+        self.world.replicas[other].close_after_event = 0
         self.assertEqual(await stream, self.expect(5))
-        resumed = self.world.replicas[other].seen[0]
+        resumed = self.world.replicas[other].received_requests[0]
         self.assertEqual(resumed.get(b'last-event-id'), b'2')
 
     async def test_break_before_first_event_sends_no_last_event_id(
@@ -167,7 +167,7 @@
         It was resumed after event -1.
         """
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].silent_after = 0
+            self.world.replicas[name].stall_after_event = 0
             self.world.replicas[name].cut_after_head = True
         stream = asyncio.create_task(self.stream())
         while not self.sent():
@@ -176,18 +176,18 @@
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
         self.world.replicas[other].cut_after_head = False
         self.assertEqual(await stream, self.expect(5))
-        resumed = self.world.replicas[other].seen[0]
+        resumed = self.world.replicas[other].received_requests[0]
         self.assertIsNone(resumed.get(b'last-event-id'))
 
     async def test_stream_that_is_not_resumable_is_aborted(self) -> None:
-        await self.world.service.put(
+        await self.world.store.put(
             'op/config', build_configuration(8, resumable=False)
         )
-        process = await self.world.until_ready()
+        process = await self.world.wait_until_ready()
         while process.state.version != 8:
             await asyncio.sleep(0.01)
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].stop_after = 2
+            self.world.replicas[name].close_after_event = 2
         with self.assertRaises(BrokenAnswerError):
             await self.stream()
         self.assertEqual(len(self.sent()), 1)
@@ -199,11 +199,11 @@
 
         Replicas that broke off the connection did not count.
         """
-        await self.world.add('engine-3')
+        await self.world.add_replica('engine-3')
         await self.announce('engine-3', layers=(0, 80))
-        await self.world.until_known(4)
+        await self.world.wait_for_replica_count(4)
         for name in ('engine-1', 'engine-2', 'engine-3'):
-            self.world.replicas[name].stop_after = 1
+            self.world.replicas[name].close_after_event = 1
         with self.assertRaises(BrokenAnswerError):
             await self.stream()
         self.assertLessEqual(len(set(self.sent())), 2)
@@ -217,8 +217,8 @@
         """
         await self.add_third_engine()
         for name in ('engine-1', 'engine-2', 'engine-3'):
-            self.world.replicas[name].stop_after = 2
-            self.world.replicas[name].most_runs = 1
+            self.world.replicas[name].close_after_event = 2
+            self.world.replicas[name].max_requests = 1
         with self.assertRaises(BrokenAnswerError):
             await self.stream()
         self.assertEqual(len(set(self.sent())), 2)
@@ -231,7 +231,7 @@
         process = await self.add_third_engine()
         now = asyncio.get_running_loop().time()
         for replica in self.world.replicas.values():
-            replica.stop_after = 2
+            replica.close_after_event = 2
         stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.005)
@@ -250,15 +250,15 @@
     """Requests that may be executed only once."""
 
     async def test_server_error_is_passed_on_and_not_retried(self) -> None:
-        await self.world.add('desk-2')
+        await self.world.add_replica('desk-2')
         await self.announce('desk-2', 'desk', kind='')
-        await self.world.until_known(4)
+        await self.world.wait_for_replica_count(4)
         for name in ('desk-1', 'desk-2'):
-            self.world.replicas[name].fails = 1
-        status, body = await self.world.ask(b'/pickup/x', _HEADERS, b'gown')
+            self.world.replicas[name].failures_left = 1
+        status, body = await self.world.send_request(b'/pickup/x', _HEADERS, b'gown')
         self.assertEqual((status, body), (500, b'failed'))
         runs = [
-            len(self.world.replicas[name].seen) for name in ('desk-1', 'desk-2')
+            len(self.world.replicas[name].received_requests) for name in ('desk-1', 'desk-2')
         ]
         self.assertEqual(sum(runs), 1)
 
@@ -278,7 +278,7 @@
 
     async def test_draining_replica_gets_no_new_requests(self) -> None:
         await self.announce('engine-1', layers=(0, 80), state='draining')
-        process = await self.world.until_ready()
+        process = await self.world.wait_until_ready()
         while not process.state.view.is_leaving('engine-1'):
             await asyncio.sleep(0.01)
         for _ in range(4):
@@ -286,18 +286,18 @@
         self.assertEqual(set(self.sent()), {'engine-2'})
 
     async def test_older_configuration_is_ignored(self) -> None:
-        process = await self.world.until_ready()
-        await self.world.service.put('op/config', build_configuration(9))
-        await self.world.service.put('op/config', build_configuration(8))
+        process = await self.world.wait_until_ready()
+        await self.world.store.put('op/config', build_configuration(9))
+        await self.world.store.put('op/config', build_configuration(8))
         await asyncio.sleep(0.2)
         self.assertEqual(process.state.version, 9)
 
     async def test_state_is_read_again_after_lost_history(self) -> None:
-        process = await self.world.until_ready()
-        self.world.service.deaf = True
-        await self.world.service.put('op/config', build_configuration(9))
-        self.world.service.forget_history()
-        self.world.service.deaf = False
+        process = await self.world.wait_until_ready()
+        self.world.store.withholds_changes = True
+        await self.world.store.put('op/config', build_configuration(9))
+        self.world.store.compact_history()
+        self.world.store.withholds_changes = False
         async with asyncio.timeout(4):
             while process.state.version != 9:
                 await asyncio.sleep(0.02)
@@ -308,14 +308,14 @@
         Its entry was removed during a gap of the watch, and kept for seconds
         instead of milliseconds.
         """
-        process = await self.world.until_ready()
-        self.world.service.deaf = True
-        await self.world.service.delete('servers/engine-1')
-        self.world.service.forget_history()
-        self.world.service.busy = True
+        process = await self.world.wait_until_ready()
+        self.world.store.withholds_changes = True
+        await self.world.store.delete('servers/engine-1')
+        self.world.store.compact_history()
+        self.world.store.is_unavailable = True
         await asyncio.sleep(0.5)
-        self.world.service.busy = False
-        self.world.service.deaf = False
+        self.world.store.is_unavailable = False
+        self.world.store.withholds_changes = False
         async with asyncio.timeout(5):
             while 'engine-1' in process.state.view.known:
                 await asyncio.sleep(0.05)
@@ -323,13 +323,13 @@
     async def test_requests_are_served_while_the_store_is_unavailable(
         self,
     ) -> None:
-        self.world.service.busy = True
+        self.world.store.is_unavailable = True
         await asyncio.sleep(0.3)
         self.assertEqual(await self.stream(), self.expect(5))
 
     async def test_unreadable_entries_are_ignored(self) -> None:
-        await self.world.service.put('servers/odd', b'{"service": 5')
-        await self.world.service.put('op/config', b'nonsense')
+        await self.world.store.put('servers/odd', b'{"service": 5')
+        await self.world.store.put('op/config', b'nonsense')
         await asyncio.sleep(0.1)
         self.assertEqual(await self.stream(), self.expect(5))
 
@@ -339,11 +339,11 @@
 
     async def test_drain_completes_streams_and_closes_connections(self) -> None:
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].gap_s = 0.2
+            self.world.replicas[name].event_interval_s = 0.2
         stream = asyncio.create_task(self.stream())
         while not self.sent():
             await asyncio.sleep(0.01)
-        process = await self.world.until_ready()
+        process = await self.world.wait_until_ready()
         process.begin_drain()
         self.assertFalse(process.is_ready())
         self.assertEqual(await stream, self.expect(5))
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -43,13 +43,13 @@
             await asyncio.sleep(2 * SETTLE_S)
 
         with patch('samphirerill.relay.members.Members.leave', leave):
-            self.plain_endpoint.free.clear()
+            self.plain_endpoint.responding.clear()
             self.process.begin_drain()
             await leaving.wait()
             waiting = self.start(b'/pickup/x')
-            await self.until(lambda: self.plain_endpoint.seen)
+            await self.until(lambda: self.plain_endpoint.received_requests)
             await asyncio.sleep(3 * SETTLE_S)
-            self.plain_endpoint.free.set()
+            self.plain_endpoint.responding.set()
             status, reason = await waiting
         self.assertEqual(status, OK, reason)
 
@@ -58,20 +58,20 @@
 
         A client with a slow link would otherwise get a truncated response.
         """
-        self.plain_endpoint.padding = 16_000_000
+        self.plain_endpoint.padding_bytes = 16_000_000
         port = self.process.get_port()
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
         call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
         writer.write(call)
-        await self.until(lambda: self.plain_endpoint.seen)
+        await self.until(lambda: self.plain_endpoint.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         self.process.begin_drain()
         await asyncio.sleep(5 * SETTLE_S)
         received = await _count_received(reader)
         writer.close()
-        self.assertGreater(received, self.plain_endpoint.padding)
+        self.assertGreater(received, self.plain_endpoint.padding_bytes)
 
     async def test_unfinished_request_gets_error_status(self) -> None:
         """A request still open at the deadline must get an error response.
@@ -82,12 +82,12 @@
         document = json.decode(build_configuration(8))
         document['routes'][1]['timeoutMs'] = 4000
         await self.configure(json.encode(document))
-        self.plain_endpoint.free.clear()
+        self.plain_endpoint.responding.clear()
         waiting = self.start(b'/pickup/x')
-        await self.until(lambda: self.plain_endpoint.seen)
+        await self.until(lambda: self.plain_endpoint.received_requests)
         self.process.begin_drain()
         status, reason = await waiting
-        self.plain_endpoint.free.set()
+        self.plain_endpoint.responding.set()
         self.assertIn(status, (502, 504), reason)
 
     async def test_pipelined_requests_are_answered(
@@ -97,16 +97,16 @@
 
         The second request was read before the shutdown began.
         """
-        self.plain_endpoint.free.clear()
+        self.plain_endpoint.responding.clear()
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.process.get_port()
         )
         for request_id in ('r1', 'r2'):
             headers = build_headers(request_id)
             writer.write(build_call(b'POST', b'/pickup/x', headers, b''))
-        await self.until(lambda: self.plain_endpoint.seen)
+        await self.until(lambda: self.plain_endpoint.received_requests)
         self.process.begin_drain()
-        self.plain_endpoint.free.set()
+        self.plain_endpoint.responding.set()
         body = await reader.read()
         writer.close()
         self.assertEqual(body.count(b'HTTP/1.1 '), 2)
@@ -128,7 +128,7 @@
         waiting, head, other = await self.start_stream()
         now = asyncio.get_running_loop().time()
         self.process.state.view.refuse(other, now)
-        self.world.replicas[head].stop_after = 1
+        self.world.replicas[head].close_after_event = 1
         counters = self.process.state.counters
         await self.until(lambda: counters['streams.broken'])
         self.process.begin_drain()
@@ -158,7 +158,7 @@
 
     def list_announced(self) -> list[str]:
         """Return the keys under which nodes are announced."""
-        keys = self.world.service.keys
+        keys = self.world.store.keys
         return [key for key in keys if key.startswith(PREFIX)]
 
 
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -118,7 +118,7 @@
 
     async def test_without_the_store(self) -> None:
         await self.add_node()
-        self.world.service.busy = True
+        self.world.store.is_unavailable = True
         await self.send_repeatedly(self.nodes)
         self.assert_few_crashes()
 
@@ -165,7 +165,7 @@
         """No client account can get requests of another rejected."""
         await self.quarantine_request()
         for engine in self.world.replicas.values():
-            engine.ends_after = EVENTS + 1  # type: ignore[attr-defined]
+            engine.crash_after_events = EVENTS + 1  # type: ignore[attr-defined]
         status, _ = await self.ask(self.nodes[0], 'v1', POISON, OTHER_KEY)
         self.assertEqual(status, _OK)
 
@@ -266,12 +266,12 @@
     async def test_engines_that_break_off_responses(self) -> None:
         """Some engines break off responses, but their processes go on."""
         for engine in self.world.replicas.values():
-            engine.stop_after = 3
+            engine.close_after_event = 3
         ask = self.ask(self.nodes[0], 'b1', self.body)
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(_PROPAGATION_S)
         for restored in self.world.replicas.values():
-            restored.stop_after = 0
+            restored.close_after_event = 0
         status, _ = await waiting
         self.assertEqual(status, _OK)
         self.assert_nothing_held()
@@ -302,10 +302,10 @@
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(0.1)
         for engine in self.world.replicas.values():
-            engine.free.clear()
+            engine.responding.clear()
         await asyncio.sleep(_SETTLING_S)
         for resumed in self.world.replicas.values():
-            resumed.free.set()
+            resumed.responding.set()
         await waiting
         self.assert_nothing_held()
 
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_examiner.py
@@ -48,9 +48,9 @@
             )
             patched.start()
             self.addCleanup(patched.stop)
-        process = self.world.expect_process()
+        process = self.world.require_first_node()
         self.examiner = Examiner(process.state, Alarms(process.state))
-        await self.world.add('head')
+        await self.world.add_replica('head')
 
     async def test_detection_and_probe_fit_into_the_accepted_pause(
         self,
@@ -96,7 +96,7 @@
         """Guard against each stalled stream probing known failures again."""
         address = await self._listen_silently()
         stages = self._build_path(address)
-        state = self.world.expect_process().state
+        state = self.world.require_first_node().state
         state.view.announce(stages[1].replica, 1)
         now = asyncio.get_running_loop().time()
         state.view.suspect('tail', now + 9, now, votes=2)
@@ -111,7 +111,7 @@
         """
         address = await self._listen_silently()
         stages = self._build_path(address)
-        state = self.world.expect_process().state
+        state = self.world.require_first_node().state
         state.view.announce(stages[0].replica, 1)
         state.view.announce(stages[1].replica, 1)
         async with asyncio.timeout(_LIMIT_S):
@@ -125,11 +125,11 @@
         self.assertEqual(state.counters['reports.asked'], 2)
 
     async def test_streams_share_one_probe(self) -> None:
-        await self.world.add('tail')
+        await self.world.add_replica('tail')
         stages = self._build_path(self.world.addresses['tail'])
         await asyncio.gather(*(self.examiner.examine(stages) for _ in range(5)))
         await self.examiner.examine(stages)
-        process = self.world.expect_process()
+        process = self.world.require_first_node()
         self.assertEqual(process.state.counters['reports.asked'], 2)
 
     async def _answer_after_losses(
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -46,10 +46,10 @@
         """
         for replica in self.list_engines():
             replica.cut_after_head = True
-            replica.gap_s = 2 * SETTLE_S
+            replica.event_interval_s = 2 * SETTLE_S
         stream, _, other = await self.start_stream()
         self.world.replicas[other].cut_after_head = False
-        self.world.replicas[other].gap_s = GAP_S
+        self.world.replicas[other].event_interval_s = GAP_S
         now = asyncio.get_running_loop().time()
         self.process.state.view.refuse(other, now)
         self.assert_whole(await stream)
@@ -60,12 +60,12 @@
         A replica that had rejected a stream once was never asked again.
         """
         for replica in self.list_engines():
-            replica.stop_after = 10
+            replica.close_after_event = 10
         stream, _, other = await self.start_stream()
         replica = self.world.replicas[other]
-        replica.stop_after = 0
+        replica.close_after_event = 0
         replica.refuses = True
-        await self.until(lambda: replica.seen)
+        await self.until(lambda: replica.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         replica.refuses = False
         self.assert_whole(await stream)
@@ -77,11 +77,11 @@
         """
         for number in range(3, 8):
             name = f'engine-{number}'
-            replica = await self.world.add(name, events=EVENTS)
+            replica = await self.world.add_replica(name, events=EVENTS)
             replica.layers = (0, 80)
-            replica.gap_s = GAP_S
+            replica.event_interval_s = GAP_S
             await self.announce(name, layers=(0, 80))
-        await self.world.until_known(8)
+        await self.world.wait_for_replica_count(8)
         stream, head, _ = await self.start_stream()
         others = [
             replica
@@ -90,8 +90,8 @@
         ]
         for replica in others:
             replica.refuses = True
-        self.world.replicas[head].stop_after = 1
-        await self.until(lambda: any(replica.seen for replica in others))
+        self.world.replicas[head].close_after_event = 1
+        await self.until(lambda: any(replica.received_requests for replica in others))
         await asyncio.sleep(2 * SETTLE_S)
         for replica in others:
             replica.refuses = False
@@ -107,9 +107,9 @@
         document['services'][0]['maxConnections'] = 8
         await self.configure(json.encode(document))
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].gap_s = GAP_S / 2
+        self.world.replicas[other].event_interval_s = GAP_S / 2
         second_stream = self.start(b'/notes/x')
-        await self.until(lambda: self.world.replicas[other].seen)
+        await self.until(lambda: self.world.replicas[other].received_requests)
         await self.drop_layers(head)
         answers = await asyncio.gather(stream, second_stream)
         for answer in answers:
@@ -124,10 +124,10 @@
         await self.configure(build_configuration(8, sloMs=1500))
         events = 20
         for replica in self.list_engines():
-            replica.gap_s = GAP_S / 2
+            replica.event_interval_s = GAP_S / 2
             replica.events = events
         stream, head, other = await self.start_stream()
-        self.world.replicas[head].stop_after = events // 2
+        self.world.replicas[head].close_after_event = events // 2
         self.suspect(other, 2.1)
         self.assertEqual(await stream, (OK, self.expect(events)))
 
@@ -140,11 +140,11 @@
         await self.configure(build_configuration(8, maxAttempts=2))
         # Entries that are removed right after the start may only have lapsed.
         await asyncio.sleep(LAPSE_GRACE_S)
-        await self.world.add('engine-3', events=EVENTS)
+        await self.world.add_replica('engine-3', events=EVENTS)
         self.world.replicas['engine-3'].layers = (0, 80)
         stream, head, other = await self.start_stream()
-        self.world.replicas[head].stop_after = 20
-        self.world.replicas[other].stop_after = 35
+        self.world.replicas[head].close_after_event = 20
+        self.world.replicas[other].close_after_event = 35
         await self.withdraw(head)
         await self.withdraw(other)
         await self.announce('engine-3', layers=(0, 80))
@@ -157,20 +157,20 @@
         It reset streams, which were resent to it without a pause.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].resets = 100
-        self.world.replicas[head].stop_after = 10
-        await self.until(lambda: self.world.replicas[other].seen)
+        self.world.replicas[other].resets_left = 100
+        self.world.replicas[head].close_after_event = 10
+        await self.until(lambda: self.world.replicas[other].received_requests)
         await asyncio.sleep(2 * SETTLE_S)
-        self.assertLessEqual(len(self.world.replicas[other].seen), 2)
+        self.assertLessEqual(len(self.world.replicas[other].received_requests), 2)
         await asyncio.sleep(2 * SETTLE_S)
-        self.world.replicas[other].resets = 0
+        self.world.replicas[other].resets_left = 0
         self.assert_whole(await stream)
-        self.assertLessEqual(len(self.world.replicas[other].seen), 5)
+        self.assertLessEqual(len(self.world.replicas[other].received_requests), 5)
 
     async def withdraw(self, name: str) -> None:
         """Remove the announcement of an engine that has got the stream."""
         await self.until(lambda: name in self.sent())
-        await self.world.service.delete(f'servers/{name}')
+        await self.world.store.delete(f'servers/{name}')
         view = self.process.state.view
         await self.until(lambda: name not in view.known)
 
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -39,17 +39,17 @@
         self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
-        await self.world.service.put('op/config', build_configuration())
+        await self.world.store.put('op/config', build_configuration())
         for name, layers in (
             ('head', (0, 40)),
             ('tail-1', (40, 80)),
             ('tail-2', (40, 80)),
         ):
-            replica = await self.world.add(name, events=_EVENT_COUNT)
+            replica = await self.world.add_replica(name, events=_EVENT_COUNT)
             replica.layers = layers
-            replica.gap_s = _EVENT_GAP_S
+            replica.event_interval_s = _EVENT_GAP_S
             await self.announce(name)
-        await self.world.until_known(3)
+        await self.world.wait_for_replica_count(3)
 
     async def announce(self, name: str, state: str = 'ready') -> None:
         """Write the announcement of a replica to the store."""
@@ -57,7 +57,7 @@
         entry = build_entry(
             'llm', self.world.addresses[name], 'vast', layers, state
         )
-        await self.world.service.put(f'servers/{name}', entry)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def stream(self, name: str) -> bytes:
         """Send a streaming request; return the complete body."""
@@ -66,7 +66,7 @@
             b'x-samphirerill-request-id',
             name.encode(),
         )
-        _, body = await self.world.ask(b'/notes/x', headers)
+        _, body = await self.world.send_request(b'/notes/x', headers)
         return body
 
     async def begin_streams(self, count: int) -> list[asyncio.Task[bytes]]:
@@ -79,7 +79,7 @@
             for number in range(count)
         ]
         async with asyncio.timeout(_START_TIMEOUT_S):
-            while len(self.world.replicas['head'].seen) < count:
+            while len(self.world.replicas['head'].received_requests) < count:
                 await asyncio.sleep(_EVENT_GAP_S)
         await asyncio.sleep(_SETTLE_S)
         return streams
@@ -88,7 +88,7 @@
         """Return the tails in the paths of all streams so far."""
         paths = [
             req.get(b'x-samphirerill-hop-count') or b''
-            for req in self.world.replicas['head'].seen
+            for req in self.world.replicas['head'].received_requests
         ]
         return {
             name
@@ -152,7 +152,7 @@
         self.assertTrue(
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
         )
-        self.assertEqual(len(self.world.replicas['head'].seen), len(streams))
+        self.assertEqual(len(self.world.replicas['head'].received_requests), len(streams))
 
     async def test_head_without_entry_keeps_serving(self) -> None:
         """A removed entry must not be taken for the failure of the replica.
@@ -162,10 +162,10 @@
         # Right after a node's start, a missing entry may only have expired.
         await asyncio.sleep(LAPSE_GRACE_S)
         streams = await self.begin_streams(1)
-        await self.world.service.delete('servers/head')
+        await self.world.store.delete('servers/head')
         body = await streams[0]
         self.assertEqual(body.count(b'id:'), _EVENT_COUNT)
-        self.assertEqual(len(self.world.replicas['head'].seen), 1)
+        self.assertEqual(len(self.world.replicas['head'].received_requests), 1)
 
 
 class TestLostStages(TestCase):
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -122,7 +122,7 @@
         world = PlatformHarness()
         self.addAsyncCleanup(world.stop)
         await world.start()
-        process = world.expect_process()
+        process = world.require_first_node()
         probed, control = self.build_engine('asked'), self.build_engine('other')
         process.state.view.announce(probed, 1)
         process.state.view.announce(control, 2)
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -188,7 +188,7 @@
         self.assertIsNone(missing)
 
     async def test_prefix_is_read_over_several_pages(self) -> None:
-        self.service.page = 3
+        self.service.page_size = 3
         for number in range(10):
             await self.service.put(f'k{number}', b'x')
         entries, revision = await self.store.read_prefix('k')
@@ -215,18 +215,18 @@
     async def test_compacted_revision_raises_error(self) -> None:
         await self.service.put('a', b'1')
         await self.service.put('a', b'2')
-        self.service.forget_history()
+        self.service.compact_history()
         with self.assertRaises(HistoryGoneError):
             await self.store.watch('', 1)
 
     async def test_refused_write_is_not_applied(self) -> None:
-        self.service.busy = True
+        self.service.is_unavailable = True
         with self.assertRaises(StoreRefusedError):
             await self.store.write({'a': b'1'}, {})
         self.assertEqual(self.service.keys, {})
 
     async def test_write_with_lost_answer_may_have_applied(self) -> None:
-        self.service.lose_answers = 1
+        self.service.responses_to_lose = 1
         with self.assertRaises(StoreUnreachableError) as caught:
             await self.store.write({'a': b'1'}, {})
         self.assertTrue(caught.exception.may_have_applied)
--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -43,11 +43,11 @@
         state = self.nodes[0].state
         state.change_settings(replace(state.settings, retry_slack=_SLACK))
         for engine in self.world.replicas.values():
-            engine.begins_after_s = _PREFILL_S
+            engine.prefill_s = _PREFILL_S
         await self.stop_engines('first')
         await asyncio.sleep(_FAILURE_INTERVAL_S)
         for engine in self.world.replicas.values():
-            engine.begins_after_s = _PREFILL_S
+            engine.prefill_s = _PREFILL_S
         await self.stop_engines('second')
 
     async def stop_engines(self, name: str) -> None:
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -113,11 +113,11 @@
         engines = [self.world.replicas[f'engine-{number}'] for number in (1, 2)]
         for engine in engines:
             engine.cut_after_head = True
-            engine.gap_s = GAP_S
+            engine.event_interval_s = GAP_S
         stream = self.start(b'/notes/x')
         await self.until(
             lambda: (
-                sum(len(engine.seen) for engine in engines)
+                sum(len(engine.received_requests) for engine in engines)
                 >= 2 * _RUNS_PER_ENGINE
             )
         )
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -44,22 +44,22 @@
 
     async def test_client_disconnect_cancels_both_runs(self) -> None:
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].begins_after_s = _SLOW_START_S
-        self.world.replicas[head].free.clear()
-        await self.until(lambda: self.world.replicas[other].seen)
+        self.world.replicas[other].prefill_s = _SLOW_START_S
+        self.world.replicas[head].responding.clear()
+        await self.until(lambda: self.world.replicas[other].received_requests)
         stream.cancel()
         await asyncio.sleep(0.2)
-        self.world.replicas[head].free.set()
+        self.world.replicas[head].responding.set()
         self.assertEqual(self.world.replicas[head].cancelled, 1)
         self.assertEqual(self.world.replicas[other].cancelled, 1)
         self.assert_nothing_reserved()
 
     async def test_completed_run_cancels_the_search(self) -> None:
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].begins_after_s = _SLOW_START_S
+        self.world.replicas[other].prefill_s = _SLOW_START_S
         self.suspect(head)
-        await self.until(lambda: self.world.replicas[other].seen)
-        self.world.replicas[head].gap_s = 0.001
+        await self.until(lambda: self.world.replicas[other].received_requests)
+        self.world.replicas[head].event_interval_s = 0.001
         self.assert_whole(await stream)
         await asyncio.sleep(0.3)
         self.assertEqual(self.world.replicas[other].cancelled, 1)
@@ -69,7 +69,7 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
         self.suspect(head)
-        await self.until(lambda: self.world.replicas[other].seen)
+        await self.until(lambda: self.world.replicas[other].received_requests)
         await asyncio.sleep(0.1)
         self.assertEqual(set(self.process.state.book.own()), {head})
         self.assert_whole(await stream)
@@ -82,12 +82,12 @@
         was going on.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].begins_after_s = 0.9
-        self.world.replicas[head].free.clear()
+        self.world.replicas[other].prefill_s = 0.9
+        self.world.replicas[head].responding.clear()
         answer = await stream
-        self.world.replicas[head].free.set()
+        self.world.replicas[head].responding.set()
         self.assert_whole(answer)
-        self.assertEqual(len(self.world.replicas[other].seen), 1)
+        self.assertEqual(len(self.world.replicas[other].received_requests), 1)
 
     async def test_replacement_counts_from_its_first_event(self) -> None:
         """A stream was aborted although its present run would have gone on.
@@ -106,9 +106,9 @@
         """
         await self.configure(build_configuration(8, maxAttempts=1))
         stream, head, _ = await self.start_stream()
-        self.world.replicas[head].goes_on.clear()
+        self.world.replicas[head].streaming.clear()
         await asyncio.sleep(1.7)
-        self.world.replicas[head].goes_on.set()
+        self.world.replicas[head].streaming.set()
         self.assert_whole(await stream)
         self.assertEqual(self.find_use().repeats, 0)
 
@@ -126,7 +126,7 @@
         stream, head, other = await self.start_stream()
         book = self.process.state.book
         book.take([other], _ALL_TOKENS)
-        self.world.replicas[head].free.clear()
+        self.world.replicas[head].responding.clear()
         await asyncio.sleep(0.5)
         new_stream = asyncio.create_task(
             self.request_with(b'/notes/x', build_headers('r2'))
@@ -135,11 +135,11 @@
         book.give_back([other], _ALL_TOKENS)
         self.process.state.notify()
         async with asyncio.timeout(0.1):
-            await self.until(lambda: self.world.replicas[other].seen)
-        self.world.replicas[head].free.set()
+            await self.until(lambda: self.world.replicas[other].received_requests)
+        self.world.replicas[head].responding.set()
         self.assert_whole(await stream)
         await new_stream
-        first = self.world.replicas[other].seen[0]
+        first = self.world.replicas[other].received_requests[0]
         self.assertEqual(first.get(b'x-samphirerill-request-id'), b'r1')
 
 
@@ -151,9 +151,9 @@
 
         A replacement run could only start at another head, and there is none.
         """
-        process = await self.world.until_ready()
+        process = await self.world.wait_until_ready()
         state = process.state
-        await self.world.service.put(
+        await self.world.store.put(
             'op/config', build_configuration(8, maxAttempts=1)
         )
         await wait_until(lambda: state.version == 8)
@@ -165,13 +165,13 @@
         head = self.world.replicas['head']
         for replica in self.world.replicas.values():
             replica.events = EVENTS
-        head.silent_after = 10
+        head.stall_after_event = 10
         head.order_status = 409
         stream = asyncio.create_task(self.stream('r1'))
         await asyncio.sleep(0.3)
-        head.silent_after = 0
+        head.stall_after_event = 0
         tail = min(self.find_tails())
-        self.world.replicas[tail].free.clear()
+        self.world.replicas[tail].responding.clear()
         now = asyncio.get_running_loop().time()
         state.view.suspect(tail, now + 4, now, votes=2)
         state.notify()
@@ -180,4 +180,4 @@
         except EndpointError as exc:
             body = str(exc).encode()
         self.assertEqual(body.count(b'id:'), EVENTS, body)
-        self.assertEqual(len(head.seen), 2)
+        self.assertEqual(len(head.received_requests), 2)
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -88,8 +88,8 @@
         await self.until(lambda: view.is_leaving('engine-2'))
         streams = [self.start(b'/notes/x') for _ in range(4)]
         await asyncio.sleep(SETTLE_S)
-        await self.world.add('engine-3', events=EVENTS)
-        self.world.replicas['engine-3'].gap_s = GAP_S
+        await self.world.add_replica('engine-3', events=EVENTS)
+        self.world.replicas['engine-3'].event_interval_s = GAP_S
         self.world.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
         await self.until(lambda: 'engine-3' in view.known)
@@ -107,7 +107,7 @@
         await self.announce(head, layers=(0, 80), state='draining')
         view = self.process.state.view
         await self.until(lambda: view.is_leaving(head))
-        await self.world.service.delete(f'servers/{head}')
+        await self.world.store.delete(f'servers/{head}')
         self.assert_whole(await stream)
 
     async def test_short_silence_of_non_resumable_stream(
@@ -142,12 +142,12 @@
         A path that was silent for long was left before another run had started.
         """
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].gap_s = GAP_S / 2
+            self.world.replicas[name].event_interval_s = GAP_S / 2
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
-        self.world.replicas[head].goes_on.clear()
+        self.world.replicas[head].streaming.clear()
         await asyncio.sleep(1.7)
-        self.world.replicas[head].goes_on.set()
+        self.world.replicas[head].streaming.set()
         self.assert_whole(await stream)
 
     async def test_head_drops_layers_with_capacity_for_one(
@@ -177,9 +177,9 @@
     async def freeze(self, name: str) -> None:
         """Freeze an engine for a moment."""
         replica = self.world.replicas[name]
-        replica.free.clear()
+        replica.responding.clear()
         await asyncio.sleep(0.4)
-        replica.free.set()
+        replica.responding.set()
 
 
 class TestLaterStages(LeavingCase):
@@ -191,7 +191,7 @@
         The head rejected the move, and the run was ended before another had
         started; an engine that seemed to have capacity rejected the stream.
         """
-        process = await self.world.until_ready()
+        process = await self.world.wait_until_ready()
         view = process.state.view
         settings = process.state.settings
         process.state.change_settings(
@@ -203,7 +203,7 @@
             replica.events = EVENTS
         stream = asyncio.create_task(self.stream('r1'))
         await asyncio.sleep(SETTLE_S)
-        whole_engine = await self.world.add('whole')
+        whole_engine = await self.world.add_replica('whole')
         whole_engine.layers = (0, 80)
         whole_engine.refuses = True
         await self.announce('whole')
