--- a/samphirerill/bench/overhead.py
+++ b/samphirerill/bench/overhead.py
@@ -13,7 +13,7 @@
 from samphirerill.bench.scenes import BenchmarkResult
 from samphirerill.bench.targets import list_executed_prompts
 from samphirerill.testing.layout import (
-    COACH_KEY,
+    FIRST_ACCOUNT_KEY,
     Layout,
     build_three_stages,
 )
@@ -68,7 +68,7 @@
     return [
         (
             address,
-            ClientRequest(0, f'through {name} {index}', _TOKENS, COACH_KEY),
+            ClientRequest(0, f'through {name} {index}', _TOKENS, FIRST_ACCOUNT_KEY),
         )
         for index in range(count)
     ]
--- a/samphirerill/bench/scenes.py
+++ b/samphirerill/bench/scenes.py
@@ -17,8 +17,8 @@
 from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.edges.operators import hash_key
 from samphirerill.testing.layout import (
-    BRIDAL_KEY,
-    COACH_KEY,
+    SECOND_ACCOUNT_KEY,
+    FIRST_ACCOUNT_KEY,
     Layout,
     build_three_stages,
 )
@@ -32,7 +32,7 @@
 SMALL_ACCOUNT_KEY = 'small-key'
 _WARM_UP_S = 3.0
 _MIN_INTERRUPTION_S = 0.045
-_ACCOUNTS = [LoadAccount(COACH_KEY, 'plans', 1)]
+_ACCOUNTS = [LoadAccount(FIRST_ACCOUNT_KEY, 'plans', 1)]
 
 
 @dataclass(slots=True)
@@ -94,8 +94,8 @@
     """Request twice the maximum rate, mostly for one large account."""
     max_tokens_per_s = compute_max_throughput(2)
     accounts = [
-        LoadAccount(COACH_KEY, 'plans', 0.7),
-        LoadAccount(BRIDAL_KEY, 'fittings', 0.1),
+        LoadAccount(FIRST_ACCOUNT_KEY, 'plans', 0.7),
+        LoadAccount(SECOND_ACCOUNT_KEY, 'fittings', 0.1),
         LoadAccount(SMALL_ACCOUNT_KEY, 'plans', 0.2),
     ]
     plan = LoadPlan(2 * max_tokens_per_s / TOKENS, 12, TOKENS, accounts, seed)
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -45,7 +45,7 @@
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import FakeEngine
-from samphirerill.testing.layout import COACH_KEY, build_three_stages
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, build_three_stages
 
 # Also the number of nanoseconds in a millisecond.
 US_PER_S = 1_000_000
@@ -80,7 +80,7 @@
     return Line(mean_y - slope * mean_x, slope)
 
 
-def build_large_document(
+def build_configuration_document(
     replicas: int, accounts: int, models: int
 ) -> dict[str, Any]:
     """Return a configuration with four stages for each model."""
@@ -164,7 +164,7 @@
 
 def measure_change(replicas: int, accounts: int) -> dict[str, float]:
     """Return CPU time and size of a configuration change at one node."""
-    document = build_large_document(replicas, accounts, 16)
+    document = build_configuration_document(replicas, accounts, 16)
     patch = [
         {'op': 'replace', 'path': '/endpoints/e1/slots', 'value': 16},
     ]
@@ -249,7 +249,7 @@
     The address of all endpoints is a closed local port, so every load poll
     fails at once.
     """
-    document = build_large_document(770, 1100, 16)
+    document = build_configuration_document(770, 1100, 16)
     for endpoint in document['endpoints'].values():
         endpoint['address'] = '127.0.0.1:9'
     with Cluster(build_three_stages(), 1) as cluster:
@@ -373,7 +373,7 @@
 
 def _build_router(replicas: int, accounts: int) -> Router:
     router = Router('n1', seed=1)
-    document = build_large_document(replicas, accounts, 16)
+    document = build_configuration_document(replicas, accounts, 16)
     event = ConfigurationAccepted(build_configuration(document, 1))
     router.apply(event, 0)
     router.apply(NodesSeen(400), 0)
@@ -395,7 +395,7 @@
     tasks = []
     for number in range(streams):
         request = ClientRequest(
-            time.monotonic(), f's{number}', tokens, COACH_KEY
+            time.monotonic(), f's{number}', tokens, FIRST_ACCOUNT_KEY
         )
         results.append(RequestResult(request))
         tasks.append(
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -30,12 +30,12 @@
     send_request,
 )
 from samphirerill.testing.cluster import NodeProcess, wait_for
-from samphirerill.testing.layout import COACH_KEY, OPERATOR_KEY
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, OPERATOR_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_ACCOUNTS = [LoadAccount(COACH_KEY, 'plans', 1)]
+_ACCOUNTS = [LoadAccount(FIRST_ACCOUNT_KEY, 'plans', 1)]
 _FAULT_AT_S = 3.0
 _OUTAGE_S = 5.0
 _KEY_COUNT = 60
@@ -269,7 +269,7 @@
         return send_request(
             address,
             '/svc/notices/pickup',
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             json.dumps({'notice': key}).encode(),
             headers={'Idempotency-Key': key},
             timeout_s=8,
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -76,7 +76,7 @@
     claim: Claim
 
 
-def build_document(
+def build_configuration_document(
     kinds: tuple[int, ...] = (0, 1, 2, 3, 4),
 ) -> dict[str, object]:
     """Return a small configuration document with overlapping stages."""
@@ -163,7 +163,7 @@
 
     def build(self, kinds: tuple[int, ...]) -> Configuration:
         """Build a configuration with the current version number."""
-        return build_configuration(build_document(kinds), self.version)
+        return build_configuration(build_configuration_document(kinds), self.version)
 
     def submit_request(
         self, node: int, route: str, account: str, key: str, wait_s: float
--- a/samphirerill/testing/demo.py
+++ b/samphirerill/testing/demo.py
@@ -9,7 +9,7 @@
 from samphirerill.testing.clients import ClientResponse, request_completion
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import make_token
-from samphirerill.testing.layout import COACH_KEY, build_three_stages
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, build_three_stages
 
 _NODE_COUNT = 3
 _TOKEN_COUNT = 60
@@ -32,7 +32,7 @@
         kill_timer.start()
         answer = request_completion(
             cluster.nodes[0].callers,
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             'plans',
             _PROMPT,
             _TOKEN_COUNT,
--- a/samphirerill/testing/layout.py
+++ b/samphirerill/testing/layout.py
@@ -8,9 +8,9 @@
 from samphirerill.edges.operators import hash_key
 
 OPERATOR_KEY = 'operator-key'
-COACH_KEY = 'coach-key'
-BRIDAL_KEY = 'bridal-key'
-ACCOUNT_KEYS = {'tromsvik': COACH_KEY, 'viti': BRIDAL_KEY}
+FIRST_ACCOUNT_KEY = 'coach-key'
+SECOND_ACCOUNT_KEY = 'bridal-key'
+ACCOUNT_KEYS = {'tromsvik': FIRST_ACCOUNT_KEY, 'viti': SECOND_ACCOUNT_KEY}
 
 
 @dataclass(slots=True)
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -14,9 +14,9 @@
 from samphirerill.testing.ending_replica import CrashingReplica
 from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.platform_documents import (
-    KEY,
+    API_KEY,
     build_configuration,
-    build_entry,
+    build_announcement,
 )
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         return exchange.getsockname()[1], peers.getsockname()[1]
 
 
-def build_headers(request_id: str, key: str = KEY) -> Headers:
+def build_headers(request_id: str, key: str = API_KEY) -> Headers:
     """Return the headers of a request."""
     return [
         (b'host', b'bridal.example'),
@@ -55,7 +55,7 @@
     ]
 
 
-class EndingEnginesCase(IsolatedAsyncioTestCase):
+class CrashingEnginesCase(IsolatedAsyncioTestCase):
     """Six engines that hold all layers; a crashed one restarts elsewhere.
 
     `crash_times` are when engines crashed, `poison_sent_at` when poison
@@ -100,12 +100,12 @@
         engine.events = self.events
         await self.world.start_replica(engine)
         address = self.world.addresses[name]
-        entry = build_entry(self.service, address, self.kind, self.layers)
+        entry = build_announcement(self.service, address, self.kind, self.layers)
         await self.world.store.put(f'servers/{name}', entry)
 
     async def announce_leaving(self, name: str) -> None:
         """Let an engine announce that it shuts down."""
-        entry = build_entry(
+        entry = build_announcement(
             self.service,
             self.world.addresses[name],
             self.kind,
@@ -136,7 +136,7 @@
         node: EdgeProcess,
         request_id: str,
         body: bytes,
-        key: str = KEY,
+        key: str = API_KEY,
     ) -> tuple[int, bytes]:
         """Send a request; the status is 0 if the response breaks off."""
         headers = build_headers(request_id, key)
@@ -170,7 +170,7 @@
         """Return the engines that have not crashed."""
         return self.world.replicas.keys() - self.crashed
 
-    def end_engine(self, name: str) -> None:
+    def crash_engine(self, name: str) -> None:
         """Crash an engine; a new one starts soon after."""
         self._crash(name)
 
--- a/samphirerill/tests/platform_documents.py
+++ b/samphirerill/tests/platform_documents.py
@@ -6,7 +6,7 @@
 
 from msgspec import json
 
-KEY = 'suva-key'
+API_KEY = 'suva-key'
 ENGINE: dict[str, Any] = {
     'slots': 96,
     'kvTokenBytes': 1_180_000,
@@ -73,12 +73,12 @@
                 {'name': 'desk', 'maxConnections': 40},
             ],
             'limits': {'maxBodyBytes': 65_536, 'headerTimeoutMs': 500},
-            'tenants': [{'name': 'suva', 'apiKeys': [KEY]}],
+            'tenants': [{'name': 'suva', 'apiKeys': [API_KEY]}],
         }
     )
 
 
-def build_entry(
+def build_announcement(
     service: str,
     address: str,
     kind: str = '',
--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -27,7 +27,7 @@
 )
 from samphirerill.core.model import HIGH, NORMAL, build_configuration
 from samphirerill.core.router import Router
-from samphirerill.properties.world import build_document
+from samphirerill.properties.world import build_configuration_document
 
 
 def _fill(queue: FairQueue, account: str, priority: str, count: int) -> None:
@@ -101,7 +101,7 @@
     """One router with five engines of two slots."""
 
     def setUp(self) -> None:
-        document: dict[str, Any] = build_document()
+        document: dict[str, Any] = build_configuration_document()
         document['accounts']['viti']['max_concurrent'] = 4
         self.router = Router('n1', seed=1)
         configuration = build_configuration(document, 1)
--- a/samphirerill/tests/test_bad_input.py
+++ b/samphirerill/tests/test_bad_input.py
@@ -8,7 +8,7 @@
 import unittest
 
 from samphirerill.testing.clients import send_request, request_completion
-from samphirerill.testing.layout import BRIDAL_KEY, COACH_KEY
+from samphirerill.testing.layout import SECOND_ACCOUNT_KEY, FIRST_ACCOUNT_KEY
 from samphirerill.tests.support import ClusterCase
 
 _VALID_BODY = {'model': 'plans', 'prompt': 'x', 'max_tokens': 2}
@@ -23,7 +23,7 @@
 
     def test_unknown_route_is_rejected(self) -> None:
         """A route that does not exist is reported as unknown."""
-        response = request_completion(self.callers, COACH_KEY, 'nowhere', 'x', 2)
+        response = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'nowhere', 'x', 2)
         self.assert_refused(response, 404, 'unknown-route')
 
     def test_unknown_key_is_rejected(self) -> None:
@@ -49,7 +49,7 @@
         for name, body in bodies.items():
             with self.subTest(name):
                 response = send_request(
-                    self.callers, '/v1/completions', COACH_KEY, body
+                    self.callers, '/v1/completions', FIRST_ACCOUNT_KEY, body
                 )
                 self.assert_refused(response, 400, 'bad-request')
                 self.assertTrue(response.problem['detail'].startswith('got'))
@@ -59,13 +59,13 @@
         body = json.dumps(
             {**_VALID_BODY, 'prompt': 'x' * _MAX_BODY_BYTES}
         ).encode()
-        response = send_request(self.callers, '/v1/completions', COACH_KEY, body)
+        response = send_request(self.callers, '/v1/completions', FIRST_ACCOUNT_KEY, body)
         self.assert_refused(response, 413, 'request-entity-too-large')
 
     def test_wrong_method_is_rejected(self) -> None:
         """Completions only accept POST."""
         response = send_request(
-            self.callers, '/v1/completions', COACH_KEY, b'', method='PUT'
+            self.callers, '/v1/completions', FIRST_ACCOUNT_KEY, b'', method='PUT'
         )
         self.assert_refused(response, 405, 'bad-request')
 
@@ -73,7 +73,7 @@
         """A timeout that is not a number is rejected."""
         response = request_completion(
             self.callers,
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             'plans',
             'x',
             2,
@@ -83,13 +83,13 @@
 
     def test_non_idempotent_route_requires_a_key(self) -> None:
         """Without a key, retries are indistinguishable from new requests."""
-        response = send_request(self.callers, '/svc/notices/x', BRIDAL_KEY, b'{}')
+        response = send_request(self.callers, '/svc/notices/x', SECOND_ACCOUNT_KEY, b'{}')
         self.assert_refused(response, 400, 'key-required')
 
     def test_models_of_the_account_are_listed(self) -> None:
         """The list contains the models that the account may use."""
         response = send_request(
-            self.callers, '/v1/models', COACH_KEY, b'', method='GET'
+            self.callers, '/v1/models', FIRST_ACCOUNT_KEY, b'', method='GET'
         )
         names = {model['id'] for model in json.loads(response.body)['data']}
         self.assertEqual(names, {'plans', 'fittings'})
@@ -148,7 +148,7 @@
         body = json.dumps(_VALID_BODY)[:-1]
         request = (
             'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
-            f'Authorization: Bearer {COACH_KEY}\r\n'
+            f'Authorization: Bearer {FIRST_ACCOUNT_KEY}\r\n'
             f'Content-Length: {len(body) + 1}\r\n\r\n{body}'
         )
         before = self._count_sequences()
--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -14,7 +14,7 @@
     EVENTS,
     GAP_S,
     OK,
-    PATIENCE_S,
+    RESPONSE_TIMEOUT_S,
     SETTLE_S,
     TwoEnginesCase,
     build_headers,
@@ -32,8 +32,8 @@
         document['tenants'] = [{'name': 'other', 'apiKeys': ['other']}]
         await self.configure(json.encode(document))
         self.world.replicas[head].close_after_event = 1
-        self.assert_whole(await stream)
-        self.assertEqual(len(set(self.sent())), 2)
+        self.assert_complete(await stream)
+        self.assertEqual(len(set(self.list_used_engines())), 2)
 
     async def test_stream_keeps_its_service_and_timeout(self) -> None:
         stream, head, _ = await self.start_stream()
@@ -43,22 +43,22 @@
         )
         await self.configure(text)
         self.world.replicas[head].close_after_event = 1
-        self.assert_whole(await stream)
-        self.assertEqual(len(set(self.sent())), 2)
+        self.assert_complete(await stream)
+        self.assertEqual(len(set(self.list_used_engines())), 2)
 
     async def test_changed_settings_interrupt_nothing(self) -> None:
         plain_replica = self.world.replicas['desk-1']
         plain_replica.responding.clear()
         stream, _, _ = await self.start_stream()
-        plain_request = self.start(b'/pickup/x')
-        await self.until(lambda: plain_replica.received_requests)
-        self.change(retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1)
+        plain_request = self.start_request(b'/pickup/x')
+        await self.wait_until(lambda: plain_replica.received_requests)
+        self.change_settings(retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1)
         self.world.store.is_unavailable = True
         await asyncio.sleep(SETTLE_S)
         plain_replica.responding.set()
         status, _ = await plain_request
         self.assertEqual(status, OK)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
 
 class TestEndpoints(TwoEnginesCase):
@@ -72,7 +72,7 @@
             self.assertEqual(status, OK)
         for replica in self.world.replicas.values():
             replica.resets_left = 1
-        self.assert_whole(await self.request(b'/notes/x'))
+        self.assert_complete(await self.request(b'/notes/x'))
         status, _ = await self.request(b'/pickup/x')
         self.assertEqual(status, 502)
 
@@ -133,7 +133,7 @@
         """Send a request; return whether it got a response."""
         call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
         conn.send(call)
-        until = asyncio.get_running_loop().time() + PATIENCE_S
+        until = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
         try:
             status, _ = await read_answer(conn, until)
         except EndpointError:
--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -18,7 +18,7 @@
 from samphirerill.control.errors import InvalidPatchError
 from samphirerill.control.patches import apply_patch
 from samphirerill.core.model import build_configuration
-from samphirerill.properties.world import build_document
+from samphirerill.properties.world import build_configuration_document
 from samphirerill.settings.checks import check_configuration
 from samphirerill.testing.kv_rules import MAX_VALUE, EtcdState
 from samphirerill.testing.memory_store import MemoryStore
@@ -33,7 +33,7 @@
 
 
 def _build_valid() -> dict[str, Any]:
-    document: dict[str, Any] = build_document()
+    document: dict[str, Any] = build_configuration_document()
     for number, account in enumerate(document['accounts'].values()):
         account['keys'] = [f'sha256:{number:064}']
     return document
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -27,7 +27,7 @@
 from samphirerill.core.model import build_configuration
 from samphirerill.core.queries import describe_state, list_evidence
 from samphirerill.core.router import Router
-from samphirerill.properties.world import build_document
+from samphirerill.properties.world import build_configuration_document
 from samphirerill.quarantine import digest_request
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 
 def _start_router(name: str) -> Router:
     router = Router(name, seed=1)
-    configuration = build_configuration(build_document(), 1)
+    configuration = build_configuration(build_configuration_document(), 1)
     router.apply(ConfigurationAccepted(configuration), 0)
     return router
 
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -13,9 +13,9 @@
 from samphirerill.relay.pool import read_answer
 from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.platform_documents import (
-    KEY,
+    API_KEY,
     build_configuration,
-    build_entry,
+    build_announcement,
 )
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 _OK = 200
 _HOST = (b'host', b'bridal.example')
 _ID = (b'x-samphirerill-request-id', b'r1')
-_KEY = (b'authorization', b'Bearer ' + KEY.encode())
+_KEY = (b'authorization', b'Bearer ' + API_KEY.encode())
 _TOKENS = (b'x-samphirerill-token-count', b'800,80')
 _HEADERS = [_HOST, _ID, _KEY, _TOKENS]
 _EVENT = 'id: {0}\ndata: token{0}\n\n'
@@ -55,7 +55,7 @@
         state: str = 'ready',
     ) -> None:
         """Write a replica's announcement to the store."""
-        entry = build_entry(
+        entry = build_announcement(
             service, self.world.addresses[name], kind, layers, state
         )
         await self.world.store.put(f'servers/{name}', entry)
@@ -79,11 +79,11 @@
         self.assertEqual(status, _OK)
         return body
 
-    def expect(self, count: int) -> bytes:
+    def build_events(self, count: int) -> bytes:
         """Return the events of a complete stream."""
         return ''.join(map(_EVENT.format, range(1, count + 1))).encode()
 
-    def sent(self) -> list[str]:
+    def list_used_engines(self) -> list[str]:
         """Return the engines that got a stream, once for each request."""
         return [
             name
@@ -97,7 +97,7 @@
     """Requests without failures."""
 
     async def test_streams_and_plain_responses_are_complete(self) -> None:
-        self.assertEqual(await self.stream(), self.expect(5))
+        self.assertEqual(await self.stream(), self.build_events(5))
         status, body = await self.world.send_request(b'/pickup/x', _HEADERS, b'gown')
         self.assertEqual((status, body), (_OK, b'plain gown'))
         seen = self.world.replicas['desk-1'].received_requests[0]
@@ -114,7 +114,7 @@
             with self.subTest(target):
                 got, _ = await self.world.send_request(target, headers)
                 self.assertEqual(got, status)
-        self.assertEqual(self.sent(), [])
+        self.assertEqual(self.list_used_engines(), [])
 
     async def test_node_without_configuration_is_unavailable(self) -> None:
         process = await self.world.wait_until_ready()
@@ -150,12 +150,12 @@
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].close_after_event = 2
         stream = asyncio.create_task(self.stream())
-        while not self.sent():
+        while not self.list_used_engines():
             await asyncio.sleep(0.005)
-        first = self.sent()[0]
+        first = self.list_used_engines()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
         self.world.replicas[other].close_after_event = 0
-        self.assertEqual(await stream, self.expect(5))
+        self.assertEqual(await stream, self.build_events(5))
         resumed = self.world.replicas[other].received_requests[0]
         self.assertEqual(resumed.get(b'last-event-id'), b'2')
 
@@ -170,12 +170,12 @@
             self.world.replicas[name].stall_after_event = 0
             self.world.replicas[name].cut_after_head = True
         stream = asyncio.create_task(self.stream())
-        while not self.sent():
+        while not self.list_used_engines():
             await asyncio.sleep(0.005)
-        first = self.sent()[0]
+        first = self.list_used_engines()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
         self.world.replicas[other].cut_after_head = False
-        self.assertEqual(await stream, self.expect(5))
+        self.assertEqual(await stream, self.build_events(5))
         resumed = self.world.replicas[other].received_requests[0]
         self.assertIsNone(resumed.get(b'last-event-id'))
 
@@ -190,7 +190,7 @@
             self.world.replicas[name].close_after_event = 2
         with self.assertRaises(BrokenAnswerError):
             await self.stream()
-        self.assertEqual(len(self.sent()), 1)
+        self.assertEqual(len(self.list_used_engines()), 1)
 
     async def test_no_more_replicas_are_used_than_the_route_allows(
         self,
@@ -206,7 +206,7 @@
             self.world.replicas[name].close_after_event = 1
         with self.assertRaises(BrokenAnswerError):
             await self.stream()
-        self.assertLessEqual(len(set(self.sent())), 2)
+        self.assertLessEqual(len(set(self.list_used_engines())), 2)
 
     async def test_replica_that_ran_and_then_rejects_counts_as_used(
         self,
@@ -221,7 +221,7 @@
             self.world.replicas[name].max_requests = 1
         with self.assertRaises(BrokenAnswerError):
             await self.stream()
-        self.assertEqual(len(set(self.sent())), 2)
+        self.assertEqual(len(set(self.list_used_engines())), 2)
 
     async def test_unresponsive_replica_counts_as_used(self) -> None:
         """A request ran on three replicas where two are allowed.
@@ -233,17 +233,17 @@
         for replica in self.world.replicas.values():
             replica.close_after_event = 2
         stream = asyncio.create_task(self.stream())
-        while not self.sent():
+        while not self.list_used_engines():
             await asyncio.sleep(0.005)
-        process.state.view.suspect(self.sent()[0], now + 9, now)
+        process.state.view.suspect(self.list_used_engines()[0], now + 9, now)
         with self.assertRaises(BrokenAnswerError):
             await stream
-        self.assertLessEqual(len(set(self.sent())), 2)
+        self.assertLessEqual(len(set(self.list_used_engines())), 2)
 
     async def test_rejection_is_retried_on_another_replica(self) -> None:
         self.world.replicas['engine-1'].refuses = True
         for _ in range(3):
-            self.assertEqual(await self.stream(), self.expect(5))
+            self.assertEqual(await self.stream(), self.build_events(5))
 
 
 class TestPlain(EdgeCase):
@@ -283,7 +283,7 @@
             await asyncio.sleep(0.01)
         for _ in range(4):
             await self.stream()
-        self.assertEqual(set(self.sent()), {'engine-2'})
+        self.assertEqual(set(self.list_used_engines()), {'engine-2'})
 
     async def test_older_configuration_is_ignored(self) -> None:
         process = await self.world.wait_until_ready()
@@ -325,13 +325,13 @@
     ) -> None:
         self.world.store.is_unavailable = True
         await asyncio.sleep(0.3)
-        self.assertEqual(await self.stream(), self.expect(5))
+        self.assertEqual(await self.stream(), self.build_events(5))
 
     async def test_unreadable_entries_are_ignored(self) -> None:
         await self.world.store.put('servers/odd', b'{"service": 5')
         await self.world.store.put('op/config', b'nonsense')
         await asyncio.sleep(0.1)
-        self.assertEqual(await self.stream(), self.expect(5))
+        self.assertEqual(await self.stream(), self.build_events(5))
 
 
 class TestShutdown(EdgeCase):
@@ -341,12 +341,12 @@
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].event_interval_s = 0.2
         stream = asyncio.create_task(self.stream())
-        while not self.sent():
+        while not self.list_used_engines():
             await asyncio.sleep(0.01)
         process = await self.world.wait_until_ready()
         process.begin_drain()
         self.assertFalse(process.is_ready())
-        self.assertEqual(await stream, self.expect(5))
+        self.assertEqual(await stream, self.build_events(5))
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
         await conn.open()
         conn.send(build_call(b'POST', b'/pickup/x', _HEADERS, b''))
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -13,7 +13,7 @@
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
     OK,
-    PATIENCE_S,
+    RESPONSE_TIMEOUT_S,
     SETTLE_S,
     TwoEnginesCase,
     build_headers,
@@ -46,8 +46,8 @@
             self.plain_endpoint.responding.clear()
             self.process.begin_drain()
             await leaving.wait()
-            waiting = self.start(b'/pickup/x')
-            await self.until(lambda: self.plain_endpoint.received_requests)
+            waiting = self.start_request(b'/pickup/x')
+            await self.wait_until(lambda: self.plain_endpoint.received_requests)
             await asyncio.sleep(3 * SETTLE_S)
             self.plain_endpoint.responding.set()
             status, reason = await waiting
@@ -65,7 +65,7 @@
         )
         call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
         writer.write(call)
-        await self.until(lambda: self.plain_endpoint.received_requests)
+        await self.wait_until(lambda: self.plain_endpoint.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         self.process.begin_drain()
         await asyncio.sleep(5 * SETTLE_S)
@@ -78,13 +78,13 @@
 
         Its connection used to be closed without one.
         """
-        self.change(finish_s=1.3)
+        self.change_settings(finish_s=1.3)
         document = json.decode(build_configuration(8))
         document['routes'][1]['timeoutMs'] = 4000
         await self.configure(json.encode(document))
         self.plain_endpoint.responding.clear()
-        waiting = self.start(b'/pickup/x')
-        await self.until(lambda: self.plain_endpoint.received_requests)
+        waiting = self.start_request(b'/pickup/x')
+        await self.wait_until(lambda: self.plain_endpoint.received_requests)
         self.process.begin_drain()
         status, reason = await waiting
         self.plain_endpoint.responding.set()
@@ -104,7 +104,7 @@
         for request_id in ('r1', 'r2'):
             headers = build_headers(request_id)
             writer.write(build_call(b'POST', b'/pickup/x', headers, b''))
-        await self.until(lambda: self.plain_endpoint.received_requests)
+        await self.wait_until(lambda: self.plain_endpoint.received_requests)
         self.process.begin_drain()
         self.plain_endpoint.responding.set()
         body = await reader.read()
@@ -120,7 +120,7 @@
                 self.process.begin_drain()
             call = build_call(b'POST', b'/pickup/x', build_headers('r'), b'')
             conn.send(call)
-            deadline = asyncio.get_running_loop().time() + PATIENCE_S
+            deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
             status, _ = await read_answer(conn, deadline)
             self.assertEqual(status, OK)
 
@@ -130,9 +130,9 @@
         self.process.state.view.refuse(other, now)
         self.world.replicas[head].close_after_event = 1
         counters = self.process.state.counters
-        await self.until(lambda: counters['streams.broken'])
+        await self.wait_until(lambda: counters['streams.broken'])
         self.process.begin_drain()
-        self.assert_whole(await waiting)
+        self.assert_complete(await waiting)
 
 
 class TestAnnouncement(TwoEnginesCase):
@@ -151,7 +151,7 @@
 
         The other nodes would wait for the node until that lease expires.
         """
-        await self.until(self.list_announced)
+        await self.wait_until(self.list_announced)
         await self.process._members.leave()  # noqa: SLF001
         await asyncio.sleep(3 * SETTLE_S)
         self.assertEqual(self.list_announced(), [])
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -18,7 +18,7 @@
     EVENTS,
     POISON,
     OTHER_KEY,
-    EndingEnginesCase,
+    CrashingEnginesCase,
     build_headers,
 )
 
@@ -43,7 +43,7 @@
 _SETTLING_S = 0.3
 
 
-class RepeatedPoisonCase(EndingEnginesCase):
+class RepeatedPoisonCase(CrashingEnginesCase):
     """The same path, client account and body arrive repeatedly."""
 
     rounds = -1
@@ -292,7 +292,7 @@
         while not all(map(view.is_leaving, leaving)):
             await asyncio.sleep(0.01)
         for name in leaving:
-            self.end_engine(name)
+            self.crash_engine(name)
         await asyncio.gather(*streams)
         self.assert_nothing_held()
 
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -24,8 +24,8 @@
     wait_for,
 )
 from samphirerill.testing.layout import (
-    BRIDAL_KEY,
-    COACH_KEY,
+    SECOND_ACCOUNT_KEY,
+    FIRST_ACCOUNT_KEY,
     OPERATOR_KEY,
 )
 from samphirerill.tests.support import ClusterCase
@@ -37,7 +37,7 @@
     def __init__(self, address: str, prompt: str, tokens: int) -> None:
         super().__init__()
         self.answer = ClientResponse()
-        self._request = (address, COACH_KEY, 'plans', prompt, tokens)
+        self._request = (address, FIRST_ACCOUNT_KEY, 'plans', prompt, tokens)
 
     def run(self) -> None:
         """Send the request and keep the response."""
@@ -60,7 +60,7 @@
             address = self.cluster.addresses['engines'][name]
             self.cluster.control(address, frozen=True)
         caller.join()
-        self.assert_whole(caller.answer.texts, 'silent', 80)
+        self.assert_complete(caller.answer.texts, 'silent', 80)
         state = self.cluster.nodes[0].read_state()
         self.assertGreaterEqual(state['core']['counters']['attempts.silent'], 1)
         for name in busy:
@@ -130,8 +130,8 @@
         answer = self._send_notice('outage')
         self.assert_refused(answer, 503, 'claim-unavailable')
         self.assertIn('retry-after', answer.headers)
-        completion = request_completion(self.callers, COACH_KEY, 'plans', 'outage', 4)
-        self.assert_whole(completion.texts, 'outage', 4)
+        completion = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', 'outage', 4)
+        self.assert_complete(completion.texts, 'outage', 4)
         with self.assertRaises(CallError) as caught:
             self.cluster.submit([])
         self.assertEqual(
@@ -144,7 +144,7 @@
         return send_request(
             self.cluster.nodes[node].callers,
             '/svc/notices/pickup',
-            BRIDAL_KEY,
+            SECOND_ACCOUNT_KEY,
             body,
             headers={'Idempotency-Key': key},
         )
@@ -171,7 +171,7 @@
         body = '{"model":"plans","prompt":"x","max_tokens":500,"stream":true}'
         request = (
             'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
-            f'Authorization: Bearer {COACH_KEY}\r\n'
+            f'Authorization: Bearer {FIRST_ACCOUNT_KEY}\r\n'
             f'Content-Length: {len(body)}\r\n\r\n{body}'
         )
         with socket.create_connection((host, int(port)), timeout=5) as sock:
@@ -205,7 +205,7 @@
         killed_node = self.cluster.nodes[0]
         caller = threading.Thread(
             target=send_request,
-            args=(killed_node.callers, '/svc/notices/x', BRIDAL_KEY, b'{}'),
+            args=(killed_node.callers, '/svc/notices/x', SECOND_ACCOUNT_KEY, b'{}'),
             kwargs={'headers': {'Idempotency-Key': 'doomed'}},
         )
         caller.start()
@@ -220,15 +220,15 @@
         retry = send_request(
             other,
             '/svc/notices/x',
-            BRIDAL_KEY,
+            SECOND_ACCOUNT_KEY,
             b'{}',
             headers={'Idempotency-Key': 'doomed'},
         )
         self.assertEqual(retry.status, 409)
         self.assertEqual(retry.outcome, 'may-have-run')
         self.assertEqual(list(self.cluster.read_stats(desk).values()), [1])
-        completion = request_completion(other, COACH_KEY, 'plans', 'after', 4)
-        self.assert_whole(completion.texts, 'after', 4)
+        completion = request_completion(other, FIRST_ACCOUNT_KEY, 'plans', 'after', 4)
+        self.assert_complete(completion.texts, 'after', 4)
 
 
 class TestMisattributedTokens(ClusterCase):
@@ -241,8 +241,8 @@
         self.cluster.control(engines['stage0-1'], repeat=True)
         for number in range(4):
             prompt = f'crossed {number}'
-            answer = request_completion(self.callers, COACH_KEY, 'plans', prompt, 10)
-            self.assert_whole(answer.texts, prompt, 10)
+            answer = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', prompt, 10)
+            self.assert_complete(answer.texts, prompt, 10)
 
 
 class TestLeavingEndpoint(ClusterCase):
@@ -264,11 +264,11 @@
         )
         before = self._count_sequences(engines['stage0-0'])
         for node in self.cluster.nodes:
-            answer = request_completion(node.callers, COACH_KEY, 'plans', 'new', 3)
+            answer = request_completion(node.callers, FIRST_ACCOUNT_KEY, 'plans', 'new', 3)
             self.assertEqual(answer.outcome, 'answered')
         self.assertEqual(self._count_sequences(engines['stage0-0']), before)
         caller.join()
-        self.assert_whole(caller.answer.texts, 'stays', 60)
+        self.assert_complete(caller.answer.texts, 'stays', 60)
 
     def _is_leaving_on_all_nodes(self) -> bool:
         return all(
@@ -301,7 +301,7 @@
             'a failing health check',
         )
         caller.join()
-        self.assert_whole(caller.answer.texts, 'last', 60)
+        self.assert_complete(caller.answer.texts, 'last', 60)
         self.assertEqual(caller.answer.outcome, 'answered')
         self.assertEqual(node.process.wait(10), 0)
 
@@ -337,8 +337,8 @@
             lambda: node.is_ready(self.cluster.version),
             'the configuration from a peer',
         )
-        answer = request_completion(node.callers, COACH_KEY, 'plans', 'seed', 3)
-        self.assert_whole(answer.texts, 'seed', 3)
+        answer = request_completion(node.callers, FIRST_ACCOUNT_KEY, 'plans', 'seed', 3)
+        self.assert_complete(answer.texts, 'seed', 3)
 
     def test_unreachable_store_refuses_requests(self) -> None:
         """Without a configuration all requests are refused as not run."""
@@ -346,7 +346,7 @@
             node = NodeProcess(_build_settings_without_store(0), Path(folder))
             self.addCleanup(node.stop)
             node.wait_listening()
-            answer = request_completion(node.callers, COACH_KEY, 'plans', 'x', 2)
+            answer = request_completion(node.callers, FIRST_ACCOUNT_KEY, 'plans', 'x', 2)
             self.assert_refused(answer, 503, 'no-configuration')
             self.assertIn('retry-after', answer.headers)
             self.assertEqual(node.stop(), 0)
--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from samphirerill.bench.slopes import build_large_document
+from samphirerill.bench.slopes import build_configuration_document
 from samphirerill.core.commands import OpenAttempt
 from samphirerill.core.events import ConfigurationAccepted, RequestArrived
 from samphirerill.core.model import build_configuration
@@ -31,7 +31,7 @@
 
     def test_every_layer_range_has_a_bounded_subset(self) -> None:
         """A request finds a complete pipeline at any fleet size."""
-        document = build_large_document(_REPLICAS, 10, _MODELS)
+        document = build_configuration_document(_REPLICAS, 10, _MODELS)
         router = _start('n1', document)
         for replicas in router.state.by_model.values():
             self.assertEqual(len(replicas), MAX_SUBSET_REPLICAS * _RANGES)
@@ -41,7 +41,7 @@
 
     def test_nodes_choose_different_subsets(self) -> None:
         """Every replica is used, and none by all nodes."""
-        document = build_large_document(_REPLICAS, 10, _MODELS)
+        document = build_configuration_document(_REPLICAS, 10, _MODELS)
         chosen: Counter[str] = Counter()
         for number in range(60):
             router = _start(f'node-{number}', document)
@@ -56,7 +56,7 @@
 
     def setUp(self) -> None:
         """Configure a small fleet that one engine joins later."""
-        document = build_large_document(8, 2, 1)
+        document = build_configuration_document(8, 2, 1)
         self.router = _start('n1', document)
         endpoints = dict(document['endpoints'])
         endpoints['new'] = {**endpoints['e0'], 'address': '10.9.9.9:1'}
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -52,7 +52,7 @@
         self.world.replicas[other].event_interval_s = GAP_S
         now = asyncio.get_running_loop().time()
         self.process.state.view.refuse(other, now)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_replica_that_rejected_briefly_is_asked_again(self) -> None:
         """A stream was aborted though its second replica had capacity again.
@@ -65,10 +65,10 @@
         replica = self.world.replicas[other]
         replica.close_after_event = 0
         replica.refuses = True
-        await self.until(lambda: replica.received_requests)
+        await self.wait_until(lambda: replica.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         replica.refuses = False
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_rejections_do_not_count_as_attempts(self) -> None:
         """A stream was aborted after several replicas rejected it in a row.
@@ -91,11 +91,11 @@
         for replica in others:
             replica.refuses = True
         self.world.replicas[head].close_after_event = 1
-        await self.until(lambda: any(replica.received_requests for replica in others))
+        await self.wait_until(lambda: any(replica.received_requests for replica in others))
         await asyncio.sleep(2 * SETTLE_S)
         for replica in others:
             replica.refuses = False
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_free_connection_is_waited_for(self) -> None:
         """Streams were aborted while all connections were in use.
@@ -108,12 +108,12 @@
         await self.configure(json.encode(document))
         stream, head, other = await self.start_stream()
         self.world.replicas[other].event_interval_s = GAP_S / 2
-        second_stream = self.start(b'/notes/x')
-        await self.until(lambda: self.world.replicas[other].received_requests)
+        second_stream = self.start_request(b'/notes/x')
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         await self.drop_layers(head)
         answers = await asyncio.gather(stream, second_stream)
         for answer in answers:
-            self.assert_whole(answer)
+            self.assert_complete(answer)
 
     async def test_stream_waits_as_long_as_its_client(self) -> None:
         """Streams were aborted although their clients would have waited longer.
@@ -128,8 +128,8 @@
             replica.events = events
         stream, head, other = await self.start_stream()
         self.world.replicas[head].close_after_event = events // 2
-        self.suspect(other, 2.1)
-        self.assertEqual(await stream, (OK, self.expect(events)))
+        self.mark_dead(other, 2.1)
+        self.assertEqual(await stream, (OK, self.build_events(events)))
 
     async def test_ended_heads_do_not_count_as_used(self) -> None:
         """Streams were aborted after a rollout with capacity to spare.
@@ -148,8 +148,8 @@
         await self.withdraw(head)
         await self.withdraw(other)
         await self.announce('engine-3', layers=(0, 80))
-        self.assert_whole(await stream)
-        self.assertEqual(self.sent(), [head, other, 'engine-3'])
+        self.assert_complete(await stream)
+        self.assertEqual(self.list_used_engines(), [head, other, 'engine-3'])
 
     async def test_retries_on_resetting_replica_back_off(self) -> None:
         """The retries of all nodes were used up by one replica.
@@ -159,20 +159,20 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].resets_left = 100
         self.world.replicas[head].close_after_event = 10
-        await self.until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         self.assertLessEqual(len(self.world.replicas[other].received_requests), 2)
         await asyncio.sleep(2 * SETTLE_S)
         self.world.replicas[other].resets_left = 0
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
         self.assertLessEqual(len(self.world.replicas[other].received_requests), 5)
 
     async def withdraw(self, name: str) -> None:
         """Remove the announcement of an engine that has got the stream."""
-        await self.until(lambda: name in self.sent())
+        await self.wait_until(lambda: name in self.list_used_engines())
         await self.world.store.delete(f'servers/{name}')
         view = self.process.state.view
-        await self.until(lambda: name not in view.known)
+        await self.wait_until(lambda: name not in view.known)
 
     def list_engines(self) -> list[FakeReplica]:
         """Return both engines."""
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -13,15 +13,15 @@
 from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import ENGINE, build_replica
 from samphirerill.tests.platform_documents import (
-    KEY,
+    API_KEY,
     build_configuration,
-    build_entry,
+    build_announcement,
 )
 
 _HEADERS = [
     (b'host', b'bridal.example'),
     (b'x-samphirerill-request-id', b'r1'),
-    (b'authorization', b'Bearer ' + KEY.encode()),
+    (b'authorization', b'Bearer ' + API_KEY.encode()),
     (b'x-samphirerill-token-count', b'800,80'),
 ]
 _ID_HEADER_INDEX = 1
@@ -54,7 +54,7 @@
     async def announce(self, name: str, state: str = 'ready') -> None:
         """Write the announcement of a replica to the store."""
         layers = self.world.replicas[name].layers
-        entry = build_entry(
+        entry = build_announcement(
             'llm', self.world.addresses[name], 'vast', layers, state
         )
         await self.world.store.put(f'servers/{name}', entry)
@@ -69,7 +69,7 @@
         _, body = await self.world.send_request(b'/notes/x', headers)
         return body
 
-    async def begin_streams(self, count: int) -> list[asyncio.Task[bytes]]:
+    async def start_streams(self, count: int) -> list[asyncio.Task[bytes]]:
         """Start streams and wait until the head has received all of them.
 
         Waiting for a fixed time is not enough on a loaded machine.
@@ -84,7 +84,7 @@
         await asyncio.sleep(_SETTLE_S)
         return streams
 
-    def find_tails(self) -> set[str]:
+    def list_used_tails(self) -> set[str]:
         """Return the tails in the paths of all streams so far."""
         paths = [
             req.get(b'x-samphirerill-hop-count') or b''
@@ -98,7 +98,7 @@
             )
         }
 
-    def count_moves(self) -> int:
+    def count_reroute_orders(self) -> int:
         """Return how many reroute orders the head has received."""
         orders = self.world.replicas['head'].orders
         return sum(order['operation'] == 'repath' for order in orders)
@@ -115,14 +115,14 @@
         Otherwise they wait for each other while the new replica reads their
         contexts one by one; the leaving replica still serves for a while.
         """
-        streams = await self.begin_streams(8)
-        await self.announce(min(self.find_tails()), 'draining')
+        streams = await self.start_streams(8)
+        await self.announce(min(self.list_used_tails()), 'draining')
         await asyncio.sleep(0.5)
-        self.assertEqual(self.count_moves(), 0)
+        self.assertEqual(self.count_reroute_orders(), 0)
         move_counts = []
         for _ in range(14):
             await asyncio.sleep(0.1)
-            move_counts.append(self.count_moves())
+            move_counts.append(self.count_reroute_orders())
         self.assertGreater(move_counts[-1], 1)
         max_step = max(
             after - before
@@ -142,12 +142,12 @@
         An engine keeps serving the streams that pass through layers that it
         is about to unload.
         """
-        streams = await self.begin_streams(4)
-        name = min(self.find_tails())
+        streams = await self.start_streams(4)
+        name = min(self.list_used_tails())
         self.world.replicas[name].layers = (60, 80)
         await self.announce(name)
         await asyncio.sleep(0.5)
-        self.assertEqual(self.count_moves(), 0)
+        self.assertEqual(self.count_reroute_orders(), 0)
         bodies = await asyncio.gather(*streams)
         self.assertTrue(
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
@@ -161,7 +161,7 @@
         """
         # Right after a node's start, a missing entry may only have expired.
         await asyncio.sleep(LAPSE_GRACE_S)
-        streams = await self.begin_streams(1)
+        streams = await self.start_streams(1)
         await self.world.store.delete('servers/head')
         body = await streams[0]
         self.assertEqual(body.count(b'id:'), _EVENT_COUNT)
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -27,7 +27,7 @@
 from samphirerill.relay.server import Request
 from samphirerill.testing.platform_store import FakePlatformStore
 from samphirerill.tests.fleets import build_replica
-from samphirerill.tests.platform_documents import CONFIGURATION, KEY
+from samphirerill.tests.platform_documents import CONFIGURATION, API_KEY
 
 _PACKAGE = pathlib.Path(__file__).parent.parent
 # Names that occur only in the platform's wire format.
@@ -52,7 +52,7 @@
         self.assertEqual(streaming_route.gap_s, 0.2)
         self.assertEqual(len(streaming_route.shares), 2)
         self.assertIs(plain_route.repeat, Repeat.NON_IDEMPOTENT)
-        self.assertEqual(cfg.accounts[KEY].name, 'suva')
+        self.assertEqual(cfg.accounts[API_KEY].name, 'suva')
         engine = cfg.services['llm'].engine
         assert engine is not None
         self.assertEqual(engine.layers, 80)
--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -12,7 +12,7 @@
 )
 from samphirerill.testing.clients import request_completion
 from samphirerill.testing.cluster import wait_for
-from samphirerill.testing.layout import BRIDAL_KEY, COACH_KEY
+from samphirerill.testing.layout import SECOND_ACCOUNT_KEY, FIRST_ACCOUNT_KEY
 from samphirerill.tests.support import ClusterCase
 
 _PROMPT = 'a hem that has to be taken up by two fingers and a half. ' * 8
@@ -77,12 +77,12 @@
 
     def test_repeated_prompt_hits_only_for_its_account(self) -> None:
         """An account uses its own cache entries and no other account's."""
-        request_completion(self.callers, COACH_KEY, 'plans', _PROMPT, 2)
+        request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, 2)
         wait_for(self._is_indexed, 'cache events at the node')
         for _ in range(3):
-            request_completion(self.callers, COACH_KEY, 'plans', _PROMPT, 2)
+            request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, 2)
         self.assertEqual(self._count('cache_hits'), 3)
-        request_completion(self.callers, BRIDAL_KEY, 'plans', _PROMPT, 2)
+        request_completion(self.callers, SECOND_ACCOUNT_KEY, 'plans', _PROMPT, 2)
         self.assertEqual(self._count('cache_hits'), 3)
 
     def _is_indexed(self) -> bool:
--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from samphirerill.tests.ending_engines import EndingEnginesCase
+from samphirerill.tests.ending_engines import CrashingEnginesCase
 
 _OK = 200
 _STREAMS = 24
@@ -20,7 +20,7 @@
 _FAILURE_INTERVAL_S = 2.5
 
 
-class TestRefusedConnects(EndingEnginesCase):
+class TestRefusedConnects(CrashingEnginesCase):
     """Engines fail together, twice within the window of the retry budget.
 
     Connections that dead engines refused used up retries, and streams of the
@@ -60,7 +60,7 @@
         ]
         await asyncio.sleep(_STOP_AFTER_S)
         for engine in sorted(self.list_running())[:_STOPPED_ENGINES]:
-            self.end_engine(engine)
+            self.crash_engine(engine)
         answers = await asyncio.gather(*streams)
         is_complete = [
             status == _OK and body.count(b'id:') == _EVENTS
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -114,8 +114,8 @@
         for engine in engines:
             engine.cut_after_head = True
             engine.event_interval_s = GAP_S
-        stream = self.start(b'/notes/x')
-        await self.until(
+        stream = self.start_request(b'/notes/x')
+        await self.wait_until(
             lambda: (
                 sum(len(engine.received_requests) for engine in engines)
                 >= 2 * _RUNS_PER_ENGINE
@@ -127,4 +127,4 @@
         self.assertGreaterEqual(max(refusals), _RUNS_PER_ENGINE)
         for engine in engines:
             engine.cut_after_head = False
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_starts.py
@@ -16,7 +16,7 @@
 from samphirerill.relay.dialect import DocumentError
 from samphirerill.relay.pool import ConnectionPool
 from samphirerill.tests.fleets import build_replica
-from samphirerill.tests.platform_documents import build_entry
+from samphirerill.tests.platform_documents import build_announcement
 
 _FIRST_START_MS = 1_790_000_000_000
 _SECOND_START_MS = _FIRST_START_MS + 9_000
@@ -112,7 +112,7 @@
 
     def setUp(self) -> None:
         self.dialect = PlatformDialect()
-        self.entry = json.decode(build_entry('llm', _ADDRESS, 'vast', (0, 80)))
+        self.entry = json.decode(build_announcement('llm', _ADDRESS, 'vast', (0, 80)))
 
     def test_complete_entry_is_decoded(self) -> None:
         text = json.encode({**self.entry, 'born': _FIRST_START_MS})
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -6,7 +6,7 @@
 
 from samphirerill.quarantine import Death, digest_request
 from samphirerill.relay.quarantine.stored_holds import PREFIX
-from samphirerill.tests.ending_engines import POISON, EndingEnginesCase
+from samphirerill.tests.ending_engines import POISON, CrashingEnginesCase
 
 _ARRIVALS = 4
 _ARRIVAL_INTERVAL_S = 0.25
@@ -17,7 +17,7 @@
 _CRASH_COUNT = 5
 
 
-class TestStoredHolds(EndingEnginesCase):
+class TestStoredHolds(CrashingEnginesCase):
     """Holds that the leader writes and all nodes read."""
 
     async def quarantine_request(self) -> None:
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -46,7 +46,7 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].prefill_s = _SLOW_START_S
         self.world.replicas[head].responding.clear()
-        await self.until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         stream.cancel()
         await asyncio.sleep(0.2)
         self.world.replicas[head].responding.set()
@@ -57,10 +57,10 @@
     async def test_completed_run_cancels_the_search(self) -> None:
         stream, head, other = await self.start_stream()
         self.world.replicas[other].prefill_s = _SLOW_START_S
-        self.suspect(head)
-        await self.until(lambda: self.world.replicas[other].received_requests)
+        self.mark_dead(head)
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         self.world.replicas[head].event_interval_s = 0.001
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
         await asyncio.sleep(0.3)
         self.assertEqual(self.world.replicas[other].cancelled, 1)
         self.assert_nothing_reserved()
@@ -68,11 +68,11 @@
     async def test_rejected_search_reserves_nothing(self) -> None:
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
-        self.suspect(head)
-        await self.until(lambda: self.world.replicas[other].received_requests)
+        self.mark_dead(head)
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         await asyncio.sleep(0.1)
         self.assertEqual(set(self.process.state.book.own()), {head})
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
         self.assert_nothing_reserved()
 
     async def test_replacement_may_take_long_for_its_prefill(self) -> None:
@@ -86,7 +86,7 @@
         self.world.replicas[head].responding.clear()
         answer = await stream
         self.world.replicas[head].responding.set()
-        self.assert_whole(answer)
+        self.assert_complete(answer)
         self.assertEqual(len(self.world.replicas[other].received_requests), 1)
 
     async def test_replacement_counts_from_its_first_event(self) -> None:
@@ -97,7 +97,7 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].cut_after_head = True
         await self.drop_layers(head)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_retries_are_used_only_for_sent_attempts(self) -> None:
         """The retries of all nodes were used up without a retry being sent.
@@ -109,7 +109,7 @@
         self.world.replicas[head].streaming.clear()
         await asyncio.sleep(1.7)
         self.world.replicas[head].streaming.set()
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
         self.assertEqual(self.find_use().repeats, 0)
 
 
@@ -135,9 +135,9 @@
         book.give_back([other], _ALL_TOKENS)
         self.process.state.notify()
         async with asyncio.timeout(0.1):
-            await self.until(lambda: self.world.replicas[other].received_requests)
+            await self.wait_until(lambda: self.world.replicas[other].received_requests)
         self.world.replicas[head].responding.set()
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
         await new_stream
         first = self.world.replicas[other].received_requests[0]
         self.assertEqual(first.get(b'x-samphirerill-request-id'), b'r1')
@@ -170,7 +170,7 @@
         stream = asyncio.create_task(self.stream('r1'))
         await asyncio.sleep(0.3)
         head.stall_after_event = 0
-        tail = min(self.find_tails())
+        tail = min(self.list_used_tails())
         self.world.replicas[tail].responding.clear()
         now = asyncio.get_running_loop().time()
         state.view.suspect(tail, now + 4, now, votes=2)
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -36,8 +36,8 @@
         """
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
-        self.suspect(head)
-        self.assert_whole(await stream)
+        self.mark_dead(head)
+        self.assert_complete(await stream)
 
     async def test_working_head_considered_dead_with_one_attempt(
         self,
@@ -48,18 +48,18 @@
         """
         await self.configure(build_configuration(8, maxAttempts=1))
         stream, head, _ = await self.start_stream()
-        self.suspect(head, 4.0)
-        self.assert_whole(await stream)
+        self.mark_dead(head, 4.0)
+        self.assert_complete(await stream)
 
     async def test_working_head_considered_dead_without_retries(self) -> None:
         """Streams were aborted when their working replica seemed dead.
 
         The run was ended without checking that a retry was left.
         """
-        self.change(retry_slack=0, retry_ratio=0)
+        self.change_settings(retry_slack=0, retry_ratio=0)
         stream, head, _ = await self.start_stream()
-        self.suspect(head)
-        self.assert_whole(await stream)
+        self.mark_dead(head)
+        self.assert_complete(await stream)
 
     async def test_head_drops_layers_while_other_engine_is_full(
         self,
@@ -72,7 +72,7 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
         await self.drop_layers(head)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_head_drops_layers_with_one_retry_left(
         self,
@@ -82,20 +82,20 @@
         All of them saw the last retry, but did not reserve it before their runs
         were ended.
         """
-        self.change(retry_slack=_SLACK_FOR_ONE_RETRY, retry_ratio=0)
+        self.change_settings(retry_slack=_SLACK_FOR_ONE_RETRY, retry_ratio=0)
         await self.announce('engine-2', layers=(0, 80), state='draining')
         view = self.process.state.view
-        await self.until(lambda: view.is_leaving('engine-2'))
-        streams = [self.start(b'/notes/x') for _ in range(4)]
+        await self.wait_until(lambda: view.is_leaving('engine-2'))
+        streams = [self.start_request(b'/notes/x') for _ in range(4)]
         await asyncio.sleep(SETTLE_S)
         await self.world.add_replica('engine-3', events=EVENTS)
         self.world.replicas['engine-3'].event_interval_s = GAP_S
         self.world.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
-        await self.until(lambda: 'engine-3' in view.known)
+        await self.wait_until(lambda: 'engine-3' in view.known)
         await self.drop_layers('engine-1')
         for answer in await asyncio.gather(*streams):
-            self.assert_whole(answer)
+            self.assert_complete(answer)
 
     async def test_announcement_of_draining_head_is_removed(self) -> None:
         """Streams of a draining replica were aborted during a rollout.
@@ -106,9 +106,9 @@
         self.world.replicas[other].refuses = True
         await self.announce(head, layers=(0, 80), state='draining')
         view = self.process.state.view
-        await self.until(lambda: view.is_leaving(head))
+        await self.wait_until(lambda: view.is_leaving(head))
         await self.world.store.delete(f'servers/{head}')
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_short_silence_of_non_resumable_stream(
         self,
@@ -121,7 +121,7 @@
         await self.configure(build_configuration(8, resumable=False))
         stream, head, _ = await self.start_stream()
         await self.freeze(head)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_short_silence_while_other_engine_is_full(
         self,
@@ -134,7 +134,7 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
         await self.freeze(head)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_long_silence_while_other_engine_is_full(self) -> None:
         """A preempted stream was aborted although its replica worked.
@@ -148,7 +148,7 @@
         self.world.replicas[head].streaming.clear()
         await asyncio.sleep(1.7)
         self.world.replicas[head].streaming.set()
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_head_drops_layers_with_capacity_for_one(
         self,
@@ -167,12 +167,12 @@
             asyncio.create_task(self.request_with(b'/notes/x', headers))
             for _ in range(3)
         ]
-        await self.until(lambda: len(self.sent()) == len(streams))
-        sent = self.sent()
+        await self.wait_until(lambda: len(self.list_used_engines()) == len(streams))
+        sent = self.list_used_engines()
         await self.drop_layers(max(sent, key=sent.count))
         for status, body in await asyncio.gather(*streams):
             self.assertEqual(status, OK, body)
-            self.assertEqual(body, self.expect(events))
+            self.assertEqual(body, self.build_events(events))
 
     async def freeze(self, name: str) -> None:
         """Freeze an engine for a moment."""
--- a/samphirerill/tests/test_whole_path.py
+++ b/samphirerill/tests/test_whole_path.py
@@ -9,7 +9,7 @@
 
 from samphirerill.testing.clients import send_request, request_completion
 from samphirerill.testing.engine import make_token
-from samphirerill.testing.layout import BRIDAL_KEY, COACH_KEY
+from samphirerill.testing.layout import SECOND_ACCOUNT_KEY, FIRST_ACCOUNT_KEY
 from samphirerill.tests.support import ClusterCase
 
 
@@ -20,13 +20,13 @@
         """The stages that ran a token cover each layer exactly once."""
         response = request_completion(
             self.callers,
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             'plans',
             'block one',
             12,
             headers={'Samphirerill-Trace': '1'},
         )
-        self.assert_whole(response.texts, 'block one', 12)
+        self.assert_complete(response.texts, 'block one', 12)
         self.assertEqual(response.outcome, 'answered')
         for stages in response.layers:
             covered = [
@@ -40,7 +40,7 @@
         """A response that is not streamed contains the complete text."""
         response = request_completion(
             self.callers,
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             'plans',
             'block two',
             5,
@@ -60,7 +60,7 @@
         response = send_request(
             self.callers,
             '/v1/chat/completions',
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             json.dumps(body).encode(),
         )
         document = json.loads(response.body)
@@ -72,7 +72,7 @@
         response = send_request(
             self.callers,
             '/svc/lookups/orders/7?full=1',
-            BRIDAL_KEY,
+            SECOND_ACCOUNT_KEY,
             b'abc',
             method='PUT',
         )
@@ -93,11 +93,11 @@
         Guards against a memory leak by attempts that are not removed.
         """
         for number in range(3):
-            request_completion(self.callers, COACH_KEY, 'plans', f'p{number}', 3)
-        send_request(self.callers, '/svc/lookups/x', BRIDAL_KEY, b'')
+            request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', f'p{number}', 3)
+        send_request(self.callers, '/svc/lookups/x', SECOND_ACCOUNT_KEY, b'')
         request_completion(
             self.callers,
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             'plans',
             'late',
             50,
@@ -131,10 +131,10 @@
 
         crash_thread = threading.Thread(target=crash_middle_stage)
         crash_thread.start()
-        response = request_completion(self.callers, COACH_KEY, 'plans', 'knee', 50)
+        response = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', 'knee', 50)
         crash_thread.join()
         self.assertEqual(len(crashed), 1)
-        self.assert_whole(response.texts, 'knee', 50)
+        self.assert_complete(response.texts, 'knee', 50)
         self.assertEqual(response.outcome, 'answered')
 
 
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -11,7 +11,7 @@
 from samphirerill.relay.connection import HttpConnection, build_call
 from samphirerill.relay.errors import EndpointError
 from samphirerill.relay.pool import read_answer
-from samphirerill.tests.platform_documents import KEY
+from samphirerill.tests.platform_documents import API_KEY
 from samphirerill.tests.test_edge import EdgeCase
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 OK = 200
 GAP_S = 0.02
 EVENTS = 50
-PATIENCE_S = 5.0
+RESPONSE_TIMEOUT_S = 5.0
 SETTLE_S = 0.1
 AMPLE_RETRIES = 80
 # From the announcement that a replica drops layers until its streams leave.
@@ -33,7 +33,7 @@
 
 async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until a condition holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(_POLL_S)
 
@@ -42,7 +42,7 @@
     return [
         (b'host', b'bridal.example'),
         (b'x-samphirerill-request-id', request_id.encode()),
-        (b'authorization', b'Bearer ' + KEY.encode()),
+        (b'authorization', b'Bearer ' + API_KEY.encode()),
         (b'x-samphirerill-token-count', b'800,80'),
     ]
 
@@ -53,12 +53,12 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.process = await self.world.wait_until_ready()
-        self.change(retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS)
+        self.change_settings(retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS)
         for name in ('engine-1', 'engine-2'):
             self.world.replicas[name].events = EVENTS
             self.world.replicas[name].event_interval_s = GAP_S
 
-    def change(self, **changes: float) -> None:
+    def change_settings(self, **changes: float) -> None:
         """Change settings of the node."""
         state = self.process.state
         state.change_settings(replace(state.settings, **changes))
@@ -67,7 +67,7 @@
         """Write a configuration and wait until it is in force."""
         await self.world.store.put('op/config', text)
         version = json.decode(text)['version']
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while self.process.state.version != version:
                 await asyncio.sleep(_POLL_S)
 
@@ -85,14 +85,14 @@
         try:
             await conn.open()
             conn.send(build_call(b'POST', target, headers, b''))
-            until = asyncio.get_running_loop().time() + PATIENCE_S
+            until = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
             return await read_answer(conn, until)
         except EndpointError as exc:
             return _NO_RESPONSE, str(exc).encode()
         finally:
             conn.close()
 
-    def start(self, target: bytes) -> asyncio.Task[tuple[int, bytes]]:
+    def start_request(self, target: bytes) -> asyncio.Task[tuple[int, bytes]]:
         """Send a request in the background."""
         return asyncio.create_task(self.request(target))
 
@@ -100,18 +100,18 @@
         self,
     ) -> tuple[asyncio.Task[tuple[int, bytes]], str, str]:
         """Send a stream; return its task, its engine and the other engine."""
-        waiting = self.start(b'/notes/x')
-        await self.until(self.sent)
-        head = self.sent()[0]
+        waiting = self.start_request(b'/notes/x')
+        await self.wait_until(self.list_used_engines)
+        head = self.list_used_engines()[0]
         other = 'engine-2' if head == 'engine-1' else 'engine-1'
         await asyncio.sleep(SETTLE_S)
         return waiting, head, other
 
-    async def until(self, condition: Callable[[], object]) -> None:
+    async def wait_until(self, condition: Callable[[], object]) -> None:
         """Wait until a condition holds."""
         await wait_until(condition)
 
-    def suspect(self, name: str, for_s: float = 0.3) -> None:
+    def mark_dead(self, name: str, for_s: float = 0.3) -> None:
         """Mark a replica as dead for a while, as after a silence."""
         now = asyncio.get_running_loop().time()
         self.process.state.view.suspect(name, now + for_s, now)
@@ -121,8 +121,8 @@
         """Announce that an engine drops its last layers."""
         await self.announce(name, layers=(0, 40))
 
-    def assert_whole(self, answer: tuple[int, bytes]) -> None:
+    def assert_complete(self, answer: tuple[int, bytes]) -> None:
         """Check that every event came once, in order."""
         status, body = answer
         self.assertEqual(status, OK, body)
-        self.assertEqual(body, self.expect(EVENTS))
+        self.assertEqual(body, self.build_events(EVENTS))
