--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -54,13 +54,13 @@
 
     prefix: str
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the state by a full listing at `revision`."""
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply the write of one key."""
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Apply the deletion of one key."""
 
 
@@ -155,7 +155,7 @@
                     for item in found
                     if item.key.startswith(handler.prefix)
                 ]
-                handler.take_all(matching, revision)
+                handler.apply_snapshot(matching, revision)
             self.revision = revision
             self._must_relist = False
             self._change_log.restart(revision, found)
@@ -229,9 +229,9 @@
             if not event.key.startswith(handler.prefix):
                 continue
             if isinstance(event, DeletedKey):
-                handler.take_gone(event)
+                handler.apply_deletion(event)
             else:
-                handler.take_item(event)
+                handler.apply_write(event)
 
 
 class ConfigurationFolder:
@@ -241,12 +241,12 @@
         self.prefix = state.dialect.configuration_key
         self.state = state
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Apply the configuration found in a full listing."""
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply a configuration that was written."""
         try:
             cfg = self.state.dialect.decode_configuration(item.text)
@@ -258,7 +258,7 @@
             return
         self.state.put_in_force(cfg, item.text)
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Log the deletion and keep the current configuration."""
         _LOG.warning(
             'configuration key was deleted; keeping the current one',
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -68,19 +68,19 @@
         """Return the name of the leader; empty if there is none."""
         return self._holder
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the known leader by a full listing of the store."""
         self._has_listed = True
         self._holder = ''
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Record a newly elected leader."""
         self._holder = item.text.decode()
         self._campaign_at = 0.0
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Record that there is no leader any more."""
         self._holder = ''
 
--- a/samphirerill/relay/members.py
+++ b/samphirerill/relay/members.py
@@ -134,13 +134,13 @@
         self._has_left = True
         await give_up_lease(self._store, self._lease, _LOG)
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace all announcements by those of a full read."""
         self._peers.clear_announcements()
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Add an announcement."""
         name = item.key.removeprefix(PREFIX)
         if name == self._state.settings.name:
@@ -155,7 +155,7 @@
         self._peers.add_announcement(name, announcement)
         self._update_peers()
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Remove an announcement that was deleted or whose lease expired."""
         self._peers.remove_announcement(gone.key.removeprefix(PREFIX))
         self._update_peers()
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -84,13 +84,13 @@
         self._loop = asyncio.get_running_loop()
         self._stored: dict[str, bytes] = {}
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace all stored holds by those of a full read."""
         self._stored = {}
         for item in found:
-            self.take_item(item)
+            self.apply_write(item)
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply the evidence of a stored hold."""
         try:
             hold = json.decode(item.text, type=StoredHold)
@@ -107,7 +107,7 @@
         age_ms = max(0, _read_clock_ms() - hold.written_ms)
         self._keeper.apply_records([move_back(hold.record, age_ms)])
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Remove a stored hold that was deleted or has expired."""
         self._stored.pop(gone.key, None)
 
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -46,7 +46,7 @@
         self._loop = asyncio.get_running_loop()
         self._invalid_keys: set[str] = set()
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the known replicas by a full listing of the store.
 
         A known replica whose entry is invalid now keeps its last valid one.
@@ -80,7 +80,7 @@
         )
         self.state.notify()
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply a new or changed announcement."""
         replica = self._decode(item)
         if replica is not None:
@@ -104,7 +104,7 @@
             if replica.is_leaving and not was_leaving:
                 _LOG.info('replica leaves', extra={'replica': item.key})
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Apply a deletion, which after an outage may be an expired lease."""
         replica_id = self._get_replica_id(gone.key)
         grace_until = self._get_grace()
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -103,14 +103,14 @@
     def __init__(self) -> None:
         self.keys: list[str] = []
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Ignore full listings."""
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Record a key."""
         self.keys.append(item.key)
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Ignore deletions."""
 
 
