--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -31,7 +31,7 @@
     ]
     gap = find_gap(engine, list_ranges(candidates))
     if gap is not None:
-        return f'nobody holds layers {format_layers(gap)}'
+        return f'no replica holds layers {format_layers(gap)}'
     with_memory = [
         found
         for found in candidates
@@ -39,5 +39,5 @@
     ]
     gap = find_gap(engine, list_ranges(with_memory))
     if gap is not None:
-        return f'no room in layers {format_layers(gap)}'
-    return 'no way between the parts that have room'
+        return f'no replica has free memory for layers {format_layers(gap)}'
+    return 'no path connects the replicas that have free memory'
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -92,7 +92,7 @@
             if reason != self._suspension_reason:
                 self._suspension_reason = reason
                 event = ServingForbidden(reason) if reason else ServingAllowed()
-                _LOG.warning('serving changed', extra={'doubt': reason})
+                _LOG.warning('serving suspended or resumed', extra={'doubt': reason})
                 self._node.apply(event)
             await asyncio.sleep(_FRESHNESS_CHECK_INTERVAL_S)
 
@@ -150,7 +150,7 @@
         if configuration.accounts is not previous.accounts:
             self._node.key_index.rebuild(configuration)
         self._node.apply(ConfigurationAccepted(configuration))
-        _LOG.info('in force', extra={'version': self.view.version})
+        _LOG.info('configuration applied', extra={'version': self.view.version})
 
     async def _poll(self) -> None:
         version = await self._worker.try_run(self.log.read_version)
@@ -209,7 +209,7 @@
                     )
                     backoff_s = _MIN_BACKOFF_S
             except StoreError as exc:
-                _LOG.debug('watch lost', extra={'error': str(exc)})
+                _LOG.debug('watch failed; retrying', extra={'error': str(exc)})
             self._stop_requested.wait(add_jitter(backoff_s, WIDE_JITTER))
             backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
 
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -105,7 +105,7 @@
         """Reject a request if this node ends soon; return whether it did."""
         if self._loop.time() < until:
             return False
-        refusal = Refusal(UNAVAILABLE, 'the node ends')
+        refusal = Refusal(UNAVAILABLE, 'the node is shutting down')
         refuse(self._state, task.conn, task.facts, refusal)
         return True
 
@@ -115,19 +115,19 @@
         state = self._state
         if state.cfg is None or state.routes is None:
             # Without a configuration, 404 would be unfounded.
-            return Refusal(UNAVAILABLE, 'no configuration yet', 1.0)
+            return Refusal(UNAVAILABLE, 'this node has no configuration yet', 1.0)
         host = (req.get(b'host') or b'').decode('latin-1')
         route = state.routes.find(host, req.target.decode('latin-1'))
         if route is None:
-            return Refusal(NOT_FOUND, 'no route')
+            return Refusal(NOT_FOUND, 'no route matches')
         account = None
         if state.cfg.needs_keys and not route.is_public:
             account = state.cfg.accounts.get(facts.api_key)
             if account is None:
-                return Refusal(UNKNOWN_KEY, 'unknown key')
+                return Refusal(UNKNOWN_KEY, 'unknown API key')
         service = state.cfg.services.get(choose_service(route, state.random))
         if service is None:
-            return Refusal(UNAVAILABLE, 'the route has no service', 1.0)
+            return Refusal(UNAVAILABLE, 'the service of the route is not configured', 1.0)
         return self._build_task(req, facts, conn, route, service, account)
 
     def _build_task(
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -131,7 +131,7 @@
             return
         idle = self._idle[replica_id]
         if not idle:
-            raise ConnectionLimitError(f'{replica_id}: all {most} in use')
+            raise ConnectionLimitError(f'{replica_id}: all {most} connections are in use')
         idle.pop(0).close()
 
     def _track_open(self, replica_id: str, conn: HttpConnection) -> None:
--- a/samphirerill/relay/server.py
+++ b/samphirerill/relay/server.py
@@ -322,7 +322,7 @@
                 await self._writable
         except TimeoutError:
             _LOG.info(
-                'client reads too slowly',
+                'client reads too slowly; closing its connection',
                 extra={'waited_s': _SLOW_CLIENT_TIMEOUT_S},
             )
             self.cut()
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -100,7 +100,7 @@
             now, self._progress.attempts, is_urgent=is_urgent
         ):
             return None
-        return AttemptDenial('no repeat is left')
+        return AttemptDenial('the retry budget is exhausted')
 
     def return_attempt(self) -> None:
         """Return a reserved attempt for which nothing was sent."""
@@ -149,9 +149,9 @@
         """Return why no further attempt is possible; empty if one is."""
         progress = self._progress
         if now >= self._task.deadline:
-            return 'its time is over'
+            return 'its deadline has passed'
         if progress.attempts >= _MAX_ATTEMPTS and not progress.has_started:
-            return f'sent {progress.attempts} times'
+            return f'sent {progress.attempts} times, the maximum'
         if progress.attempts and progress.may_have_run:
-            return '' if self._task.is_retryable else 'it may have run'
+            return '' if self._task.is_retryable else 'it may have run and is not retryable'
         return ''
--- a/samphirerill/relay/succession.py
+++ b/samphirerill/relay/succession.py
@@ -113,6 +113,6 @@
     exc = task.exception()
     if exc is not None:
         # The stream is not lost: it is sent again as after any broken run.
-        _LOG.error('handover failed', extra={'error': repr(exc)})
+        _LOG.error('stream handover failed', extra={'error': repr(exc)})
         return None
     return task.result()
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -66,7 +66,7 @@
     ) -> None:
         with self.assertRaises(NoPathError) as caught:
             await self.admit(1e9, _NEW_RANK, 0.05)
-        self.assertIn('no room in layers', str(caught.exception))
+        self.assertIn('no replica has free memory for layers', str(caught.exception))
 
     async def test_request_without_live_layers_is_rejected_at_once(
         self,
@@ -80,7 +80,7 @@
         with self.assertRaises(OutageError) as caught:
             await self.admit(100, _NEW_RANK, 1.4)
         self.assertLess(self.loop.time() - now, 0.1)
-        self.assertIn('nobody holds layers 40-80', str(caught.exception))
+        self.assertIn('no replica holds layers 40-80', str(caught.exception))
         load_s = ENGINE.load_s / 2
         self.assertGreater(caught.exception.wait_s, load_s)
         self.assertLess(caught.exception.wait_s, load_s + 1)
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -119,7 +119,7 @@
         book.hear('other', {'two': Held(4, 3_000)}, 0)
         self.assertFalse(choose_path(ENGINE, known, book, request, 0))
         reason = explain_no_path(ENGINE, known, book, request)
-        self.assertEqual(reason, 'no room in layers 40-80')
+        self.assertEqual(reason, 'no replica has free memory for layers 40-80')
         book.forget_silent(PEER_TIMEOUT_S + 1)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
 
