--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -191,7 +191,7 @@
         )
         answer = await fetch(order.address, '/orders', body.encode())
         _LOG.info(
-            'ordered',
+            'order sent',
             extra={
                 'endpoint': order.endpoint,
                 'fence': order.fence,
--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -280,7 +280,7 @@
                 'transaction rejected: a key has another revision'
             )
         if status == _NOT_FOUND:
-            raise NoSuchLeaseError(f'lease {lease} has ended')
+            raise NoSuchLeaseError(f'lease {lease} has expired or was revoked')
         return _decode(body, _WriteAnswer).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
@@ -295,7 +295,7 @@
             'renew', 'POST', f'/kv-keep/{lease}', {}, {}
         )
         if status == _NOT_FOUND:
-            raise NoSuchLeaseError(f'lease {lease} has ended')
+            raise NoSuchLeaseError(f'lease {lease} has expired or was revoked')
 
     async def end_lease(self, lease: int) -> None:
         """Revoke a lease; its keys are deleted at once."""
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -263,7 +263,7 @@
                 assignment = _Assignment(layers, expires_at, replica)
                 self._assignments[replica.replica_id] = assignment
         _LOG.info(
-            'fleet',
+            'layers planned',
             extra={
                 'service': service,
                 'replicas': len(present),
@@ -326,7 +326,7 @@
         if assignment.is_accepted:
             assignment.expires_at = self._loop.time() + _ASSIGNMENT_TIMEOUT_S
         _LOG.info(
-            'ordered',
+            'layer order sent',
             extra={
                 'replica': replica.replica_id,
                 'kind': replica.accelerator,
--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -292,7 +292,7 @@
             # After the loop was blocked, data is read just before the timers
             # fire, so parts may be there in spite of the timeout.
             if not self._parts:
-                raise SilentEndpointError(f'{self.address}: no answer') from exc
+                raise SilentEndpointError(f'{self.address}: no response within the deadline') from exc
         finally:
             self._waiter = None
 
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -189,7 +189,7 @@
                 )
             except EndpointError as exc:
                 _LOG.info(
-                    'watcher failed',
+                    'call to a watcher node failed',
                     extra={'watcher': watcher, 'error': str(exc)},
                 )
             else:
--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -190,8 +190,8 @@
             )
             if apply_suspicion(self._state, name, suspicion):
                 _LOG.warning(
-                    'replica avoided',
-                    extra={'replica': name, 'reason': f'{alarm.node} says so'},
+                    'replica suspected',
+                    extra={'replica': name, 'reason': f'reported by {alarm.node}'},
                 )
 
     def _resolve(
--- a/samphirerill/relay/health/examiner.py
+++ b/samphirerill/relay/health/examiner.py
@@ -290,7 +290,7 @@
         if found is not None:
             self._suspect(
                 found.replica.replica_id,
-                'others wait for it',
+                'other replicas wait for it',
                 SURE_VOTES,
                 self._loop.time() - _STALL_REPORT_LAG_S,
                 AVOID_S,
@@ -310,7 +310,7 @@
         )
         if is_new:
             _LOG.warning(
-                'replica avoided',
+                'replica suspected',
                 extra={'replica': replica_id, 'reason': reason},
             )
             self._alarms.broadcast_suspicion(replica_id)
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -32,9 +32,9 @@
     """Outcome of a probe; values are the reasons in the log."""
 
     ALIVE = 'alive'
-    TERMINATED = 'has ended'
-    UNRESPONSIVE = 'does not answer'
-    INCONCLUSIVE = 'broke off'
+    TERMINATED = 'process has terminated'
+    UNRESPONSIVE = 'is unresponsive'
+    INCONCLUSIVE = 'response broke off'
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
 
 def _log_no_report(replica: Replica, exc: EndpointError) -> None:
     _LOG.info(
-        'no report',
+        'cannot get replica report',
         extra={'replica': replica.replica_id, 'reason': str(exc)},
     )
 
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -170,7 +170,7 @@
         if not unconfirmed:
             return
         _LOG.info(
-            'loss looked into',
+            'replicas probed after a loss',
             extra={
                 'share': len(share),
                 'asked': len(unconfirmed),
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -109,7 +109,7 @@
         try:
             await self._store.renew_lease(self._lease)
         except NoSuchLeaseError:
-            _LOG.warning('command lost', extra={'token': self.token})
+            _LOG.warning('leadership lost', extra={'token': self.token})
             self._lease = 0
             self._holder = ''
             return
@@ -143,4 +143,4 @@
         self._lease = lease
         self._lease_expires_at = now + _LEASE_TTL_S
         self._next_call_at = now + _RENEW_INTERVAL_S
-        _LOG.info('command taken', extra={'token': self.token})
+        _LOG.info('leadership acquired', extra={'token': self.token})
--- a/samphirerill/relay/peer_help.py
+++ b/samphirerill/relay/peer_help.py
@@ -118,7 +118,7 @@
         cfg = self._state.dialect.decode_configuration(text)
         if self._state.put_in_force(cfg, text):
             _LOG.info(
-                'configuration from a peer', extra={'version': cfg.version}
+                'configuration fetched from a peer', extra={'version': cfg.version}
             )
 
     async def _fetch_replicas(self, address: str) -> None:
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -111,7 +111,7 @@
 
     async def run(self) -> None:
         """Serve the request."""
-        outcome = _Outcome(is_not_run=True, reason='no endpoint')
+        outcome = _Outcome(is_not_run=True, reason='no endpoint is available')
         connects = 0
         while connects < _MAX_CONNECTS and self._may_send():
             endpoint = await self._wait_for_endpoint()
@@ -241,7 +241,7 @@
         )
         body = await read_body(conn, deadline)
         if facts.is_not_run and not is_success(head.status):
-            return _Outcome(is_not_run=True, reason='endpoint refused')
+            return _Outcome(is_not_run=True, reason='endpoint rejected the request')
         self._may_have_run = True
         self._quarantine.note_whole(self._task)
         return _Outcome(head, body)
@@ -288,7 +288,7 @@
         replica_id = endpoint.replica.replica_id
         if self._state.view.suspect(replica_id, now + _AVOIDANCE_S, now):
             _LOG.info(
-                'endpoint avoided',
+                'endpoint suspected',
                 extra={'replica': replica_id, 'reason': reason},
             )
 
--- a/samphirerill/relay/quarantine/keeper.py
+++ b/samphirerill/relay/quarantine/keeper.py
@@ -107,7 +107,7 @@
         if change.until:
             self._state.counters['quarantine.held'] += 1
             left_ms = round((change.until - now) * MS_PER_S)
-            _LOG.warning('request held back', extra={**fields, 'ms': left_ms})
+            _LOG.warning('request quarantined', extra={**fields, 'ms': left_ms})
         else:
             self._state.counters['quarantine.released'] += 1
-            _LOG.warning('request released', extra=fields)
+            _LOG.warning('request released from quarantine', extra=fields)
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -101,7 +101,7 @@
             UnreadableEvidenceError,
         ) as exc:
             fields = {'key': item.key, 'error': str(exc)}
-            _LOG.warning('stored hold is unreadable', extra=fields)
+            _LOG.warning('cannot decode stored hold', extra=fields)
             return
         self._stored[item.key] = hold.record.request
         age_ms = max(0, _read_clock_ms() - hold.written_ms)
@@ -122,7 +122,7 @@
             try:
                 await self._sync_once()
             except StoreError as exc:
-                _LOG.warning('hold is not stored', extra={'error': str(exc)})
+                _LOG.warning('cannot store hold', extra={'error': str(exc)})
                 await asyncio.sleep(_RETRY_DELAY_S)
 
     async def _sync_once(self) -> None:
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -98,8 +98,8 @@
         """
         record = self._state.quarantine.get_record(task.identity)
         if record is None or not record.deaths:
-            return 'it ended replicas'
-        return f'it ends replicas, first as {record.deaths[0].request_id}'
+            return 'it crashed replicas'
+        return f'it crashes replicas, first seen as {record.deaths[0].request_id}'
 
     def is_suspect(self, task: Task) -> bool:
         """Return whether more than one replica crashed with a request."""
@@ -202,7 +202,7 @@
         self._state.counters['quarantine.ends'] += 1
         request_ids = [run.request_id for run in failed_runs[:_MAX_LOGGED]]
         _LOG.info(
-            'replica ended under requests',
+            'replica crashed while starting requests',
             extra={
                 'replica': replica.replica_id,
                 'count': len(failed_runs),
--- a/samphirerill/relay/reload.py
+++ b/samphirerill/relay/reload.py
@@ -69,7 +69,7 @@
         try:
             return self._load(str(self._path))
         except InvalidDocumentError as exc:
-            _LOG.error('settings are faulty', extra={'error': str(exc)})
+            _LOG.error('settings file is invalid; keeping the current settings', extra={'error': str(exc)})
             return None
 
     def _read_file_version(self) -> tuple[int, int, int] | None:
@@ -129,10 +129,10 @@
         ]
         if needs_restart:
             _LOG.warning(
-                'a restart is needed', extra={'changed': needs_restart}
+                'changed settings need a restart', extra={'changed': needs_restart}
             )
         kept = {name: getattr(current, name) for name in _RESTART_ONLY}
         settings = structs.replace(loaded, **kept)
         self._state.change_settings(settings)
         self._store.change_address(settings.store)
-        _LOG.info('settings in force', extra={'store': settings.store})
+        _LOG.info('settings applied', extra={'store': settings.store})
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -71,7 +71,7 @@
             known, revision, self._get_grace(), self._find_leaves_at()
         )
         _LOG.info(
-            'replicas read',
+            'replicas listed from the store',
             extra={
                 'revision': revision,
                 'count': len(known),
@@ -94,7 +94,7 @@
             )
             if replica.layers != previous_layers:
                 _LOG.info(
-                    'replica holds',
+                    'replica layers changed',
                     extra={
                         'replica': replica.replica_id,
                         'layers': format_layers(replica.layers),
@@ -102,7 +102,7 @@
                     },
                 )
             if replica.is_leaving and not was_leaving:
-                _LOG.info('replica leaves', extra={'replica': item.key})
+                _LOG.info('replica is leaving', extra={'replica': item.key})
 
     def take_gone(self, gone: DeletedKey) -> None:
         """Apply a deletion, which after an outage may be an expired lease."""
@@ -112,7 +112,7 @@
             replica_id, gone.revision, grace_until, self._find_leaves_at()
         )
         _LOG.info(
-            'replica withdrawn',
+            'replica announcement removed',
             extra={'replica': replica_id, 'may_return': bool(grace_until)},
         )
 
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -183,7 +183,7 @@
         self.routes = RouteTable(cfg)
         self.view.services = frozenset(cfg.services)
         _LOG.info(
-            'configuration in force',
+            'configuration applied',
             extra={
                 'version': cfg.version,
                 'routes': len(cfg.routes),
--- a/samphirerill/relay/store_health.py
+++ b/samphirerill/relay/store_health.py
@@ -44,7 +44,7 @@
         """Record that a call succeeded."""
         if self.is_up:
             return
-        _LOG.info('store regained')
+        _LOG.info('store is reachable again')
         self.is_up = True
         self._first_success_at = min(now, self._first_success_at)
         if now - self._down_since >= _MIN_OUTAGE_S:
@@ -53,7 +53,7 @@
     def note_failure(self, exc: Exception, now: float) -> None:
         """Record that a call was refused or not answered."""
         if self.is_up:
-            _LOG.warning('store lost', extra={'error': str(exc)})
+            _LOG.warning('store is unreachable', extra={'error': str(exc)})
             self._down_since = now
         self.is_up = False
 
--- a/samphirerill/relay/usage.py
+++ b/samphirerill/relay/usage.py
@@ -67,4 +67,4 @@
         increase = used - self._logged
         self._logged = used
         if increase:
-            _LOG.info('used', extra={'counts': dict(increase)})
+            _LOG.info('usage since the last report', extra={'counts': dict(increase)})
