--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -145,7 +145,7 @@
 
     def _leave_failed_head(self, conn: HttpConnection) -> None:
         """Leave a head replica that is gone or drops its layers."""
-        if self._start_handover(conn, f'{self._path.head_id} is lost'):
+        if self._start_handover(conn, f'{self._path.head_id} has failed or stopped serving its layers'):
             return
         if self._path.is_head_dead() or self._can_resend():
             conn.close()
@@ -175,7 +175,7 @@
         )
         if not must_leave or not self._can_resend():
             self._schedule_departure(conn)
-        elif not self._start_handover(conn, 'could not be moved'):
+        elif not self._start_handover(conn, 'later stages were not replaced'):
             conn.close()
 
     async def _diagnose_silence(self, since: float, silence_s: float) -> float:
@@ -203,7 +203,7 @@
         head_id = self._path.head_id
         diagnosis = await self._examiner.examine(unproven)
         if head_id in diagnosis.dead:
-            self._leave_path(f'{head_id}: does not answer')
+            self._leave_path(f'{head_id} is unresponsive')
             return
         if not self._task.is_retryable:
             return
@@ -229,7 +229,7 @@
         """Leave a path that is silent for long although all replicas work."""
         waited_s = self._loop.time() - since
         if waited_s >= _MAX_SILENCE_S and self._can_resend():
-            self._leave_path(f'silent for {waited_s:.1f} s')
+            self._leave_path(f'no event for {waited_s:.1f} s')
 
     def _leave_path(self, reason: str) -> None:
         """Start a handover; raise if the stream has not started."""
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -240,7 +240,7 @@
             and head.status == _UNAVAILABLE
         ):
             self._examiner.check(faulty.replica)
-        self._record_refusal(replica_id, f'engine refused with {head.status}')
+        self._record_refusal(replica_id, f'engine rejected the stream with status {head.status}')
 
     async def _start_run(
         self,
@@ -254,7 +254,7 @@
         between the head and that, the stream would be left without any run.
         """
         head_id = stages[0].replica.replica_id
-        is_new_head = self.send(conn, stages, 'stream sent beside')
+        is_new_head = self.send(conn, stages, 'stream sent in parallel')
         head, facts = await self.read_head(conn, deadline)
         if facts.is_not_run:
             self.handle_rejection(
@@ -263,7 +263,7 @@
             return None
         if not is_success(head.status):
             self._record_parallel_failure(
-                head_id, f'engine answered {head.status}'
+                head_id, f'engine responded with status {head.status}'
             )
             return None
         await conn.wait_for_part(deadline)
@@ -283,14 +283,14 @@
     def _record_parallel_failure(self, replica_id: str, reason: str) -> None:
         """Record that a parallel run failed and exclude the replica."""
         self._path.avoid.add(replica_id)
-        self._log('parallel run failed', replica=replica_id, reason=reason)
+        self._log('stream run in parallel failed', replica=replica_id, reason=reason)
 
     def _record_refusal(self, replica_id: str, reason: str) -> None:
         """Record that a replica refused; it is not asked again at once."""
         self._exclude_for_now(replica_id, reason)
         self._state.view.refuse(replica_id, self._loop.time())
         self._state.counters['streams.refused'] += 1
-        self._log('engine refused', replica=replica_id, reason=reason)
+        self._log('engine rejected the stream', replica=replica_id, reason=reason)
 
     def _exclude_for_now(self, replica_id: str, reason: str) -> None:
         """Prefer other replicas for the next attempt.
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -285,7 +285,7 @@
     def _start_handover(self, conn: HttpConnection, reason: str) -> bool:
         """Start a handover; return whether the stream has started."""
         if self._progress.has_started and self._task.is_retryable:
-            self._log('stream leaves', reason=reason)
+            self._log('stream handover started', reason=reason)
             if must_begin_here(self._path) and self._limits.may_retry():
                 # The new run starts at the same head, which must not run the
                 # stream twice at a time.
@@ -302,7 +302,7 @@
         try:
             stages = await self._path.acquire_parallel(_STARTED_RANK, until)
         except NoPathError as exc:
-            self._log('stream stays', reason=str(exc))
+            self._log('stream handover not possible', reason=str(exc))
             return None
         run = None
         try:
@@ -318,7 +318,7 @@
         """Reserve a retry and send; return none if either fails."""
         denial = self._limits.acquire_attempt()
         if denial is not None:
-            self._log('stream stays', reason=denial.reason)
+            self._log('stream handover not possible', reason=denial.reason)
             return None
         attempts_before = self._progress.attempts
         run = await self._sender.start_parallel_run(
@@ -355,10 +355,10 @@
             head,
             await read_body(conn, self._task.deadline),
         )
-        self._progress.reason = f'engine answered {head.status}'
+        self._progress.reason = f'engine responded with status {head.status}'
         self._path.avoid.add(self._path.head_id)
         if not self._task.is_retryable:
-            self._fail('it may have run', 0)
+            self._fail('it may have run and is not retryable', 0)
 
     async def _relay(self, conn: HttpConnection, head: Head) -> None:
         """Pass the events on to the client."""
@@ -430,7 +430,7 @@
             self._path.finder.departed_heads.add(self._path.head_id)
         self._state.counters['streams.broken'] += 1
         self._log(
-            'stream broke',
+            'stream run failed',
             path=format_path(self._path.stages),
             last_event=self._progress.last_id,
             reason=self._progress.reason,
@@ -444,7 +444,7 @@
         if self._progress.has_started:
             self._state.counters['streams.cut'] += 1
             self._log(
-                'stream cut',
+                'stream aborted',
                 last_event=self._progress.last_id,
                 reason=self._progress.reason,
                 obstacle=denial,
--- a/samphirerill/reports/explain.py
+++ b/samphirerill/reports/explain.py
@@ -23,15 +23,15 @@
 _HIDDEN_FIELDS = frozenset(('time', 'level', 'part', 'event', 'request'))
 _QUARANTINE_EVENTS = frozenset(
     (
-        'replica ended under requests',
-        'request held back',
-        'request released',
+        'replica crashed while starting requests',
+        'request quarantined',
+        'request released from quarantine',
     )
 )
 _TIME_WIDTHS = (9, 10, 10, 9)
 _HEADER = (
-    f'{"cause":<32}{"streams":>8}{"late ms":>9}{"noticing":>10}'
-    f'{"deciding":>10}{"reading":>9}'
+    f'{"cause":<32}{"streams":>8}{"delay ms":>9}{"detection":>10}'
+    f'{"dispatch":>10}{"response":>9}'
 )
 
 
--- a/samphirerill/reports/lateness.py
+++ b/samphirerill/reports/lateness.py
@@ -21,15 +21,15 @@
 # Records of the same event may have slightly different times.
 _TIME_TOLERANCE_S = 0.002
 _SENT = 'stream sent'
-_SENT_IN_PARALLEL = 'stream sent beside'
+_SENT_IN_PARALLEL = 'stream sent in parallel'
 _MOVED = 'stream moved'
-_LEAVES = 'stream leaves'
-_BROKE = 'stream broke'
-_REFUSED = 'engine refused'
+_LEAVES = 'stream handover started'
+_BROKE = 'stream run failed'
+_REFUSED = 'engine rejected the stream'
 _ENDED = 'stream ended'
 _DISPATCH_EVENTS = frozenset((_SENT, _SENT_IN_PARALLEL, _MOVED))
 # Parts of reasons that say that a replica did not respond.
-_UNRESPONSIVE_REASONS = ('waits for', 'silent', 'does not answer')
+_UNRESPONSIVE_REASONS = ('is stalled by', 'no event for', 'is unresponsive')
 
 
 class Cause(enum.Enum):
@@ -94,7 +94,7 @@
 ) -> LateStream | None:
     first_ms = end_record.fields.get('first_ms', 0)
     pause_ms = end_record.fields.get('most_gap_ms', 0)
-    if any(record.event == 'stream cut' for record in records):
+    if any(record.event == 'stream aborted' for record in records):
         return LateStream(request, Cause.CUT_BY_NODE, pause_ms)
     if pause_ms > targets.pause_ms:
         return _classify_pause(request, records, end_record, pause_ms)
--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -44,9 +44,9 @@
         1, 'stream sent', request='unresponsive', path='one:0-80', waited_ms=1
     ),
     # The pause lasts from 2.0 s to 2.3 s.
-    _line(2.08, 'replica avoided', replica='one', reason='does not answer'),
+    _line(2.08, 'replica suspected', replica='one', reason='is unresponsive'),
     _line(
-        2.1, 'stream broke', request='unresponsive', reason='path waits for one'
+        2.1, 'stream run failed', request='unresponsive', reason='path is stalled by one'
     ),
     _line(
         2.2, 'stream sent', request='unresponsive', path='two:0-80', waited_ms=9
@@ -63,10 +63,10 @@
 
 _QUARANTINE_LOG = [
     _line(1, 'stream sent', request='first', path='one:0-80', waited_ms=1),
-    _line(2, 'replica ended under requests', requests=['first'], count=3),
+    _line(2, 'replica crashed while starting requests', requests=['first'], count=3),
     _line(
         5,
-        'request held back',
+        'request quarantined',
         first_request='first',
         deaths=[{'endpoint': 'one', 'request': 'first', 'ago_ms': 3000}],
     ),
@@ -75,7 +75,7 @@
         'refused',
         request='later',
         status=503,
-        reason='it ends replicas, first as first',
+        reason='it crashes replicas, first seen as first',
     ),
     _line(9, 'refused', request='other', status=503, reason='no path'),
 ]
@@ -107,8 +107,8 @@
         self,
     ) -> None:
         expected = {
-            'first': ['stream sent', 'replica ended', 'request held back'],
-            'later': ['request held back', 'refused'],
+            'first': ['stream sent', 'replica crashed', 'request quarantined'],
+            'later': ['request quarantined', 'refused'],
             'other': ['refused'],
         }
         with TemporaryDirectory() as folder:
@@ -125,16 +125,16 @@
 
     def test_unresponsive_replica_is_distinguished_from_lost_one(self) -> None:
         reasons = {
-            'silent': ('one: does not answer', Cause.REPLICA_UNRESPONSIVE),
-            'lost': ('one is lost', Cause.MOVED),
+            'silent': ('one is unresponsive', Cause.REPLICA_UNRESPONSIVE),
+            'lost': ('one has failed or stopped serving its layers', Cause.MOVED),
         }
         for request, (reason, cause) in reasons.items():
             with self.subTest(request):
                 index = LogIndex()
                 lines = (
                     _line(1, 'stream sent', request=request, waited_ms=1),
-                    _line(2.1, 'stream leaves', request=request, reason=reason),
-                    _line(2.15, 'stream sent beside', request=request),
+                    _line(2.1, 'stream handover started', request=request, reason=reason),
+                    _line(2.15, 'stream sent in parallel', request=request),
                     _end(4, request, 300, 1700),
                 )
                 index.add_lines(f'edge-1 {line}' for line in lines)
@@ -170,7 +170,7 @@
             with contextlib.redirect_stdout(out):
                 code = main(['explain', str(path), '--request', 'unresponsive'])
             self.assertEqual(code, 0)
-            self.assertIn('replica avoided', out.getvalue())
+            self.assertIn('replica suspected', out.getvalue())
             with contextlib.redirect_stderr(io.StringIO()):
                 code = main(['explain', str(path), '--request', 'nobody'])
             self.assertEqual(code, 1)
