--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -17,35 +17,35 @@
 from typing import Any
 
 from samphirerill.backends.etcd import EtcdStore
-from samphirerill.backends.peers import measure_word
+from samphirerill.backends.peers import measure_message
 from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
 from samphirerill.control.claims import (
-    Batch,
+    ClaimBatch,
     Settlement,
     build_claim,
     build_transaction,
 )
 from samphirerill.control.configuration_log import Change
 from samphirerill.control.configuration_view import ConfigurationView
-from samphirerill.control.evidence import Evidence
+from samphirerill.control.evidence import ConfigurationFreshness
 from samphirerill.control.patches import apply_patch
 from samphirerill.core.commands import OpenAttempt, Outcome, WriteClaim
 from samphirerill.core.events import (
     AttemptSent,
     ConfigurationAccepted,
-    NodesSeen,
+    NodeCountReported,
     RequestArrived,
     TokenArrived,
 )
 from samphirerill.core.model import build_configuration
 from samphirerill.core.router import Router
 from samphirerill.node.accounts import KeyIndex
-from samphirerill.node.gossip import PARTNERS, Gossip
-from samphirerill.node.probes import build_fetch
+from samphirerill.node.gossip import FANOUT, Gossip
+from samphirerill.node.probes import build_fetch_request
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
-from samphirerill.testing.engine import EngineStandIn
-from samphirerill.testing.layout import COACH_KEY, build_three_stages
+from samphirerill.testing.engine import FakeEngine
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, build_three_stages
 
 # Also the number of nanoseconds in a millisecond.
 US_PER_S = 1_000_000
@@ -80,7 +80,7 @@
     return Line(mean_y - slope * mean_x, slope)
 
 
-def build_large_document(
+def build_configuration_document(
     replicas: int, accounts: int, models: int
 ) -> dict[str, Any]:
     """Return a configuration with four stages for each model."""
@@ -164,7 +164,7 @@
 
 def measure_change(replicas: int, accounts: int) -> dict[str, float]:
     """Return CPU time and size of a configuration change at one node."""
-    document = build_large_document(replicas, accounts, 16)
+    document = build_configuration_document(replicas, accounts, 16)
     patch = [
         {'op': 'replace', 'path': '/endpoints/e1/slots', 'value': 16},
     ]
@@ -197,16 +197,16 @@
     rng = random.Random(seed)  # noqa: S311
     gossips = [_build_gossip(number) for number in range(nodes)]
     for gossip in gossips:
-        gossip.follower.view.install(1, {'seen': []})
+        gossip.follower.view.replace_document(1, {'seen': []})
     patch = [{'op': 'add', 'path': '/seen/-', 'value': 1}]
-    gossips[0].follower.offer(Change(2, 'f' * 32, patch, 'operator', 0))
+    gossips[0].follower.apply_change(Change(2, 'f' * 32, patch, 'operator', 0))
     rounds = 0
     total_bytes = 0
     started = time.process_time_ns()
     while any(item.follower.view.version < 2 for item in gossips):
         rounds += 1
         for gossip in gossips:
-            for partner in rng.sample(gossips, PARTNERS):
+            for partner in rng.sample(gossips, FANOUT):
                 total_bytes += gossip.exchange_with(partner)
     spent_us = (time.process_time_ns() - started) / 1000
     return {
@@ -249,7 +249,7 @@
     The address of all endpoints is a closed local port, so every load poll
     fails at once.
     """
-    document = build_large_document(770, 1100, 16)
+    document = build_configuration_document(770, 1100, 16)
     for endpoint in document['endpoints'].values():
         endpoint['address'] = '127.0.0.1:9'
     with Cluster(build_three_stages(), 1) as cluster:
@@ -304,8 +304,8 @@
         Settlement(claim, Outcome.ANSWERED, answer) for claim in claims
     ]
     store = _CountingStore()
-    store.commit(build_transaction(Batch(claims, []), ''))
-    store.commit(build_transaction(Batch([], settlements), ''))
+    store.commit(build_transaction(ClaimBatch(claims, []), ''))
+    store.commit(build_transaction(ClaimBatch([], settlements), ''))
     return {'bytes': store.bytes_sent, 'calls': store.calls}
 
 
@@ -330,14 +330,14 @@
         self.follower = follower
         self._node = node
         self._follower = follower
-        self._heard = {}
+        self._peer_statuses = {}
 
     def exchange_with(self, other: _LocalGossip) -> int:
         """Exchange messages with another node; return the bytes of both."""
-        message = self._build_word()
-        answer = other._answer(message)  # noqa: SLF001
-        self._hear(answer)
-        return measure_word(message) + measure_word(answer)
+        message = self._build_message()
+        answer = other._build_reply(message)  # noqa: SLF001
+        self._handle_message(answer)
+        return measure_message(message) + measure_message(answer)
 
 
 def _build_gossip(number: int) -> _LocalGossip:
@@ -349,17 +349,17 @@
         router=router,
     )
     follower = SimpleNamespace(
-        view=view, evidence=Evidence(0), offer=view.offer
+        view=view, evidence=ConfigurationFreshness(0), apply_change=view.apply_change
     )
     return _LocalGossip(node, follower)
 
 
 async def _measure_polls() -> dict[str, float]:
-    engine = EngineStandIn()
+    engine = FakeEngine()
     address = await engine.start('127.0.0.1', 0)
     host, _, port = address.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
-    request = build_fetch('/load', address)
+    request = build_fetch_request('/load', address)
     writer.write(request)
     head = await reader.readuntil(b'\r\n\r\n')
     body = await reader.readuntil(b'}}')
@@ -373,10 +373,10 @@
 
 def _build_router(replicas: int, accounts: int) -> Router:
     router = Router('n1', seed=1)
-    document = build_large_document(replicas, accounts, 16)
+    document = build_configuration_document(replicas, accounts, 16)
     event = ConfigurationAccepted(build_configuration(document, 1))
     router.apply(event, 0)
-    router.apply(NodesSeen(400), 0)
+    router.apply(NodeCountReported(400), 0)
     return router
 
 
@@ -395,7 +395,7 @@
     tasks = []
     for number in range(streams):
         request = ClientRequest(
-            time.monotonic(), f's{number}', tokens, COACH_KEY
+            time.monotonic(), f's{number}', tokens, FIRST_ACCOUNT_KEY
         )
         results.append(RequestResult(request))
         tasks.append(
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -24,18 +24,18 @@
 from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.clients import (
-    Answer,
+    ClientResponse,
     CallError,
     call_json,
-    call_raw,
+    send_request,
 )
 from samphirerill.testing.cluster import NodeProcess, wait_for
-from samphirerill.testing.layout import COACH_KEY, OPERATOR_KEY
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, OPERATOR_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_ACCOUNTS = [LoadAccount(COACH_KEY, 'plans', 1)]
+_ACCOUNTS = [LoadAccount(FIRST_ACCOUNT_KEY, 'plans', 1)]
 _FAULT_AT_S = 3.0
 _OUTAGE_S = 5.0
 _KEY_COUNT = 60
@@ -259,17 +259,17 @@
     )
 
 
-def _send_keyed_requests(target: Target, name: str, count: int) -> list[Answer]:
+def _send_keyed_requests(target: Target, name: str, count: int) -> list[ClientResponse]:
     """Send a request for each key twice at once, to different processes."""
     addresses = target.list_addresses()
 
-    def send(number: int) -> Answer:
+    def send(number: int) -> ClientResponse:
         key = f'{name}-{number // 2}'
         address = addresses[number % len(addresses)]
-        return call_raw(
+        return send_request(
             address,
             '/svc/notices/pickup',
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             json.dumps({'notice': key}).encode(),
             headers={'Idempotency-Key': key},
             timeout_s=8,
@@ -279,7 +279,7 @@
         return list(threads.map(send, range(2 * count)))
 
 
-def _check_outcome(answer: Answer, verdict: Verdict) -> None:
+def _check_outcome(answer: ClientResponse, verdict: Verdict) -> None:
     if not answer.outcome and not (answer.status == _OK and answer.body):
         verdict.missing_outcomes += 1
         verdict.notes.append(
@@ -339,12 +339,12 @@
     def submit_patches(number: int) -> None:
         for _ in range(_PATCHES_PER_OPERATOR):
             entries = store.read_prefix(_COUNTER_KEY).entries
-            count = int(entries[0].text) if entries else 0
+            count = int(entries[0].stored_value) if entries else 0
             put = Put(_COUNTER_KEY, str(count + 1))
             store.commit(Transaction(puts=[put]))
 
     _run_threads(submit_patches, _OPERATOR_COUNT)
-    final_value = int(store.read_prefix(_COUNTER_KEY).entries[0].text)
+    final_value = int(store.read_prefix(_COUNTER_KEY).entries[0].stored_value)
     accepted = _OPERATOR_COUNT * _PATCHES_PER_OPERATOR
     metrics: dict[str, Any] = {
         'accepted': accepted,
--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -23,10 +23,10 @@
 
 from samphirerill.backends.store import (
     Put,
-    Stored,
+    StoredEntry,
     StoreUnreachableError,
     Transaction,
-    Unchanged,
+    RevisionEquals,
 )
 from samphirerill.control.errors import ConfigurationError, InvalidPatchError
 from samphirerill.control.parts import PART_CHARS, PartStore
@@ -34,10 +34,10 @@
 from samphirerill.settings.checks import check_configuration
 
 if TYPE_CHECKING:
-    from samphirerill.backends.store import Committed, KeyValueStore
+    from samphirerill.backends.store import TransactionResult, KeyValueStore
 
 HEAD_KEY = 'shared/config/head'
-LOG = 'shared/config/log/'
+LOG_PREFIX = 'shared/config/log/'
 SNAPSHOT_KEY = 'shared/config/snapshot'
 SNAPSHOT_INTERVAL = 50
 RETAINED_CHANGES = 500
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedConfiguration:
     """A complete configuration read from the service."""
 
     version: int
@@ -108,14 +108,14 @@
         self,
         store: KeyValueStore,
         prefix: str,
-        settle_pause_s: float = _RETRY_PAUSE_S,
+        retry_pause_s: float = _RETRY_PAUSE_S,
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._retry_pause_s = settle_pause_s
+        self._retry_pause_s = retry_pause_s
         self._parts = PartStore(store, prefix)
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedConfiguration:
         """Read the newest snapshot and all later changes."""
         stored = self._store.read_prefix(f'{self._prefix}shared/config/')
         by_key = {
@@ -126,13 +126,13 @@
         changes = [
             self.read_change(entry)
             for key, entry in by_key.items()
-            if key.startswith(LOG)
+            if key.startswith(LOG_PREFIX)
         ]
         for change in changes:
             if change.version == version + 1:
                 document = apply_patch(document, change.patch)
                 version = change.version
-        return Loaded(version, document, stored.revision, changes)
+        return LoadedConfiguration(version, document, stored.revision, changes)
 
     def read_version(self) -> int:
         """Return the accepted version with one small read."""
@@ -140,9 +140,9 @@
             0
         ]
 
-    def read_change(self, entry: Stored) -> Change:
+    def read_change(self, entry: StoredEntry) -> Change:
         """Return a log entry's change, fetching its parts if any."""
-        document = json.loads(entry.text)
+        document = json.loads(entry.stored_value)
         if 'parts' in document:
             text = self._parts.read(document['id'])
             document['patch'] = json.loads(text)
@@ -150,7 +150,7 @@
 
     def read_changes(self, after: int) -> list[Change]:
         """Return the changes after a version, in order."""
-        stored = self._store.read_prefix(self._key(LOG))
+        stored = self._store.read_prefix(self._key(LOG_PREFIX))
         return [
             self.read_change(entry)
             for entry in stored.entries
@@ -208,7 +208,7 @@
         if version != change.version - 1:
             raise StaleBaseError(change.version - 1, version)
         transaction = Transaction(
-            conditions=[Unchanged(self._key(HEAD_KEY), revision)],
+            conditions=[RevisionEquals(self._key(HEAD_KEY), revision)],
             puts=[
                 Put(
                     self._key(HEAD_KEY), json.dumps({'version': change.version})
@@ -218,7 +218,7 @@
                     self._serialize_change(change),
                 ),
             ],
-            read=[self._log_key(change.version), self._key(HEAD_KEY)],
+            else_reads=[self._log_key(change.version), self._key(HEAD_KEY)],
         )
         self._commit_change(change, transaction)
 
@@ -231,11 +231,11 @@
         """
         committed = self._commit_with_retries(change, transaction)
         if not committed.succeeded:
-            self._check_own_change(change, committed.found)
+            self._check_own_change(change, committed.entries)
 
     def _commit_with_retries(
         self, change: Change, transaction: Transaction
-    ) -> Committed:
+    ) -> TransactionResult:
         deadline = time.monotonic() + _COMMIT_TIMEOUT_S
         may_have_applied = False
         while time.monotonic() <= deadline:
@@ -249,13 +249,13 @@
         raise UnknownResultError(change.version)
 
     def _check_own_change(
-        self, change: Change, stored: dict[str, Stored]
+        self, change: Change, stored: dict[str, StoredEntry]
     ) -> None:
         entry = stored.get(self._log_key(change.version))
-        if entry and json.loads(entry.text)['id'] == change.change_id:
+        if entry and json.loads(entry.stored_value)['id'] == change.change_id:
             return
         head = stored.get(self._key(HEAD_KEY))
-        current = json.loads(head.text)['version'] if head else 0
+        current = json.loads(head.stored_value)['version'] if head else 0
         raise StaleBaseError(change.version - 1, current)
 
     def _serialize_change(self, change: Change) -> str:
@@ -296,18 +296,18 @@
         return [self._log_key(number) for number in range(first, last)]
 
     def _read_snapshot(
-        self, entry: Stored | None
+        self, entry: StoredEntry | None
     ) -> tuple[int, dict[str, Any]]:
         if entry is None:
             return 0, {}
-        spec = json.loads(entry.text)
+        spec = json.loads(entry.stored_value)
         return spec['version'], json.loads(self._parts.read(spec['id']))
 
     def _key(self, name: str) -> str:
         return f'{self._prefix}{name}'
 
     def _log_key(self, version: int) -> str:
-        return self._key(f'{LOG}{version:012}')
+        return self._key(f'{LOG_PREFIX}{version:012}')
 
 
 def parse_change(document: dict[str, Any]) -> Change:
@@ -321,8 +321,8 @@
     )
 
 
-def _read_head(entries: list[Stored]) -> tuple[int, int]:
+def _read_head(entries: list[StoredEntry]) -> tuple[int, int]:
     """Return the accepted version and the revision that wrote it."""
     if not entries:
         return 0, 0
-    return json.loads(entries[0].text)['version'], entries[0].revision
+    return json.loads(entries[0].stored_value)['version'], entries[0].revision
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -18,15 +18,15 @@
     get_queue_name,
     refuse_request,
 )
-from samphirerill.core.events import EvidenceTold
+from samphirerill.core.events import EvidenceReceived
 from samphirerill.core.handling import handle
 from samphirerill.core.starting import dispatch_queue
-from samphirerill.quarantine import Death
-from samphirerill.quarantine.book import BEGINNING_S, SETTLE_S
-from samphirerill.quarantine.messages import take_told
+from samphirerill.quarantine import Crash
+from samphirerill.quarantine.book import SURVIVAL_S, SETTLE_S
+from samphirerill.quarantine.messages import apply_messages
 
 if TYPE_CHECKING:
-    from samphirerill.core.events import ProbeAnswered
+    from samphirerill.core.events import ProbeFinished
     from samphirerill.core.state import AttemptState, CoreState, RequestState
 
 QUARANTINE_DETAIL = 'endpoints end when they run this request'
@@ -34,10 +34,10 @@
 _TIMER_SLACK_S = 0.005
 
 
-@handle.register(EvidenceTold)
-def on_evidence_told(event: EvidenceTold, state: CoreState, now: float) -> None:
+@handle.register(EvidenceReceived)
+def on_evidence_told(event: EvidenceReceived, state: CoreState, now: float) -> None:
     """Merge another node's crash records."""
-    if take_told(state.quarantine, event.records, now):
+    if apply_messages(state.quarantine, event.records, now):
         _schedule_evaluation(state, now)
 
 
@@ -45,7 +45,7 @@
     state: CoreState, identity: bytes, now: float
 ) -> Problem | None:
     """Return the refusal of a quarantined request, or None."""
-    until = state.quarantine.find_held_until(identity, now)
+    until = state.quarantine.get_held_until(identity, now)
     if not until:
         return None
     return Problem(
@@ -70,19 +70,19 @@
         record_survival(state, req, now)
         return False
     for stage in attempt.stages:
-        death = Death(stage.endpoint, req.request_id, now)
+        crash = Crash(stage.endpoint, req.request_id, now)
         crashes = state.suspected_crashes.setdefault(stage.endpoint, {})
-        crashes[req.identity] = death
+        crashes[req.identity] = crash
     return True
 
 
-def record_probe(state: CoreState, event: ProbeAnswered, now: float) -> None:
+def record_probe(state: CoreState, event: ProbeFinished, now: float) -> None:
     """Count the suspected crashes of an endpoint if it has ended."""
     crashes = state.suspected_crashes.pop(event.endpoint, {})
-    if not event.has_ended:
+    if not event.is_refused:
         return
-    for identity, death in crashes.items():
-        state.quarantine.note_death(identity, death, now)
+    for identity, crash in crashes.items():
+        state.quarantine.note_crash(identity, crash, now)
         _schedule_evaluation(state, now)
 
 
@@ -105,7 +105,7 @@
 
 def evaluate_quarantine(state: CoreState, now: float) -> None:
     """Update the quarantine and refuse requests that entered it."""
-    for decision in state.quarantine.judge(now):
+    for decision in state.quarantine.update_holds(now):
         kind = 'held' if decision.until else 'released'
         state.counters[f'quarantine.{kind}'] += 1
         if decision.until:
@@ -145,7 +145,7 @@
 
 
 def _has_survived_start(attempt: AttemptState) -> bool:
-    return attempt.last_token_at - attempt.first_token_at >= BEGINNING_S
+    return attempt.last_token_at - attempt.first_token_at >= SURVIVAL_S
 
 
 def _schedule_evaluation(state: CoreState, now: float) -> None:
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -11,33 +11,33 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from samphirerill.fleet.load import LoadBook
+    from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.paths import PathRequest
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
 
 
 def explain_no_path(
     engine: EngineSpec,
-    usable: Sequence[Known],
-    book: LoadBook,
+    usable: Sequence[ReplicaState],
+    load_tracker: LoadTracker,
     request: PathRequest,
 ) -> str:
     """Return what is missing: a holder of layers, memory, or a connection."""
     candidates = [
         found
         for found in usable
-        if found.replica.replica_id not in request.avoid
+        if found.replica.replica_id not in request.excluded
     ]
     gap = find_gap(engine, list_ranges(candidates))
     if gap is not None:
-        return f'nobody holds layers {format_layers(gap)}'
+        return f'no replica holds layers {format_layers(gap)}'
     with_memory = [
         found
         for found in candidates
-        if has_memory(engine, found, book, request)
+        if has_memory(engine, found, load_tracker, request)
     ]
     gap = find_gap(engine, list_ranges(with_memory))
     if gap is not None:
-        return f'no room in layers {format_layers(gap)}'
-    return 'no way between the parts that have room'
+        return f'no replica has free memory for layers {format_layers(gap)}'
+    return 'no path connects the replicas that have free memory'
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -25,10 +25,10 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
 
-    from samphirerill.fleet.load import LoadBook
+    from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.pipes import PipeUse
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.pipes import LinkUsage
+    from samphirerill.fleet.view import ReplicaState
 
 # Load reports of other nodes lag, and answers may be longer than announced. The
 # rest is reserved for streams that lost their path.
@@ -71,43 +71,43 @@
 
 @dataclass(slots=True)
 class PathRequest:
-    """Requirements of a path: memory for `tokens` without replicas in `avoid`.
+    """Requirements of a path: memory for `tokens` without replicas in `excluded`.
 
-    `heads` limits the replicas that may run the first stage; empty means any.
-    `first_end` is where the first stage must end; 0 means anywhere. Replicas in
-    `held` already hold the tokens. An urgent request, whose stream has begun,
-    may use the reserved memory and links with a longer queue. `home` is the
+    `first_replicas` limits the replicas that may run the first stage; empty means any.
+    `first_stage_end` is where the first stage must end; 0 means anywhere. Replicas in
+    `prefilled_on` already hold the tokens. An urgent request, whose stream has begun,
+    may use the reserved memory and links with a longer queue. `data_centre` is the
     data centre of the requesting node.
     """
 
     tokens: float
-    avoid: Collection[str] = ()
-    heads: frozenset[str] = frozenset()
-    first_end: int = 0
-    pipes: PipeUse | None = None
+    excluded: Collection[str] = ()
+    first_replicas: frozenset[str] = frozenset()
+    first_stage_end: int = 0
+    links: LinkUsage | None = None
     is_urgent: bool = False
-    held: frozenset[str] = frozenset()
-    home: str = ''
+    prefilled_on: frozenset[str] = frozenset()
+    data_centre: str = ''
     policy: Policy = Policy()
 
 
 def choose_path(
     engine: EngineSpec,
-    usable: Sequence[Known],
-    book: LoadBook,
+    usable: Sequence[ReplicaState],
+    load_tracker: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> tuple[Stage, ...]:
     """Return the stages of the cheapest feasible path, or an empty tuple."""
     candidates = [
         _Candidate(
-            found.replica, _score_layer(engine, found, book, request, now)
+            found.replica, _score_layer(engine, found, load_tracker, request, now)
         )
         for found in usable
-        if found.replica.replica_id not in request.avoid
-        and has_memory(engine, found, book, request)
+        if found.replica.replica_id not in request.excluded
+        and has_memory(engine, found, load_tracker, request)
     ]
-    return _PathSearch(engine, candidates, book, request, now).find()
+    return _PathSearch(engine, candidates, load_tracker, request, now).find()
 
 
 class _PathSearch:
@@ -120,7 +120,7 @@
 
     __slots__ = (
         '_best',
-        '_book',
+        '_load_tracker',
         '_engine',
         '_candidates',
         '_now',
@@ -132,13 +132,13 @@
         self,
         engine: EngineSpec,
         candidates: Sequence[_Candidate],
-        book: LoadBook,
+        load_tracker: LoadTracker,
         request: PathRequest,
         now: float,
     ) -> None:
         self._engine = engine
         self._candidates = candidates
-        self._book = book
+        self._load_tracker = load_tracker
         self._request = request
         self._now = now
         # For each end, the cheapest partial path in each data centre.
@@ -164,7 +164,7 @@
         boundaries = {
             candidate.replica.held.end for candidate in self._candidates
         }
-        boundaries.add(self._request.first_end)
+        boundaries.add(self._request.first_stage_end)
         return sorted(
             boundary
             for boundary in boundaries
@@ -192,27 +192,27 @@
         return candidates_by_boundary
 
     def _is_pinned_first_stage(self, replica: Replica) -> bool:
-        """Return whether a replica's stage ends at `first_end`.
+        """Return whether a replica's stage ends at `first_stage_end`.
 
         A stream that moves keeps its first stage unchanged. Its replica may
         hold more layers by now, but must not occur on the path again.
         """
         request = self._request
-        return bool(request.first_end) and replica.replica_id in request.heads
+        return bool(request.first_stage_end) and replica.replica_id in request.first_replicas
 
     def _can_start(self, replica: Replica) -> bool:
         if (
-            self._request.heads
-            and replica.replica_id not in self._request.heads
+            self._request.first_replicas
+            and replica.replica_id not in self._request.first_replicas
         ):
             return False
         if replica.held.first or not replica.held.end:
             return False
-        return self._book.requests(replica.replica_id) < self._engine.slots
+        return self._load_tracker.count_requests(replica.replica_id) < self._engine.slots
 
     def _start_path(self, candidate: _Candidate) -> None:
         held = candidate.replica.held
-        end = self._request.first_end or held.end
+        end = self._request.first_stage_end or held.end
         if end <= held.end:
             penalty_ms = self._find_remote_entry_ms(candidate.replica)
             self._add(None, candidate, LayerRange(0, end), penalty_ms)
@@ -220,7 +220,7 @@
     def _find_remote_entry_ms(self, replica: Replica) -> float:
         """Return the penalty for a first stage in another data centre."""
         request = self._request
-        is_local = not request.home or replica.data_centre == request.home
+        is_local = not request.data_centre or replica.data_centre == request.data_centre
         return (
             0.0
             if is_local or not request.policy.near_heads
@@ -257,7 +257,7 @@
         """Return the cost of a crossing, or ``None`` if the link is full."""
         if origin == destination:
             return 0.0
-        pipes = self._request.pipes
+        pipes = self._request.links
         if pipes is None:
             return self._transfer_ms
         if not pipes.is_open(
@@ -289,11 +289,11 @@
             )
 
 
-def predict_gap_ms(
+def predict_event_interval_ms(
     engine: EngineSpec,
-    known: dict[str, Known],
+    known: dict[str, ReplicaState],
     stages: tuple[Stage, ...],
-    book: LoadBook,
+    load_tracker: LoadTracker,
     now: float,
 ) -> float:
     """Return the predicted time between two events on a path."""
@@ -301,13 +301,13 @@
     for stage in stages:
         found = known.get(stage.replica.replica_id)
         if found is not None:
-            layer_ms = _predict_layer_ms(engine, found, book, now)
+            layer_ms = _predict_layer_ms(engine, found, load_tracker, now)
             total += layer_ms * stage.layers.count
     return total
 
 
 def count_token_capacity(
-    engine: EngineSpec, found: Known, layers: LayerRange
+    engine: EngineSpec, found: ReplicaState, layers: LayerRange
 ) -> float:
     """Return how many tokens fit in a replica's memory beside its layers."""
     accelerator = engine.accelerators.get(found.replica.accelerator)
@@ -317,45 +317,45 @@
 
 
 def has_memory(
-    engine: EngineSpec, found: Known, book: LoadBook, request: PathRequest
+    engine: EngineSpec, found: ReplicaState, load_tracker: LoadTracker, request: PathRequest
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
     if replica.layers is None:
         return False
-    if replica.replica_id in request.held:
+    if replica.replica_id in request.prefilled_on:
         return True
     max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
     capacity = count_token_capacity(engine, found, replica.layers) * max_use
-    return book.tokens(replica.replica_id) + request.tokens <= capacity
+    return load_tracker.count_tokens(replica.replica_id) + request.tokens <= capacity
 
 
 def _predict_layer_ms(
-    engine: EngineSpec, found: Known, book: LoadBook, now: float
+    engine: EngineSpec, found: ReplicaState, load_tracker: LoadTracker, now: float
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
     accelerator = engine.accelerators.get(replica.accelerator)
     if accelerator is None:
         return float('inf')
-    running = book.requests(replica.replica_id) + 1
+    running = load_tracker.count_requests(replica.replica_id) + 1
     slowness = found.slowness if found.slow_until > now else 1.0
     return predict_stage_ms(engine, accelerator, 1, running, slowness)
 
 
 def _score_layer(
     engine: EngineSpec,
-    found: Known,
-    book: LoadBook,
+    found: ReplicaState,
+    load_tracker: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> float:
     """Return the cost of one layer, including the penalty for co-location."""
-    layer_ms = _predict_layer_ms(engine, found, book, now)
+    layer_ms = _predict_layer_ms(engine, found, load_tracker, now)
     accelerator = engine.accelerators.get(found.replica.accelerator)
     if accelerator is None or not request.policy.spread:
         return layer_ms
-    stream_count = book.requests(found.replica.replica_id)
+    stream_count = load_tracker.count_requests(found.replica.replica_id)
     prefill_ms = predict_prefill_ms(engine, accelerator, 1, engine.usual_prompt)
     return layer_ms + COLOCATION_WEIGHT * stream_count * prefill_ms
 
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -9,16 +9,16 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.core.events import DrainRequested
-from samphirerill.core.queries import count_open
-from samphirerill.edges.callers import CallersRoot
-from samphirerill.edges.operators import OperatorsRoot
+from samphirerill.core.queries import count_open_requests
+from samphirerill.edges.callers import ClientApi
+from samphirerill.edges.operators import OperatorApi
 from samphirerill.edges.serving import HttpServer, ListenError
 from samphirerill.node.arrivals import RequestReceiver
 from samphirerill.node.claim_writer import ClaimWriter
 from samphirerill.node.follower import ConfigurationFollower
 from samphirerill.node.gossip import Gossip
 from samphirerill.node.logs import get_logger
-from samphirerill.node.members import Members
+from samphirerill.node.members import Membership
 from samphirerill.node.node import Node
 from samphirerill.node.operations import NodeOperations
 from samphirerill.node.probes import poll_loads
@@ -49,7 +49,7 @@
     def __init__(self, settings: Settings) -> None:
         self.node = Node(settings)
         self.worker = StoreWorker(EtcdStore(settings.store))
-        self.members = Members(self.node, self.worker)
+        self.members = Membership(self.node, self.worker)
         self.follower = ConfigurationFollower(
             self.node, self.worker, self.members
         )
@@ -159,7 +159,7 @@
         """Count open requests, plus one if claims are still unwritten."""
         claim_writer = self.node.claim_writer
         unwritten = 0 if claim_writer is None or claim_writer.is_idle() else 1
-        return count_open(self.node.router.state) + unwritten
+        return count_open_requests(self.node.router.state) + unwritten
 
     async def _stop(self) -> None:
         self.follower.stop()
@@ -179,7 +179,7 @@
         spec = self._settings.callers
         request_receiver = RequestReceiver(self.node)
         return HttpServer(
-            CallersRoot(
+            ClientApi(
                 request_receiver.receive_from_thread,
                 lambda: self.node.is_healthy,
             ),
@@ -192,7 +192,7 @@
 
     def _build_operator_server(self) -> HttpServer:
         spec = self._settings.operators
-        root = OperatorsRoot(self._settings, NodeOperations(self))
+        root = OperatorApi(self._settings, NodeOperations(self))
         return HttpServer(
             root,
             spec.host,
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -21,12 +21,12 @@
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import WatchBatch
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
 LEAVING_PREFIX = 'shared/leaving/'
-FLEET_READERS = 8
+FLEET_READS_PER_INTERVAL = 8
 _LOG = get_logger('vms')
 
 
@@ -34,7 +34,7 @@
     """Periodically reads the VM list and publishes leaving endpoints."""
 
     def __init__(
-        self, node: Node, worker: StoreWorker, members: Members
+        self, node: Node, worker: StoreWorker, members: Membership
     ) -> None:
         self._node = node
         self._worker = worker
@@ -68,7 +68,7 @@
     def _get_read_interval_s(self) -> float:
         """Return the interval between reads within the fleet's limit."""
         every_s = self._node.settings.vm_list.every_s
-        return every_s * max(1, self._members.count / FLEET_READERS)
+        return every_s * max(1, self._members.count / FLEET_READS_PER_INTERVAL)
 
     async def _publish(self, added: list[str], removed: list[str]) -> None:
         prefix = f'{self._node.settings.store.prefix}{LEAVING_PREFIX}'
@@ -93,12 +93,12 @@
     key_prefix = f'{prefix}{LEAVING_PREFIX}'
     leaving = {
         entry.key.removeprefix(key_prefix)
-        for entry in batch.changed
+        for entry in batch.puts
         if entry.key.startswith(key_prefix)
     }
     removed = {
         key.removeprefix(key_prefix)
-        for key in batch.gone
+        for key in batch.deleted_keys
         if key.startswith(key_prefix)
     }
     if not leaving and not removed:
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -13,13 +13,13 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.control.claims import (
-    Batch,
+    ClaimBatch,
     Claim,
     Settlement,
     build_claim,
     build_release,
     build_transaction,
-    read_verdicts,
+    read_results,
 )
 from samphirerill.core import commands as core_commands
 from samphirerill.core import events
@@ -76,7 +76,7 @@
     claim: Claim
 
 
-def build_document(
+def build_configuration_document(
     kinds: tuple[int, ...] = (0, 1, 2, 3, 4),
 ) -> dict[str, object]:
     """Return a small configuration document with overlapping stages."""
@@ -163,7 +163,7 @@
 
     def build(self, kinds: tuple[int, ...]) -> Configuration:
         """Build a configuration with the current version number."""
-        return build_configuration(build_document(kinds), self.version)
+        return build_configuration(build_configuration_document(kinds), self.version)
 
     def submit_request(
         self, node: int, route: str, account: str, key: str, wait_s: float
@@ -204,7 +204,7 @@
         """Advance the clock of every node."""
         self.now += seconds
         for node in range(len(self.routers)):
-            self.apply(node, events.TimePassed())
+            self.apply(node, events.TimerFired())
 
     def restart(self, node: int) -> None:
         """Kill a node and start a new process in its place.
@@ -312,7 +312,7 @@
         """Answer every outstanding probe."""
         probes, self.probes = self.probes, []
         for node, endpoint in probes:
-            self.apply(node, events.ProbeAnswered(endpoint, alive))
+            self.apply(node, events.ProbeFinished(endpoint, alive))
 
     def commit_claim(self, request_id: str, *, lose_reply: bool) -> None:
         """Commit a pending claim and deliver the verdict to its node.
@@ -320,19 +320,19 @@
         With `lose_reply` the claim is committed, but no verdict delivered.
         """
         item = self.pending_claims[request_id]
-        transaction = build_transaction(Batch([item.claim]), '')
+        transaction = build_transaction(ClaimBatch([item.claim]), '')
         done = self.store.commit(transaction)
         if lose_reply:
             return
-        verdicts, _ = read_verdicts([item.claim], done)
+        verdicts, _ = read_results([item.claim], done)
         self.pending_claims.pop(request_id)
         for verdict in verdicts:
             if verdict.state == 'won':
                 self.won_claims[request_id] = item.claim
-                self.apply(item.node, events.ClaimWon(request_id))
+                self.apply(item.node, events.ClaimAcquired(request_id))
                 continue
             alive = verdict.holder not in self.killed_processes
-            taken = events.ClaimTaken(request_id, verdict.state, alive)
+            taken = events.ClaimConflicted(request_id, verdict.state, alive)
             self.apply(item.node, taken)
 
     def fail_claim(self, request_id: str) -> None:
@@ -342,7 +342,7 @@
 
     def commit_settlements(self) -> None:
         """Commit the outcomes of settled claims to the store."""
-        batch = Batch(settlements=self.unsaved_settlements)
+        batch = ClaimBatch(settlements=self.unsaved_settlements)
         self.store.commit(build_transaction(batch, ''))
         self.unsaved_settlements = []
 
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -16,12 +16,12 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.fleet.model import MS_PER_S, format_layers
 from samphirerill.fleet.rates import DEFAULT_PAUSE_MS
-from samphirerill.fleet.repair import count_whole, plan_moves
+from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.worth import Aims
+from samphirerill.fleet.worth import PlanTargets
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.probing import ask_report
-from samphirerill.relay.orders import ACCEPTED, send_order
+from samphirerill.relay.health.probing import fetch_report
+from samphirerill.relay.orders import ACCEPTED_STATUSES, send_order
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -31,8 +31,8 @@
         Replica,
     )
     from samphirerill.fleet.repair import Moves
-    from samphirerill.fleet.view import Known
-    from samphirerill.relay.health.survey import Survey
+    from samphirerill.fleet.view import ReplicaState
+    from samphirerill.relay.health.survey import LossProber
     from samphirerill.relay.leadership import Leadership
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
@@ -73,10 +73,10 @@
 
     def is_same_process(self, replica: Replica) -> bool:
         """Return whether `replica` is still the same engine process."""
-        return not replica.is_other_start(self.replica.started_ms)
+        return not replica.is_different_process(self.replica.started_ms)
 
 
-class Commander:
+class LayerController:
     """Reassigns layers among replicas while this node is the leader.
 
     Parameters
@@ -88,7 +88,7 @@
     health : StoreHealth
         Tells whether announcements may be missing because their leases
         expired during a store outage.
-    survey : Survey
+    survey : LossProber
         Probes replicas that have not been heard from since a failure began.
     """
 
@@ -97,7 +97,7 @@
         state: EdgeState,
         leadership: Leadership,
         health: StoreHealth,
-        survey: Survey,
+        survey: LossProber,
     ) -> None:
         self._survey = survey
         self._state = state
@@ -113,20 +113,20 @@
         """Acquire or renew leadership, and reconcile layers while leading."""
         while not self._is_stopping:
             try:
-                await self._leadership.seek()
+                await self._leadership.campaign_or_renew()
             except StoreError as exc:
-                self._health.note_failure(exc, self._loop.time())
+                self._health.record_failure(exc, self._loop.time())
             await self._reconcile()
             await self._wait_for_next_step()
 
-    def wake(self) -> None:
+    def trigger(self) -> None:
         """Start the next iteration at once, because a replica was lost."""
         self._wake_event.set()
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """Stop sending orders and release leadership to another node."""
         self._is_stopping = True
-        await self._leadership.leave()
+        await self._leadership.resign()
 
     async def _wait_for_next_step(self) -> None:
         self._wake_event.clear()
@@ -138,14 +138,14 @@
 
     async def _reconcile(self) -> None:
         cfg = self._state.cfg
-        if cfg is None or not self._leadership.is_held():
+        if cfg is None or not self._leadership.is_leader():
             return
         now = self._loop.time()
-        presence_s = self._state.find_leaves_at(now) - now
-        if not self._health.knows_fleet(now, presence_s):
+        presence_s = self._state.compute_leaving_deadline(now) - now
+        if not self._health.is_view_complete(now, presence_s):
             # Announcements may be missing only because their leases expired.
             return
-        if self._state.view.loss_round.is_under_way(now):
+        if self._state.view.current_failure.is_in_progress(now):
             # Failures are still being detected: plan once for all of them
             # rather than once for each.
             return
@@ -162,7 +162,7 @@
     ) -> None:
         present = await self._list_responsive(service)
         now = self._loop.time()
-        if self._state.view.loss_round.is_under_way(now):
+        if self._state.view.current_failure.is_in_progress(now):
             # Further failures were detected while replicas were probed.
             return
         timing = self._timings[service]
@@ -170,21 +170,21 @@
         if not timing.has_settled(present, now):
             return
         settled = timing.list_settled(now)
-        is_stable = timing.is_calm(now) and not self._has_assignments(present)
+        is_stable = timing.is_stable(now) and not self._has_assignments(present)
         scope = (engine, service, _list_ids(present), settled, is_stable)
-        if timing.may_plan(scope, present):
-            complete_pipelines = count_whole(engine, present)
-            timing.note_whole(complete_pipelines)
+        if timing.should_plan(scope, present):
+            complete_pipelines = count_complete(engine, present)
+            timing.note_complete(complete_pipelines)
             moves = plan_moves(
                 engine,
                 present,
-                Aims(
+                PlanTargets(
                     _find_gap_target_ms(cfg, service),
                     policy=self._state.settings.policy,
                 ),
                 settled,
-                is_calm=is_stable,
-                had=timing.had,
+                is_stable=is_stable,
+                max_complete=timing.max_complete,
             )
             self._record_plan(service, present, complete_pipelines, moves)
         await self._send_due_orders(engine, present)
@@ -207,9 +207,9 @@
         """
         now = self._loop.time()
         present = self._list_present(service, now)
-        if not self._state.view.loss_round.is_recent(now):
+        if not self._state.view.current_failure.is_recent(now):
             return present
-        dead = await self._survey.ask_unheard(present)
+        dead = await self._survey.probe_unconfirmed(present)
         return [
             replica
             for replica in self._list_present(service, self._loop.time())
@@ -224,10 +224,10 @@
         """
         return [
             self._apply_assignment(known, now)
-            for known in self._state.view.list_present(service, now)
+            for known in self._state.view.list_unconfirmed(service, now)
         ]
 
-    def _apply_assignment(self, known: Known, now: float) -> Replica:
+    def _apply_assignment(self, known: ReplicaState, now: float) -> Replica:
         replica = known.replica
         assignment = self._assignments.get(replica.replica_id)
         if assignment is None:
@@ -263,7 +263,7 @@
                 assignment = _Assignment(layers, expires_at, replica)
                 self._assignments[replica.replica_id] = assignment
         _LOG.info(
-            'fleet',
+            'layers planned',
             extra={
                 'service': service,
                 'replicas': len(present),
@@ -306,27 +306,27 @@
             )
             self._assignments.pop(replica.replica_id, None)
             return
-        report = await ask_report(self._state, replica)
+        report = await fetch_report(self._state, replica)
         if (
             report is None
             or report.is_busy
             or report.layers == assignment.layers
         ):
             return
-        if replica.is_other_start(report.started_ms):
+        if replica.is_different_process(report.started_ms):
             # The replica restarted; its new announcement will follow.
             return
-        if not self._leadership.is_held():
+        if not self._leadership.is_leader():
             return
-        order = self._state.dialect.encode_place(
-            assignment.layers, report.orders_taken, self._leadership.token
+        order = self._state.adapter.encode_load_order(
+            assignment.layers, report.order_count, self._leadership.fencing_token
         )
         status = await send_order(self._state, replica, order)
-        assignment.is_accepted = status in ACCEPTED
+        assignment.is_accepted = status in ACCEPTED_STATUSES
         if assignment.is_accepted:
             assignment.expires_at = self._loop.time() + _ASSIGNMENT_TIMEOUT_S
         _LOG.info(
-            'ordered',
+            'layer order sent',
             extra={
                 'replica': replica.replica_id,
                 'kind': replica.accelerator,
@@ -350,6 +350,6 @@
         route.gap_s * MS_PER_S
         for route in cfg.routes
         if route.gap_s
-        and any(share.service == service for share in route.shares)
+        and any(share.service == service for share in route.service_weights)
     ]
     return min(gap_targets, default=DEFAULT_PAUSE_MS)
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -13,10 +13,10 @@
     UNAVAILABLE,
     UNKNOWN_KEY,
     Refusal,
-    refuse,
+    send_refusal,
 )
 from samphirerill.relay.streaming import StreamExchange
-from samphirerill.relay.task import Task
+from samphirerill.relay.task import RequestContext
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -25,37 +25,37 @@
         FleetRoute,
         Service,
     )
-    from samphirerill.relay.admission import Admission
-    from samphirerill.relay.dialect import RequestFacts
-    from samphirerill.relay.health.examiner import Examiner
-    from samphirerill.relay.quarantine import Witness
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.admission import AdmissionQueue
+    from samphirerill.relay.dialect import RequestMetadata
+    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.quarantine import CrashDetector
+    from samphirerill.relay.server import ClientConnection, Request
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('requests')
 
 
-class Front:
+class RequestDispatcher:
     """Implements :class:`~samphirerill.relay.server.RequestHandler`.
 
     Parameters
     ----------
     state : EdgeState
         Shared state of this node.
-    admission : Admission
+    admission : AdmissionQueue
         The admission queue for streams.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes unresponsive replicas.
-    quarantine : Witness
+    quarantine : CrashDetector
         Detects requests that crash replicas.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        admission: Admission,
-        examiner: Examiner,
-        quarantine: Witness,
+        admission: AdmissionQueue,
+        examiner: ReplicaProber,
+        quarantine: CrashDetector,
     ) -> None:
         self._quarantine = quarantine
         self._state = state
@@ -65,33 +65,33 @@
 
     def get_limits(self) -> ClientLimits:
         """Return the limits on client requests."""
-        return self._state.get_limits()
+        return self._state.get_client_limits()
 
     def is_draining(self) -> bool:
         """Return whether connections should close after their response."""
         return self._state.is_draining
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Serve one request."""
-        facts = self._state.dialect.read_request(req)
+        facts = self._state.adapter.parse_request(req)
         self._state.counters['requests'] += 1
         resolved = self._resolve(req, facts, conn)
         if isinstance(resolved, Refusal):
-            refuse(self._state, conn, facts, resolved)
+            send_refusal(self._state, conn, facts, resolved)
             return
         await self._serve(resolved)
         self._state.metrics.record(
             'answer',
-            resolved.route.repeat.value,
+            resolved.route.retry_class.value,
             self._loop.time() - req.arrived_at,
         )
 
-    async def _serve(self, task: Task) -> None:
+    async def _serve(self, task: RequestContext) -> None:
         engine = task.service.engine
         if engine is None or not engine.layers:
-            if not self._reject_if_ending(self._state.requests_until, task):
+            if not self._reject_if_ending(self._state.accept_requests_until, task):
                 await PlainExchange(self._state, task, self._quarantine).run()
-        elif not self._reject_if_ending(self._state.streams_until, task):
+        elif not self._reject_if_ending(self._state.accept_streams_until, task):
             await StreamExchange(
                 self._state,
                 task,
@@ -101,47 +101,47 @@
                 self._quarantine,
             ).run()
 
-    def _reject_if_ending(self, until: float, task: Task) -> bool:
+    def _reject_if_ending(self, until: float, task: RequestContext) -> bool:
         """Reject a request if this node ends soon; return whether it did."""
         if self._loop.time() < until:
             return False
-        refusal = Refusal(UNAVAILABLE, 'the node ends')
-        refuse(self._state, task.conn, task.facts, refusal)
+        refusal = Refusal(UNAVAILABLE, 'the node is shutting down')
+        send_refusal(self._state, task.conn, task.facts, refusal)
         return True
 
     def _resolve(
-        self, req: Request, facts: RequestFacts, conn: CallerConnection
-    ) -> Task | Refusal:
+        self, req: Request, facts: RequestMetadata, conn: ClientConnection
+    ) -> RequestContext | Refusal:
         state = self._state
         if state.cfg is None or state.routes is None:
             # Without a configuration, 404 would be unfounded.
-            return Refusal(UNAVAILABLE, 'no configuration yet', 1.0)
+            return Refusal(UNAVAILABLE, 'this node has no configuration yet', 1.0)
         host = (req.get(b'host') or b'').decode('latin-1')
         route = state.routes.find(host, req.target.decode('latin-1'))
         if route is None:
-            return Refusal(NOT_FOUND, 'no route')
+            return Refusal(NOT_FOUND, 'no route matches')
         account = None
         if state.cfg.needs_keys and not route.is_public:
             account = state.cfg.accounts.get(facts.api_key)
             if account is None:
-                return Refusal(UNKNOWN_KEY, 'unknown key')
+                return Refusal(UNKNOWN_KEY, 'unknown API key')
         service = state.cfg.services.get(choose_service(route, state.random))
         if service is None:
-            return Refusal(UNAVAILABLE, 'the route has no service', 1.0)
+            return Refusal(UNAVAILABLE, 'the service of the route is not configured', 1.0)
         return self._build_task(req, facts, conn, route, service, account)
 
     def _build_task(
         self,
         req: Request,
-        facts: RequestFacts,
-        conn: CallerConnection,
+        facts: RequestMetadata,
+        conn: ClientConnection,
         route: FleetRoute,
         service: Service,
         account: ClientAccount | None,
-    ) -> Task:
+    ) -> RequestContext:
         route_timeout_s = route.timeout_s
         client_timeout_s = facts.deadline_s or route_timeout_s
-        return Task(
+        return RequestContext(
             req,
             facts,
             conn,
@@ -150,5 +150,5 @@
             account,
             deadline=req.arrived_at + min(route_timeout_s, client_timeout_s),
             client_deadline=req.arrived_at + client_timeout_s,
-            hides_key=self._state.cfg is None or self._state.cfg.needs_keys,
+            strips_api_key=self._state.cfg is None or self._state.cfg.needs_keys,
         )
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -11,9 +11,9 @@
 from samphirerill.relay.dialect import DocumentError
 from samphirerill.relay.errors import (
     EndpointError,
-    NobodyListensError,
-    SilentEndpointError,
-    UnreachableError,
+    ConnectRefusedError,
+    EndpointTimeoutError,
+    ConnectTimeoutError,
 )
 from samphirerill.relay.pool import call_once
 
@@ -32,9 +32,9 @@
     """Outcome of a probe; values are the reasons in the log."""
 
     ALIVE = 'alive'
-    TERMINATED = 'has ended'
-    UNRESPONSIVE = 'does not answer'
-    INCONCLUSIVE = 'broke off'
+    TERMINATED = 'process has terminated'
+    UNRESPONSIVE = 'is unresponsive'
+    INCONCLUSIVE = 'response broke off'
 
 
 @dataclass(slots=True)
@@ -53,19 +53,19 @@
     loop = asyncio.get_running_loop()
     try:
         report = await _read_report(state, replica, deadline)
-    except NobodyListensError:
+    except ConnectRefusedError:
         return Probe(loop.time(), Verdict.TERMINATED)
-    except (UnreachableError, SilentEndpointError):
+    except (ConnectTimeoutError, EndpointTimeoutError):
         return Probe(loop.time(), Verdict.UNRESPONSIVE)
     except EndpointError as exc:
         _log_no_report(replica, exc)
         return Probe(loop.time(), Verdict.INCONCLUSIVE)
-    if report is not None and replica.is_other_start(report.started_ms):
+    if report is not None and replica.is_different_process(report.started_ms):
         return Probe(loop.time(), Verdict.TERMINATED)
     return Probe(loop.time(), Verdict.ALIVE, report)
 
 
-async def ask_report(
+async def fetch_report(
     state: EdgeState, replica: Replica
 ) -> ReplicaReport | None:
     """Return a replica's status report, or none if it sent none."""
@@ -79,7 +79,7 @@
 
 def _log_no_report(replica: Replica, exc: EndpointError) -> None:
     _LOG.info(
-        'no report',
+        'cannot get replica report',
         extra={'replica': replica.replica_id, 'reason': str(exc)},
     )
 
@@ -88,13 +88,13 @@
     state: EdgeState, replica: Replica, deadline: float
 ) -> ReplicaReport | None:
     """Return a report; none if the response is not a valid one."""
-    path = state.dialect.report_path
+    path = state.adapter.report_path
     state.counters['reports.sent'] += 1
     status, body = await call_once(replica.address, b'GET', path, b'', deadline)
     if status != _OK:
         return None
     try:
-        report = state.dialect.decode_report(body)
+        report = state.adapter.decode_report(body)
     except DocumentError as exc:
         _LOG.warning(
             'cannot decode replica report',
@@ -102,5 +102,5 @@
         )
         return None
     now = asyncio.get_running_loop().time()
-    state.view.note_pace(replica.replica_id, report.slowness, now)
+    state.view.note_slowness(replica.replica_id, report.time_factor, now)
     return report
--- a/samphirerill/relay/health/signs.py
+++ b/samphirerill/relay/health/signs.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from samphirerill.fleet.load import list_ids
+from samphirerill.fleet.load import list_replica_ids
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -24,7 +24,7 @@
         """Return the loop time of the last event; 0 before the first."""
 
 
-def list_unproven(
+def list_unconfirmed(
     streams: Iterable[ObservedStream], stages: Sequence[Stage], since: float
 ) -> tuple[Stage, ...]:
     """Return the stages of a path without a recent event of any stream.
@@ -63,6 +63,6 @@
     for stream in streams:
         at = stream.last_event_at
         if at > since:
-            for name in list_ids(stream.stages):
+            for name in list_replica_ids(stream.stages):
                 last_events[name] = max(at, last_events.get(name, at))
     return last_events
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -15,14 +15,14 @@
 from msgspec import DecodeError, ValidationError, msgpack
 
 from samphirerill.fleet.deltas import DeltaError
-from samphirerill.fleet.watchers import choose_other, choose_watcher
+from samphirerill.fleet.watchers import choose_other_watcher, choose_watcher
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.change_log import ChangeBatch, ChangeLog, Snapshot
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
-    DeafWatcherError,
+    BrokenResponseError,
+    WatchLostError,
     EndpointError,
-    TooLargeError,
+    ChangeTooLargeError,
 )
 from samphirerill.relay.listeners import PageHandler, read_revision
 from samphirerill.relay.pool import call_once
@@ -33,7 +33,7 @@
 
     from samphirerill.platform.store import Changes
     from samphirerill.relay.listeners import Page
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
     Form = TypeVar('Form')
 
@@ -102,7 +102,7 @@
         self._log = log
         self._receives_from_store = receives_from_store
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Respond with changes, a snapshot or a page."""
         path, _, query = req.target.partition(b'?')
         build_page = self._extra_pages.get(path)
@@ -114,7 +114,7 @@
             status, body = _NOT_FOUND, b''
         else:
             status, body = build_page(query)
-        conn.answer(status, [], body)
+        conn.respond(status, [], body)
 
     async def _serve_changes(self, query: bytes) -> Page:
         after = read_revision(query)
@@ -141,7 +141,7 @@
         return (_GONE, b'') if snapshot is None else (_OK, snapshot)
 
 
-class NewsSource:
+class ChangeSource:
     """Selects where this node gets store changes: the store or a watcher.
 
     Parameters
@@ -172,11 +172,11 @@
         self._store_call_at = float('-inf')
         self._startup_until = self._loop.time() + _STARTUP_S
 
-    def take_peers(self, peers: Mapping[str, str]) -> None:
+    def update_peers(self, peers: Mapping[str, str]) -> None:
         """Set the announced nodes and their HTTP addresses."""
         self._peers = peers
 
-    def note_store(self, *, answers: bool) -> None:
+    def record_store_result(self, *, answers: bool) -> None:
         """Record whether a call to the store succeeded."""
         if answers:
             self._backoff_s = 0.0
@@ -190,7 +190,7 @@
         jitter = 1 + _BACKOFF_JITTER * self._random.random()
         self._store_call_at = now + self._backoff_s * jitter
 
-    def may_ask_store(self) -> bool:
+    def may_call_store(self) -> bool:
         """Return whether this node may call the store now.
 
         Watchers always may, and so may a node that knows no others.
@@ -211,7 +211,7 @@
         """Return whether this node may not know all other nodes yet."""
         return self._loop.time() < self._startup_until
 
-    def choose(self) -> str:
+    def select_watcher(self) -> str:
         """Return the watcher to poll; empty for the store itself."""
         now = self._loop.time()
         if now < self._direct_watch_until:
@@ -220,7 +220,7 @@
             name for name, until in self._avoid_until.items() if until > now
         }
         if self.was_refused_by_store():
-            return choose_other(self._own, self._peers, avoid)
+            return choose_other_watcher(self._own, self._peers, avoid)
         return choose_watcher(self._own, self._peers, avoid)
 
     def note_peer_revision(self, known: int, own: int) -> None:
@@ -251,9 +251,9 @@
         """
         try:
             return await self._fetch_changes(self._peers[watcher], after)
-        except TooLargeError:
+        except ChangeTooLargeError:
             raise
-        except DeafWatcherError:
+        except WatchLostError:
             self._avoid_until[watcher] = (
                 self._loop.time() + _AVOID_DISCONNECTED_S
             )
@@ -274,11 +274,11 @@
         if status == _GONE:
             return await self._fetch_snapshot(address, after)
         if status == _TOO_LARGE:
-            raise TooLargeError(f'{address}: changes are too large to forward')
+            raise ChangeTooLargeError(f'{address}: changes are too large to forward')
         if status == _UNAVAILABLE:
-            raise DeafWatcherError(f'{address}: is not connected to the store')
+            raise WatchLostError(f'{address}: is not connected to the store')
         if status != _OK:
-            raise BrokenAnswerError(f'{address}: got status {status}')
+            raise BrokenResponseError(f'{address}: got status {status}')
         return _decode(address, body, ChangeBatch, self.log.decode)
 
     async def _fetch_snapshot(self, address: str, after: int) -> Changes:
@@ -287,7 +287,7 @@
         path = b'%b?after=%d' % (_SNAPSHOT_PATH, after)
         status, body = await call_once(address, b'GET', path, b'', deadline)
         if status != _OK:
-            raise BrokenAnswerError(f'{address}: got status {status}')
+            raise BrokenResponseError(f'{address}: got status {status}')
         changes = _decode(address, body, Snapshot, self.log.decode_snapshot)
         _LOG.info(
             'received a snapshot from a watcher',
@@ -306,4 +306,4 @@
     try:
         return read(msgpack.decode(body, type=form))
     except (DecodeError, ValidationError, DeltaError) as exc:
-        raise BrokenAnswerError(f'{address}: {exc}') from exc
+        raise BrokenResponseError(f'{address}: {exc}') from exc
--- a/samphirerill/relay/node_pages.py
+++ b/samphirerill/relay/node_pages.py
@@ -7,64 +7,64 @@
 from msgspec import json
 
 from samphirerill.relay.listeners import PageHandler
-from samphirerill.relay.usage import Usage
+from samphirerill.relay.usage import UsageReporter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.listeners import Page
-    from samphirerill.relay.quarantine import Keeper
+    from samphirerill.relay.quarantine import QuarantineManager
     from samphirerill.relay.state import EdgeState
 
 _OK = 200
 _UNAVAILABLE = 503
 
 
-class NodePages:
+class StatusEndpoints:
     """Readiness for the load balancer, metrics and state for operators.
 
     Parameters
     ----------
     state : EdgeState
         The node's state and counters.
-    admission : Admission
+    admission : AdmissionQueue
         The queue of streams that wait for a path.
     store : PlatformStore
         Client of the store, which counts its calls.
     count_busy : callable
         Returns the number of connections with a request in progress.
-    keeper : Keeper
+    keeper : QuarantineManager
         Lists the quarantined requests.
 
     Attributes
     ----------
-    usage : Usage
+    usage : UsageReporter
         Counts the calls to the store and to endpoints.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        admission: Admission,
+        admission: AdmissionQueue,
         store: PlatformStore,
         count_busy: Callable[[], int],
-        keeper: Keeper,
+        keeper: QuarantineManager,
     ) -> None:
         self._quarantine_keeper = keeper
         self._state = state
         self._admission = admission
-        self.usage = Usage(state, store)
+        self.usage = UsageReporter(state, store)
         self._count_busy = count_busy
 
-    def build_ready(self) -> PageHandler:
+    def build_readiness_handler(self) -> PageHandler:
         """Return the handler of the load balancer's readiness check."""
         return PageHandler(
-            {self._state.dialect.ready_path: self._serve_readiness}
+            {self._state.adapter.ready_path: self._serve_readiness}
         )
 
-    def build_metrics(self) -> PageHandler:
+    def build_metrics_handler(self) -> PageHandler:
         """Return the handler of the metrics and the state dump."""
         return PageHandler(
             {b'/metrics': self._serve_metrics, b'/state': self._serve_state}
@@ -80,7 +80,7 @@
         dump = {
             'node': state.settings.name,
             'version': state.version,
-            'replicas': len(state.view.known),
+            'replicas': len(state.view.replicas),
             'streams': len(state.streams),
             'quarantine': self._quarantine_keeper.describe(),
         }
@@ -88,11 +88,11 @@
 
     def _serve_metrics(self) -> Page:
         state = self._state
-        gauges = {**state.counters, **self.usage.count()}
+        gauges = {**state.counters, **self.usage.collect()}
         gauges['now.waiting'] = self._admission.count_waiting()
         gauges['now.open'] = self._count_busy()
-        gauges['now.replicas'] = len(state.view.known)
+        gauges['now.replicas'] = len(state.view.replicas)
         gauges['now.version'] = state.version
         gauges['now.quarantine'] = len(state.quarantine)
-        gauges['replicas.false_deaths'] = state.view.false_deaths
+        gauges['replicas.false_deaths'] = state.view.false_suspicions
         return _OK, state.metrics.format_prometheus(gauges).encode()
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -12,9 +12,9 @@
     from collections.abc import Collection
 
     from samphirerill.fleet.model import EngineSpec, Stage
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 # Head replicas to try for an isolated run; bounds the path searches.
 _MAX_ISOLATED_CANDIDATES = 3
@@ -36,11 +36,11 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
-    admission : Admission
+    admission : AdmissionQueue
         Searches paths with free capacity.
     """
 
@@ -59,9 +59,9 @@
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         engine: EngineSpec,
-        admission: Admission,
+        admission: AdmissionQueue,
     ) -> None:
         self.tokens = _estimate_tokens(engine, task)
         self.avoid: set[str] = set()
@@ -73,11 +73,11 @@
         self._engine = engine
         self._admission = admission
 
-    def find_other(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
+    def find_alternative(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
         """Return a path that avoids failed replicas; empty if there is none."""
         wanted = self.build_request(is_urgent=True)
-        wanted.avoid = {*self.avoid, *failed_ids}
-        return self.find(wanted)
+        wanted.excluded = {*self.avoid, *failed_ids}
+        return self.find_path(wanted)
 
     def find_with_head(
         self,
@@ -100,11 +100,11 @@
             self.tokens,
             {*self.avoid, *failed_ids},
             frozenset((head.replica.replica_id,)),
-            first_end=head.layers.end,
-            held=cached_ids,
+            first_stage_end=head.layers.end,
+            prefilled_on=cached_ids,
             is_urgent=True,
         )
-        return self.find(wanted)
+        return self.find_path(wanted)
 
     def build_request(self, *, is_urgent: bool) -> PathRequest:
         """Return the requirements on a path for the stream."""
@@ -121,14 +121,14 @@
         can serve it.
         """
         wanted = self.build_request(is_urgent=is_urgent)
-        allowed = wanted.heads
+        allowed = wanted.first_replicas
         for count in sorted({self.failed_sends[name] for name in allowed}):
-            wanted.heads = frozenset(
+            wanted.first_replicas = frozenset(
                 name for name in allowed if self.failed_sends[name] == count
             )
-            if self.find(wanted):
+            if self.find_path(wanted):
                 return wanted
-        wanted.heads = allowed
+        wanted.first_replicas = allowed
         return wanted
 
     def find_isolated_head(
@@ -143,12 +143,12 @@
         """
         wanted = self.build_request(is_urgent=True)
         for replica_id in self._list_least_loaded_heads(excluded_ids):
-            wanted.heads = frozenset((replica_id,))
-            if self.find(wanted):
-                return wanted.heads
+            wanted.first_replicas = frozenset((replica_id,))
+            if self.find_path(wanted):
+                return wanted.first_replicas
         return ANY_HEAD
 
-    def build_beside(
+    def build_parallel_request(
         self, head_id: str, failed_ids: Collection[str]
     ) -> PathRequest:
         """Return the requirements on a path for a parallel run.
@@ -161,12 +161,12 @@
             Other replicas to exclude.
         """
         wanted = self.build_request(is_urgent=True)
-        wanted.avoid = {*wanted.avoid, *failed_ids, head_id}
+        wanted.excluded = {*wanted.excluded, *failed_ids, head_id}
         return wanted
 
-    def find(self, wanted: PathRequest) -> tuple[Stage, ...]:
+    def find_path(self, wanted: PathRequest) -> tuple[Stage, ...]:
         """Return a path with free capacity; empty if there is none."""
-        return self._admission.find(
+        return self._admission.find_path(
             self._task.service.name, self._engine, wanted
         )
 
@@ -184,7 +184,7 @@
             and found.replica.layers.first == 0
             and found.replica.replica_id not in excluded_ids
         ]
-        return sorted(heads, key=self._state.book.requests)[
+        return sorted(heads, key=self._state.load_tracker.count_requests)[
             :_MAX_ISOLATED_CANDIDATES
         ]
 
@@ -199,14 +199,14 @@
         live = {
             name
             for name in self.used_heads - self.departed_heads
-            if not view.has_ended(name)
+            if not view.has_stopped(name)
         }
         if len(live) < self._task.route.max_attempts:
             return ANY_HEAD
         return frozenset(live)
 
 
-def _estimate_tokens(engine: EngineSpec, task: Task) -> float:
+def _estimate_tokens(engine: EngineSpec, task: RequestContext) -> float:
     """Return the KV-cache size that a stream is expected to need, in tokens.
 
     Clients often set the maximum answer length much higher than what is
@@ -215,6 +215,6 @@
     facts = task.facts
     usual = engine.usual_answer
     answer_tokens = min(
-        facts.most_tokens or usual, facts.hinted_tokens or usual
+        facts.max_answer_tokens or usual, facts.expected_answer_tokens or usual
     )
     return (facts.prompt_tokens or engine.usual_prompt) + answer_tokens
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -19,22 +19,22 @@
     read_body,
     read_head,
 )
-from samphirerill.relay.connection import Head, build_call
+from samphirerill.relay.connection import ResponseHead, serialize_request
 from samphirerill.relay.dialect import Attempt
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
+    BrokenResponseError,
     ConnectError,
     EndpointError,
     QuarantinedError,
     ConnectionLimitError,
-    SilentEndpointError,
+    EndpointTimeoutError,
 )
 from samphirerill.relay.refusals import (
     FAILED,
     TIMED_OUT,
     UNAVAILABLE,
     Refusal,
-    refuse,
+    send_refusal,
 )
 from samphirerill.relay.send_budget import AttemptBudget
 
@@ -42,11 +42,11 @@
     from collections.abc import Callable
 
     from samphirerill.fleet.model import Replica
-    from samphirerill.fleet.view import Known
+    from samphirerill.fleet.view import ReplicaState
     from samphirerill.relay.connection import HttpConnection
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('plain')
 _SERVER_ERROR = 500
@@ -73,7 +73,7 @@
 class _Outcome:
     """The result of one attempt; `head` is set if there is a response."""
 
-    head: Head | None = None
+    head: ResponseHead | None = None
     body: bytes = b''
     is_not_run: bool = False
     was_sent: bool = True
@@ -88,15 +88,15 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
-    quarantine : Witness
+    quarantine : CrashDetector
         Knows whether the request is quarantined; informed of attempts that
         break off.
     """
 
     def __init__(
-        self, state: EdgeState, task: Task, quarantine: Witness
+        self, state: EdgeState, task: RequestContext, quarantine: CrashDetector
     ) -> None:
         self._state = state
         self._task = task
@@ -111,7 +111,7 @@
 
     async def run(self) -> None:
         """Serve the request."""
-        outcome = _Outcome(is_not_run=True, reason='no endpoint')
+        outcome = _Outcome(is_not_run=True, reason='no endpoint is available')
         connects = 0
         while connects < _MAX_CONNECTS and self._may_send():
             endpoint = await self._wait_for_endpoint()
@@ -125,10 +125,10 @@
                 self._budget.refund()
             if self._is_final(outcome):
                 break
-            await self._quarantine.rest(self._task)
+            await self._quarantine.delay_retry(self._task)
         self._respond(outcome)
 
-    async def _wait_for_endpoint(self) -> Known | None:
+    async def _wait_for_endpoint(self) -> ReplicaState | None:
         """Return an endpoint, waiting while all connections are in use."""
         until = self._loop.time() + _CONNECTION_WAIT_S
         while True:
@@ -141,10 +141,10 @@
 
     def _find_endpoint(
         self, may_call: Callable[[str], bool] = bool
-    ) -> Known | None:
+    ) -> ReplicaState | None:
         return choose_endpoint(
             self._state.view,
-            self._state.book,
+            self._state.load_tracker,
             self._task.service.name,
             self._tried,
             self._loop.time(),
@@ -152,8 +152,8 @@
         )
 
     def _has_connection(self, replica_id: str) -> bool:
-        max_open = self._state.count_connections(self._task.service)
-        return self._state.pool.has_left(replica_id, max_open)
+        max_open = self._state.get_connection_limit(self._task.service)
+        return self._state.pool.has_available(replica_id, max_open)
 
     def _may_send(self) -> bool:
         """Return whether another attempt is allowed, and reserve it."""
@@ -174,16 +174,16 @@
             return False
         return not self._task.is_retryable
 
-    async def _send(self, endpoint: Known) -> _Outcome:
+    async def _send(self, endpoint: ReplicaState) -> _Outcome:
         replica = endpoint.replica
         reserved_ids = (replica.replica_id,)
-        self._state.book.take(reserved_ids, 0)
+        self._state.load_tracker.add_request(reserved_ids, 0)
         started_at = self._loop.time()
         try:
             outcome = await self._exchange(endpoint)
         finally:
-            self._state.book.give_back(reserved_ids, 0)
-            self._state.notify()
+            self._state.load_tracker.remove_request(reserved_ids, 0)
+            self._state.notify_listeners()
         duration_s = self._loop.time() - started_at
         self._record_outcome(endpoint, outcome, duration_s)
         _LOG.info(
@@ -200,7 +200,7 @@
         )
         return outcome
 
-    async def _exchange(self, endpoint: Known) -> _Outcome:
+    async def _exchange(self, endpoint: ReplicaState) -> _Outcome:
         replica = endpoint.replica
         try:
             conn = await self._connect(replica)
@@ -219,55 +219,55 @@
         except asyncio.CancelledError:
             conn.close()
             raise
-        self._state.pool.give_back(replica, conn)
+        self._state.pool.release(replica, conn)
         return outcome
 
     async def _connect(self, replica: Replica) -> HttpConnection:
-        conn = await self._state.pool.take(
+        conn = await self._state.pool.acquire(
             replica,
             fresh=not self._task.is_retryable,
-            most=self._state.count_connections(self._task.service),
+            max_open=self._state.get_connection_limit(self._task.service),
         )
         if self._quarantine.find_held_until(self._task):
-            self._state.pool.give_back(replica, conn)
-            raise QuarantinedError(self._quarantine.explain(self._task))
+            self._state.pool.release(replica, conn)
+            raise QuarantinedError(self._quarantine.describe_hold(self._task))
         return conn
 
-    async def _call(self, endpoint: Known, conn: HttpConnection) -> _Outcome:
+    async def _call(self, endpoint: ReplicaState, conn: HttpConnection) -> _Outcome:
         deadline = self._get_attempt_deadline()
         conn.send(self._build_call(endpoint))
         head, facts = await read_head(
-            conn, self._state.dialect, self._task.facts.request_id, deadline
+            conn, self._state.adapter, self._task.facts.request_id, deadline
         )
         body = await read_body(conn, deadline)
         if facts.is_not_run and not is_success(head.status):
-            return _Outcome(is_not_run=True, reason='endpoint refused')
+            return _Outcome(is_not_run=True, reason='endpoint rejected the request')
         self._may_have_run = True
-        self._quarantine.note_whole(self._task)
+        self._quarantine.record_completion(self._task)
         return _Outcome(head, body)
 
     def _handle_error(
-        self, endpoint: Known, exc: EndpointError, sent_at: float
+        self, endpoint: ReplicaState, exc: EndpointError, sent_at: float
     ) -> _Outcome:
         self._may_have_run = True
         self._has_broken_run = True
-        if isinstance(exc, BrokenAnswerError):
-            self._quarantine.note_break(self._task, endpoint.replica)
-        is_silent = isinstance(exc, SilentEndpointError)
+        if isinstance(exc, BrokenResponseError):
+            self._quarantine.record_failure(self._task, endpoint.replica)
+        is_silent = isinstance(exc, EndpointTimeoutError)
         if is_silent and self._loop.time() - sent_at >= _MIN_SILENCE_S:
             self._avoid(endpoint, str(exc))
         return _Outcome(timed_out=is_silent, reason=str(exc))
 
-    def _build_call(self, endpoint: Known) -> bytes:
+    def _build_call(self, endpoint: ReplicaState) -> bytes:
         task = self._task
         remaining_s = task.client_deadline - self._loop.time()
         attempt = Attempt(
-            endpoint.replica, task.account_name, remaining_s, task.hides_key
+            endpoint.replica, task.account_name, remaining_s, task.strips_api_key
         )
-        headers = self._state.dialect.build_headers(
+        headers = self._state.adapter.build_headers(
             task.req, task.facts, attempt
         )
-        return build_call(
+        return serialize_request(
             task.req.method, task.req.target, headers, task.req.body
         )
 
@@ -283,17 +283,17 @@
             return task.deadline
         return now + (task.deadline - now) * _ATTEMPT_SHARE
 
-    def _avoid(self, endpoint: Known, reason: str) -> None:
+    def _avoid(self, endpoint: ReplicaState, reason: str) -> None:
         now = self._loop.time()
         replica_id = endpoint.replica.replica_id
-        if self._state.view.suspect(replica_id, now + _AVOIDANCE_S, now):
+        if self._state.view.add_silence_report(replica_id, now + _AVOIDANCE_S, now):
             _LOG.info(
-                'endpoint avoided',
+                'endpoint suspected',
                 extra={'replica': replica_id, 'reason': reason},
             )
 
     def _record_outcome(
-        self, endpoint: Known, outcome: _Outcome, duration_s: float
+        self, endpoint: ReplicaState, outcome: _Outcome, duration_s: float
     ) -> None:
         failed = outcome.head is None or outcome.head.status >= _SERVER_ERROR
         if outcome.was_sent:
@@ -302,20 +302,20 @@
             )
         if not failed:
             endpoint.latency_s += _SMOOTHING * (duration_s - endpoint.latency_s)
-            self._state.view.trust(endpoint.replica.replica_id)
+            self._state.view.note_alive(endpoint.replica.replica_id)
 
     def _respond(self, outcome: _Outcome) -> None:
         conn = self._task.conn
         facts = self._task.facts
         head = outcome.head
         if head is not None:
-            conn.answer(head.status, filter_headers(head), outcome.body)
+            conn.respond(head.status, filter_headers(head), outcome.body)
             return
         now = self._loop.time()
         timed_out = now >= self._task.deadline
         reason, retry_s = outcome.reason, _DEFAULT_RETRY_S
         if self._quarantined_until:
-            reason = self._quarantine.explain(self._task)
+            reason = self._quarantine.describe_hold(self._task)
             retry_s = self._quarantined_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
@@ -323,4 +323,4 @@
             refusal = Refusal(
                 TIMED_OUT if is_timeout else FAILED, outcome.reason
             )
-        refuse(self._state, conn, facts, refusal)
+        send_refusal(self._state, conn, facts, refusal)
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -8,23 +8,23 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.admission import Admission
-from samphirerill.relay.commander import Commander
-from samphirerill.relay.follower import build_follower
-from samphirerill.relay.front import Front
-from samphirerill.relay.health import Alarms, Examiner, Survey
+from samphirerill.relay.admission import AdmissionQueue
+from samphirerill.relay.commander import LayerController
+from samphirerill.relay.follower import build_store_follower
+from samphirerill.relay.front import RequestDispatcher
+from samphirerill.relay.health import Alarms, ReplicaProber, LossProber
 from samphirerill.relay.leadership import Leadership
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.members import Members
-from samphirerill.relay.news import NewsSource
-from samphirerill.relay.node_pages import NodePages
+from samphirerill.relay.members import Membership
+from samphirerill.relay.news import ChangeSource
+from samphirerill.relay.node_pages import StatusEndpoints
 from samphirerill.relay.quarantine import (
-    Keeper,
-    Sharing,
+    QuarantineManager,
+    EvidenceExchange,
     StoredHolds,
-    Witness,
+    CrashDetector,
 )
-from samphirerill.relay.reload import Reloader, SettingsFile
+from samphirerill.relay.reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
 
@@ -33,8 +33,8 @@
 
     from samphirerill.platform.settings import EdgeSettings
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.dialect import Dialect
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.dialect import PlatformAdapter
+    from samphirerill.relay.server import ClientConnection
 
 _LOG = get_logger('edge')
 _SWEEP_INTERVAL_S = 0.25
@@ -60,7 +60,7 @@
     ----------
     settings : EdgeSettings
         The node's settings.
-    dialect : Dialect
+    adapter : PlatformAdapter
         The platform's wire format.
     store : PlatformStore
         Client of the platform's key-value store.
@@ -76,41 +76,41 @@
     def __init__(
         self,
         settings: EdgeSettings,
-        dialect: Dialect,
+        adapter: PlatformAdapter,
         store: PlatformStore,
         source: SettingsFile | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self.state = EdgeState(settings, dialect)
+        self.state = EdgeState(settings, adapter)
         health = StoreHealth(self._loop.time())
         self._health = health
-        self._admission = Admission(self.state)
+        self._admission = AdmissionQueue(self.state)
         alarms = Alarms(self.state)
-        examiner = Examiner(self.state, alarms)
-        keeper = Keeper(self.state)
-        self._quarantine_sync = Sharing(self.state, keeper)
-        self._front = Front(
+        examiner = ReplicaProber(self.state, alarms)
+        keeper = QuarantineManager(self.state)
+        self._quarantine_sync = EvidenceExchange(self.state, keeper)
+        self._front = RequestDispatcher(
             self.state,
             self._admission,
             examiner,
-            Witness(self.state, examiner, keeper, self._quarantine_sync),
+            CrashDetector(self.state, examiner, keeper, self._quarantine_sync),
         )
-        news = NewsSource(settings.name)
-        self._members = Members(
+        news = ChangeSource(settings.name)
+        self._members = Membership(
             self.state, store, health, news, news.log, alarms
         )
-        self._members.add_talk(self._quarantine_sync)
+        self._members.add_datagram_handler(self._quarantine_sync)
         leadership = Leadership(self.state, store)
         self._stored_quarantine = StoredHolds(
             self.state, store, keeper, leadership
         )
-        self._survey = Survey(
-            self.state, examiner, alarms, lambda: leadership.holder
+        self._survey = LossProber(
+            self.state, examiner, alarms, lambda: leadership.leader
         )
-        self._commander = Commander(
+        self._commander = LayerController(
             self.state, leadership, health, self._survey
         )
-        self._follower = build_follower(
+        self._follower = build_store_follower(
             self.state,
             store,
             health,
@@ -118,17 +118,17 @@
             news,
             news.log,
         )
-        self._node_pages = NodePages(
+        self._node_pages = StatusEndpoints(
             self.state, self._admission, store, self._count_busy, keeper
         )
-        self._reloader = Reloader(self.state, store, source)
-        self._connections: set[CallerConnection] = set()
-        self._page_connections: set[CallerConnection] = set()
+        self._reloader = SettingsReloader(self.state, store, source)
+        self._connections: set[ClientConnection] = set()
+        self._page_connections: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[asyncio.Server] = []
         self._ended = asyncio.Event()
         self._handled_losses = 0
-        self.state.listen(self._reroute_streams)
+        self.state.add_listener(self._reroute_streams)
 
     async def run(self) -> int:
         """Serve until a termination signal; return the exit code."""
@@ -159,7 +159,7 @@
         for server in self._servers:
             server.close()
         for conn in (*self._connections, *self._page_connections):
-            conn.end()
+            conn.shut_down()
         self._members.close()
         self._node_pages.usage.log()
         for task in tuple(self._tasks):
@@ -177,7 +177,7 @@
         """Return whether the load balancer should send new connections."""
         return self.state.is_ready()
 
-    def begin_drain(self) -> None:
+    def start_draining(self) -> None:
         """Start a graceful shutdown, in which every request is finished."""
         if self.state.is_draining:
             return
@@ -193,12 +193,12 @@
                 listen(settings.callers, self._front, self._connections),
                 listen(
                     settings.readiness,
-                    self._node_pages.build_ready(),
+                    self._node_pages.build_readiness_handler(),
                     self._page_connections,
                 ),
                 listen(
                     metrics_address,
-                    self._node_pages.build_metrics(),
+                    self._node_pages.build_metrics_handler(),
                     self._page_connections,
                 ),
             )
@@ -209,26 +209,26 @@
 
         Otherwise each stream would only notice by its own timeout.
         """
-        if self._handled_losses == self.state.view.losses:
+        if self._handled_losses == self.state.view.loss_count:
             return
-        self._handled_losses = self.state.view.losses
-        self._commander.wake()
+        self._handled_losses = self.state.view.loss_count
+        self._commander.trigger()
         for stream in tuple(self.state.streams):
-            stream.check_path()
+            stream.handle_view_change()
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = self._loop.time()
-            removed = self.state.view.sweep(now)
-            self.state.book.forget_silent(now)
-            self.state.pool.sweep(set(self.state.view.known))
+            removed = self.state.view.remove_lapsed(now)
+            self.state.load_tracker.expire_peers(now)
+            self.state.pool.close_stale(set(self.state.view.replicas))
             if removed:
                 _LOG.info(
                     'replicas removed; announcements did not return',
                     extra={'count': len(removed)},
                 )
-            self.state.notify()
+            self.state.notify_listeners()
 
     async def _drain(self) -> None:
         """Fail the readiness check, finish every request, then end.
@@ -239,10 +239,10 @@
         """
         now = self._loop.time()
         finish_by = now + self.state.settings.finish_s - _EXIT_MARGIN_S
-        self.state.streams_until = finish_by - _EXPECTED_STREAM_S
-        self.state.requests_until = finish_by - _MAX_REQUEST_S
+        self.state.accept_streams_until = finish_by - _EXPECTED_STREAM_S
+        self.state.accept_requests_until = finish_by - _MAX_REQUEST_S
         notice_ends_at = now + _READINESS_NOTICE_S
-        await self._revoke_lease(self._commander.leave())
+        await self._revoke_lease(self._commander.stop())
         await asyncio.sleep(notice_ends_at - self._loop.time())
         self._close_idle()
         await self._finish_requests(finish_by)
@@ -278,11 +278,11 @@
             conn.close_idle()
 
     def _count_busy(self) -> int:
-        return sum(conn.has_work for conn in self._connections)
+        return sum(conn.has_pending_work for conn in self._connections)
 
     def _catch_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.begin_drain)
+            self._loop.add_signal_handler(number, self.start_draining)
         self._loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
 
     async def _keep_running(
--- a/samphirerill/relay/refusals.py
+++ b/samphirerill/relay/refusals.py
@@ -9,8 +9,8 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
-    from samphirerill.relay.dialect import RequestFacts
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.dialect import RequestMetadata
+    from samphirerill.relay.server import ClientConnection
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('refusals')
@@ -38,10 +38,10 @@
     retry_s: float = 0.0
 
 
-def refuse(
+def send_refusal(
     state: EdgeState,
-    conn: CallerConnection,
-    facts: RequestFacts,
+    conn: ClientConnection,
+    facts: RequestMetadata,
     refusal: Refusal,
 ) -> None:
     """Send an error response and log the reason."""
@@ -60,4 +60,4 @@
             'configuration': state.version,
         },
     )
-    conn.answer(refusal.status, headers, b'')
+    conn.respond(refusal.status, headers, b'')
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -21,7 +21,7 @@
 _MAX_INVALID_KEYS = 256
 
 
-class ReplicaFolder:
+class ReplicaHandler:
     """Handles changes of the keys at which replicas announce themselves.
 
     Parameters
@@ -40,13 +40,13 @@
     """
 
     def __init__(self, state: EdgeState, health: StoreHealth) -> None:
-        self.prefix = state.dialect.replicas_prefix
+        self.prefix = state.adapter.replicas_prefix
         self.state = state
         self._health = health
         self._loop = asyncio.get_running_loop()
         self._invalid_keys: set[str] = set()
 
-    def take_all(self, found: list[StoredItem], revision: int) -> None:
+    def apply_snapshot(self, found: list[StoredItem], revision: int) -> None:
         """Replace the known replicas by a full listing of the store.
 
         A known replica whose entry is invalid now keeps its last valid one.
@@ -62,39 +62,39 @@
                 known.append((replica, item.revision))
         known.extend(
             (present.replica, present.revision)
-            for replica_id, present in view.known.items()
+            for replica_id, present in view.replicas.items()
             if replica_id in invalid
         )
         present = {replica.replica_id for replica, _ in known}
-        missing = sorted(set(view.known) - present)
-        view.replace_all(
+        missing = sorted(set(view.replicas) - present)
+        view.apply_snapshot(
             known, revision, self._get_grace(), self._find_leaves_at()
         )
         _LOG.info(
-            'replicas read',
+            'replicas listed from the store',
             extra={
                 'revision': revision,
                 'count': len(known),
                 'missing': missing[:_MAX_LOGGED_NAMES],
             },
         )
-        self.state.notify()
+        self.state.notify_listeners()
 
-    def take_item(self, item: StoredItem) -> None:
+    def apply_write(self, item: StoredItem) -> None:
         """Apply a new or changed announcement."""
         replica = self._decode(item)
         if replica is not None:
             was_leaving = self.state.view.is_leaving(replica.replica_id)
-            previous = self.state.view.known.get(replica.replica_id)
+            previous = self.state.view.replicas.get(replica.replica_id)
             previous_layers = (
                 None if previous is None else previous.replica.layers
             )
-            self.state.view.announce(
+            self.state.view.apply_announcement(
                 replica, item.revision, self._find_leaves_at()
             )
             if replica.layers != previous_layers:
                 _LOG.info(
-                    'replica holds',
+                    'replica layers changed',
                     extra={
                         'replica': replica.replica_id,
                         'layers': format_layers(replica.layers),
@@ -102,23 +102,23 @@
                     },
                 )
             if replica.is_leaving and not was_leaving:
-                _LOG.info('replica leaves', extra={'replica': item.key})
+                _LOG.info('replica is leaving', extra={'replica': item.key})
 
-    def take_gone(self, gone: DeletedKey) -> None:
+    def apply_deletion(self, gone: DeletedKey) -> None:
         """Apply a deletion, which after an outage may be an expired lease."""
         replica_id = self._get_replica_id(gone.key)
         grace_until = self._get_grace()
-        self.state.view.withdraw(
+        self.state.view.remove_announcement(
             replica_id, gone.revision, grace_until, self._find_leaves_at()
         )
         _LOG.info(
-            'replica withdrawn',
+            'replica announcement removed',
             extra={'replica': replica_id, 'may_return': bool(grace_until)},
         )
 
     def _decode(self, item: StoredItem) -> Replica | None:
         try:
-            return self.state.dialect.decode_replica(
+            return self.state.adapter.decode_replica(
                 self._get_replica_id(item.key), item.text
             )
         except DocumentError as exc:
@@ -143,7 +143,7 @@
     def _get_grace(self) -> float:
         """Return until when a missing entry may come back; 0 for never."""
         now = self._loop.time()
-        return self._health.find_grace(now, self._find_leaves_at() - now)
+        return self._health.compute_grace_deadline(now, self._find_leaves_at() - now)
 
     def _find_leaves_at(self) -> float:
-        return self.state.find_leaves_at(self._loop.time())
+        return self.state.compute_leaving_deadline(self._loop.time())
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 
 class AttemptBudget:
@@ -20,13 +20,13 @@
     ----------
     state : EdgeState
         Retry budgets and the number of nodes.
-    task : Task
+    task : RequestContext
         The request.
     """
 
     __slots__ = ('_holds_retry', '_is_counted', '_state', '_task')
 
-    def __init__(self, state: EdgeState, task: Task) -> None:
+    def __init__(self, state: EdgeState, task: RequestContext) -> None:
         self._state = state
         self._task = task
         self._is_counted = False
@@ -46,16 +46,16 @@
         is_urgent : bool
             Whether the response has started, or a run broke off.
         """
-        budget = self._state.get_budget(self._task.service.name)
+        budget = self._state.get_retry_budget(self._task.service.name)
         self._holds_retry = False
         if attempts:
             nodes = self._state.count_nodes()
-            self._holds_retry = budget.spend(now, nodes, is_urgent=is_urgent)
+            self._holds_retry = budget.try_spend(now, nodes, is_urgent=is_urgent)
             return self._holds_retry
         if not self._is_counted:
             # Counted once: counting each refused connection would inflate the
             # share of this node.
-            budget.note_first(now)
+            budget.note_request(now)
         self._is_counted = True
         return True
 
@@ -63,4 +63,4 @@
         """Refund a reserved retry for which nothing was sent."""
         if self._holds_retry:
             self._holds_retry = False
-            self._state.get_budget(self._task.service.name).give_back()
+            self._state.get_retry_budget(self._task.service.name).refund()
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -6,24 +6,24 @@
 import enum
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.endings import find_end, is_lost
-from samphirerill.fleet.load import list_ids
+from samphirerill.fleet.endings import find_stage_end, is_stage_lost
+from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.moves import predict_pause_ms
-from samphirerill.fleet.paths import predict_gap_ms
+from samphirerill.fleet.moves import predict_reroute_pause_ms
+from samphirerill.fleet.paths import predict_event_interval_ms
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.signs import list_unproven
-from samphirerill.relay.orders import order_repath
+from samphirerill.relay.health.signs import list_unconfirmed
+from samphirerill.relay.orders import request_reroute
 from samphirerill.relay.path_finder import ANY_HEAD, PathFinder
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import EngineSpec, Stage
     from samphirerill.fleet.paths import PathRequest
-    from samphirerill.relay.admission import Admission
+    from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.health.examiner import Diagnosis
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('streams')
 # Share of the time left on a draining replica before a stream may move. Most
@@ -63,20 +63,20 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
-    admission : Admission
+    admission : AdmissionQueue
         Grants paths with free capacity.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         engine: EngineSpec,
-        admission: Admission,
+        admission: AdmissionQueue,
     ) -> None:
         self.engine = engine
         self.stages: tuple[Stage, ...] = ()
@@ -118,11 +118,11 @@
             The head replicas that are allowed; empty for any.
         """
         wanted = self.finder.build_retry_request(is_urgent=is_urgent)
-        wanted.heads = wanted.heads or heads
+        wanted.first_replicas = wanted.first_replicas or heads
         self.stages = await self._admit(wanted, rank, deadline)
 
     async def find_isolated_head(
-        self, quarantine: Witness, until: float
+        self, quarantine: CrashDetector, until: float
     ) -> frozenset[str]:
         """Return the heads for a suspected request; empty for any.
 
@@ -150,7 +150,7 @@
         Its head differs, so that no replica runs the same stream twice at a
         time. Raises ``NoPathError`` if no path is found.
         """
-        wanted = self.finder.build_beside(self.head_id, self.list_lost())
+        wanted = self.finder.build_parallel_request(self.head_id, self.list_failed())
         return await self._admit(wanted, rank, deadline)
 
     def release(self) -> None:
@@ -160,18 +160,18 @@
 
     def has_alternative(self) -> bool:
         """Return whether a path over other replicas has capacity now."""
-        return bool(self.finder.find_other(self.list_lost()))
+        return bool(self.finder.find_alternative(self.list_failed()))
 
-    async def move(self) -> MoveResult:
+    async def replace_later_stages(self) -> MoveResult:
         """Replace the stages after the head, unless resending is faster."""
-        cached_ids = frozenset(list_ids(self.stages))
+        cached_ids = frozenset(list_replica_ids(self.stages))
         ending = self._list_ending_ids()
         stages = self.finder.find_with_head(self.stages[0], cached_ids, ending)
         if not stages:
             return MoveResult.NONE
         if self._is_resend_faster(stages, cached_ids, ending):
             return MoveResult.RESEND
-        self._admission.hold(self.engine, stages, self.tokens)
+        self._admission.reserve(self.engine, stages, self.tokens)
         if await self._reroute(stages):
             return MoveResult.MOVED
         return MoveResult.NONE
@@ -198,27 +198,27 @@
         expires_at = until + _MOVE_MARGIN_S
         return expires_at if expires_at > now else 0.0
 
-    def list_unproven(self) -> tuple[Stage, ...]:
+    def list_unconfirmed(self) -> tuple[Stage, ...]:
         """Return the stages without recent proof that they work."""
         if not self._state.settings.policy.signs_of_life:
             return self.stages
         since = self._loop.time() - _LIVENESS_PROOF_S
-        return list_unproven(self._state.streams, self.stages, since)
+        return list_unconfirmed(self._state.streams, self.stages, since)
 
-    def list_lost(self) -> set[str]:
+    def list_failed(self) -> set[str]:
         """Return the replicas of the path that should be left at once."""
         now = self._loop.time()
         view = self._state.view
         return {
             stage.replica.replica_id
             for stage in self.stages
-            if is_lost(view, stage, now)
+            if is_stage_lost(view, stage, now)
         }
 
     def is_head_dead(self) -> bool:
         """Return whether the head replica is gone or considered dead."""
-        head = self._state.view.known.get(self.head_id)
-        return head is None or head.suspicion.dead_until > self._loop.time()
+        head = self._state.view.replicas.get(self.head_id)
+        return head is None or head.suspicion.suspected_until > self._loop.time()
 
     def find_stalled_replica(
         self, diagnosis: Diagnosis, request_id: str
@@ -229,15 +229,15 @@
             name = stage.replica.replica_id
             if stage.replica.address == address or name in diagnosis.dead:
                 return name
-        return next(iter(self.list_lost()), '')
+        return next(iter(self.list_failed()), '')
 
     def predict_gap_s(self, stages: tuple[Stage, ...]) -> float:
         """Return the predicted time between two events on a path."""
-        gap_ms = predict_gap_ms(
+        gap_ms = predict_event_interval_ms(
             self.engine,
-            self._state.view.known,
+            self._state.view.replicas,
             stages,
-            self._state.book,
+            self._state.load_tracker,
             self._loop.time(),
         )
         return gap_ms / MS_PER_S
@@ -265,15 +265,15 @@
         ends = {}
         for stage in self.stages:
             name = stage.replica.replica_id
-            end = find_end(view, stage, now)
-            is_draining_head = name == self.head_id and name in view.leaving
+            end = find_stage_end(view, stage, now)
+            is_draining_head = name == self.head_id and name in view.leaving_deadlines
             if 0 < end < float('inf') and not is_draining_head:
                 ends[name] = end
         return ends
 
     def _list_ending_ids(self) -> set[str]:
         """Return the replicas that have failed, drain or drop layers."""
-        return self.list_lost() | set(self._list_end_times(self._loop.time()))
+        return self.list_failed() | set(self._list_end_times(self._loop.time()))
 
     def _is_resend_faster(
         self,
@@ -288,14 +288,14 @@
         """
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
-        other = self.finder.find_other(ending)
-        concurrent = max(self._state.book.requests(name) for name in ending)
-        if not self.list_lost():
+        other = self.finder.find_alternative(ending)
+        concurrent = max(self._state.load_tracker.count_requests(name) for name in ending)
+        if not self.list_failed():
             concurrent = concurrent // _SPREAD_FACTOR + 1
-        move_ms = predict_pause_ms(
+        move_ms = predict_reroute_pause_ms(
             self.engine, stages, cached_ids, self.tokens, concurrent
         )
-        resend_ms = predict_pause_ms(
+        resend_ms = predict_reroute_pause_ms(
             self.engine, other, (), self.tokens, concurrent
         )
         return bool(other) and resend_ms < move_ms
@@ -303,7 +303,7 @@
     async def _reroute(self, stages: tuple[Stage, ...]) -> bool:
         """Tell the head to use new stages; keep one of the two reserved."""
         try:
-            moved = await order_repath(
+            moved = await request_reroute(
                 self._state, self._task.facts.request_id, stages
             )
         except asyncio.CancelledError:
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -13,7 +13,7 @@
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.answers import is_success, read_head
 from samphirerill.relay.errors import (
-    BrokenAnswerError,
+    BrokenResponseError,
     ConnectError,
     EndpointError,
     ConnectionLimitError,
@@ -24,13 +24,13 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica, Stage
-    from samphirerill.relay.connection import Head, HttpConnection
-    from samphirerill.relay.dialect import AnswerFacts
-    from samphirerill.relay.health import Examiner
-    from samphirerill.relay.quarantine import Witness
+    from samphirerill.relay.connection import ResponseHead, HttpConnection
+    from samphirerill.relay.dialect import ResponseMetadata
+    from samphirerill.relay.health import ReplicaProber
+    from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _LOG = get_logger('streams')
 # Also the status when a path waits for a stage in vain.
@@ -58,7 +58,7 @@
         'attempts',
     )
 
-    def __init__(self, task: Task) -> None:
+    def __init__(self, task: RequestContext) -> None:
         self.last_id = parse_event_id(task.facts.resume_after)
         self.response_started_at = 0.0
         self.attempts = 0
@@ -93,15 +93,15 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : Task
+    task : RequestContext
         The request.
     path : StreamPath
         The path, with the replicas that were used and those to avoid.
     progress : StreamProgress
         The progress, which is kept up to date.
-    examiner : Examiner
+    examiner : ReplicaProber
         Probes replicas that others report as the cause of a failure.
-    quarantine : Witness
+    quarantine : CrashDetector
         Knows whether the request is quarantined; informed of runs that break
         off.
     """
@@ -119,11 +119,11 @@
     def __init__(
         self,
         state: EdgeState,
-        task: Task,
+        task: RequestContext,
         path: StreamPath,
         progress: StreamProgress,
-        examiner: Examiner,
-        quarantine: Witness,
+        examiner: ReplicaProber,
+        quarantine: CrashDetector,
     ) -> None:
         self._examiner = examiner
         self._quarantine = quarantine
@@ -136,22 +136,22 @@
     async def connect(self, replica: Replica) -> HttpConnection | None:
         """Return a connection, or none if the replica is unavailable now."""
         try:
-            conn = await self._state.pool.take(
+            conn = await self._state.pool.acquire(
                 replica,
                 fresh=not self._task.is_retryable,
-                most=self._state.count_connections(self._task.service),
+                max_open=self._state.get_connection_limit(self._task.service),
             )
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
             if self._progress.has_started:
-                self._state.view.refuse(replica.replica_id, self._loop.time())
+                self._state.view.note_refusal(replica.replica_id, self._loop.time())
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
         else:
             if not self._quarantine.find_held_until(self._task):
                 return conn
             # The request was quarantined while connecting.
-            self._state.pool.give_back(replica, conn)
+            self._state.pool.release(replica, conn)
         return None
 
     def send(
@@ -178,13 +178,13 @@
             event,
             path=format_path(stages),
             send=progress.attempts,
-            nodes=1 + self._state.book.count_peers(),
+            nodes=1 + self._state.load_tracker.count_peers(),
             after_event=progress.last_id,
             tokens=int(self._path.tokens),
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
             waited_ms=round(waited_s * MS_PER_S),
         )
-        self._quarantine.note_send(self._task, stages[0].replica)
+        self._quarantine.record_send(self._task, stages[0].replica)
         conn.send(self._build_call(stages))
         return is_new_head
 
@@ -210,8 +210,8 @@
             self._record_parallel_failure(
                 stages[0].replica.replica_id, str(exc)
             )
-            if isinstance(exc, BrokenAnswerError):
-                self._quarantine.note_break(self._task, stages[0].replica)
+            if isinstance(exc, BrokenResponseError):
+                self._quarantine.record_failure(self._task, stages[0].replica)
         finally:
             if head is None:
                 conn.close()
@@ -219,51 +219,51 @@
 
     async def read_head(
         self, conn: HttpConnection, deadline: float
-    ) -> tuple[Head, AnswerFacts]:
+    ) -> tuple[ResponseHead, ResponseMetadata]:
         """Return the head of the response to this stream."""
         return await read_head(
-            conn, self._state.dialect, self._task.facts.request_id, deadline
+            conn, self._state.adapter, self._task.facts.request_id, deadline
         )
 
     def handle_rejection(
-        self, head_id: str, head: Head, at_fault: str, *, is_new_head: bool
+        self, head_id: str, head: ResponseHead, failed_address: str, *, is_new_head: bool
     ) -> None:
         """Exclude the replica at fault after a path rejected the stream."""
         if is_new_head:
             # A replica that ran the stream before still counts as used.
             self._path.used_heads.discard(head_id)
-        faulty = self._state.view.find_address(at_fault) if at_fault else None
+        faulty = self._state.view.find_by_address(failed_address) if failed_address else None
         replica_id = head_id if faulty is None else faulty.replica.replica_id
         if (
             faulty is not None
             and replica_id != head_id
             and head.status == _UNAVAILABLE
         ):
-            self._examiner.check(faulty.replica)
-        self._record_refusal(replica_id, f'engine refused with {head.status}')
+            self._examiner.probe_in_background(faulty.replica)
+        self._record_refusal(replica_id, f'engine rejected the stream with status {head.status}')
 
     async def _start_run(
         self,
         conn: HttpConnection,
         stages: tuple[Stage, ...],
         deadline: float,
-    ) -> Head | None:
+    ) -> ResponseHead | None:
         """Return the response head of a started run; none if it was rejected.
 
         A run counts as started with its first event: if the engine broke off
         between the head and that, the stream would be left without any run.
         """
         head_id = stages[0].replica.replica_id
-        is_new_head = self.send(conn, stages, 'stream sent beside')
+        is_new_head = self.send(conn, stages, 'stream sent in parallel')
         head, facts = await self.read_head(conn, deadline)
         if facts.is_not_run:
             self.handle_rejection(
-                head_id, head, facts.at_fault, is_new_head=is_new_head
+                head_id, head, facts.failed_address, is_new_head=is_new_head
             )
             return None
         if not is_success(head.status):
             self._record_parallel_failure(
-                head_id, f'engine answered {head.status}'
+                head_id, f'engine responded with status {head.status}'
             )
             return None
         await conn.wait_for_part(deadline)
@@ -283,14 +283,14 @@
     def _record_parallel_failure(self, replica_id: str, reason: str) -> None:
         """Record that a parallel run failed and exclude the replica."""
         self._path.avoid.add(replica_id)
-        self._log('parallel run failed', replica=replica_id, reason=reason)
+        self._log('stream run in parallel failed', replica=replica_id, reason=reason)
 
     def _record_refusal(self, replica_id: str, reason: str) -> None:
         """Record that a replica refused; it is not asked again at once."""
         self._exclude_for_now(replica_id, reason)
-        self._state.view.refuse(replica_id, self._loop.time())
+        self._state.view.note_refusal(replica_id, self._loop.time())
         self._state.counters['streams.refused'] += 1
-        self._log('engine refused', replica=replica_id, reason=reason)
+        self._log('engine rejected the stream', replica=replica_id, reason=reason)
 
     def _exclude_for_now(self, replica_id: str, reason: str) -> None:
         """Prefer other replicas for the next attempt.
--- a/samphirerill/relay/succession.py
+++ b/samphirerill/relay/succession.py
@@ -18,7 +18,7 @@
     from collections.abc import Awaitable, Callable
 
     from samphirerill.fleet.model import Stage
-    from samphirerill.relay.connection import Head, HttpConnection
+    from samphirerill.relay.connection import ResponseHead, HttpConnection
 
 _LOG = get_logger('streams')
 
@@ -29,7 +29,7 @@
 
     stages: tuple[Stage, ...]
     conn: HttpConnection
-    head: Head
+    head: ResponseHead
 
 
 class Handover:
@@ -113,6 +113,6 @@
     exc = task.exception()
     if exc is not None:
         # The stream is not lost: it is sent again as after any broken run.
-        _LOG.error('handover failed', extra={'error': repr(exc)})
+        _LOG.error('stream handover failed', extra={'error': repr(exc)})
         return None
     return task.result()
--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/task.py
@@ -5,34 +5,34 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.model import Repeat
+from samphirerill.fleet.model import RetryClass
 from samphirerill.quarantine.identity import digest_request
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import ClientAccount, FleetRoute, Service
-    from samphirerill.relay.dialect import RequestFacts
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.dialect import RequestMetadata
+    from samphirerill.relay.server import ClientConnection, Request
 
 
 @dataclass(slots=True)
-class Task:
+class RequestContext:
     """The context in which one request is served.
 
     `deadline` is the earlier of the client's deadline and the route's timeout,
     `client_deadline` the client's own; both are on the loop's clock.
-    `hides_key` is whether clients authenticate with API keys, which endpoints
+    `strips_api_key` is whether clients authenticate with API keys, which endpoints
     must not see.
     """
 
     req: Request
-    facts: RequestFacts
-    conn: CallerConnection
+    facts: RequestMetadata
+    conn: ClientConnection
     route: FleetRoute
     service: Service
     account: ClientAccount | None
     deadline: float
     client_deadline: float
-    hides_key: bool
+    strips_api_key: bool
     _identity: bytes = b''
 
     @property
@@ -57,9 +57,9 @@
     @property
     def is_retryable(self) -> bool:
         """Return whether the request may be executed more than once."""
-        if self.route.repeat is Repeat.STREAM:
+        if self.route.retry_class is RetryClass.STREAM:
             return self.route.is_resumable
-        return self.route.repeat is Repeat.IDEMPOTENT
+        return self.route.retry_class is RetryClass.IDEMPOTENT
 
     @property
     def priority(self) -> int:
--- a/samphirerill/testing/demo.py
+++ b/samphirerill/testing/demo.py
@@ -6,10 +6,10 @@
 import threading
 from typing import Any
 
-from samphirerill.testing.clients import Answer, complete
+from samphirerill.testing.clients import ClientResponse, request_completion
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import make_token
-from samphirerill.testing.layout import COACH_KEY, build_three_stages
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, build_three_stages
 
 _NODE_COUNT = 3
 _TOKEN_COUNT = 60
@@ -30,9 +30,9 @@
         _print_line('Sending one streamed request and killing a stage in use.')
         kill_timer = threading.Timer(_KILL_AFTER_S, _kill_stage, (cluster,))
         kill_timer.start()
-        answer = complete(
+        answer = request_completion(
             cluster.nodes[0].callers,
-            COACH_KEY,
+            FIRST_ACCOUNT_KEY,
             'plans',
             _PROMPT,
             _TOKEN_COUNT,
@@ -55,7 +55,7 @@
         _print_line(f'Killed {name}.')
 
 
-def _report_response(answer: Answer, names: dict[str, str]) -> int:
+def _report_response(answer: ClientResponse, names: dict[str, str]) -> int:
     _print_line(f'Response: {answer.text}')
     for group in _group_layers(answer.layers):
         _print_line(_describe_group(group, names))
--- a/samphirerill/testing/ending_replica.py
+++ b/samphirerill/testing/ending_replica.py
@@ -5,17 +5,17 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.testing.platform_replicas import StandInReplica
+from samphirerill.testing.platform_replicas import FakeReplica
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
 _CANCEL_TIMEOUT_S = 60.0
 
 
-class EndingReplica(StandInReplica):
+class CrashingReplica(FakeReplica):
     """Crashes while it executes a request whose body contains a marker.
 
     Parameters
@@ -39,14 +39,14 @@
     ) -> None:
         super().__init__(replica_id)
         # Number of events sent before the crash.
-        self.ends_after = 1
+        self.crash_after_events = 1
         # Execution time of a plain request before the crash.
         self.execution_s = 0.02
         self._mark = mark
         self._on_marked = on_marked
         self._on_end = on_end
 
-    async def _serve(self, req: Request, conn: CallerConnection) -> None:
+    async def _serve(self, req: Request, conn: ClientConnection) -> None:
         if self._mark in req.body:
             self._on_marked()
         await super()._serve(req, conn)
@@ -59,7 +59,7 @@
 
     async def _wait_for_event(self, req: Request, done: int) -> None:
         await super()._wait_for_event(req, done)
-        if self._mark in req.body and done == self.ends_after:
+        if self._mark in req.body and done == self.crash_after_events:
             await self._crash()
 
     async def _crash(self) -> None:
--- a/samphirerill/testing/memory_store.py
+++ b/samphirerill/testing/memory_store.py
@@ -11,12 +11,12 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.backends.store import (
-    StoreRefusedError,
+    StoreRejectedError,
     StoreUnreachableError,
     WatchBatch,
 )
 from samphirerill.settings.model import StoreSettings
-from samphirerill.testing.kv_rules import InvalidCallError, Rules
+from samphirerill.testing.kv_rules import InvalidCallError, EtcdState
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -27,13 +27,13 @@
 
     Parameters
     ----------
-    rules : Rules, optional
+    rules : EtcdState, optional
         State of the service, to be shared by several clients.
     """
 
-    def __init__(self, rules: Rules | None = None) -> None:
+    def __init__(self, rules: EtcdState | None = None) -> None:
         super().__init__(StoreSettings())
-        self.rules = rules or Rules()
+        self.rules = rules or EtcdState()
         self.down = False
         self.lose_replies = 0
         self.calls = 0
@@ -51,7 +51,7 @@
         try:
             answer = self._run(path, call)
         except InvalidCallError as exc:
-            raise StoreRefusedError(str(exc)) from exc
+            raise StoreRejectedError(str(exc)) from exc
         if self.lose_replies:
             self.lose_replies -= 1
             raise StoreUnreachableError('reply lost', may_have_applied=True)
--- a/samphirerill/testing/platform_store.py
+++ b/samphirerill/testing/platform_store.py
@@ -16,7 +16,7 @@
 from samphirerill.fleet.model import ClientLimits
 
 if TYPE_CHECKING:
-    from samphirerill.relay.server import CallerConnection, Request
+    from samphirerill.relay.server import ClientConnection, Request
 
 _OK = 200
 _BAD_REQUEST = 400
@@ -31,11 +31,12 @@
 _ABSENT: Json = {'revision': 0}
 
 
-class StandInStore:
+class FakePlatformStore:
     """In-memory keys, leases and change history of the service.
 
-    `busy` responds with 503; `deaf` withholds changes from watches;
-    `lose_answers` is a number of requests to apply without responding.
+    `is_unavailable` responds with 503; `withholds_changes` withholds changes
+    from watches; `responses_to_lose` is a number of requests to apply without
+    responding.
     """
 
     def __init__(self) -> None:
@@ -43,11 +44,11 @@
         self.events: list[Json] = []
         self.revision = 0
         self.compacted_revision = 0
-        self.calls = 0
-        self.busy = False
-        self.deaf = False
-        self.lose_answers = 0
-        self.page = 500
+        self.call_count = 0
+        self.is_unavailable = False
+        self.withholds_changes = False
+        self.responses_to_lose = 0
+        self.page_size = 500
         self._leases: dict[int, set[str]] = {}
         self._lease_deadlines: dict[int, float] = {}
         self._ttl_s: dict[int, float] = {}
@@ -62,11 +63,11 @@
         """Return whether connections are closed after each response."""
         return False
 
-    async def handle(self, req: Request, conn: CallerConnection) -> None:
+    async def handle(self, req: Request, conn: ClientConnection) -> None:
         """Handle one API call."""
-        self.calls += 1
-        if self.busy:
-            conn.answer(_UNAVAILABLE, [], b'')
+        self.call_count += 1
+        if self.is_unavailable:
+            conn.respond(_UNAVAILABLE, [], b'')
             return
         parts = urlsplit(req.target.decode())
         query = {
@@ -74,11 +75,11 @@
         }
         body = json.decode(req.body) if req.body else {}
         status, answer = await self._dispatch(parts.path, query, body)
-        if self.lose_answers:
-            self.lose_answers -= 1
-            conn.cut()
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
+            conn.abort()
             return
-        conn.answer(status, [], json.encode(answer))
+        conn.respond(status, [], json.encode(answer))
 
     async def put(self, key: str, text: bytes, lease: int = 0) -> int:
         """Write a key directly, in place of an operator or replica."""
@@ -91,11 +92,11 @@
         self._delete(key)
         await self._notify_watches()
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Compact the history: watches from older revisions get 410."""
         self.compacted_revision = self.revision
 
-    async def end_leases(self) -> None:
+    async def expire_leases(self) -> None:
         """Expire all leases."""
         for lease in tuple(self._leases):
             self._expire_lease(lease)
@@ -140,7 +141,7 @@
             if key.startswith(query.get('prefix', ''))
             and key > query.get('after', '')
         )
-        page = names[: self.page]
+        page = names[: self.page_size]
         return _OK, {
             'items': [self.keys[key] for key in page],
             'morePages': len(names) > len(page),
@@ -155,7 +156,7 @@
             async with asyncio.timeout(int(query['waitMs']) / _MS_PER_S):
                 async with self._changed:
                     await self._changed.wait_for(
-                        lambda: not self.deaf and self.revision > after
+                        lambda: not self.withholds_changes and self.revision > after
                     )
         except TimeoutError:
             return _OK, {'events': [], 'currentRev': after}
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_world.py
@@ -5,19 +5,19 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.platform.store import PlatformStore
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.relay.process import EdgeProcess
-from samphirerill.testing.platform_replicas import StandInReplica
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_replicas import FakeReplica
+from samphirerill.testing.platform_store import FakePlatformStore
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 _HOST = '127.0.0.1'
 _ANY_PORT = f'{_HOST}:0'
@@ -26,7 +26,7 @@
 _POLL_INTERVAL_S = 0.01
 
 
-class PlatformWorld:
+class PlatformHarness:
     """A fake store, fake replicas and one or more nodes.
 
     Parameters
@@ -39,23 +39,23 @@
     def __init__(self, ports: tuple[int, int] = (0, 0)) -> None:
         self._ports = ports
         self._nodes: list[tuple[EdgeProcess, asyncio.Task[int]]] = []
-        self.service = StandInStore()
-        self.replicas: dict[str, StandInReplica] = {}
+        self.store = FakePlatformStore()
+        self.replicas: dict[str, FakeReplica] = {}
         self.addresses: dict[str, str] = {}
-        self._connections: set[CallerConnection] = set()
-        self._replica_connections: dict[str, set[CallerConnection]] = {}
+        self._connections: set[ClientConnection] = set()
+        self._replica_connections: dict[str, set[ClientConnection]] = {}
         self._servers: dict[str, asyncio.Server] = {}
         self._stores: list[PlatformStore] = []
         self._store_address = ''
-        self.process: EdgeProcess | None = None
+        self.first_node: EdgeProcess | None = None
 
     async def start(self) -> None:
         """Start the store and the first node."""
-        server = await listen(_ANY_PORT, self.service, self._connections)
+        server = await listen(_ANY_PORT, self.store, self._connections)
         self._servers[''] = server
         port = server.sockets[0].getsockname()[1]
         self._store_address = f'{_HOST}:{port}'
-        self.process = self.start_node()
+        self.first_node = self.start_node()
 
     def start_node(self) -> EdgeProcess:
         """Start another node, on its own loopback address."""
@@ -75,7 +75,7 @@
         )
         store = PlatformStore(self._store_address)
         self._stores.append(store)
-        process = EdgeProcess(settings, PlatformDialect(), store)
+        process = EdgeProcess(settings, HttpPlatformAdapter(), store)
         self._nodes.append((process, asyncio.create_task(process.run())))
         return process
 
@@ -94,23 +94,23 @@
         for server in self._servers.values():
             server.close()
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
         for name in tuple(self._replica_connections):
-            self.end_replica(name)
+            self.crash_replica(name)
         for store in self._stores:
             store.close()
         await asyncio.sleep(0.02)
 
-    async def add(self, name: str, events: int = 5) -> StandInReplica:
+    async def add_replica(self, name: str, events: int = 5) -> FakeReplica:
         """Start a replica without registering it; tests write its entry."""
-        replica = StandInReplica(name, events)
-        await self.run_replica(replica)
+        replica = FakeReplica(name, events)
+        await self.start_replica(replica)
         return replica
 
-    async def run_replica(self, replica: StandInReplica) -> None:
+    async def start_replica(self, replica: FakeReplica) -> None:
         """Start listening for a replica."""
         name = replica.replica_id
-        connections: set[CallerConnection] = set()
+        connections: set[ClientConnection] = set()
         server = await listen(_ANY_PORT, replica, connections)
         self._servers[name] = server
         self._replica_connections[name] = connections
@@ -118,48 +118,48 @@
         self.addresses[name] = f'{_HOST}:{port}'
         self.replicas[name] = replica
 
-    def end_replica(self, name: str) -> None:
+    def crash_replica(self, name: str) -> None:
         """Stop a replica abruptly: close its port and all its connections."""
         self._servers[name].close()
         for conn in tuple(self._replica_connections.pop(name, ())):
-            conn.cut()
+            conn.abort()
 
-    def expect_process(self) -> EdgeProcess:
+    def require_first_node(self) -> EdgeProcess:
         """Return the first node, ready or not."""
-        if self.process is None:
+        if self.first_node is None:
             raise RuntimeError('no node is running: call start() first')
-        return self.process
+        return self.first_node
 
-    async def until_ready(
+    async def wait_until_ready(
         self, process: EdgeProcess | None = None
     ) -> EdgeProcess:
         """Wait until a node, by default the first, is ready."""
-        node = process or self.expect_process()
+        node = process or self.require_first_node()
         async with asyncio.timeout(_TEST_TIMEOUT_S):
             while not node.is_ready():
                 await asyncio.sleep(_POLL_INTERVAL_S)
         return node
 
-    async def until_known(
+    async def wait_for_replica_count(
         self, count: int, process: EdgeProcess | None = None
     ) -> None:
         """Wait until a node, by default the first, knows `count` replicas."""
-        process = await self.until_ready(process)
+        process = await self.wait_until_ready(process)
         async with asyncio.timeout(_TEST_TIMEOUT_S):
-            while len(process.state.view.known) != count:
+            while len(process.state.view.replicas) != count:
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def connect(
         self, process: EdgeProcess | None = None
     ) -> HttpConnection:
         """Open a client connection to a node, by default the first."""
-        node = await self.until_ready(process)
+        node = await self.wait_until_ready(process)
         host = node.state.settings.host
         conn = HttpConnection(f'{host}:{node.get_port()}')
         await conn.open()
         return conn
 
-    async def ask(
+    async def send_request(
         self,
         target: bytes,
         headers: Headers,
@@ -169,8 +169,8 @@
         """Send one request; return the status and the complete body."""
         conn = await self.connect(process)
         try:
-            conn.send(build_call(b'POST', target, headers, body))
+            conn.send(serialize_request(b'POST', target, headers, body))
             deadline = asyncio.get_running_loop().time() + _TEST_TIMEOUT_S
-            return await read_answer(conn, deadline)
+            return await read_response(conn, deadline)
         finally:
             conn.close()
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -8,7 +8,7 @@
 from msgspec import json
 
 from samphirerill.relay.listeners import listen
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_store import FakePlatformStore
 from samphirerill.testing.soak.nodes import SoakNode
 from samphirerill.testing.soak.proxy import LoopbackProxy
 from samphirerill.testing.soak.replicas import (
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 HOST = 'soak.example'
 KEYS = {'suva': 'key-suva', 'nadi': 'key-nadi'}
@@ -91,7 +91,7 @@
         services: int = 2,
     ) -> None:
         self.truth = GroundTruth()
-        self.service = StandInStore()
+        self.service = FakePlatformStore()
         self.version = 0
         self.committed_at: dict[int, float] = {}
         self._store_address = f'{_STORE_HOST}:{port}'
@@ -117,7 +117,7 @@
         )
         self._replicas = ReplicaRegistry(self.truth)
         self._loop = asyncio.get_running_loop()
-        self._connections: set[CallerConnection] = set()
+        self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -152,7 +152,7 @@
         proxies.extend(self.store_proxies.values())
         await asyncio.gather(*(proxy.stop() for proxy in proxies))
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
         if self._server is not None:
             self._server.close()
 
@@ -200,9 +200,9 @@
 
     def clear_faults(self) -> None:
         """Clear all faults except stopped processes and replicas."""
-        self.service.busy = False
-        self.service.deaf = False
-        self.service.lose_answers = 0
+        self.service.is_unavailable = False
+        self.service.withholds_changes = False
+        self.service.responses_to_lose = 0
         for proxy in self.store_proxies.values():
             proxy.clear_faults()
         for slot in self.slots:
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -11,12 +11,12 @@
 from msgspec.structs import replace
 
 from samphirerill.relay.errors import EndpointError
-from samphirerill.testing.ending_replica import EndingReplica
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.ending_replica import CrashingReplica
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.platform_documents import (
-    KEY,
+    API_KEY,
     build_configuration,
-    build_entry,
+    build_announcement,
 )
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         return exchange.getsockname()[1], peers.getsockname()[1]
 
 
-def build_headers(request_id: str, key: str = KEY) -> Headers:
+def build_headers(request_id: str, key: str = API_KEY) -> Headers:
     """Return the headers of a request."""
     return [
         (b'host', b'bridal.example'),
@@ -55,7 +55,7 @@
     ]
 
 
-class EndingEnginesCase(IsolatedAsyncioTestCase):
+class CrashingEnginesCase(IsolatedAsyncioTestCase):
     """Six engines that hold all layers; a crashed one restarts elsewhere.
 
     `crash_times` are when engines crashed, `poison_sent_at` when poison
@@ -71,7 +71,7 @@
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.world = PlatformWorld(find_ports())
+        self.world = PlatformHarness(find_ports())
         self.crash_times: list[float] = []
         self.crashed: set[str] = set()
         self.poison_sent_at: list[float] = []
@@ -79,10 +79,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.addAsyncCleanup(self._stop)
         await self.world.start()
-        await self.world.service.put('op/config', self.build_configuration())
+        await self.world.store.put('op/config', self.build_configuration())
         for _ in range(_ENGINE_COUNT):
             await self.start_engine()
-        self.nodes = [self.world.expect_process()]
+        self.nodes = [self.world.require_first_node()]
         await self.prepare(self.nodes[0])
 
     def build_configuration(self) -> bytes:
@@ -94,25 +94,25 @@
     async def start_engine(self) -> None:
         """Start an engine under a new id."""
         name = f'engine-{len(self.world.replicas)}'
-        engine = EndingReplica(name, POISON, self._record_poison, self._crash)
+        engine = CrashingReplica(name, POISON, self._record_poison, self._crash)
         engine.layers = self.layers or (0, 0)
-        engine.gap_s = _GAP_S
+        engine.event_interval_s = _GAP_S
         engine.events = self.events
-        await self.world.run_replica(engine)
+        await self.world.start_replica(engine)
         address = self.world.addresses[name]
-        entry = build_entry(self.service, address, self.kind, self.layers)
-        await self.world.service.put(f'servers/{name}', entry)
+        entry = build_announcement(self.service, address, self.kind, self.layers)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def announce_leaving(self, name: str) -> None:
         """Let an engine announce that it shuts down."""
-        entry = build_entry(
+        entry = build_announcement(
             self.service,
             self.world.addresses[name],
             self.kind,
             self.layers,
             'draining',
         )
-        await self.world.service.put(f'servers/{name}', entry)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def add_node(self) -> EdgeProcess:
         """Start another node."""
@@ -123,11 +123,11 @@
 
     async def prepare(self, node: EdgeProcess) -> None:
         """Wait until a node is ready, and raise its retry budget."""
-        await self.world.until_ready(node)
+        await self.world.wait_until_ready(node)
         async with asyncio.timeout(5):
-            while not node.state.view.known:
+            while not node.state.view.replicas:
                 await asyncio.sleep(0.01)
-        node.state.change_settings(
+        node.state.apply_settings(
             replace(node.state.settings, retry_slack=RETRY_SLACK)
         )
 
@@ -136,12 +136,12 @@
         node: EdgeProcess,
         request_id: str,
         body: bytes,
-        key: str = KEY,
+        key: str = API_KEY,
     ) -> tuple[int, bytes]:
         """Send a request; the status is 0 if the response breaks off."""
         headers = build_headers(request_id, key)
         try:
-            return await self.world.ask(self.target, headers, body, node)
+            return await self.world.send_request(self.target, headers, body, node)
         except EndpointError as exc:
             return FAILED, str(exc).encode()
 
@@ -155,7 +155,7 @@
         return {
             (req.get(b'x-samphirerill-request-id') or b'').decode()
             for engine in self.world.replicas.values()
-            for req in engine.seen
+            for req in engine.received_requests
             if POISON in req.body
         }
 
@@ -170,7 +170,7 @@
         """Return the engines that have not crashed."""
         return self.world.replicas.keys() - self.crashed
 
-    def end_engine(self, name: str) -> None:
+    def crash_engine(self, name: str) -> None:
         """Crash an engine; a new one starts soon after."""
         self._crash(name)
 
@@ -182,7 +182,7 @@
         self.crashed.add(name)
         task = asyncio.create_task(self._restart())
         self._tasks.add(task)
-        self.world.end_replica(name)
+        self.world.crash_replica(name)
 
     async def _restart(self) -> None:
         await asyncio.sleep(_RESTART_DELAY_S)
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Any, cast
 from unittest.mock import Mock
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.health import Alarms
 from samphirerill.relay.hearing import DatagramReceiver
 from samphirerill.relay.messages import NodeAnnouncement
-from samphirerill.relay.news import NewsSource
-from samphirerill.relay.peer_help import PeerHelp
+from samphirerill.relay.news import ChangeSource
+from samphirerill.relay.peer_help import PeerSync
 from samphirerill.relay.roster import PeerDirectory
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.telling import StatusSender
@@ -83,7 +83,7 @@
                 retry_ratio=0.2,
                 retry_slack=300,
             ),
-            PlatformDialect(),
+            HttpPlatformAdapter(),
         )
         self.peers = PeerDirectory(name, data_centre)
         self.status_sender = StatusSender(self.state, self.peers)
@@ -92,9 +92,9 @@
             self.state,
             self.peers,
             self.status_sender,
-            NewsSource(name),
+            ChangeSource(name),
             ChangeLog(),
-            cast('PeerHelp', Mock(spec=PeerHelp)),
+            cast('PeerSync', Mock(spec=PeerSync)),
             self.alarms,
         )
         network.nodes[self.host] = self
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -7,9 +7,9 @@
 
 from samphirerill.fleet.outage import Outage
 from samphirerill.fleet.paths import PathRequest
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission, NoPathError, OutageError
+from samphirerill.relay.admission import AdmissionQueue, NoPathError, OutageError
 from samphirerill.relay.state import EdgeState
 from samphirerill.tests.fleets import ENGINE, build_replica
 
@@ -23,12 +23,12 @@
 
     async def asyncSetUp(self) -> None:
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         for name, layers in (('one', (0, 40)), ('two', (40, 80))):
-            self.state.view.announce(
+            self.state.view.apply_announcement(
                 build_replica(name, 'a', 'large', layers), 1
             )
-        self.admission = Admission(self.state)
+        self.admission = AdmissionQueue(self.state)
         self.loop = asyncio.get_running_loop()
 
     def admit(
@@ -66,7 +66,7 @@
     ) -> None:
         with self.assertRaises(NoPathError) as caught:
             await self.admit(1e9, _NEW_RANK, 0.05)
-        self.assertIn('no room in layers', str(caught.exception))
+        self.assertIn('no replica has free memory for layers', str(caught.exception))
 
     async def test_request_without_live_layers_is_rejected_at_once(
         self,
@@ -76,11 +76,11 @@
         They were then told to retry before those could be loaded.
         """
         now = self.loop.time()
-        self.state.view.suspect('two', now + 9, now, votes=2)
+        self.state.view.add_silence_report('two', now + 9, now, votes=2)
         with self.assertRaises(OutageError) as caught:
             await self.admit(100, _NEW_RANK, 1.4)
         self.assertLess(self.loop.time() - now, 0.1)
-        self.assertIn('nobody holds layers 40-80', str(caught.exception))
+        self.assertIn('no replica holds layers 40-80', str(caught.exception))
         load_s = ENGINE.load_s / 2
         self.assertGreater(caught.exception.wait_s, load_s)
         self.assertLess(caught.exception.wait_s, load_s + 1)
@@ -100,11 +100,11 @@
 
     async def test_started_stream_waits_for_missing_layers(self) -> None:
         now = self.loop.time()
-        self.state.view.suspect('two', now + 9, now, votes=2)
+        self.state.view.add_silence_report('two', now + 9, now, votes=2)
         started = self.admit(100, _STARTED_RANK, 2.0)
         await asyncio.sleep(0.05)
-        self.state.view.trust('two')
-        self.state.notify()
+        self.state.view.note_alive('two')
+        self.state.notify_listeners()
         self.assertTrue(await started)
 
     async def test_cancelled_wait_reserves_nothing(self) -> None:
@@ -112,4 +112,4 @@
         await asyncio.sleep(0.01)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        self.assertEqual(self.state.book.own(), {})
+        self.assertEqual(self.state.load_tracker.get_own_load(), {})
--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -6,15 +6,15 @@
 
 from msgspec import json
 
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
     EVENTS,
     GAP_S,
     OK,
-    PATIENCE_S,
+    RESPONSE_TIMEOUT_S,
     SETTLE_S,
     TwoEnginesCase,
     build_headers,
@@ -31,9 +31,9 @@
         document['services'] = document['services'][1:]
         document['tenants'] = [{'name': 'other', 'apiKeys': ['other']}]
         await self.configure(json.encode(document))
-        self.world.replicas[head].stop_after = 1
-        self.assert_whole(await stream)
-        self.assertEqual(len(set(self.sent())), 2)
+        self.world.replicas[head].close_after_event = 1
+        self.assert_complete(await stream)
+        self.assertEqual(len(set(self.list_used_engines())), 2)
 
     async def test_stream_keeps_its_service_and_timeout(self) -> None:
         stream, head, _ = await self.start_stream()
@@ -42,23 +42,23 @@
             8, trafficSplit=shares, timeoutMs=100, maxAttempts=1
         )
         await self.configure(text)
-        self.world.replicas[head].stop_after = 1
-        self.assert_whole(await stream)
-        self.assertEqual(len(set(self.sent())), 2)
+        self.world.replicas[head].close_after_event = 1
+        self.assert_complete(await stream)
+        self.assertEqual(len(set(self.list_used_engines())), 2)
 
     async def test_changed_settings_interrupt_nothing(self) -> None:
         plain_replica = self.world.replicas['desk-1']
-        plain_replica.free.clear()
+        plain_replica.responding.clear()
         stream, _, _ = await self.start_stream()
-        plain_request = self.start(b'/pickup/x')
-        await self.until(lambda: plain_replica.seen)
-        self.change(retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1)
-        self.world.service.busy = True
+        plain_request = self.start_request(b'/pickup/x')
+        await self.wait_until(lambda: plain_replica.received_requests)
+        self.change_settings(retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1)
+        self.world.store.is_unavailable = True
         await asyncio.sleep(SETTLE_S)
-        plain_replica.free.set()
+        plain_replica.responding.set()
         status, _ = await plain_request
         self.assertEqual(status, OK)
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
 
 class TestEndpoints(TwoEnginesCase):
@@ -66,13 +66,13 @@
 
     async def test_reset_is_retried_or_answered_as_bad_gateway(self) -> None:
         for replica in self.world.replicas.values():
-            replica.gap_s = GAP_S / EVENTS
+            replica.event_interval_s = GAP_S / EVENTS
         for target in (b'/notes/x', b'/pickup/x'):
             status, _ = await self.request(target)
             self.assertEqual(status, OK)
         for replica in self.world.replicas.values():
-            replica.resets = 1
-        self.assert_whole(await self.request(b'/notes/x'))
+            replica.resets_left = 1
+        self.assert_complete(await self.request(b'/notes/x'))
         status, _ = await self.request(b'/pickup/x')
         self.assertEqual(status, 502)
 
@@ -81,7 +81,7 @@
     ) -> None:
         await self.configure(build_configuration(8, resumable=False))
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].resets = 1
+            self.world.replicas[name].resets_left = 1
         status, _ = await self.request(b'/notes/x')
         self.assertEqual(status, 502)
 
@@ -102,7 +102,7 @@
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.process.get_port()
         )
-        writer.write(build_call(b'POST', b'/pickup/x', headers, b'gown'))
+        writer.write(serialize_request(b'POST', b'/pickup/x', headers, b'gown'))
         async with asyncio.timeout(2):
             head = await reader.readline()
         writer.close()
@@ -127,15 +127,15 @@
             await asyncio.sleep(0.097 + number * 0.0005)
             answered += await self.try_send(conn)
             conn.close()
-        self.assertEqual(answered, len(plain_replica.seen))
+        self.assertEqual(answered, len(plain_replica.received_requests))
 
     async def try_send(self, conn: HttpConnection) -> bool:
         """Send a request; return whether it got a response."""
-        call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
+        call = serialize_request(b'POST', b'/pickup/x', build_headers('r1'), b'')
         conn.send(call)
-        until = asyncio.get_running_loop().time() + PATIENCE_S
+        until = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
         try:
-            status, _ = await read_answer(conn, until)
+            status, _ = await read_response(conn, until)
         except EndpointError:
             return False
         return status == OK
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -7,18 +7,18 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from samphirerill.backends.peers import PeerClients, PeerServer
-from samphirerill.control.claims import Batch, Claim
+from samphirerill.control.claims import ClaimBatch, Claim
 from samphirerill.core.commands import Outcome, SettleClaim, WriteClaim
-from samphirerill.core.events import ClaimFailed, ClaimTaken, ClaimWon
-from samphirerill.node.claim_carriers import COLLECT_ABOVE, pick_collector
-from samphirerill.node.claim_writer import RELEASE_AFTER_S, ClaimWriter
+from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
+from samphirerill.node.claim_carriers import MAX_DIRECT_WRITERS, choose_aggregator
+from samphirerill.node.claim_writer import RELEASE_DELAY_S, ClaimWriter
 from samphirerill.node.members import Member
 from samphirerill.node.store_worker import StoreWorker
-from samphirerill.testing.kv_rules import Rules
+from samphirerill.testing.kv_rules import EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 if TYPE_CHECKING:
-    from samphirerill.node.members import Members
+    from samphirerill.node.members import Membership
 
 
 class _Sink:
@@ -32,19 +32,19 @@
     def apply(self, event: object) -> None:
         self.events.append(event)
         if self.writer is not None:
-            self.answers.update(self.writer.answers)
+            self.answers.update(self.writer.stored_responses)
 
 
 class _Members:
     """The nodes known to a writer."""
 
     def __init__(self, name: str) -> None:
-        self.others: dict[str, Any] = {}
+        self.peers: dict[str, Any] = {}
         self._name = name
 
     @property
     def count(self) -> int:
-        return len(self.others) + 1
+        return len(self.peers) + 1
 
     def is_alive(self, holder: str) -> bool:
         return holder != 'dead'
@@ -53,7 +53,7 @@
 class _Node:
     """One node's claim writer over a shared store."""
 
-    def __init__(self, name: str, rules: Rules) -> None:
+    def __init__(self, name: str, rules: EtcdState) -> None:
         self.address = ''
         self.store = MemoryStore(rules)
         self.sink = _Sink()
@@ -64,7 +64,7 @@
             name,
             '/p/',
             self.sink,
-            cast('Members', self.members),
+            cast('Membership', self.members),
             PeerClients(4),
         )
         self.sink.writer = self.writer
@@ -73,7 +73,7 @@
     async def claim(self, request_id: str, key: str, body: str = 'b') -> Any:
         """Claim a key and return the resulting event."""
         before = len(self.sink.events)
-        self.writer.write(WriteClaim(request_id, 'viti', 'notices', key, body))
+        self.writer.queue_claim(WriteClaim(request_id, 'viti', 'notices', key, body))
         for _ in range(400):
             await asyncio.sleep(0.01)
             if len(self.sink.events) > before:
@@ -84,7 +84,7 @@
         self, request_id: str, outcome: Outcome, answer: dict[str, Any]
     ) -> None:
         """Record an outcome and wait until it is written."""
-        self.writer.settle(SettleClaim(request_id, outcome), answer)
+        self.writer.queue_outcome(SettleClaim(request_id, outcome), answer)
         await asyncio.sleep(0.1)
 
 
@@ -92,7 +92,7 @@
     """Two nodes and one unreliable key-value service."""
 
     async def asyncSetUp(self) -> None:
-        self.rules = Rules()
+        self.rules = EtcdState()
         self.one = _Node('n1', self.rules)
         self.two = _Node('n2', self.rules)
 
@@ -103,9 +103,9 @@
 
     async def test_second_claim_gets_state_of_the_first(self) -> None:
         """A retry at another node gets the state of the first request."""
-        self.assertEqual(await self.one.claim('r1', 'k'), ClaimWon('r1'))
+        self.assertEqual(await self.one.claim('r1', 'k'), ClaimAcquired('r1'))
         running = await self.two.claim('r2', 'k')
-        self.assertEqual(running, ClaimTaken('r2', 'running', True))
+        self.assertEqual(running, ClaimConflicted('r2', 'running', True))
         await self.one.settle('r1', Outcome.ANSWERED, {'text': 'done'})
         answered = await self.two.claim('r3', 'k')
         self.assertEqual(answered.state, 'answered')
@@ -120,7 +120,7 @@
         """A retry of a request that never ran may run."""
         await self.one.claim('r1', 'k')
         await self.one.settle('r1', Outcome.NOT_RUN, {})
-        self.assertEqual(await self.two.claim('r2', 'k'), ClaimWon('r2'))
+        self.assertEqual(await self.two.claim('r2', 'k'), ClaimAcquired('r2'))
 
     async def test_repeated_release_keeps_a_later_claim(self) -> None:
         """A release sent twice does not remove the claim of a retry.
@@ -130,12 +130,12 @@
         """
         await self.one.claim('r1', 'k')
         self.one.store.lose_replies = 1
-        self.one.writer.settle(SettleClaim('r1', Outcome.NOT_RUN), {})
+        self.one.writer.queue_outcome(SettleClaim('r1', Outcome.NOT_RUN), {})
         await asyncio.sleep(0.06)
-        self.assertEqual(await self.two.claim('r2', 'k'), ClaimWon('r2'))
+        self.assertEqual(await self.two.claim('r2', 'k'), ClaimAcquired('r2'))
         await asyncio.sleep(0.5)
         third = await self.two.claim('r3', 'k')
-        self.assertEqual(third, ClaimTaken('r3', 'running', True))
+        self.assertEqual(third, ClaimConflicted('r3', 'running', True))
 
     async def test_lost_reply_is_resolved_by_reading_back(self) -> None:
         """A claim whose reply was lost is recognised as this node's own.
@@ -144,7 +144,7 @@
         """
         await self.one.claim('warm', 'up')
         self.one.store.lose_replies = 1
-        self.assertEqual(await self.one.claim('r1', 'k'), ClaimWon('r1'))
+        self.assertEqual(await self.one.claim('r1', 'k'), ClaimAcquired('r1'))
 
     async def test_claim_given_up_in_an_outage_is_released(self) -> None:
         """A claim given up is removed once the service is back.
@@ -167,25 +167,25 @@
         verdict = await self.one.claim('r1', 'k')
         self.assertEqual(verdict, ClaimFailed('r1'))
         self.assertEqual(
-            await self.two.claim('r2', 'k'), ClaimTaken('r2', 'running', True)
+            await self.two.claim('r2', 'k'), ClaimConflicted('r2', 'running', True)
         )
         self.one.store.down = False
-        await asyncio.sleep(RELEASE_AFTER_S + 0.5)
-        self.assertEqual(await self.two.claim('r3', 'k'), ClaimWon('r3'))
+        await asyncio.sleep(RELEASE_DELAY_S + 0.5)
+        self.assertEqual(await self.two.claim('r3', 'k'), ClaimAcquired('r3'))
 
     async def test_claims_are_written_in_batches(self) -> None:
         """Claims that arrive together share a transaction."""
         await self.one.claim('warm', 'up')
         before = self.one.store.calls
         for number in range(40):
-            self.one.writer.write(
+            self.one.writer.queue_claim(
                 WriteClaim(f'r{number}', 'viti', 'notices', f'{number}', 'b')
             )
         await asyncio.sleep(0.3)
         won = [
             event
             for event in self.one.sink.events
-            if isinstance(event, ClaimWon)
+            if isinstance(event, ClaimAcquired)
         ]
         self.assertEqual(len(won), 41)
         self.assertLessEqual(self.one.store.calls - before, 3)
@@ -194,22 +194,22 @@
         """A conflict in a batch affects only that claim."""
         await self.one.claim('r1', 'taken')
         for key in ('a', 'taken', 'b'):
-            self.two.writer.write(
+            self.two.writer.queue_claim(
                 WriteClaim(f'two-{key}', 'viti', 'notices', key, 'b')
             )
         await asyncio.sleep(0.4)
         won = {
             event.request_id
             for event in self.two.sink.events
-            if isinstance(event, ClaimWon)
+            if isinstance(event, ClaimAcquired)
         }
         self.assertEqual(won, {'two-a', 'two-b'})
 
     async def test_equal_keys_of_two_accounts_do_not_conflict(self) -> None:
         await self.one.claim('r1', 'k')
-        self.two.writer.write(WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b'))
+        self.two.writer.queue_claim(WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b'))
         await asyncio.sleep(0.2)
-        self.assertEqual(self.two.sink.events, [ClaimWon('r2')])
+        self.assertEqual(self.two.sink.events, [ClaimAcquired('r2')])
 
 
 class TestCollectedClaims(unittest.IsolatedAsyncioTestCase):
@@ -217,27 +217,27 @@
 
     async def asyncSetUp(self) -> None:
         """Start two writers that know a large fleet, and peer servers."""
-        self.rules = Rules()
+        self.rules = EtcdState()
         self.nodes = [_Node(f'n{index}', self.rules) for index in range(2)]
         self.servers = []
         for node in self.nodes:
-            server = PeerServer(lambda word: word, node.writer.collect)
+            server = PeerServer(lambda word: word, node.writer.write_for_peer)
             self.servers.append(server)
             node.address = f'127.0.0.1:{await server.start("127.0.0.1", 0)}'
         for node, other in zip(self.nodes, self.nodes[::-1], strict=True):
-            node.members.others = {
+            node.members.peers = {
                 f'other-{index}': Member(f'other-{index}', 'a', other.address)
-                for index in range(COLLECT_ABOVE + 10)
+                for index in range(MAX_DIRECT_WRITERS + 10)
             }
         self.sender = next(
             node
             for node in self.nodes
-            if pick_collector(node.writer.name, cast('Members', node.members))
+            if choose_aggregator(node.writer.node_id, cast('Membership', node.members))
         )
         self.collector = next(
             node for node in self.nodes if node is not self.sender
         )
-        self.collector.members.others = {}
+        self.collector.members.peers = {}
 
     async def asyncTearDown(self) -> None:
         for node in self.nodes:
@@ -248,7 +248,7 @@
 
     async def test_claims_and_outcomes_go_through_the_collector(self) -> None:
         """The sender itself does not call the service."""
-        self.assertEqual(await self.sender.claim('r1', 'k'), ClaimWon('r1'))
+        self.assertEqual(await self.sender.claim('r1', 'k'), ClaimAcquired('r1'))
         await self.sender.settle('r1', Outcome.ANSWERED, {'text': 'done'})
         await asyncio.sleep(0.2)
         again = await self.sender.claim('r2', 'k')
@@ -272,18 +272,18 @@
         task that writes claims, so that the node refused all requests with
         keys.
         """
-        node = _Node('n1', Rules())
+        node = _Node('n1', EtcdState())
         self.addCleanup(node.worker.stop)
         self.addCleanup(node.task.cancel)
         node.store.down = True
         remote_claim = Claim('/p/claims/k', 'n2', 'r1', 'b')
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(
-                node.writer.collect(Batch([remote_claim])), timeout=0.5
+                node.writer.write_for_peer(ClaimBatch([remote_claim])), timeout=0.5
             )
         await asyncio.sleep(1.5)
         node.store.down = False
-        self.assertEqual(await node.claim('r2', 'other'), ClaimWon('r2'))
+        self.assertEqual(await node.claim('r2', 'other'), ClaimAcquired('r2'))
 
 
 if __name__ == '__main__':
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 from unittest import TestCase
 
-from samphirerill.fleet.load import LoadBook, list_ids
-from samphirerill.fleet.moves import predict_pause_ms
+from samphirerill.fleet.load import LoadTracker, list_replica_ids
+from samphirerill.fleet.moves import predict_reroute_pause_ms
 from samphirerill.fleet.paths import PathRequest, choose_path
 from samphirerill.fleet.policy import Policy
-from samphirerill.tests.fleets import ENGINE, build_replica, know
+from samphirerill.tests.fleets import ENGINE, build_replica, build_states
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
@@ -36,7 +36,7 @@
     """Three pipelines, one of them slightly faster."""
 
     def setUp(self) -> None:
-        self.known = know(
+        self.known = build_states(
             [
                 *_build_pipeline('a'),
                 *_build_pipeline('b'),
@@ -50,19 +50,19 @@
 
     def place_streams(
         self, policy: Policy, data_centres: str = ''
-    ) -> tuple[LoadBook, Counter[str]]:
+    ) -> tuple[LoadTracker, Counter[str]]:
         """Choose paths for all streams; return load and first data centres."""
-        book = LoadBook()
+        load_tracker = LoadTracker()
         first_stages: Counter[str] = Counter()
         for number in range(_STREAM_COUNT):
             home = (
                 data_centres[number % len(data_centres)] if data_centres else ''
             )
-            request = PathRequest(_TOKENS, home=home, policy=policy)
-            stages = choose_path(_ENGINE, self.known, book, request, _START_S)
-            book.take(list_ids(stages), _TOKENS)
+            request = PathRequest(_TOKENS, data_centre=home, policy=policy)
+            stages = choose_path(_ENGINE, self.known, load_tracker, request, _START_S)
+            load_tracker.add_request(list_replica_ids(stages), _TOKENS)
             first_stages[stages[0].replica.data_centre] += 1
-        return book, first_stages
+        return load_tracker, first_stages
 
     def test_streams_do_not_concentrate_on_one_pipeline(self) -> None:
         """Streams that share a replica wait for each other when it is lost.
@@ -88,27 +88,27 @@
         self.assertGreater(min(first_stages.values()), _STREAM_COUNT / 4)
 
     def test_remote_first_stage_is_used_if_much_faster(self) -> None:
-        fast = know(
+        fast = build_states(
             [
                 build_replica('far', 'd', 'large', (0, 40)),
                 build_replica('far-too', 'd', 'large', (40, 80)),
             ]
         )
-        request = PathRequest(_TOKENS, home='a')
+        request = PathRequest(_TOKENS, data_centre='a')
         stages = choose_path(
-            _ENGINE, [*self.known, *fast], LoadBook(), request, _START_S
+            _ENGINE, [*self.known, *fast], LoadTracker(), request, _START_S
         )
-        self.assertEqual(list_ids(stages), ('far', 'far-too'))
+        self.assertEqual(list_replica_ids(stages), ('far', 'far-too'))
 
-    def find_max_streams(self, book: LoadBook) -> int:
+    def find_max_streams(self, load_tracker: LoadTracker) -> int:
         """Return how many streams the busiest replica has."""
         return max(
-            book.requests(found.replica.replica_id) for found in self.known
+            load_tracker.count_requests(found.replica.replica_id) for found in self.known
         )
 
-    def predict_pause(self, book: LoadBook) -> float:
+    def predict_pause(self, load_tracker: LoadTracker) -> float:
         """Return the pause of a stream whose replica is lost."""
         request = PathRequest(_TOKENS)
-        stages = choose_path(_ENGINE, self.known, book, request, _START_S)
-        concurrent = self.find_max_streams(book)
-        return predict_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
+        stages = choose_path(_ENGINE, self.known, load_tracker, request, _START_S)
+        concurrent = self.find_max_streams(load_tracker)
+        return predict_reroute_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -11,10 +11,10 @@
 
 from msgspec import json
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings, load_edge_settings
 from samphirerill.platform.store import PlatformStore
-from samphirerill.relay.reload import Reloader, SettingsFile
+from samphirerill.relay.reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
 
 _TEMPLATE = Path(__file__).parents[2] / 'deploy' / 'settings.template'
@@ -93,9 +93,9 @@
         self.write({})
         source = SettingsFile(str(self.path), load_edge_settings)
         settings = load_edge_settings(str(self.path))
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         self.store = PlatformStore(settings.store)
-        self.reloader = Reloader(self.state, self.store, source)
+        self.reloader = SettingsReloader(self.state, self.store, source)
 
     def write(self, changes: dict[str, Any]) -> None:
         """Write the settings of the rendered template, with changes."""
@@ -106,11 +106,11 @@
     async def test_changed_limits_take_effect_without_restart(self) -> None:
         """A changed retry budget must take effect without a restart."""
         now = 10.0
-        budget = self.state.get_budget('llm')
-        self.assertTrue(budget.has_left(now, 8, is_urgent=True))
+        budget = self.state.get_retry_budget('llm')
+        self.assertTrue(budget.has_remaining(now, 8, is_urgent=True))
         self.write({'retry_slack': 0, 'leaving_ms': 900})
         self.reloader.reload()
-        self.assertFalse(budget.has_left(now, 8, is_urgent=True))
+        self.assertFalse(budget.has_remaining(now, 8, is_urgent=True))
         self.assertEqual(self.state.settings.leaving_ms, 900)
 
     async def test_change_is_noticed_without_signal(self) -> None:
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -7,13 +7,13 @@
 
 from msgspec import json
 
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.members import PREFIX
-from samphirerill.relay.pool import read_answer
+from samphirerill.relay.pool import read_response
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
     OK,
-    PATIENCE_S,
+    RESPONSE_TIMEOUT_S,
     SETTLE_S,
     TwoEnginesCase,
     build_headers,
@@ -42,14 +42,14 @@
             leaving.set()
             await asyncio.sleep(2 * SETTLE_S)
 
-        with patch('samphirerill.relay.members.Members.leave', leave):
-            self.plain_endpoint.free.clear()
-            self.process.begin_drain()
+        with patch('samphirerill.relay.members.Membership.leave', leave):
+            self.plain_endpoint.responding.clear()
+            self.process.start_draining()
             await leaving.wait()
-            waiting = self.start(b'/pickup/x')
-            await self.until(lambda: self.plain_endpoint.seen)
+            waiting = self.start_request(b'/pickup/x')
+            await self.wait_until(lambda: self.plain_endpoint.received_requests)
             await asyncio.sleep(3 * SETTLE_S)
-            self.plain_endpoint.free.set()
+            self.plain_endpoint.responding.set()
             status, reason = await waiting
         self.assertEqual(status, OK, reason)
 
@@ -58,36 +58,36 @@
 
         A client with a slow link would otherwise get a truncated response.
         """
-        self.plain_endpoint.padding = 16_000_000
+        self.plain_endpoint.padding_bytes = 16_000_000
         port = self.process.get_port()
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
-        call = build_call(b'POST', b'/pickup/x', build_headers('r1'), b'')
+        call = serialize_request(b'POST', b'/pickup/x', build_headers('r1'), b'')
         writer.write(call)
-        await self.until(lambda: self.plain_endpoint.seen)
+        await self.wait_until(lambda: self.plain_endpoint.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
-        self.process.begin_drain()
+        self.process.start_draining()
         await asyncio.sleep(5 * SETTLE_S)
         received = await _count_received(reader)
         writer.close()
-        self.assertGreater(received, self.plain_endpoint.padding)
+        self.assertGreater(received, self.plain_endpoint.padding_bytes)
 
     async def test_unfinished_request_gets_error_status(self) -> None:
         """A request still open at the deadline must get an error response.
 
         Its connection used to be closed without one.
         """
-        self.change(finish_s=1.3)
+        self.change_settings(finish_s=1.3)
         document = json.decode(build_configuration(8))
         document['routes'][1]['timeoutMs'] = 4000
         await self.configure(json.encode(document))
-        self.plain_endpoint.free.clear()
-        waiting = self.start(b'/pickup/x')
-        await self.until(lambda: self.plain_endpoint.seen)
-        self.process.begin_drain()
+        self.plain_endpoint.responding.clear()
+        waiting = self.start_request(b'/pickup/x')
+        await self.wait_until(lambda: self.plain_endpoint.received_requests)
+        self.process.start_draining()
         status, reason = await waiting
-        self.plain_endpoint.free.set()
+        self.plain_endpoint.responding.set()
         self.assertIn(status, (502, 504), reason)
 
     async def test_pipelined_requests_are_answered(
@@ -97,16 +97,16 @@
 
         The second request was read before the shutdown began.
         """
-        self.plain_endpoint.free.clear()
+        self.plain_endpoint.responding.clear()
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.process.get_port()
         )
         for request_id in ('r1', 'r2'):
             headers = build_headers(request_id)
-            writer.write(build_call(b'POST', b'/pickup/x', headers, b''))
-        await self.until(lambda: self.plain_endpoint.seen)
-        self.process.begin_drain()
-        self.plain_endpoint.free.set()
+            writer.write(serialize_request(b'POST', b'/pickup/x', headers, b''))
+        await self.wait_until(lambda: self.plain_endpoint.received_requests)
+        self.process.start_draining()
+        self.plain_endpoint.responding.set()
         body = await reader.read()
         writer.close()
         self.assertEqual(body.count(b'HTTP/1.1 '), 2)
@@ -117,22 +117,22 @@
         self.addCleanup(conn.close)
         for is_last in (False, True):
             if is_last:
-                self.process.begin_drain()
-            call = build_call(b'POST', b'/pickup/x', build_headers('r'), b'')
+                self.process.start_draining()
+            call = serialize_request(b'POST', b'/pickup/x', build_headers('r'), b'')
             conn.send(call)
-            deadline = asyncio.get_running_loop().time() + PATIENCE_S
-            status, _ = await read_answer(conn, deadline)
+            deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
+            status, _ = await read_response(conn, deadline)
             self.assertEqual(status, OK)
 
     async def test_stream_waiting_for_new_path_is_finished(self) -> None:
         waiting, head, other = await self.start_stream()
         now = asyncio.get_running_loop().time()
-        self.process.state.view.refuse(other, now)
-        self.world.replicas[head].stop_after = 1
+        self.process.state.view.note_refusal(other, now)
+        self.world.replicas[head].close_after_event = 1
         counters = self.process.state.counters
-        await self.until(lambda: counters['streams.broken'])
-        self.process.begin_drain()
-        self.assert_whole(await waiting)
+        await self.wait_until(lambda: counters['streams.broken'])
+        self.process.start_draining()
+        self.assert_complete(await waiting)
 
 
 class TestAnnouncement(TwoEnginesCase):
@@ -140,7 +140,7 @@
 
     async def asyncSetUp(self) -> None:
         fast_renewal = patch(
-            'samphirerill.relay.members._RENEW_S', SETTLE_S / 2
+            'samphirerill.relay.members._RENEW_INTERVAL_S', SETTLE_S / 2
         )
         fast_renewal.start()
         self.addCleanup(fast_renewal.stop)
@@ -151,14 +151,14 @@
 
         The other nodes would wait for the node until that lease expires.
         """
-        await self.until(self.list_announced)
+        await self.wait_until(self.list_announced)
         await self.process._members.leave()  # noqa: SLF001
         await asyncio.sleep(3 * SETTLE_S)
         self.assertEqual(self.list_announced(), [])
 
     def list_announced(self) -> list[str]:
         """Return the keys under which nodes are announced."""
-        keys = self.world.service.keys
+        keys = self.world.store.keys
         return [key for key in keys if key.startswith(PREFIX)]
 
 
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -12,20 +12,20 @@
 from msgspec import json
 
 from samphirerill.quarantine import digest_request
-from samphirerill.relay.connection import HttpConnection, build_call
+from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.pool import call_once
 from samphirerill.tests.ending_engines import (
     EVENTS,
     POISON,
     OTHER_KEY,
-    EndingEnginesCase,
+    CrashingEnginesCase,
     build_headers,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from samphirerill.relay.connection import Head
+    from samphirerill.relay.connection import ResponseHead
     from samphirerill.relay.process import EdgeProcess
 
 _OK = 200
@@ -43,7 +43,7 @@
 _SETTLING_S = 0.3
 
 
-class RepeatedPoisonCase(EndingEnginesCase):
+class RepeatedPoisonCase(CrashingEnginesCase):
     """The same path, client account and body arrive repeatedly."""
 
     rounds = -1
@@ -118,7 +118,7 @@
 
     async def test_without_the_store(self) -> None:
         await self.add_node()
-        self.world.service.busy = True
+        self.world.store.is_unavailable = True
         await self.send_repeatedly(self.nodes)
         self.assert_few_crashes()
 
@@ -165,7 +165,7 @@
         """No client account can get requests of another rejected."""
         await self.quarantine_request()
         for engine in self.world.replicas.values():
-            engine.ends_after = EVENTS + 1  # type: ignore[attr-defined]
+            engine.crash_after_events = EVENTS + 1  # type: ignore[attr-defined]
         status, _ = await self.ask(self.nodes[0], 'v1', POISON, OTHER_KEY)
         self.assertEqual(status, _OK)
 
@@ -176,7 +176,7 @@
         while not self.crash_times:
             await asyncio.sleep(0.01)
         state = self.nodes[0].state
-        state.listen(self.occupy_engines)
+        state.add_listener(self.occupy_engines)
         self.occupy_engines()
         head = await self.fetch_head()
         self.assertEqual(head.status, _UNAVAILABLE)
@@ -186,8 +186,8 @@
     def occupy_engines(self) -> None:
         """Leave no room on any engine for the first node."""
         view = self.nodes[0].state.view
-        for found in view.known.values():
-            found.busy_until = self.loop.time() + 60
+        for found in view.replicas.values():
+            found.backoff_until = self.loop.time() + 60
 
     async def test_operators_see_the_holds(self) -> None:
         await self.quarantine_request()
@@ -204,17 +204,17 @@
         self.assertEqual(held['first_request'], '0-0')
         self.assertNotIn(POISON, text)
 
-    def assert_long_retry_after(self, head: Head) -> None:
+    def assert_long_retry_after(self, head: ResponseHead) -> None:
         """Assert that the caller may retry after the hold only."""
         retry_s = float(head.get(b'retry-after') or b'0')
         self.assertGreater(retry_s, _MIN_RETRY_AFTER_S)
 
-    async def fetch_head(self) -> Head:
+    async def fetch_head(self) -> ResponseHead:
         """Send the request once more; return the response head."""
         conn: HttpConnection = await self.world.connect(self.nodes[0])
         try:
             conn.send(
-                build_call(b'POST', self.target, build_headers('h1'), POISON)
+                serialize_request(b'POST', self.target, build_headers('h1'), POISON)
             )
             head = await conn.read(self.loop.time() + 10)
         finally:
@@ -266,12 +266,12 @@
     async def test_engines_that_break_off_responses(self) -> None:
         """Some engines break off responses, but their processes go on."""
         for engine in self.world.replicas.values():
-            engine.stop_after = 3
+            engine.close_after_event = 3
         ask = self.ask(self.nodes[0], 'b1', self.body)
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(_PROPAGATION_S)
         for restored in self.world.replicas.values():
-            restored.stop_after = 0
+            restored.close_after_event = 0
         status, _ = await waiting
         self.assertEqual(status, _OK)
         self.assert_nothing_held()
@@ -292,7 +292,7 @@
         while not all(map(view.is_leaving, leaving)):
             await asyncio.sleep(0.01)
         for name in leaving:
-            self.end_engine(name)
+            self.crash_engine(name)
         await asyncio.gather(*streams)
         self.assert_nothing_held()
 
@@ -302,10 +302,10 @@
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(0.1)
         for engine in self.world.replicas.values():
-            engine.free.clear()
+            engine.responding.clear()
         await asyncio.sleep(_SETTLING_S)
         for resumed in self.world.replicas.values():
-            resumed.free.set()
+            resumed.responding.set()
         await waiting
         self.assert_nothing_held()
 
@@ -313,4 +313,4 @@
         """Assert that there is no evidence against the request."""
         quarantine = self.nodes[0].state.quarantine
         identity = digest_request('suva', self.target, self.body)
-        self.assertEqual(quarantine.count_deaths(identity), 0)
+        self.assertEqual(quarantine.count_crashes(identity), 0)
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_examiner.py
@@ -10,10 +10,10 @@
 
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.examiner import Examiner
+from samphirerill.relay.health.examiner import ReplicaProber
 from samphirerill.relay.health.patience import MAX_TIMEOUT_S
-from samphirerill.relay.stream_times import LEAST_SILENCE_S
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.relay.stream_times import MIN_SILENCE_S
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import build_replica
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     """A path of two replicas of which the second one fails."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformWorld()
+        self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
         for bound in ('MIN_TIMEOUT_S', '_INITIAL_TIMEOUT_S', 'MAX_TIMEOUT_S'):
@@ -48,14 +48,14 @@
             )
             patched.start()
             self.addCleanup(patched.stop)
-        process = self.world.expect_process()
-        self.examiner = Examiner(process.state, Alarms(process.state))
-        await self.world.add('head')
+        process = self.world.require_first_node()
+        self.examiner = ReplicaProber(process.state, Alarms(process.state))
+        await self.world.add_replica('head')
 
     async def test_detection_and_probe_fit_into_the_accepted_pause(
         self,
     ) -> None:
-        spent_s = LEAST_SILENCE_S + MAX_TIMEOUT_S + _SWITCH_S
+        spent_s = MIN_SILENCE_S + MAX_TIMEOUT_S + _SWITCH_S
         self.assertLessEqual(spent_s, _PAUSE_S)
 
     async def test_a_terminated_replica_is_dead(self) -> None:
@@ -96,10 +96,10 @@
         """Guard against each stalled stream probing known failures again."""
         address = await self._listen_silently()
         stages = self._build_path(address)
-        state = self.world.expect_process().state
-        state.view.announce(stages[1].replica, 1)
+        state = self.world.require_first_node().state
+        state.view.apply_announcement(stages[1].replica, 1)
         now = asyncio.get_running_loop().time()
-        state.view.suspect('tail', now + 9, now, votes=2)
+        state.view.add_silence_report('tail', now + 9, now, votes=2)
         self.assertEqual(await self._examine(stages), {'tail'})
         self.assertEqual(state.counters['reports.asked'], 0)
 
@@ -111,25 +111,25 @@
         """
         address = await self._listen_silently()
         stages = self._build_path(address)
-        state = self.world.expect_process().state
-        state.view.announce(stages[0].replica, 1)
-        state.view.announce(stages[1].replica, 1)
+        state = self.world.require_first_node().state
+        state.view.apply_announcement(stages[0].replica, 1)
+        state.view.apply_announcement(stages[1].replica, 1)
         async with asyncio.timeout(_LIMIT_S):
             await self._examine(stages[:1])
             for _ in range(5):
-                self.examiner.check(stages[1].replica)
-            while not state.view.known['tail'].suspicion.dead_until:
+                self.examiner.probe_in_background(stages[1].replica)
+            while not state.view.replicas['tail'].suspicion.suspected_until:
                 await asyncio.sleep(0.01)
-        self.examiner.check(stages[1].replica)
+        self.examiner.probe_in_background(stages[1].replica)
         await asyncio.sleep(0)
         self.assertEqual(state.counters['reports.asked'], 2)
 
     async def test_streams_share_one_probe(self) -> None:
-        await self.world.add('tail')
+        await self.world.add_replica('tail')
         stages = self._build_path(self.world.addresses['tail'])
-        await asyncio.gather(*(self.examiner.examine(stages) for _ in range(5)))
-        await self.examiner.examine(stages)
-        process = self.world.expect_process()
+        await asyncio.gather(*(self.examiner.diagnose_path(stages) for _ in range(5)))
+        await self.examiner.diagnose_path(stages)
+        process = self.world.require_first_node()
         self.assertEqual(process.state.counters['reports.asked'], 2)
 
     async def _answer_after_losses(
@@ -148,7 +148,7 @@
 
     async def _examine(self, stages: tuple[Stage, ...]) -> set[str]:
         async with asyncio.timeout(_LIMIT_S):
-            diagnosis = await self.examiner.examine(stages)
+            diagnosis = await self.examiner.diagnose_path(stages)
         return diagnosis.dead
 
     def _build_path(self, address: str) -> tuple[Stage, ...]:
