--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -9,33 +9,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from samphirerill.fleet.budget import RepeatBudget, Use
-from samphirerill.fleet.endings import is_lost
+from samphirerill.fleet.budget import RetryBudget, RetryUsage
+from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
-from samphirerill.fleet.load import PEER_TIMEOUT_S, Held, LoadBook, list_ids
+from samphirerill.fleet.load import PEER_TIMEOUT_S, ReplicaLoad, LoadTracker, list_replica_ids
 from samphirerill.fleet.model import (
     ClientLimits,
     FleetConfiguration,
     FleetRoute,
     LayerRange,
-    Repeat,
-    Share,
+    RetryClass,
+    ServiceWeight,
     Stage,
 )
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.pipes import PipeUse
+from samphirerill.fleet.pipes import LinkUsage
 from samphirerill.fleet.repair import plan_moves
 from samphirerill.fleet.routes import RouteTable
-from samphirerill.fleet.suspicion import SURE_VOTES
+from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
-from samphirerill.fleet.worth import Aims
+from samphirerill.fleet.worth import PlanTargets
 from samphirerill.tests.fleets import (
     ENGINE,
     build_fleet,
     build_replica,
-    know,
-    place,
+    build_states,
+    apply_moves,
 )
 
 _BOUNDARY = st.integers(min_value=0, max_value=8).map(
@@ -55,13 +55,13 @@
     def test_paths_cover_every_layer_once(
         self, parts: list[tuple[tuple[int, int], str]]
     ) -> None:
-        known = know(
+        known = build_states(
             [
                 build_replica(f'r{number}', zone, 'large', layers)
                 for number, (layers, zone) in enumerate(parts)
             ]
         )
-        stages = choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
+        stages = choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
         position = 0
         for stage in stages:
             self.assertEqual(stage.layers.first, position)
@@ -71,7 +71,7 @@
             )
             position = stage.layers.end
         self.assertIn(position, (0, ENGINE.layers))
-        names = list_ids(stages)
+        names = list_replica_ids(stages)
         self.assertEqual(len(names), len(set(names)))
 
     def test_search_is_fast_for_large_fleet(self) -> None:
@@ -82,10 +82,10 @@
         }
         fleet = build_fleet(zones)
         names = {item.replica_id for item in fleet}
-        known = know(place(fleet, plan_moves(ENGINE, fleet, Aims(200), names)))
+        known = build_states(apply_moves(fleet, plan_moves(ENGINE, fleet, PlanTargets(200), names)))
         started_at = process_time()
         self.assertTrue(
-            choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
+            choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
         )
         self.assertLess(process_time() - started_at, 0.1)
 
@@ -95,7 +95,7 @@
         It may hold more layers than its pinned first stage runs, and engines
         refuse paths that name a replica twice.
         """
-        known = know(
+        known = build_states(
             [
                 build_replica('head', 'a', 'large', (0, 30)),
                 build_replica('other', 'a', 'small', (20, 30)),
@@ -103,29 +103,29 @@
                 build_replica('last', 'a', 'large', (40, 80)),
             ]
         )
-        request = PathRequest(900, heads=frozenset(('head',)), first_end=20)
-        stages = choose_path(ENGINE, known, LoadBook(), request, 0)
+        request = PathRequest(900, first_replicas=frozenset(('head',)), first_stage_end=20)
+        stages = choose_path(ENGINE, known, LoadTracker(), request, 0)
         names = ('head', 'other', 'next', 'last')
-        self.assertEqual(list_ids(stages), names)
+        self.assertEqual(list_replica_ids(stages), names)
         self.assertEqual(stages[0].layers, LayerRange(0, 20))
 
     def test_memory_use_of_other_nodes_counts(self) -> None:
         """Nodes that ignore each other's requests overfill a replica's memory."""
-        known = know([build_replica('one', 'a', 'large', (0, 40))])
-        known += know([build_replica('two', 'a', 'large', (40, 80))])
-        book = LoadBook()
+        known = build_states([build_replica('one', 'a', 'large', (0, 40))])
+        known += build_states([build_replica('two', 'a', 'large', (40, 80))])
+        book = LoadTracker()
         request = PathRequest(900)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
-        book.hear('other', {'two': Held(4, 3_000)}, 0)
+        book.update_peer('other', {'two': ReplicaLoad(4, 3_000)}, 0)
         self.assertFalse(choose_path(ENGINE, known, book, request, 0))
         reason = explain_no_path(ENGINE, known, book, request)
-        self.assertEqual(reason, 'no room in layers 40-80')
-        book.forget_silent(PEER_TIMEOUT_S + 1)
+        self.assertEqual(reason, 'no replica has free memory for layers 40-80')
+        book.expire_peers(PEER_TIMEOUT_S + 1)
         self.assertTrue(choose_path(ENGINE, known, book, request, 0))
 
     def test_local_path_is_preferred_to_faster_crossing_path(self) -> None:
         """A crossing costs more than its own transfer: it delays other streams."""
-        known = know(
+        known = build_states(
             [
                 build_replica('head', 'a', 'large', (0, 40)),
                 build_replica('near-1', 'a', 'small', (40, 50)),
@@ -135,31 +135,31 @@
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
-        stages = choose_path(ENGINE, known, LoadBook(), PathRequest(900), 0)
-        self.assertNotIn('far', list_ids(stages))
+        stages = choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
+        self.assertNotIn('far', list_replica_ids(stages))
 
     def test_full_link_is_not_crossed(self) -> None:
-        known = know(
+        known = build_states(
             [
                 build_replica('head', 'a', 'large', (0, 40)),
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
-        pipes = PipeUse()
-        request = PathRequest(900, pipes=pipes)
-        self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 0))
+        pipes = LinkUsage()
+        request = PathRequest(900, links=pipes)
+        self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 0))
         for _ in range(20):
-            pipes.note('a', 'b', 34, 0)
-        self.assertFalse(choose_path(ENGINE, known, LoadBook(), request, 0))
-        self.assertTrue(choose_path(ENGINE, known, LoadBook(), request, 5))
+            pipes.note_transfer('a', 'b', 34, 0)
+        self.assertFalse(choose_path(ENGINE, known, LoadTracker(), request, 0))
+        self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 5))
 
     def test_nodes_agree_on_link_backlog(self) -> None:
-        local = PipeUse()
-        other = PipeUse()
+        local = LinkUsage()
+        other = LinkUsage()
         pair = frozenset('ab')
-        local.hear('other/1', pair, 0, 0)
-        other.note('a', 'b', 400, 0)
-        local.hear('other/1', pair, other.sent[pair], 0)
+        local.update_peer('other/1', pair, 0, 0)
+        other.note_transfer('a', 'b', 400, 0)
+        local.update_peer('other/1', pair, other.own_sent[pair], 0)
         self.assertAlmostEqual(
             local.backlog_ms('a', 'b', 0), other.backlog_ms('a', 'b', 0)
         )
@@ -171,33 +171,33 @@
     def setUp(self) -> None:
         self.view = FleetView()
         self.replica = build_replica('one', layers=(0, 8))
-        self.view.announce(self.replica, 10)
+        self.view.apply_announcement(self.replica, 10)
 
     def test_older_announcement_is_ignored(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 12)
-        self.view.announce(self.replica, 11)
+        self.view.apply_announcement(leaving, 12)
+        self.view.apply_announcement(self.replica, 11)
         self.assertEqual(self.view.list_service('llm'), [])
 
     def test_old_announcement_does_not_restore_withdrawn_replica(self) -> None:
-        self.view.withdraw('one', 13, 0)
-        self.view.announce(self.replica, 12)
-        self.assertEqual(self.view.known, {})
+        self.view.remove_announcement('one', 13, 0)
+        self.view.apply_announcement(self.replica, 12)
+        self.assertEqual(self.view.replicas, {})
 
     def test_lapsed_entry_is_kept_for_grace_period(self) -> None:
         """Entries deleted by an outage of the store return within seconds.
 
         Replicas must stay usable meanwhile.
         """
-        self.view.withdraw('one', 13, LAPSE_GRACE_S)
+        self.view.remove_announcement('one', 13, LAPSE_GRACE_S)
         self.assertTrue(self.view.list_usable('llm', 1))
-        self.assertEqual(self.view.sweep(LAPSE_GRACE_S + 1), ['one'])
+        self.assertEqual(self.view.remove_lapsed(LAPSE_GRACE_S + 1), ['one'])
         self.assertEqual(self.view.list_usable('llm', 1), [])
 
     def test_draining_replica_gets_no_grace_period(self) -> None:
-        self.view.announce(replace(self.replica, is_leaving=True), 12)
-        self.view.withdraw('one', 13, LAPSE_GRACE_S)
-        self.assertEqual(self.view.known, {})
+        self.view.apply_announcement(replace(self.replica, is_leaving=True), 12)
+        self.view.remove_announcement('one', 13, LAPSE_GRACE_S)
+        self.assertEqual(self.view.replicas, {})
 
     def test_refusal_is_not_suspicion(self) -> None:
         """A replica that refuses while it changes its layers is not dead.
@@ -205,41 +205,41 @@
         Otherwise each move would trigger further moves around it.
         """
         for now in range(4):
-            self.view.refuse('one', now)
+            self.view.note_refusal('one', now)
         self.assertTrue(self.view.list_live('llm', 4))
         self.assertEqual(self.view.list_usable('llm', 4), [])
-        self.view.trust('one')
+        self.view.note_alive('one')
 
     def test_released_layers_are_lost(self) -> None:
         """Streams must leave released layers, or the next load is delayed."""
         stage = Stage(self.replica, LayerRange(2, 8))
-        self.assertFalse(is_lost(self.view, stage, 0))
+        self.assertFalse(is_stage_lost(self.view, stage, 0))
         moved = replace(self.replica, layers=LayerRange(4, 8))
-        losses = self.view.losses
-        self.view.announce(moved, 14)
-        self.assertGreater(self.view.losses, losses)
-        self.assertTrue(is_lost(self.view, stage, 0))
+        losses = self.view.loss_count
+        self.view.apply_announcement(moved, 14)
+        self.assertGreater(self.view.loss_count, losses)
+        self.assertTrue(is_stage_lost(self.view, stage, 0))
 
     def test_report_of_one_other_node_is_not_enough(self) -> None:
         """A stalled node finds live replicas silent; others must not follow."""
-        self.view.suspect('one', 5, 1, witness='slow node')
+        self.view.add_silence_report('one', 5, 1, reporter='slow node')
         self.assertEqual(len(self.view.list_live('llm', 2)), 1)
-        self.view.suspect('one', 5, 1)
+        self.view.add_silence_report('one', 5, 1)
         self.assertEqual(self.view.list_live('llm', 2), [])
-        self.assertEqual(self.view.list_present('llm', 2), [])
+        self.assertEqual(self.view.list_unconfirmed('llm', 2), [])
 
     def test_own_report_suffices_for_own_streams(self) -> None:
-        self.view.suspect('one', 5, 1)
+        self.view.add_silence_report('one', 5, 1)
         self.assertEqual(self.view.list_live('llm', 2), [])
-        self.assertEqual(len(self.view.list_present('llm', 2)), 1)
-        self.view.suspect('one', 5, 1, witness='other')
-        self.assertEqual(self.view.list_present('llm', 2), [])
+        self.assertEqual(len(self.view.list_unconfirmed('llm', 2)), 1)
+        self.view.add_silence_report('one', 5, 1, reporter='other')
+        self.assertEqual(self.view.list_unconfirmed('llm', 2), [])
 
     def test_reports_of_others_are_not_echoed(self) -> None:
         """Nodes that echo suspicions flood each other with datagrams."""
-        before = self.view.own_version
-        self.view.suspect('one', 5, 1, witness='other', votes=SURE_VOTES)
-        self.assertEqual(self.view.own_version, before)
+        before = self.view.own_suspicions_version
+        self.view.add_silence_report('one', 5, 1, reporter='other', votes=CONFIRMING_VOTES)
+        self.assertEqual(self.view.own_suspicions_version, before)
         self.assertEqual(self.view.list_live('llm', 2), [])
 
 
@@ -248,11 +248,11 @@
 
     def test_urgent_backlog_is_limited(self) -> None:
         """Without a limit, streams wait on a link after their clients left."""
-        pipes = PipeUse()
-        pipes.note('a', 'b', 400, 0)
+        pipes = LinkUsage()
+        pipes.note_transfer('a', 'b', 400, 0)
         self.assertFalse(pipes.is_open('a', 'b', 0))
         self.assertTrue(pipes.is_open('a', 'b', 0, is_urgent=True))
-        pipes.note('a', 'b', 400, 0)
+        pipes.note_transfer('a', 'b', 400, 0)
         self.assertFalse(pipes.is_open('a', 'b', 0, is_urgent=True))
         self.assertTrue(pipes.is_open('a', 'b', 0.6, is_urgent=True))
 
@@ -262,49 +262,49 @@
 
     def test_nodes_together_stay_within_budget(self) -> None:
         nodes = 8
-        budgets = [RepeatBudget(0.2, 200, 10) for _ in range(nodes)]
+        budgets = [RetryBudget(0.2, 200, 10) for _ in range(nodes)]
         spent = 0
         for budget in budgets:
             for _ in range(40):
-                budget.note_first(1)
-            spent += sum(budget.spend(2, nodes) for _ in range(500))
+                budget.note_request(1)
+            spent += sum(budget.try_spend(2, nodes) for _ in range(500))
         self.assertLessEqual(spent, 0.2 * 40 * nodes + 200)
         self.assertGreater(spent, 50)
 
     def test_reserve_is_kept_for_urgent_requests(self) -> None:
         """Retries of refused requests must not use up those for cut streams."""
-        budget = RepeatBudget(0, 100, 10)
-        new = sum(budget.spend(0, 1) for _ in range(200))
-        self.assertFalse(budget.has_left(0, 1, is_urgent=False))
-        self.assertTrue(budget.has_left(0, 1, is_urgent=True))
-        begun = sum(budget.spend(0, 1, is_urgent=True) for _ in range(200))
+        budget = RetryBudget(0, 100, 10)
+        new = sum(budget.try_spend(0, 1) for _ in range(200))
+        self.assertFalse(budget.has_remaining(0, 1, is_urgent=False))
+        self.assertTrue(budget.has_remaining(0, 1, is_urgent=True))
+        begun = sum(budget.try_spend(0, 1, is_urgent=True) for _ in range(200))
         self.assertLess(begun, new)
         self.assertLessEqual(new + begun, 100)
 
     def test_urgent_request_borrows_unused_shares(self) -> None:
         """Streams are cut when one node's share is spent and others are unused."""
         nodes = 78
-        budget = RepeatBudget(0.2, 340, 10)
-        budget.streams = 7
-        alone = sum(budget.spend(1, nodes, is_urgent=True) for _ in range(7))
+        budget = RetryBudget(0.2, 340, 10)
+        budget.active_streams = 7
+        alone = sum(budget.try_spend(1, nodes, is_urgent=True) for _ in range(7))
         self.assertLess(alone, 7)
-        budget.others.hear('all of b', Use(900, 20, 200), 1)
-        together = sum(budget.spend(1, nodes, is_urgent=True) for _ in range(7))
+        budget.peers.update('all of b', RetryUsage(900, 20, 200), 1)
+        together = sum(budget.try_spend(1, nodes, is_urgent=True) for _ in range(7))
         self.assertEqual(together, 7)
-        self.assertFalse(budget.spend(1, nodes))
+        self.assertFalse(budget.try_spend(1, nodes))
 
     def test_borrowing_leaves_budget_for_all_active_streams(self) -> None:
-        budget = RepeatBudget(0.2, 340, 10)
-        budget.others.hear('all of b', Use(900, 300, 200), 1)
-        spent = sum(budget.spend(1, 78, is_urgent=True) for _ in range(50))
+        budget = RetryBudget(0.2, 340, 10)
+        budget.peers.update('all of b', RetryUsage(900, 300, 200), 1)
+        spent = sum(budget.try_spend(1, 78, is_urgent=True) for _ in range(50))
         self.assertLess(spent, 7)
-        self.assertFalse(budget.spend(9, 78, is_urgent=True))
+        self.assertFalse(budget.try_spend(9, 78, is_urgent=True))
 
     def test_window_slides(self) -> None:
-        budget = RepeatBudget(0, 8, 10)
-        spent = sum(budget.spend(0, 1) for _ in range(20))
+        budget = RetryBudget(0, 8, 10)
+        spent = sum(budget.try_spend(0, 1) for _ in range(20))
         self.assertLess(spent, 20)
-        self.assertTrue(budget.spend(11, 1))
+        self.assertTrue(budget.try_spend(11, 1))
 
 
 class TestEndpoints(TestCase):
@@ -313,12 +313,12 @@
     def test_failing_endpoint_is_chosen_last(self) -> None:
         view = FleetView()
         for name in ('good', 'bad'):
-            view.announce(build_replica(name), 1)
-        view.known['bad'].failures = 0.5
-        found = choose_endpoint(view, LoadBook(), 'llm', (), 0)
+            view.apply_announcement(build_replica(name), 1)
+        view.replicas['bad'].failures = 0.5
+        found = choose_endpoint(view, LoadTracker(), 'llm', (), 0)
         assert found is not None
         self.assertEqual(found.replica.replica_id, 'good')
-        other = choose_endpoint(view, LoadBook(), 'llm', ('good',), 0)
+        other = choose_endpoint(view, LoadTracker(), 'llm', ('good',), 0)
         assert other is not None
         self.assertEqual(other.replica.replica_id, 'bad')
 
@@ -355,8 +355,8 @@
         prefix,
         'host.example',
         prefix,
-        Repeat.IDEMPOTENT,
-        (Share('llm', 1),),
+        RetryClass.IDEMPOTENT,
+        (ServiceWeight('llm', 1),),
     )
 
 
@@ -366,9 +366,9 @@
     def test_slow_replica_is_avoided(self) -> None:
         view = FleetView()
         for name in ('slow', 'usual'):
-            view.announce(build_replica(name, 'a', 'large', (0, 40)), 1)
-        view.announce(build_replica('tail', 'a', 'large', (40, 80)), 1)
-        view.note_pace('slow', 4.0, 0)
+            view.apply_announcement(build_replica(name, 'a', 'large', (0, 40)), 1)
+        view.apply_announcement(build_replica('tail', 'a', 'large', (40, 80)), 1)
+        view.note_slowness('slow', 4.0, 0)
         usable = view.list_usable('llm', 1)
-        stages = choose_path(ENGINE, usable, LoadBook(), PathRequest(1), 1)
-        self.assertEqual(list_ids(stages), ('usual', 'tail'))
+        stages = choose_path(ENGINE, usable, LoadTracker(), PathRequest(1), 1)
+        self.assertEqual(list_replica_ids(stages), ('usual', 'tail'))
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -10,9 +10,9 @@
 
 from samphirerill.fleet.paths import PathRequest
 from samphirerill.fleet.view import LAPSE_GRACE_S
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission, NoPathError
+from samphirerill.relay.admission import AdmissionQueue, NoPathError
 from samphirerill.relay.connection import HttpConnection
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_guard import StreamGuard
@@ -28,10 +28,10 @@
 )
 
 if TYPE_CHECKING:
-    from samphirerill.relay.health.examiner import Examiner
+    from samphirerill.relay.health.examiner import ReplicaProber
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import Task
-    from samphirerill.testing.platform_replicas import StandInReplica
+    from samphirerill.relay.task import RequestContext
+    from samphirerill.testing.platform_replicas import FakeReplica
 
 _STARTED_RANK = -1
 
@@ -46,13 +46,13 @@
         """
         for replica in self.list_engines():
             replica.cut_after_head = True
-            replica.gap_s = 2 * SETTLE_S
+            replica.event_interval_s = 2 * SETTLE_S
         stream, _, other = await self.start_stream()
         self.world.replicas[other].cut_after_head = False
-        self.world.replicas[other].gap_s = GAP_S
+        self.world.replicas[other].event_interval_s = GAP_S
         now = asyncio.get_running_loop().time()
-        self.process.state.view.refuse(other, now)
-        self.assert_whole(await stream)
+        self.process.state.view.note_refusal(other, now)
+        self.assert_complete(await stream)
 
     async def test_replica_that_rejected_briefly_is_asked_again(self) -> None:
         """A stream was aborted though its second replica had capacity again.
@@ -60,15 +60,15 @@
         A replica that had rejected a stream once was never asked again.
         """
         for replica in self.list_engines():
-            replica.stop_after = 10
+            replica.close_after_event = 10
         stream, _, other = await self.start_stream()
         replica = self.world.replicas[other]
-        replica.stop_after = 0
+        replica.close_after_event = 0
         replica.refuses = True
-        await self.until(lambda: replica.seen)
+        await self.wait_until(lambda: replica.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         replica.refuses = False
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_rejections_do_not_count_as_attempts(self) -> None:
         """A stream was aborted after several replicas rejected it in a row.
@@ -77,11 +77,11 @@
         """
         for number in range(3, 8):
             name = f'engine-{number}'
-            replica = await self.world.add(name, events=EVENTS)
+            replica = await self.world.add_replica(name, events=EVENTS)
             replica.layers = (0, 80)
-            replica.gap_s = GAP_S
+            replica.event_interval_s = GAP_S
             await self.announce(name, layers=(0, 80))
-        await self.world.until_known(8)
+        await self.world.wait_for_replica_count(8)
         stream, head, _ = await self.start_stream()
         others = [
             replica
@@ -90,12 +90,12 @@
         ]
         for replica in others:
             replica.refuses = True
-        self.world.replicas[head].stop_after = 1
-        await self.until(lambda: any(replica.seen for replica in others))
+        self.world.replicas[head].close_after_event = 1
+        await self.wait_until(lambda: any(replica.received_requests for replica in others))
         await asyncio.sleep(2 * SETTLE_S)
         for replica in others:
             replica.refuses = False
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
 
     async def test_free_connection_is_waited_for(self) -> None:
         """Streams were aborted while all connections were in use.
@@ -107,13 +107,13 @@
         document['services'][0]['maxConnections'] = 8
         await self.configure(json.encode(document))
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].gap_s = GAP_S / 2
-        second_stream = self.start(b'/notes/x')
-        await self.until(lambda: self.world.replicas[other].seen)
+        self.world.replicas[other].event_interval_s = GAP_S / 2
+        second_stream = self.start_request(b'/notes/x')
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         await self.drop_layers(head)
         answers = await asyncio.gather(stream, second_stream)
         for answer in answers:
-            self.assert_whole(answer)
+            self.assert_complete(answer)
 
     async def test_stream_waits_as_long_as_its_client(self) -> None:
         """Streams were aborted although their clients would have waited longer.
@@ -124,12 +124,12 @@
         await self.configure(build_configuration(8, sloMs=1500))
         events = 20
         for replica in self.list_engines():
-            replica.gap_s = GAP_S / 2
+            replica.event_interval_s = GAP_S / 2
             replica.events = events
         stream, head, other = await self.start_stream()
-        self.world.replicas[head].stop_after = events // 2
-        self.suspect(other, 2.1)
-        self.assertEqual(await stream, (OK, self.expect(events)))
+        self.world.replicas[head].close_after_event = events // 2
+        self.mark_dead(other, 2.1)
+        self.assertEqual(await stream, (OK, self.build_events(events)))
 
     async def test_ended_heads_do_not_count_as_used(self) -> None:
         """Streams were aborted after a rollout with capacity to spare.
@@ -140,16 +140,16 @@
         await self.configure(build_configuration(8, maxAttempts=2))
         # Entries that are removed right after the start may only have lapsed.
         await asyncio.sleep(LAPSE_GRACE_S)
-        await self.world.add('engine-3', events=EVENTS)
+        await self.world.add_replica('engine-3', events=EVENTS)
         self.world.replicas['engine-3'].layers = (0, 80)
         stream, head, other = await self.start_stream()
-        self.world.replicas[head].stop_after = 20
-        self.world.replicas[other].stop_after = 35
+        self.world.replicas[head].close_after_event = 20
+        self.world.replicas[other].close_after_event = 35
         await self.withdraw(head)
         await self.withdraw(other)
         await self.announce('engine-3', layers=(0, 80))
-        self.assert_whole(await stream)
-        self.assertEqual(self.sent(), [head, other, 'engine-3'])
+        self.assert_complete(await stream)
+        self.assertEqual(self.list_used_engines(), [head, other, 'engine-3'])
 
     async def test_retries_on_resetting_replica_back_off(self) -> None:
         """The retries of all nodes were used up by one replica.
@@ -157,24 +157,24 @@
         It reset streams, which were resent to it without a pause.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].resets = 100
-        self.world.replicas[head].stop_after = 10
-        await self.until(lambda: self.world.replicas[other].seen)
+        self.world.replicas[other].resets_left = 100
+        self.world.replicas[head].close_after_event = 10
+        await self.wait_until(lambda: self.world.replicas[other].received_requests)
         await asyncio.sleep(2 * SETTLE_S)
-        self.assertLessEqual(len(self.world.replicas[other].seen), 2)
+        self.assertLessEqual(len(self.world.replicas[other].received_requests), 2)
         await asyncio.sleep(2 * SETTLE_S)
-        self.world.replicas[other].resets = 0
-        self.assert_whole(await stream)
-        self.assertLessEqual(len(self.world.replicas[other].seen), 5)
+        self.world.replicas[other].resets_left = 0
+        self.assert_complete(await stream)
+        self.assertLessEqual(len(self.world.replicas[other].received_requests), 5)
 
     async def withdraw(self, name: str) -> None:
         """Remove the announcement of an engine that has got the stream."""
-        await self.until(lambda: name in self.sent())
-        await self.world.service.delete(f'servers/{name}')
+        await self.wait_until(lambda: name in self.list_used_engines())
+        await self.world.store.delete(f'servers/{name}')
         view = self.process.state.view
-        await self.until(lambda: name not in view.known)
+        await self.wait_until(lambda: name not in view.replicas)
 
-    def list_engines(self) -> list[StandInReplica]:
+    def list_engines(self) -> list[FakeReplica]:
         """Return both engines."""
         return [self.world.replicas[f'engine-{number}'] for number in (1, 2)]
 
@@ -188,10 +188,10 @@
         The queue stopped at the first stream without a path.
         """
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
-        state = EdgeState(settings, PlatformDialect())
-        state.view.announce(build_replica('one', 'a', 'large', (0, 40)), 1)
-        state.view.announce(build_replica('two', 'a', 'large', (40, 80)), 1)
-        admission = Admission(state)
+        state = EdgeState(settings, HttpPlatformAdapter())
+        state.view.apply_announcement(build_replica('one', 'a', 'large', (0, 40)), 1)
+        state.view.apply_announcement(build_replica('two', 'a', 'large', (40, 80)), 1)
+        admission = AdmissionQueue(state)
 
         async def admit(avoid: set[str]) -> bool:
             now = asyncio.get_running_loop().time()
@@ -208,7 +208,7 @@
         await asyncio.sleep(0.01)
         following = asyncio.create_task(admit(set()))
         await asyncio.sleep(0.01)
-        state.notify()
+        state.notify_listeners()
         self.assertTrue(await following)
         self.assertFalse(await blocked)
 
@@ -220,11 +220,11 @@
         self.head_id = 'head'
         self.moves = 0
 
-    def list_lost(self) -> set[str]:
+    def list_failed(self) -> set[str]:
         """Return the failed replicas."""
         return {'tail'}
 
-    async def move(self) -> MoveResult:
+    async def replace_later_stages(self) -> MoveResult:
         """Count the moves."""
         self.moves += 1
         return MoveResult.MOVED
@@ -247,9 +247,9 @@
         """
         path = _PathStub()
         guard = StreamGuard(
-            cast('Task', _RetryableTask()),
+            cast('RequestContext', _RetryableTask()),
             cast('StreamPath', path),
-            cast('Examiner', None),
+            cast('ReplicaProber', None),
             lambda: True,
             lambda *_: False,
         )
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -6,22 +6,22 @@
 from dataclasses import replace
 from unittest import IsolatedAsyncioTestCase, TestCase
 
-from samphirerill.fleet.endings import is_lost
+from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
-from samphirerill.fleet.moves import predict_pause_ms
+from samphirerill.fleet.moves import predict_reroute_pause_ms
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
-from samphirerill.testing.platform_world import PlatformWorld
+from samphirerill.testing.platform_world import PlatformHarness
 from samphirerill.tests.fleets import ENGINE, build_replica
 from samphirerill.tests.platform_documents import (
-    KEY,
+    API_KEY,
     build_configuration,
-    build_entry,
+    build_announcement,
 )
 
 _HEADERS = [
     (b'host', b'bridal.example'),
     (b'x-samphirerill-request-id', b'r1'),
-    (b'authorization', b'Bearer ' + KEY.encode()),
+    (b'authorization', b'Bearer ' + API_KEY.encode()),
     (b'x-samphirerill-token-count', b'800,80'),
 ]
 _ID_HEADER_INDEX = 1
@@ -36,28 +36,28 @@
     """A fleet where each path is the only head and one of two tails."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformWorld()
+        self.world = PlatformHarness()
         self.addAsyncCleanup(self.world.stop)
         await self.world.start()
-        await self.world.service.put('op/config', build_configuration())
+        await self.world.store.put('op/config', build_configuration())
         for name, layers in (
             ('head', (0, 40)),
             ('tail-1', (40, 80)),
             ('tail-2', (40, 80)),
         ):
-            replica = await self.world.add(name, events=_EVENT_COUNT)
+            replica = await self.world.add_replica(name, events=_EVENT_COUNT)
             replica.layers = layers
-            replica.gap_s = _EVENT_GAP_S
+            replica.event_interval_s = _EVENT_GAP_S
             await self.announce(name)
-        await self.world.until_known(3)
+        await self.world.wait_for_replica_count(3)
 
     async def announce(self, name: str, state: str = 'ready') -> None:
         """Write the announcement of a replica to the store."""
         layers = self.world.replicas[name].layers
-        entry = build_entry(
+        entry = build_announcement(
             'llm', self.world.addresses[name], 'vast', layers, state
         )
-        await self.world.service.put(f'servers/{name}', entry)
+        await self.world.store.put(f'servers/{name}', entry)
 
     async def stream(self, name: str) -> bytes:
         """Send a streaming request; return the complete body."""
@@ -66,10 +66,10 @@
             b'x-samphirerill-request-id',
             name.encode(),
         )
-        _, body = await self.world.ask(b'/notes/x', headers)
+        _, body = await self.world.send_request(b'/notes/x', headers)
         return body
 
-    async def begin_streams(self, count: int) -> list[asyncio.Task[bytes]]:
+    async def start_streams(self, count: int) -> list[asyncio.Task[bytes]]:
         """Start streams and wait until the head has received all of them.
 
         Waiting for a fixed time is not enough on a loaded machine.
@@ -79,16 +79,16 @@
             for number in range(count)
         ]
         async with asyncio.timeout(_START_TIMEOUT_S):
-            while len(self.world.replicas['head'].seen) < count:
+            while len(self.world.replicas['head'].received_requests) < count:
                 await asyncio.sleep(_EVENT_GAP_S)
         await asyncio.sleep(_SETTLE_S)
         return streams
 
-    def find_tails(self) -> set[str]:
+    def list_used_tails(self) -> set[str]:
         """Return the tails in the paths of all streams so far."""
         paths = [
             req.get(b'x-samphirerill-hop-count') or b''
-            for req in self.world.replicas['head'].seen
+            for req in self.world.replicas['head'].received_requests
         ]
         return {
             name
@@ -98,7 +98,7 @@
             )
         }
 
-    def count_moves(self) -> int:
+    def count_reroute_orders(self) -> int:
         """Return how many reroute orders the head has received."""
         orders = self.world.replicas['head'].orders
         return sum(order['operation'] == 'repath' for order in orders)
@@ -115,14 +115,14 @@
         Otherwise they wait for each other while the new replica reads their
         contexts one by one; the leaving replica still serves for a while.
         """
-        streams = await self.begin_streams(8)
-        await self.announce(min(self.find_tails()), 'draining')
+        streams = await self.start_streams(8)
+        await self.announce(min(self.list_used_tails()), 'draining')
         await asyncio.sleep(0.5)
-        self.assertEqual(self.count_moves(), 0)
+        self.assertEqual(self.count_reroute_orders(), 0)
         move_counts = []
         for _ in range(14):
             await asyncio.sleep(0.1)
-            move_counts.append(self.count_moves())
+            move_counts.append(self.count_reroute_orders())
         self.assertGreater(move_counts[-1], 1)
         max_step = max(
             after - before
@@ -142,17 +142,17 @@
         An engine keeps serving the streams that pass through layers that it
         is about to unload.
         """
-        streams = await self.begin_streams(4)
-        name = min(self.find_tails())
+        streams = await self.start_streams(4)
+        name = min(self.list_used_tails())
         self.world.replicas[name].layers = (60, 80)
         await self.announce(name)
         await asyncio.sleep(0.5)
-        self.assertEqual(self.count_moves(), 0)
+        self.assertEqual(self.count_reroute_orders(), 0)
         bodies = await asyncio.gather(*streams)
         self.assertTrue(
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
         )
-        self.assertEqual(len(self.world.replicas['head'].seen), len(streams))
+        self.assertEqual(len(self.world.replicas['head'].received_requests), len(streams))
 
     async def test_head_without_entry_keeps_serving(self) -> None:
         """A removed entry must not be taken for the failure of the replica.
@@ -161,11 +161,11 @@
         """
         # Right after a node's start, a missing entry may only have expired.
         await asyncio.sleep(LAPSE_GRACE_S)
-        streams = await self.begin_streams(1)
-        await self.world.service.delete('servers/head')
+        streams = await self.start_streams(1)
+        await self.world.store.delete('servers/head')
         body = await streams[0]
         self.assertEqual(body.count(b'id:'), _EVENT_COUNT)
-        self.assertEqual(len(self.world.replicas['head'].seen), 1)
+        self.assertEqual(len(self.world.replicas['head'].received_requests), 1)
 
 
 class TestLostStages(TestCase):
@@ -175,25 +175,25 @@
         self.view = FleetView()
         self.replica = build_replica('one', layers=(0, 80))
         self.stage = Stage(self.replica, LayerRange(0, 80))
-        self.view.announce(self.replica, 1)
+        self.view.apply_announcement(self.replica, 1)
 
     def test_leaving_replica_finishes_its_streams(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 2, leaves_at=10)
-        self.assertFalse(is_lost(self.view, self.stage, 1))
+        self.view.apply_announcement(leaving, 2, leaving_deadline=10)
+        self.assertFalse(is_stage_lost(self.view, self.stage, 1))
         self.assertEqual(self.view.list_live('llm', 1), [])
 
     def test_dead_replica_is_lost_while_leaving(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 2, leaves_at=10)
-        self.view.suspect('one', 9, 1)
-        self.assertTrue(is_lost(self.view, self.stage, 1))
+        self.view.apply_announcement(leaving, 2, leaving_deadline=10)
+        self.view.add_silence_report('one', 9, 1)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 1))
 
     def test_replica_withdrawn_without_notice_keeps_serving(self) -> None:
-        self.view.withdraw('one', 2, 0, leaves_at=10)
-        self.assertFalse(is_lost(self.view, self.stage, 1))
-        self.view.sweep(50)
-        self.assertTrue(is_lost(self.view, self.stage, 50))
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
+        self.assertFalse(is_stage_lost(self.view, self.stage, 1))
+        self.view.remove_lapsed(50)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 50))
 
     def test_withdrawn_replica_has_not_ended_while_serving(self) -> None:
         """A replica that still serves must count towards the attempt limit.
@@ -201,21 +201,21 @@
         It was taken for ended once its entry was removed, so that streams ran
         on more replicas than allowed during a rolling update.
         """
-        self.view.withdraw('one', 2, 0, leaves_at=10)
-        self.assertFalse(self.view.has_ended('one'))
-        self.view.sweep(50)
-        self.assertTrue(self.view.has_ended('one'))
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
+        self.assertFalse(self.view.has_stopped('one'))
+        self.view.remove_lapsed(50)
+        self.assertTrue(self.view.has_stopped('one'))
 
     def test_announced_leaving_replica_is_lost_once_withdrawn(self) -> None:
         leaving = replace(self.replica, is_leaving=True)
-        self.view.announce(leaving, 2, leaves_at=10)
-        self.view.withdraw('one', 3, 0, leaves_at=12)
-        self.assertTrue(is_lost(self.view, self.stage, 4))
+        self.view.apply_announcement(leaving, 2, leaving_deadline=10)
+        self.view.remove_announcement('one', 3, 0, leaving_deadline=12)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 4))
 
     def test_dead_replica_is_lost_once_withdrawn(self) -> None:
-        self.view.suspect('one', 3, 1)
-        self.view.withdraw('one', 2, 0, leaves_at=10)
-        self.assertTrue(is_lost(self.view, self.stage, 4))
+        self.view.add_silence_report('one', 3, 1)
+        self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
+        self.assertTrue(is_stage_lost(self.view, self.stage, 4))
 
 
 def _build_tail(data_centre: str) -> list[Stage]:
@@ -241,14 +241,14 @@
         activations of all streams then queue on that link.
         """
         head = Stage(build_replica('head', 'a', 'middle'), LayerRange(0, 20))
-        cross_link_ms = predict_pause_ms(
+        cross_link_ms = predict_reroute_pause_ms(
             ENGINE, [head, *_build_tail('b')], {'head'}, 900, 40
         )
         other = Stage(build_replica('b-head', 'b', 'middle'), LayerRange(0, 20))
-        resend_ms = predict_pause_ms(
+        resend_ms = predict_reroute_pause_ms(
             ENGINE, [other, *_build_tail('b')], (), 900, 40
         )
-        local_ms = predict_pause_ms(
+        local_ms = predict_reroute_pause_ms(
             ENGINE, [head, *_build_tail('a')], {'head'}, 900, 40
         )
         self.assertGreater(cross_link_ms, 3 * resend_ms)
@@ -256,6 +256,6 @@
 
     def test_pause_grows_with_number_of_rerouted_streams(self) -> None:
         stage = Stage(build_replica('one', 'a', 'small'), LayerRange(0, 10))
-        single = predict_pause_ms(ENGINE, [stage], (), 900, 1)
-        many = predict_pause_ms(ENGINE, [stage], (), 900, 11)
+        single = predict_reroute_pause_ms(ENGINE, [stage], (), 900, 1)
+        many = predict_reroute_pause_ms(ENGINE, [stage], (), 900, 11)
         self.assertAlmostEqual(many, 6 * single)
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -9,25 +9,25 @@
 
 from samphirerill.backends.store import (
     StoreError,
-    StoreRefusedError,
+    StoreRejectedError,
     StoreUnreachableError,
 )
-from samphirerill.fleet.model import LayerRange, Repeat, Stage
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.fleet.model import LayerRange, RetryClass, Stage
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.store import (
-    ConditionFailedError,
+    PreconditionFailedError,
     DeletedKey,
-    HistoryGoneError,
-    NoSuchLeaseError,
+    RevisionCompactedError,
+    LeaseNotFoundError,
     PlatformStore,
 )
-from samphirerill.relay.connection import Head
+from samphirerill.relay.connection import ResponseHead
 from samphirerill.relay.dialect import Attempt, DocumentError
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.server import Request
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.testing.platform_store import FakePlatformStore
 from samphirerill.tests.fleets import build_replica
-from samphirerill.tests.platform_documents import CONFIGURATION, KEY
+from samphirerill.tests.platform_documents import CONFIGURATION, API_KEY
 
 _PACKAGE = pathlib.Path(__file__).parent.parent
 # Names that occur only in the platform's wire format.
@@ -42,42 +42,42 @@
     """Documents are decoded into typed objects, or rejected."""
 
     def setUp(self) -> None:
-        self.dialect = PlatformDialect()
+        self.adapter = HttpPlatformAdapter()
 
     def test_configuration_is_decoded_completely(self) -> None:
-        cfg = self.dialect.decode_configuration(CONFIGURATION)
+        cfg = self.adapter.decode_configuration(CONFIGURATION)
         streaming_route, plain_route = cfg.routes
-        self.assertIs(streaming_route.repeat, Repeat.STREAM)
+        self.assertIs(streaming_route.retry_class, RetryClass.STREAM)
         self.assertTrue(streaming_route.is_resumable)
         self.assertEqual(streaming_route.gap_s, 0.2)
-        self.assertEqual(len(streaming_route.shares), 2)
-        self.assertIs(plain_route.repeat, Repeat.NON_IDEMPOTENT)
-        self.assertEqual(cfg.accounts[KEY].name, 'suva')
+        self.assertEqual(len(streaming_route.service_weights), 2)
+        self.assertIs(plain_route.retry_class, RetryClass.NON_IDEMPOTENT)
+        self.assertEqual(cfg.accounts[API_KEY].name, 'suva')
         engine = cfg.services['llm'].engine
         assert engine is not None
         self.assertEqual(engine.layers, 80)
-        self.assertEqual(engine.accelerators['small'].read_factor, 8.2)
+        self.assertEqual(engine.accelerators['small'].prefill_factor, 8.2)
 
     def test_malformed_documents_raise_document_error(self) -> None:
         """Decoder errors must not end the loop that follows the store."""
         for text in (b'', b'{', b'[]', b'{"version":"x"}', b'\xff', b'null'):
             with self.subTest(text):
                 with self.assertRaises(DocumentError):
-                    self.dialect.decode_configuration(text)
+                    self.adapter.decode_configuration(text)
                 with self.assertRaises(DocumentError):
-                    self.dialect.decode_replica('one', text)
+                    self.adapter.decode_replica('one', text)
 
     def test_route_of_unknown_kind_is_not_retried(self) -> None:
         text = CONFIGURATION.replace(b'"streaming"', b'"new_kind"')
-        cfg = self.dialect.decode_configuration(text)
-        self.assertIs(cfg.routes[0].repeat, Repeat.NON_IDEMPOTENT)
+        cfg = self.adapter.decode_configuration(text)
+        self.assertIs(cfg.routes[0].retry_class, RetryClass.NON_IDEMPOTENT)
 
 
 class TestHeaders(TestCase):
     """Headers of requests and responses."""
 
     def setUp(self) -> None:
-        self.dialect = PlatformDialect()
+        self.adapter = HttpPlatformAdapter()
         self.replica = build_replica('one', layers=(0, 80))
 
     def test_api_key_and_forged_headers_are_removed(self) -> None:
@@ -110,10 +110,10 @@
         self.assertEqual(headers[b'x-samphirerill-deadline-ms'], b'1500')
 
     def test_not_executed_is_distinguished_from_failure(self) -> None:
-        not_run = Head(503, [(b'x-samphirerill-not-executed', b'1')])
-        self.assertTrue(self.dialect.read_answer(not_run).is_not_run)
-        self.assertTrue(self.dialect.read_answer(Head(421)).is_not_run)
-        self.assertFalse(self.dialect.read_answer(Head(503)).is_not_run)
+        not_run = ResponseHead(503, [(b'x-samphirerill-not-executed', b'1')])
+        self.assertTrue(self.adapter.parse_response(not_run).is_not_run)
+        self.assertTrue(self.adapter.parse_response(ResponseHead(421)).is_not_run)
+        self.assertFalse(self.adapter.parse_response(ResponseHead(503)).is_not_run)
 
     def test_invalid_headers_count_as_absent(self) -> None:
         req = Request(
@@ -126,7 +126,7 @@
             ],
             0,
         )
-        facts = self.dialect.read_request(req)
+        facts = self.adapter.parse_request(req)
         self.assertEqual(facts.deadline_s, 0)
         self.assertEqual(facts.prompt_tokens, 0)
         self.assertEqual(facts.api_key, '')
@@ -135,7 +135,7 @@
         key = [(b'authorization', b'Bearer secret')]
         removed = self._build_headers(key, account='')
         self.assertNotIn(b'authorization', dict(removed))
-        kept = self._build_headers(key, account='', hides_key=False)
+        kept = self._build_headers(key, account='', strips_api_key=False)
         self.assertIn(b'authorization', dict(kept))
 
     def _build_headers(
@@ -143,13 +143,13 @@
         headers: list[tuple[bytes, bytes]],
         account: str = 'suva',
         *,
-        hides_key: bool = True,
+        strips_api_key: bool = True,
     ) -> list[tuple[bytes, bytes]]:
         req = Request(b'POST', b'/', headers, 0)
         stages = (Stage(self.replica, LayerRange(0, 80)),)
-        attempt = Attempt(self.replica, account, 1.5, hides_key, stages)
-        facts = self.dialect.read_request(req)
-        return self.dialect.build_headers(req, facts, attempt)
+        attempt = Attempt(self.replica, account, 1.5, strips_api_key, stages)
+        facts = self.adapter.parse_request(req)
+        return self.adapter.build_headers(req, facts, attempt)
 
 
 class TestBoundary(TestCase):
@@ -168,7 +168,7 @@
     """The client of the key-value store, with failures of the store."""
 
     async def asyncSetUp(self) -> None:
-        self.service = StandInStore()
+        self.service = FakePlatformStore()
         self.server = await listen('127.0.0.1:0', self.service, set())
         port = self.server.sockets[0].getsockname()[1]
         self.store = PlatformStore(f'127.0.0.1:{port}')
@@ -188,7 +188,7 @@
         self.assertIsNone(missing)
 
     async def test_prefix_is_read_over_several_pages(self) -> None:
-        self.service.page = 3
+        self.service.page_size = 3
         for number in range(10):
             await self.service.put(f'k{number}', b'x')
         entries, revision = await self.store.read_prefix('k')
@@ -197,7 +197,7 @@
 
     async def test_failed_condition_changes_nothing(self) -> None:
         await self.store.write({'a': b'1'}, {'a': 0})
-        with self.assertRaises(ConditionFailedError):
+        with self.assertRaises(PreconditionFailedError):
             await self.store.write({'a': b'2'}, {'a': 0})
         item, _ = await self.store.read('a')
         assert item is not None
@@ -215,18 +215,18 @@
     async def test_compacted_revision_raises_error(self) -> None:
         await self.service.put('a', b'1')
         await self.service.put('a', b'2')
-        self.service.forget_history()
-        with self.assertRaises(HistoryGoneError):
+        self.service.compact_history()
+        with self.assertRaises(RevisionCompactedError):
             await self.store.watch('', 1)
 
     async def test_refused_write_is_not_applied(self) -> None:
-        self.service.busy = True
-        with self.assertRaises(StoreRefusedError):
+        self.service.is_unavailable = True
+        with self.assertRaises(StoreRejectedError):
             await self.store.write({'a': b'1'}, {})
         self.assertEqual(self.service.keys, {})
 
     async def test_write_with_lost_answer_may_have_applied(self) -> None:
-        self.service.lose_answers = 1
+        self.service.responses_to_lose = 1
         with self.assertRaises(StoreUnreachableError) as caught:
             await self.store.write({'a': b'1'}, {})
         self.assertTrue(caught.exception.may_have_applied)
@@ -237,9 +237,9 @@
         lease = await self.store.grant_lease(2)
         await self.store.write({'a': b'1'}, {}, lease)
         await self.store.renew_lease(lease)
-        await self.store.end_lease(lease)
+        await self.store.revoke_lease(lease)
         self.assertEqual(self.service.keys, {})
-        with self.assertRaises(NoSuchLeaseError):
+        with self.assertRaises(LeaseNotFoundError):
             await self.store.renew_lease(lease)
 
     async def test_unreachable_store_raises_error(self) -> None:
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 from unittest import TestCase
 
-from samphirerill.quarantine import Death, digest_request
-from samphirerill.relay.quarantine import Keeper, Sharing
-from samphirerill.testing.virtual_time import run_virtually
+from samphirerill.quarantine import Crash, digest_request
+from samphirerill.relay.quarantine import QuarantineManager, EvidenceExchange
+from samphirerill.testing.virtual_time import run_with_virtual_time
 from samphirerill.tests.peers import Network, Node
 
 if TYPE_CHECKING:
@@ -33,8 +33,8 @@
         self.network = Network()
         self.sent_bytes = 0
         self.cut_off: set[str] = set()
-        self.keepers: dict[str, Keeper] = {}
-        self.sharings: dict[str, Sharing] = {}
+        self.keepers: dict[str, QuarantineManager] = {}
+        self.sharings: dict[str, EvidenceExchange] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.nodes: list[Node] = []
         self._deliver = self.network.send
@@ -48,8 +48,8 @@
         """Start a node."""
         data_centre = 'abc'[number % 3]
         node = Node(self.network, f'{data_centre}-{number}', data_centre)
-        keeper = Keeper(node.state)
-        sharing = Sharing(node.state, keeper)
+        keeper = QuarantineManager(node.state)
+        sharing = EvidenceExchange(node.state, keeper)
         sharing.bind(node.status_sender)
         node.receiver.add_handler(sharing.type_prefix, sharing.handle_datagram)
         self.keepers[node.name] = keeper
@@ -65,15 +65,15 @@
         now = asyncio.get_running_loop().time()
         for number, name in enumerate(replica_ids):
             at = now - len(replica_ids) + number
-            death = Death(name, f'{node.name}-{number}', at)
-            self.keepers[node.name].record_crash(request, death)
+            crash = Crash(name, f'{node.name}-{number}', at)
+            self.keepers[node.name].record_crash(request, crash)
         self.sharings[node.name].broadcast((request,))
 
     def count_holding_nodes(self) -> int:
         """Return how many nodes hold the poison request."""
         now = asyncio.get_running_loop().time()
         return sum(
-            node.state.quarantine.find_held_until(_POISON_REQUEST, now) > 0
+            node.state.quarantine.get_held_until(_POISON_REQUEST, now) > 0
             for node in self.nodes
         )
 
@@ -122,7 +122,7 @@
 
     def run_check(self, work: Coroutine[None, None, None]) -> None:
         """Run on a virtual clock."""
-        run_virtually(work)
+        run_with_virtual_time(work)
 
     async def _check_broadcast(self, count: int) -> None:
         fleet = _Fleet(count)
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING, cast
 from unittest import IsolatedAsyncioTestCase
 
-from samphirerill.platform.dialect import PlatformDialect
+from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import Admission
+from samphirerill.relay.admission import AdmissionQueue
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_path import StreamPath
 from samphirerill.tests.fleets import ENGINE, build_replica
 from samphirerill.tests.two_engines import GAP_S, TwoEnginesCase
 
 if TYPE_CHECKING:
-    from samphirerill.relay.task import Task
+    from samphirerill.relay.task import RequestContext
 
 _RUNS_PER_ENGINE = 2
 _STARTED_RANK = -1
@@ -26,8 +26,8 @@
     """A request without size hints."""
 
     request_id = b'r1'
-    most_tokens = 0
-    hinted_tokens = 0
+    max_answer_tokens = 0
+    expected_answer_tokens = 0
     prompt_tokens = 100
 
 
@@ -60,20 +60,20 @@
 
     async def asyncSetUp(self) -> None:
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
-        self.state = EdgeState(settings, PlatformDialect())
+        self.state = EdgeState(settings, HttpPlatformAdapter())
         for revision, name in enumerate(('one', 'two', 'three'), 1):
             replica = build_replica(name, 'a', 'large', (0, 32))
-            self.state.view.announce(replica, revision)
+            self.state.view.apply_announcement(replica, revision)
         for revision, layers in ((8, (32, 56)), (9, (56, 80))):
             later_stage = build_replica(
                 f'rest-{revision}', 'a', 'large', layers
             )
-            self.state.view.announce(later_stage, revision)
+            self.state.view.apply_announcement(later_stage, revision)
         self.path = StreamPath(
             self.state,
-            cast('Task', _TaskStub()),
+            cast('RequestContext', _TaskStub()),
             ENGINE,
-            Admission(self.state),
+            AdmissionQueue(self.state),
         )
         self.path.used_heads.update(('one', 'two'))
         self.path.avoid.update(('one', 'two'))
@@ -89,7 +89,7 @@
         """A free replica with more failures is used if the other is full."""
         self.path.finder.failed_sends.update(one=2, two=1)
         now = asyncio.get_running_loop().time()
-        self.state.view.refuse('two', now)
+        self.state.view.note_refusal('two', now)
         self.assertEqual(await self.choose(), 'one')
 
     async def choose(self) -> str:
@@ -113,18 +113,18 @@
         engines = [self.world.replicas[f'engine-{number}'] for number in (1, 2)]
         for engine in engines:
             engine.cut_after_head = True
-            engine.gap_s = GAP_S
-        stream = self.start(b'/notes/x')
-        await self.until(
+            engine.event_interval_s = GAP_S
+        stream = self.start_request(b'/notes/x')
+        await self.wait_until(
             lambda: (
-                sum(len(engine.seen) for engine in engines)
+                sum(len(engine.received_requests) for engine in engines)
                 >= 2 * _RUNS_PER_ENGINE
             )
         )
         await asyncio.sleep(3 * GAP_S)
-        known = self.process.state.view.known
+        known = self.process.state.view.replicas
         refusals = [known[engine.replica_id].refusals for engine in engines]
         self.assertGreaterEqual(max(refusals), _RUNS_PER_ENGINE)
         for engine in engines:
             engine.cut_after_head = False
-        self.assert_whole(await stream)
+        self.assert_complete(await stream)
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from samphirerill.quarantine import Death, digest_request
+from samphirerill.quarantine import Crash, digest_request
 from samphirerill.relay.quarantine.stored_holds import PREFIX
-from samphirerill.tests.ending_engines import POISON, EndingEnginesCase
+from samphirerill.tests.ending_engines import POISON, CrashingEnginesCase
 
 _ARRIVALS = 4
 _ARRIVAL_INTERVAL_S = 0.25
@@ -17,7 +17,7 @@
 _CRASH_COUNT = 5
 
 
-class TestStoredHolds(EndingEnginesCase):
+class TestStoredHolds(CrashingEnginesCase):
     """Holds that the leader writes and all nodes read."""
 
     async def quarantine_request(self) -> None:
@@ -31,7 +31,7 @@
         """Guard against holds that stay in the store forever."""
         await self.quarantine_request()
         self.assertEqual(len(self.list_keys()), 1)
-        await self.world.service.end_leases()
+        await self.world.store.expire_leases()
         self.assertEqual(self.list_keys(), [])
 
     async def test_a_hold_that_exceeds_the_longest_lease(self) -> None:
@@ -39,9 +39,9 @@
         quarantine = self.nodes[0].state.quarantine
         for number in range(_CRASH_COUNT):
             at = self.loop.time() - _CRASH_COUNT + number
-            death = Death(f'engine-{number}', f'r{number}', at)
-            quarantine.note_death(_REQUEST, death, self.loop.time())
-        quarantine.judge(self.loop.time())
+            crash = Crash(f'engine-{number}', f'r{number}', at)
+            quarantine.note_crash(_REQUEST, crash, self.loop.time())
+        quarantine.update_holds(self.loop.time())
         await asyncio.sleep(_SYNC_S)
         self.assertEqual(self.list_keys(), [PREFIX + _REQUEST.hex()])
 
@@ -56,8 +56,8 @@
 
     async def test_malformed_entries_are_ignored(self) -> None:
         """Guard against entries that stop nodes from reading the store."""
-        await self.world.service.put(f'{PREFIX}00', b'\xff not a hold')
-        await self.world.service.put(f'{PREFIX}01', b'{"written_ms": 1}')
+        await self.world.store.put(f'{PREFIX}00', b'\xff not a hold')
+        await self.world.store.put(f'{PREFIX}01', b'{"written_ms": 1}')
         node = await self.add_node()
         self.assertEqual(len(node.state.quarantine), 0)
 
@@ -70,5 +70,5 @@
 
     def list_keys(self) -> list[str]:
         """Return the keys of the stored holds."""
-        keys = self.world.service.keys
+        keys = self.world.store.keys
         return [key for key in keys if key.startswith(PREFIX)]
--- a/samphirerill/tests/test_usage.py
+++ b/samphirerill/tests/test_usage.py
@@ -9,19 +9,19 @@
 
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.usage import Usage
-from samphirerill.testing.platform_store import StandInStore
+from samphirerill.relay.usage import UsageReporter
+from samphirerill.testing.platform_store import FakePlatformStore
 
 if TYPE_CHECKING:
-    from samphirerill.relay.server import CallerConnection
+    from samphirerill.relay.server import ClientConnection
 
 
 class TestUsage(IsolatedAsyncioTestCase):
     """Counts by purpose, and periodic logs of their increase."""
 
     async def test_store_calls_are_counted_by_purpose(self) -> None:
-        connections: set[CallerConnection] = set()
-        server = await listen('127.0.0.1:0', StandInStore(), connections)
+        connections: set[ClientConnection] = set()
+        server = await listen('127.0.0.1:0', FakePlatformStore(), connections)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
         store = PlatformStore(f'{host}:{port}')
@@ -30,7 +30,7 @@
         await store.write({'samphirerill/nodes/n': b'x'}, {}, lease)
         await store.renew_lease(lease)
         await store.read_prefix('')
-        await store.end_lease(lease)
+        await store.revoke_lease(lease)
         self.assertEqual(
             store.calls,
             {'grant': 1, 'write': 1, 'renew': 1, 'read all': 1, 'end': 1},
@@ -41,7 +41,7 @@
         store.calls = Counter({'watch': 3})
         state = Mock()
         state.counters = Counter({'orders': 2})
-        usage = Usage(state, cast('PlatformStore', store))
+        usage = UsageReporter(state, cast('PlatformStore', store))
         with patch('samphirerill.relay.usage._LOG') as log:
             usage.log()
             usage.log()
