--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -72,7 +72,8 @@
         """Run a transaction in one call."""
         else_puts = _build_put_operations(transaction.else_puts)
         reads = [
-            {'request_range': {'key': _encode(key)}} for key in transaction.else_reads
+            {'request_range': {'key': _encode(key)}}
+            for key in transaction.else_reads
         ]
         payload = {
             'compare': [_compare(item) for item in transaction.conditions],
--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -28,7 +28,12 @@
     PeersStub,
     add_PeersServicer_to_server,
 )
-from samphirerill.control.claims import ClaimBatch, Claim, Settlement, ClaimResult
+from samphirerill.control.claims import (
+    ClaimBatch,
+    Claim,
+    Settlement,
+    ClaimResult,
+)
 from samphirerill.core.commands import Outcome
 
 if TYPE_CHECKING:
@@ -73,7 +78,9 @@
     """gRPC server for calls from other nodes."""
 
     def __init__(
-        self, reply: Callable[[PeerMessage], PeerMessage], collect: ClaimBatchHandler
+        self,
+        reply: Callable[[PeerMessage], PeerMessage],
+        collect: ClaimBatchHandler,
     ) -> None:
         self._servicer = _Servicer(reply, collect)
         self._server: Any = None
@@ -161,7 +168,9 @@
     """Dispatches gRPC calls to the node."""
 
     def __init__(
-        self, reply: Callable[[PeerMessage], PeerMessage], collect: ClaimBatchHandler
+        self,
+        reply: Callable[[PeerMessage], PeerMessage],
+        collect: ClaimBatchHandler,
     ) -> None:
         self._build_reply = reply
         self._collect = collect
--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -300,7 +300,9 @@
     config_bytes_s = changes_per_s * costs['config.change_bytes'] * 4 / 3
     peer_bytes_s = costs['peers.round_bytes'] / EXCHANGE_INTERVAL_S
     poll_bytes_s = LOAD_POLLS_PER_S * costs['polls.bytes']
-    vm_bytes_s = REPLICAS * costs['vms.entry_bytes'] / (NODES / FLEET_READS_PER_INTERVAL)
+    vm_bytes_s = (
+        REPLICAS * costs['vms.entry_bytes'] / (NODES / FLEET_READS_PER_INTERVAL)
+    )
     cpu_share = (
         costs['full.cpu'] + changes_per_s * costs['config.change_ms'] / 1000
     )
--- a/samphirerill/bench/overhead.py
+++ b/samphirerill/bench/overhead.py
@@ -68,7 +68,9 @@
     return [
         (
             address,
-            ClientRequest(0, f'through {name} {index}', _TOKENS, FIRST_ACCOUNT_KEY),
+            ClientRequest(
+                0, f'through {name} {index}', _TOKENS, FIRST_ACCOUNT_KEY
+            ),
         )
         for index in range(count)
     ]
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/slopes.py
@@ -349,7 +349,9 @@
         router=router,
     )
     follower = SimpleNamespace(
-        view=view, evidence=ConfigurationFreshness(0), apply_change=view.apply_change
+        view=view,
+        evidence=ConfigurationFreshness(0),
+        apply_change=view.apply_change,
     )
     return _LocalGossip(node, follower)
 
--- a/samphirerill/bench/start_up.py
+++ b/samphirerill/bench/start_up.py
@@ -51,7 +51,9 @@
                 env={**os.environ, 'SHIV_ROOT': str(root)},
             )
         try:
-            wait_for(lambda: read_listening_ports(log_path), 'the node to listen')
+            wait_for(
+                lambda: read_listening_ports(log_path), 'the node to listen'
+            )
             port = read_listening_ports(log_path)['callers']
             wait_for(
                 lambda: (
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_scenes.py
@@ -259,7 +259,9 @@
     )
 
 
-def _send_keyed_requests(target: Target, name: str, count: int) -> list[ClientResponse]:
+def _send_keyed_requests(
+    target: Target, name: str, count: int
+) -> list[ClientResponse]:
     """Send a request for each key twice at once, to different processes."""
     addresses = target.list_addresses()
 
--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -132,7 +132,8 @@
 def build_release(claim: Claim) -> Transaction:
     """Return a transaction that removes a claim if it is unchanged."""
     return Transaction(
-        conditions=[ValueEquals(claim.key, claim.to_text())], deletes=[claim.key]
+        conditions=[ValueEquals(claim.key, claim.to_text())],
+        deletes=[claim.key],
     )
 
 
--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -16,7 +16,13 @@
 class ConfigurationView:
     """The document in force at this node and its recent changes."""
 
-    __slots__ = ('_pending', 'document', 'known_version', 'recent_changes', 'version')
+    __slots__ = (
+        '_pending',
+        'document',
+        'known_version',
+        'recent_changes',
+        'version',
+    )
 
     def __init__(self) -> None:
         self.version = 0
@@ -61,7 +67,9 @@
 
     def list_changes_after(self, version: int) -> list[Change] | None:
         """Return the changes after a version, or None if not kept."""
-        changes = [item for item in self.recent_changes if item.version > version]
+        changes = [
+            item for item in self.recent_changes if item.version > version
+        ]
         if len(changes) == self.version - version:
             return changes
         return None
--- a/samphirerill/control/evidence.py
+++ b/samphirerill/control/evidence.py
@@ -57,7 +57,9 @@
         """Return the age of this node's last read of the service."""
         return now - self._own_read_at
 
-    def find_suspension_reason(self, now: float, version: int, known_nodes: int) -> str:
+    def find_suspension_reason(
+        self, now: float, version: int, known_nodes: int
+    ) -> str:
         """Return why no new work may be accepted, or an empty string.
 
         Parameters
--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -66,7 +66,9 @@
         cls, fencing_token: int, requested_at: float, acquired_at: float
     ) -> LeaderTerm:
         """Return the term of a leader that has just acquired its key."""
-        return cls(fencing_token, acquired_at, requested_at + LEASE_S - SAFETY_MARGIN_S)
+        return cls(
+            fencing_token, acquired_at, requested_at + LEASE_S - SAFETY_MARGIN_S
+        )
 
     def renew(self, requested_at: float) -> None:
         """Extend the term by a renewal that was sent at a given time."""
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -159,7 +159,9 @@
 
 
 @handle.register(AttemptFailed)
-def on_attempt_broke(event: AttemptFailed, state: CoreState, now: float) -> None:
+def on_attempt_broke(
+    event: AttemptFailed, state: CoreState, now: float
+) -> None:
     """Exclude the failed stage, then retry elsewhere or end the request."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -50,7 +50,9 @@
 
 
 @handle.register(ClaimConflicted)
-def on_claim_taken(event: ClaimConflicted, state: CoreState, now: float) -> None:
+def on_claim_taken(
+    event: ClaimConflicted, state: CoreState, now: float
+) -> None:
     """Tell a retry the outcome of the first request with its key."""
     req = state.requests.get(event.request_id)
     if req is None:
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_endings.py
@@ -35,7 +35,9 @@
 
 
 @handle.register(EvidenceReceived)
-def on_evidence_told(event: EvidenceReceived, state: CoreState, now: float) -> None:
+def on_evidence_told(
+    event: EvidenceReceived, state: CoreState, now: float
+) -> None:
     """Merge another node's crash records."""
     if apply_messages(state.quarantine, event.records, now):
         _schedule_evaluation(state, now)
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -125,7 +125,9 @@
 
 
 @handle.register(NodeCountReported)
-def on_nodes_seen(event: NodeCountReported, state: CoreState, now: float) -> None:
+def on_nodes_seen(
+    event: NodeCountReported, state: CoreState, now: float
+) -> None:
     """Record the number of nodes that share limits and endpoints."""
     state.node_count = max(1, event.count)
 
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -60,7 +60,9 @@
 
 
 @handle.register(ClientDisconnected)
-def on_caller_left(event: ClientDisconnected, state: CoreState, now: float) -> None:
+def on_caller_left(
+    event: ClientDisconnected, state: CoreState, now: float
+) -> None:
     """Stop the request, unless a retry may ask for its answer.
 
     A request with a claimed key runs on: its caller may return with the same
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_time.py
@@ -93,7 +93,9 @@
     state.requests[attempt.request_id].avoid.update(
         stage.endpoint for stage in attempt.stages
     )
-    on_attempt_broke(AttemptFailed(name, 'the endpoint went silent'), state, now)
+    on_attempt_broke(
+        AttemptFailed(name, 'the endpoint went silent'), state, now
+    )
 
 
 def _check_endpoint(state: CoreState, name: str, now: float) -> None:
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -46,7 +46,9 @@
     return sorted(state.leaving)
 
 
-def list_crash_records(state: CoreState, now: float, limit: int) -> list[EvidenceMessage]:
+def list_crash_records(
+    state: CoreState, now: float, limit: int
+) -> list[EvidenceMessage]:
     """Return up to `limit` crash records of requests, for other nodes."""
     records = islice(state.quarantine.list_records(), limit)
     return [build_message(request, record, now) for request, record in records]
--- a/samphirerill/emulator/engine.py
+++ b/samphirerill/emulator/engine.py
@@ -126,7 +126,9 @@
             return 0.0
         layer_share = max(task.layers.count for task in decodes)
         step_ms = predict_step_ms(self._engine, len(decodes))
-        step_ms *= self._accelerator.step_factor * layer_share / self._engine.layers
+        step_ms *= (
+            self._accelerator.step_factor * layer_share / self._engine.layers
+        )
         return self._engine.stride * step_ms
 
     def _predict_prefill_ms(self, task: StageTask) -> float:
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -122,7 +122,9 @@
 
     def _mark_dead(self, name: str) -> None:
         now = self._event_loop.now
-        self.view.add_silence_report(name, now + _SUSPICION_S, now, votes=CONFIRMING_VOTES)
+        self.view.add_silence_report(
+            name, now + _SUSPICION_S, now, votes=CONFIRMING_VOTES
+        )
 
     def _restart(self, name: str) -> None:
         self.engines[name].restart()
--- a/samphirerill/fleet/budget.py
+++ b/samphirerill/fleet/budget.py
@@ -139,10 +139,14 @@
         """Return this node's usage."""
         self._drop_expired(now)
         return RetryUsage(
-            len(self._request_times), len(self._retry_times), self.active_streams
+            len(self._request_times),
+            len(self._retry_times),
+            self.active_streams,
         )
 
-    def try_spend(self, now: float, nodes: int, *, is_urgent: bool = False) -> bool:
+    def try_spend(
+        self, now: float, nodes: int, *, is_urgent: bool = False
+    ) -> bool:
         """Consume one retry; return whether one was available."""
         if not self.has_remaining(now, nodes, is_urgent=is_urgent):
             return False
--- a/samphirerill/fleet/load.py
+++ b/samphirerill/fleet/load.py
@@ -50,7 +50,9 @@
     def __init__(self) -> None:
         self._own: defaultdict[str, ReplicaLoad] = defaultdict(ReplicaLoad)
         self._peers: dict[str, PeerLoad] = {}
-        self._peer_totals: defaultdict[str, ReplicaLoad] = defaultdict(ReplicaLoad)
+        self._peer_totals: defaultdict[str, ReplicaLoad] = defaultdict(
+            ReplicaLoad
+        )
         # Changes with this node's requests only; if reports of others counted
         # too, nodes would echo each other's reports.
         self.own_version = 0
@@ -74,7 +76,11 @@
         self.own_version += 1
 
     def update_peer(
-        self, peer: str, held: dict[str, ReplicaLoad], now: float, nodes: int = 1
+        self,
+        peer: str,
+        held: dict[str, ReplicaLoad],
+        now: float,
+        nodes: int = 1,
     ) -> None:
         """Replace the last report of a node or of a whole data centre."""
         known = self._peers.get(peer)
--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -88,7 +88,8 @@
         return [
             name
             for name in replica_ids
-            if node in self.choose_probers(name, start + PROBERS_PER_REPLICA)[start:]
+            if node
+            in self.choose_probers(name, start + PROBERS_PER_REPLICA)[start:]
         ]
 
     def choose_probers(
@@ -137,7 +138,13 @@
     report arrived, by replica; times are on the loop's clock.
     """
 
-    __slots__ = ('_first_at', '_last_at', 'last_extended_at', 'unconfirmed', 'last_alive')
+    __slots__ = (
+        '_first_at',
+        '_last_at',
+        'last_extended_at',
+        'unconfirmed',
+        'last_alive',
+    )
 
     def __init__(self) -> None:
         self.last_extended_at = float('-inf')
@@ -167,7 +174,9 @@
 
     def note_alive(self, replica_id: str, at: float) -> None:
         """Record that a replica worked at the given time."""
-        self.last_alive[replica_id] = max(at, self.last_alive.get(replica_id, at))
+        self.last_alive[replica_id] = max(
+            at, self.last_alive.get(replica_id, at)
+        )
 
     def is_in_progress(self, now: float) -> bool:
         """Return whether further losses of this failure may still be found."""
@@ -182,7 +191,10 @@
 
     def is_known_alive(self, replica_id: str) -> bool:
         """Return whether a replica has worked since the failure began."""
-        return self.last_alive.get(replica_id, float('-inf')) >= self.last_extended_at
+        return (
+            self.last_alive.get(replica_id, float('-inf'))
+            >= self.last_extended_at
+        )
 
 
 def is_local_fault(silent: Collection[str], heard: Collection[str]) -> bool:
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -101,7 +101,8 @@
     """Return the stages of the cheapest feasible path, or an empty tuple."""
     candidates = [
         _Candidate(
-            found.replica, _score_layer(engine, found, load_tracker, request, now)
+            found.replica,
+            _score_layer(engine, found, load_tracker, request, now),
         )
         for found in usable
         if found.replica.replica_id not in request.excluded
@@ -198,7 +199,10 @@
         hold more layers by now, but must not occur on the path again.
         """
         request = self._request
-        return bool(request.first_stage_end) and replica.replica_id in request.first_replicas
+        return (
+            bool(request.first_stage_end)
+            and replica.replica_id in request.first_replicas
+        )
 
     def _can_start(self, replica: Replica) -> bool:
         if (
@@ -208,7 +212,10 @@
             return False
         if replica.held.first or not replica.held.end:
             return False
-        return self._load_tracker.count_requests(replica.replica_id) < self._engine.slots
+        return (
+            self._load_tracker.count_requests(replica.replica_id)
+            < self._engine.slots
+        )
 
     def _start_path(self, candidate: _Candidate) -> None:
         held = candidate.replica.held
@@ -220,7 +227,10 @@
     def _find_remote_entry_ms(self, replica: Replica) -> float:
         """Return the penalty for a first stage in another data centre."""
         request = self._request
-        is_local = not request.data_centre or replica.data_centre == request.data_centre
+        is_local = (
+            not request.data_centre
+            or replica.data_centre == request.data_centre
+        )
         return (
             0.0
             if is_local or not request.policy.near_heads
@@ -317,7 +327,10 @@
 
 
 def has_memory(
-    engine: EngineSpec, found: ReplicaState, load_tracker: LoadTracker, request: PathRequest
+    engine: EngineSpec,
+    found: ReplicaState,
+    load_tracker: LoadTracker,
+    request: PathRequest,
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
     replica = found.replica
@@ -327,11 +340,17 @@
         return True
     max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
     capacity = count_token_capacity(engine, found, replica.layers) * max_use
-    return load_tracker.count_tokens(replica.replica_id) + request.tokens <= capacity
+    return (
+        load_tracker.count_tokens(replica.replica_id) + request.tokens
+        <= capacity
+    )
 
 
 def _predict_layer_ms(
-    engine: EngineSpec, found: ReplicaState, load_tracker: LoadTracker, now: float
+    engine: EngineSpec,
+    found: ReplicaState,
+    load_tracker: LoadTracker,
+    now: float,
 ) -> float:
     """Return what one layer adds to the time between two events."""
     replica = found.replica
--- a/samphirerill/fleet/pipes.py
+++ b/samphirerill/fleet/pipes.py
@@ -25,7 +25,13 @@
 class LinkUsage:
     """The backlog of every link, in milliseconds of transfer time."""
 
-    __slots__ = ('_free_at', '_peer_totals', 'data_centre_sent', 'own_version', 'own_sent')
+    __slots__ = (
+        '_free_at',
+        '_peer_totals',
+        'data_centre_sent',
+        'own_version',
+        'own_sent',
+    )
 
     def __init__(self) -> None:
         self._free_at: dict[LinkKey, float] = {}
@@ -92,7 +98,9 @@
                 self._add_near(pair, sent_ms - previous)
 
     def _add_near(self, pair: LinkKey, transfer_ms: float) -> None:
-        self.data_centre_sent[pair] = self.data_centre_sent.get(pair, 0.0) + transfer_ms
+        self.data_centre_sent[pair] = (
+            self.data_centre_sent.get(pair, 0.0) + transfer_ms
+        )
 
     def _add(self, pair: LinkKey, transfer_ms: float, now: float) -> None:
         busy_s = transfer_ms / MS_PER_S / _MAX_USE
--- a/samphirerill/fleet/prediction.py
+++ b/samphirerill/fleet/prediction.py
@@ -39,7 +39,9 @@
 ) -> float:
     """Return what one stage adds to the time between two events."""
     share = layers / max(1, engine.layers)
-    step_ms = predict_step_ms(engine, running) * accelerator.step_factor * slowness
+    step_ms = (
+        predict_step_ms(engine, running) * accelerator.step_factor * slowness
+    )
     return _MEAN_PASSES_PER_STAGE * engine.stride * step_ms * share
 
 
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -88,7 +88,9 @@
         plan = plan_layers(engine, known, aims)
         return {} if plan is None else plan.list_ranges()
     zones = [
-        analyze_zone(engine, replicas, aims, settled, (max_complete or {}).get(name, 0))
+        analyze_zone(
+            engine, replicas, aims, settled, (max_complete or {}).get(name, 0)
+        )
         for name, replicas in group_by_zone(known).items()
     ]
     for zone in zones:
@@ -271,7 +273,9 @@
     ]
 
 
-def _rebalance(engine: EngineSpec, zones: list[Zone], aims: PlanTargets) -> Moves:
+def _rebalance(
+    engine: EngineSpec, zones: list[Zone], aims: PlanTargets
+) -> Moves:
     """Return the moves that rebalance the first data centre that gains by it."""
     for zone in zones:
         if not zone.complete:
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -75,7 +75,9 @@
         is_newly_suspected = self.suspected_until <= now
         self.suspected_until = max(self.suspected_until, report.until)
         if report.is_own:
-            self.self_suspected_until = max(self.self_suspected_until, report.until)
+            self.self_suspected_until = max(
+                self.self_suspected_until, report.until
+            )
         return is_newly_suspected
 
     def note_alive(self, at: float) -> bool:
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -12,7 +12,11 @@
 
 from samphirerill.fleet.endings import releases_layers
 from samphirerill.fleet.losses import CorrelatedFailure
-from samphirerill.fleet.suspicion import CONFIRMING_VOTES, Suspicion, SilenceReport
+from samphirerill.fleet.suspicion import (
+    CONFIRMING_VOTES,
+    Suspicion,
+    SilenceReport,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -74,7 +78,9 @@
     # Counts replicas that were suspected dead and have worked since.
     false_suspicions: int = 0
     # The current correlated failure, or the last one.
-    current_failure: CorrelatedFailure = field(default_factory=CorrelatedFailure)
+    current_failure: CorrelatedFailure = field(
+        default_factory=CorrelatedFailure
+    )
     # Until when each draining replica serves its active streams; includes
     # replicas that are no longer announced.
     leaving_deadlines: dict[str, float] = field(default_factory=dict)
@@ -154,7 +160,8 @@
             found.lapsed_until = found.lapsed_until or grace_until
             return
         may_serve = (
-            replica_id not in self.leaving_deadlines and not found.suspicion.suspected_until
+            replica_id not in self.leaving_deadlines
+            and not found.suspicion.suspected_until
         )
         self._remove(replica_id, revision)
         if may_serve and leaving_deadline:
@@ -171,9 +178,13 @@
         present = set()
         for replica, announced_revision in replicas:
             present.add(replica.replica_id)
-            self.apply_announcement(replica, announced_revision, leaving_deadline)
+            self.apply_announcement(
+                replica, announced_revision, leaving_deadline
+            )
         for replica_id in set(self.replicas) - present:
-            self.remove_announcement(replica_id, revision, grace_until, leaving_deadline)
+            self.remove_announcement(
+                replica_id, revision, grace_until, leaving_deadline
+            )
         self.revision = max(self.revision, revision)
 
     def advance_revision(self, revision: int) -> None:
@@ -230,7 +241,9 @@
         if found is None:
             return False
         silent_since = now if since is None else since
-        report = SilenceReport(silent_since, until, votes, reporter, data_centre)
+        report = SilenceReport(
+            silent_since, until, votes, reporter, data_centre
+        )
         votes_before = found.suspicion.count_votes(now)
         is_newly_suspected = found.suspicion.add_report(report, now)
         self.loss_count += is_newly_suspected
@@ -238,7 +251,8 @@
         is_first_report = not votes_before and votes_after > 0
         # No path uses a draining replica for new work, nor one without layers.
         is_serving = (
-            found.replica.layers is not None and replica_id not in self.leaving_deadlines
+            found.replica.layers is not None
+            and replica_id not in self.leaving_deadlines
         )
         if is_serving and (is_first_report or is_newly_suspected):
             is_confirmed = votes_after >= CONFIRMING_VOTES
@@ -275,7 +289,9 @@
         )
         found.backoff_until = max(found.backoff_until, now + pause_s)
 
-    def note_slowness(self, replica_id: str, slowness: float, now: float) -> None:
+    def note_slowness(
+        self, replica_id: str, slowness: float, now: float
+    ) -> None:
         """Record a replica's own report of its slowness."""
         found = self.replicas.get(replica_id)
         if found is not None:
--- a/samphirerill/fleet/watchers.py
+++ b/samphirerill/fleet/watchers.py
@@ -49,7 +49,9 @@
     return choose_other_watcher(own, names, avoid)
 
 
-def choose_other_watcher(own: str, names: Iterable[str], avoid: Collection[str]) -> str:
+def choose_other_watcher(
+    own: str, names: Iterable[str], avoid: Collection[str]
+) -> str:
     """Return a watcher other than this node; empty if none is left.
 
     Parameters are those of `choose_watcher`.
--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/actions.py
@@ -83,7 +83,9 @@
 
 
 @execute.register(DeliverServiceResponse)
-def execute_deliver_service(command: DeliverServiceResponse, node: Node) -> None:
+def execute_deliver_service(
+    command: DeliverServiceResponse, node: Node
+) -> None:
     """Send the response of a plain service to the client."""
     session = node.sessions[command.request_id]
     call = node.calls.pop(command.attempt_id)
@@ -118,7 +120,9 @@
 def execute_replay(command: ReplayAnswer, node: Node) -> None:
     """Repeat the answer to the first request with this idempotency key."""
     session = node.sessions.pop(command.request_id)
-    answer = _get_claim_writer(node).stored_responses.pop(command.request_id, {})
+    answer = _get_claim_writer(node).stored_responses.pop(
+        command.request_id, {}
+    )
     text = answer.get('text')
     body = answer.get('body')
     if text is not None:
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -146,7 +146,9 @@
         self._queue.pending.append(_PendingClaim(claim, deadline))
         self._has_work.set()
 
-    def queue_outcome(self, command: SettleClaim, answer: dict[str, Any]) -> None:
+    def queue_outcome(
+        self, command: SettleClaim, answer: dict[str, Any]
+    ) -> None:
         """Queue the outcome of an acquired claim, or its release."""
         claim = self._own_claims.pop(command.request_id, None)
         if claim is None:
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -135,7 +135,9 @@
         outcome = await self._worker.run(store.commit, transaction)
         if not outcome.succeeded:
             self._leader_id = (
-                outcome.entries[self._leader_key].stored_value if outcome.entries else ''
+                outcome.entries[self._leader_key].stored_value
+                if outcome.entries
+                else ''
             )
             return
         now = self._node.loop.time()
@@ -236,4 +238,6 @@
         answer = _STATUS_DECODER.decode(body)
     except DecodeError:
         return None
-    return EngineStatus(answer.version, answer.adapters, answer.role, answer.loading)
+    return EngineStatus(
+        answer.version, answer.adapters, answer.role, answer.loading
+    )
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/follower.py
@@ -92,7 +92,9 @@
             if reason != self._suspension_reason:
                 self._suspension_reason = reason
                 event = ServingSuspended(reason) if reason else ServingResumed()
-                _LOG.warning('serving suspended or resumed', extra={'doubt': reason})
+                _LOG.warning(
+                    'serving suspended or resumed', extra={'doubt': reason}
+                )
                 self._node.apply(event)
             await asyncio.sleep(_FRESHNESS_CHECK_INTERVAL_S)
 
@@ -188,7 +190,9 @@
 
     def _get_poll_interval_s(self) -> float:
         """Return a poll interval that keeps the fleet within its read limit."""
-        interval_s = max(MIN_POLL_INTERVAL_S, self._members.count / FLEET_READS_PER_S)
+        interval_s = max(
+            MIN_POLL_INTERVAL_S, self._members.count / FLEET_READS_PER_S
+        )
         return add_jitter(interval_s, WIDE_JITTER)
 
     def _watch_forever(self) -> None:
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -149,7 +149,11 @@
 
     async def _write_claims(self, batch: ClaimBatch) -> list[ClaimResult]:
         claim_writer = self._node.claim_writer
-        return [] if claim_writer is None else await claim_writer.write_for_peer(batch)
+        return (
+            []
+            if claim_writer is None
+            else await claim_writer.write_for_peer(batch)
+        )
 
     def _handle_message(self, message: PeerMessage) -> None:
         now = self._node.loop.time()
@@ -200,7 +204,9 @@
     def _build_message(self) -> PeerMessage:
         node = self._node
         now = node.loop.time()
-        age_s = min(_MAX_READ_AGE_S, self._follower.evidence.get_read_age_s(now))
+        age_s = min(
+            _MAX_READ_AGE_S, self._follower.evidence.get_read_age_s(now)
+        )
         return PeerMessage(
             node.node_id,
             self._follower.view.version,
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operations.py
@@ -65,7 +65,9 @@
         """Submit a configuration patch to the service."""
         change = self._follower.log.submit(patch, base, author, dry_run=dry_run)
         if not dry_run:
-            self._node.loop.call_soon_threadsafe(self._follower.apply_change, change)
+            self._node.loop.call_soon_threadsafe(
+                self._follower.apply_change, change
+            )
         return change
 
     def drain(self) -> None:
--- a/samphirerill/node/probes.py
+++ b/samphirerill/node/probes.py
@@ -70,7 +70,9 @@
         return None
 
 
-def build_fetch_request(target: str, address: str, body: bytes | None = None) -> bytes:
+def build_fetch_request(
+    target: str, address: str, body: bytes | None = None
+) -> bytes:
     """Serialize the request of a health check, load poll or order."""
     method, length = 'GET', ''
     if body is not None:
--- a/samphirerill/platform/dialect.py
+++ b/samphirerill/platform/dialect.py
@@ -76,14 +76,18 @@
 
     def parse_request(self, req: Request) -> RequestMetadata:
         """Return the metadata of a request; invalid values count as absent."""
-        prompt, _, max_answer = (req.get(words.TOKEN_COUNTS) or b'').partition(b',')
+        prompt, _, max_answer = (req.get(words.TOKEN_COUNTS) or b'').partition(
+            b','
+        )
         return RequestMetadata(
             request_id=req.get(words.REQUEST_ID) or b'',
             api_key=_parse_bearer_token(req.get(b'authorization') or b''),
             deadline_s=_parse_deadline_s(req.get(words.DEADLINE_MS) or b''),
             prompt_tokens=_parse_number(prompt),
             max_answer_tokens=_parse_number(max_answer),
-            expected_answer_tokens=_parse_number(req.get(words.LENGTH_HINT) or b''),
+            expected_answer_tokens=_parse_number(
+                req.get(words.LENGTH_HINT) or b''
+            ),
             resume_after=req.get(words.RESUME_AFTER) or b'',
         )
 
@@ -126,7 +130,9 @@
             is_signed=bool(head.get(words.RESPONSE_SIGNATURE)),
             is_not_run=is_other_replica or head.get(words.NOT_RUN) is not None,
             is_encoded=encoding != b'identity',
-            failed_address=(head.get(words.FAILED_REPLICA) or b'').decode('latin-1'),
+            failed_address=(head.get(words.FAILED_REPLICA) or b'').decode(
+                'latin-1'
+            ),
         )
 
     def decode_configuration(self, text: bytes) -> FleetConfiguration:
--- a/samphirerill/platform/documents.py
+++ b/samphirerill/platform/documents.py
@@ -157,7 +157,8 @@
 def _build_route(document: _Route) -> FleetRoute:
     repeat = _REPEAT_BY_KIND.get(document.kind, RetryClass.NON_IDEMPOTENT)
     shares = [
-        ServiceWeight(part.service, part.weight) for part in document.traffic_split
+        ServiceWeight(part.service, part.weight)
+        for part in document.traffic_split
     ]
     if not shares:
         shares = [ServiceWeight(document.service, 1)]
--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -280,7 +280,9 @@
                 'transaction rejected: a key has another revision'
             )
         if status == _NOT_FOUND:
-            raise LeaseNotFoundError(f'lease {lease} has expired or was revoked')
+            raise LeaseNotFoundError(
+                f'lease {lease} has expired or was revoked'
+            )
         return _decode(body, _WriteAnswer).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
@@ -295,7 +297,9 @@
             'renew', 'POST', f'/kv-keep/{lease}', {}, {}
         )
         if status == _NOT_FOUND:
-            raise LeaseNotFoundError(f'lease {lease} has expired or was revoked')
+            raise LeaseNotFoundError(
+                f'lease {lease} has expired or was revoked'
+            )
 
     async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease; its keys are deleted at once."""
@@ -351,12 +355,16 @@
         if document is not None:
             headers.append((b'content-type', b'application/json'))
             body = json.encode(document)
-        request = serialize_request(method.encode(), target.encode(), headers, body)
+        request = serialize_request(
+            method.encode(), target.encode(), headers, body
+        )
         deadline = asyncio.get_running_loop().time() + timeout_s
         self.calls[purpose] += 1
         status, answer = await self._exchange(request, deadline)
         if status == _GONE:
-            raise RevisionCompactedError('the store has compacted this revision')
+            raise RevisionCompactedError(
+                'the store has compacted this revision'
+            )
         if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
             raise StoreRejectedError(f'{method} {path}: got status {status}')
         return status, answer
--- a/samphirerill/properties/agreement.py
+++ b/samphirerill/properties/agreement.py
@@ -102,7 +102,9 @@
         """Deliver the result of an earlier read with a delay."""
         if self.past_reads:
             loaded = self.past_reads[pick % len(self.past_reads)]
-            self.nodes[node].view.replace_document(loaded.version, loaded.document)
+            self.nodes[node].view.replace_document(
+                loaded.version, loaded.document
+            )
 
     @rule(node=_NODES, picks=st.lists(st.integers(0, 50), max_size=4))
     def hear_changes(self, node: int, picks: list[int]) -> None:
--- a/samphirerill/properties/machine.py
+++ b/samphirerill/properties/machine.py
@@ -150,7 +150,9 @@
         request_id = found[pick % len(found)]
         request = self.simulation.requests[request_id]
         request.has_left = True
-        self.simulation.apply(request.node, events.ClientDisconnected(request_id))
+        self.simulation.apply(
+            request.node, events.ClientDisconnected(request_id)
+        )
 
     @precondition(lambda self: self._disturbance_count < _MAX_DISTURBANCES)
     @rule(
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/world.py
@@ -163,7 +163,9 @@
 
     def build(self, kinds: tuple[int, ...]) -> Configuration:
         """Build a configuration with the current version number."""
-        return build_configuration(build_configuration_document(kinds), self.version)
+        return build_configuration(
+            build_configuration_document(kinds), self.version
+        )
 
     def submit_request(
         self, node: int, route: str, account: str, key: str, wait_s: float
--- a/samphirerill/quarantine/__init__.py
+++ b/samphirerill/quarantine/__init__.py
@@ -4,4 +4,10 @@
 from samphirerill.quarantine.identity import digest_request
 from samphirerill.quarantine.records import Crash, EvidenceRecord
 
-__all__ = ('Crash', 'HoldChange', 'Quarantine', 'EvidenceRecord', 'digest_request')
+__all__ = (
+    'Crash',
+    'HoldChange',
+    'Quarantine',
+    'EvidenceRecord',
+    'digest_request',
+)
--- a/samphirerill/quarantine/book.py
+++ b/samphirerill/quarantine/book.py
@@ -223,7 +223,9 @@
             + (unseen > _SEVERAL_OTHER_ENDPOINTS)
         )
 
-    def _list_changes(self, previous: dict[bytes, _Hold]) -> Iterator[HoldChange]:
+    def _list_changes(
+        self, previous: dict[bytes, _Hold]
+    ) -> Iterator[HoldChange]:
         for request, hold in self._held.items():
             previous_hold = previous.get(request)
             if previous_hold is None or previous_hold.until != hold.until:
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -50,7 +50,9 @@
     """A message with evidence is malformed or exceeds the limits."""
 
 
-def build_message(request: bytes, record: EvidenceRecord, now: float) -> EvidenceMessage:
+def build_message(
+    request: bytes, record: EvidenceRecord, now: float
+) -> EvidenceMessage:
     """Return the message for a record."""
     survived_ms = _NEVER_SURVIVED
     if record.survived_at > 0:
--- a/samphirerill/quarantine/records.py
+++ b/samphirerill/quarantine/records.py
@@ -92,7 +92,9 @@
         return sum(earlier) >= min_crashes
 
 
-def describe_record(record: EvidenceRecord, until: float, now: float) -> dict[str, Any]:
+def describe_record(
+    record: EvidenceRecord, until: float, now: float
+) -> dict[str, Any]:
     """Return a record for operators; attempts are named, never the digest.
 
     Parameters
--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -146,7 +146,9 @@
 
     def release(self, stages: tuple[Stage, ...], tokens: float) -> None:
         """Release the capacity of a path and wake waiting requests."""
-        self._state.load_tracker.remove_request(list_replica_ids(stages), tokens)
+        self._state.load_tracker.remove_request(
+            list_replica_ids(stages), tokens
+        )
         self._state.notify_listeners()
 
     def find_path(
@@ -224,7 +226,9 @@
     def _explain_no_path(self, ticket: _Ticket) -> str:
         state = self._state
         usable = state.view.list_usable(ticket.service, self._loop.time())
-        return explain_no_path(ticket.engine, usable, state.load_tracker, ticket.wanted)
+        return explain_no_path(
+            ticket.engine, usable, state.load_tracker, ticket.wanted
+        )
 
     def _schedule_grants(self) -> None:
         if self._queue and not self._is_grant_scheduled:
@@ -286,4 +290,6 @@
             source = stage.replica.data_centre
             destination = following.replica.data_centre
             if source != destination:
-                self._state.link_usage.note_transfer(source, destination, transfer_ms, now)
+                self._state.link_usage.note_transfer(
+                    source, destination, transfer_ms, now
+                )
--- a/samphirerill/relay/answers.py
+++ b/samphirerill/relay/answers.py
@@ -31,7 +31,10 @@
 
 
 async def read_head(
-    conn: HttpConnection, adapter: PlatformAdapter, request_id: bytes, deadline: float
+    conn: HttpConnection,
+    adapter: PlatformAdapter,
+    request_id: bytes,
+    deadline: float,
 ) -> tuple[ResponseHead, ResponseMetadata]:
     """Return the head of the response to this request.
 
@@ -41,7 +44,9 @@
     for _ in range(_MAX_STALE_RESPONSES):
         head = await conn.read(deadline)
         if not isinstance(head, ResponseHead):
-            raise BrokenResponseError('expected a response head, got body bytes')
+            raise BrokenResponseError(
+                'expected a response head, got body bytes'
+            )
         facts = adapter.parse_response(head)
         if not _is_stale(facts, request_id):
             check_success(head, facts)
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/commander.py
@@ -319,7 +319,9 @@
         if not self._leadership.is_leader():
             return
         order = self._state.adapter.encode_load_order(
-            assignment.layers, report.order_count, self._leadership.fencing_token
+            assignment.layers,
+            report.order_count,
+            self._leadership.fencing_token,
         )
         status = await send_order(self._state, replica, order)
         assignment.is_accepted = status in ACCEPTED_STATUSES
--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -94,7 +94,9 @@
         self.on_close: Callable[[], None] | None = None
         self._transport: Any = None
         self._parser = HttpResponseParser(self)
-        self._parts: deque[ResponseHead | BodyChunk | EndOfResponse | ConnectionLost] = deque()
+        self._parts: deque[
+            ResponseHead | BodyChunk | EndOfResponse | ConnectionLost
+        ] = deque()
         self._waiter: asyncio.Future[None] | None = None
         self._head: ResponseHead | None = None
         self._awaits_response = False
@@ -128,7 +130,9 @@
         if self.is_open():
             self._transport.write(call)
 
-    async def read(self, deadline: float) -> ResponseHead | BodyChunk | EndOfResponse:
+    async def read(
+        self, deadline: float
+    ) -> ResponseHead | BodyChunk | EndOfResponse:
         """Return the next part of the response.
 
         Parameters
@@ -292,11 +296,15 @@
             # After the loop was blocked, data is read just before the timers
             # fire, so parts may be there in spite of the timeout.
             if not self._parts:
-                raise EndpointTimeoutError(f'{self.address}: no response within the deadline') from exc
+                raise EndpointTimeoutError(
+                    f'{self.address}: no response within the deadline'
+                ) from exc
         finally:
             self._waiter = None
 
-    def _push(self, part: ResponseHead | BodyChunk | EndOfResponse | ConnectionLost) -> None:
+    def _push(
+        self, part: ResponseHead | BodyChunk | EndOfResponse | ConnectionLost
+    ) -> None:
         self._parts.append(part)
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/follower.py
@@ -205,7 +205,9 @@
     def _check_backoff(self) -> None:
         """Raise ``StoreBackoffError`` while backing off after a store failure."""
         if self.revision and not self._change_source.may_call_store():
-            raise StoreBackoffError('backing off; the watcher nodes poll the store')
+            raise StoreBackoffError(
+                'backing off; the watcher nodes poll the store'
+            )
 
     def _next_batch_delay(self) -> float:
         """Return how long to batch changes before the next watch.
--- a/samphirerill/relay/front.py
+++ b/samphirerill/relay/front.py
@@ -89,7 +89,9 @@
     async def _serve(self, task: RequestContext) -> None:
         engine = task.service.engine
         if engine is None or not engine.layers:
-            if not self._reject_if_ending(self._state.accept_requests_until, task):
+            if not self._reject_if_ending(
+                self._state.accept_requests_until, task
+            ):
                 await PlainExchange(self._state, task, self._quarantine).run()
         elif not self._reject_if_ending(self._state.accept_streams_until, task):
             await StreamExchange(
@@ -115,7 +117,9 @@
         state = self._state
         if state.cfg is None or state.routes is None:
             # Without a configuration, 404 would be unfounded.
-            return Refusal(UNAVAILABLE, 'this node has no configuration yet', 1.0)
+            return Refusal(
+                UNAVAILABLE, 'this node has no configuration yet', 1.0
+            )
         host = (req.get(b'host') or b'').decode('latin-1')
         route = state.routes.find(host, req.target.decode('latin-1'))
         if route is None:
@@ -127,7 +131,9 @@
                 return Refusal(UNKNOWN_KEY, 'unknown API key')
         service = state.cfg.services.get(choose_service(route, state.random))
         if service is None:
-            return Refusal(UNAVAILABLE, 'the service of the route is not configured', 1.0)
+            return Refusal(
+                UNAVAILABLE, 'the service of the route is not configured', 1.0
+            )
         return self._build_task(req, facts, conn, route, service, account)
 
     def _build_task(
@@ -150,5 +156,6 @@
             account,
             deadline=req.arrived_at + min(route_timeout_s, client_timeout_s),
             client_deadline=req.arrived_at + client_timeout_s,
-            strips_api_key=self._state.cfg is None or self._state.cfg.needs_keys,
+            strips_api_key=self._state.cfg is None
+            or self._state.cfg.needs_keys,
         )
--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -131,7 +131,9 @@
         suspected = {}
         for replica_id in self._suspected:
             found = self._state.view.replicas.get(replica_id)
-            suspicion = None if found is None else found.suspicion.get_own_report()
+            suspicion = (
+                None if found is None else found.suspicion.get_own_report()
+            )
             if suspicion is not None:
                 suspected[checksum_name(replica_id)] = (
                     _to_ms(now - suspicion.since),
@@ -176,7 +178,9 @@
             if 0 <= ago_ms <= _MAX_AGE_MS:
                 at = now - ago_ms / MS_PER_S
                 self._state.view.current_failure.note_alive(name, at)
-                self._state.view.note_alive(name, at - _MAX_TRANSIT_MS / MS_PER_S)
+                self._state.view.note_alive(
+                    name, at - _MAX_TRANSIT_MS / MS_PER_S
+                )
 
     def _apply_suspected(self, alarm: Alarm) -> None:
         for name, (ago_ms, left_ms, votes) in self._resolve(alarm.suspected):
@@ -191,7 +195,10 @@
             if apply_suspicion(self._state, name, suspicion):
                 _LOG.warning(
                     'replica suspected',
-                    extra={'replica': name, 'reason': f'reported by {alarm.node}'},
+                    extra={
+                        'replica': name,
+                        'reason': f'reported by {alarm.node}',
+                    },
                 )
 
     def _resolve(
--- a/samphirerill/relay/health/examiner.py
+++ b/samphirerill/relay/health/examiner.py
@@ -104,7 +104,9 @@
             The stages of the path that may be at fault.
         """
         replicas = [stage.replica for stage in stages]
-        dead = {name for name in list_replica_ids(stages) if self._is_dead(name)}
+        dead = {
+            name for name in list_replica_ids(stages) if self._is_dead(name)
+        }
         if dead:
             # Probing known failures again would delay each stalled stream.
             return Diagnosis(dead)
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/survey.py
@@ -223,7 +223,8 @@
             name
             for name, found in view.replicas.items()
             if found.suspicion.suspected_until > now
-            and found.suspicion.self_suspected_until <= now + _REPROBE_BEFORE_EXPIRY_S
+            and found.suspicion.self_suspected_until
+            <= now + _REPROBE_BEFORE_EXPIRY_S
             and self._next_probe_at.get(name, now) <= now
             and not view.is_leaving(name)
         ]
--- a/samphirerill/relay/health/words.py
+++ b/samphirerill/relay/health/words.py
@@ -65,7 +65,9 @@
     )
 
 
-def apply_suspicion(state: EdgeState, replica_id: str, suspicion: SilenceReport) -> bool:
+def apply_suspicion(
+    state: EdgeState, replica_id: str, suspicion: SilenceReport
+) -> bool:
     """Apply another node's suspicion; return whether the replica is now dead.
 
     Return false if it was dead already.
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -136,7 +136,9 @@
         lease = await self._store.grant_lease(_LEASE_TTL_S)
         name = self._state.settings.name.encode()
         try:
-            self.fencing_token = await self._store.write({LEADER_KEY: name}, {LEADER_KEY: 0}, lease)
+            self.fencing_token = await self._store.write(
+                {LEADER_KEY: name}, {LEADER_KEY: 0}, lease
+            )
         except PreconditionFailedError:
             await self._store.revoke_lease(lease)
             return
--- a/samphirerill/relay/leaving.py
+++ b/samphirerill/relay/leaving.py
@@ -36,5 +36,7 @@
 
 
 def _has_alternative(path: StreamPath) -> bool:
-    path_request = path.finder.build_parallel_request(path.head_id, path.list_failed())
+    path_request = path.finder.build_parallel_request(
+        path.head_id, path.list_failed()
+    )
     return bool(path.finder.find_path(path_request))
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/messages.py
@@ -171,7 +171,11 @@
     budget_usage = {}
     for service, budget in state.retry_budgets.items():
         usage = budget.get_usage(now)
-        budget_usage[service] = (usage.requests, usage.retries, usage.active_streams)
+        budget_usage[service] = (
+            usage.requests,
+            usage.retries,
+            usage.active_streams,
+        )
     return budget_usage
 
 
@@ -187,7 +191,10 @@
 def apply_node_status(state: EdgeState, status: NodeStatus, now: float) -> None:
     """Apply another node's status to the state of this node."""
     state.load_tracker.update_peer(
-        status.node, _decode_load(state.replica_names, status), now, status.node_count
+        status.node,
+        _decode_load(state.replica_names, status),
+        now,
+        status.node_count,
     )
     _apply_link_usage(state, status, now)
     for service, counts in status.budget_usage.items():
@@ -203,7 +210,9 @@
         state.link_usage.update_peer(node, pair, sent_ms, now, is_near=is_near)
 
 
-def _decode_load(names: ReplicaIdIndex, status: NodeStatus) -> dict[str, ReplicaLoad]:
+def _decode_load(
+    names: ReplicaIdIndex, status: NodeStatus
+) -> dict[str, ReplicaLoad]:
     load = {}
     for key, (count, units) in status.load.items():
         name = names.get(key)
--- a/samphirerill/relay/news.py
+++ b/samphirerill/relay/news.py
@@ -274,7 +274,9 @@
         if status == _GONE:
             return await self._fetch_snapshot(address, after)
         if status == _TOO_LARGE:
-            raise ChangeTooLargeError(f'{address}: changes are too large to forward')
+            raise ChangeTooLargeError(
+                f'{address}: changes are too large to forward'
+            )
         if status == _UNAVAILABLE:
             raise WatchLostError(f'{address}: is not connected to the store')
         if status != _OK:
--- a/samphirerill/relay/orders.py
+++ b/samphirerill/relay/orders.py
@@ -74,5 +74,9 @@
     bool
         Whether the engine accepted the order.
     """
-    order = state.adapter.encode_reroute_order(request_id, stages, _NO_FENCING_TOKEN)
-    return await send_order(state, stages[0].replica, order) in ACCEPTED_STATUSES
+    order = state.adapter.encode_reroute_order(
+        request_id, stages, _NO_FENCING_TOKEN
+    )
+    return (
+        await send_order(state, stages[0].replica, order) in ACCEPTED_STATUSES
+    )
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -73,7 +73,9 @@
         self._engine = engine
         self._admission = admission
 
-    def find_alternative(self, failed_ids: Collection[str]) -> tuple[Stage, ...]:
+    def find_alternative(
+        self, failed_ids: Collection[str]
+    ) -> tuple[Stage, ...]:
         """Return a path that avoids failed replicas; empty if there is none."""
         wanted = self.build_request(is_urgent=True)
         wanted.excluded = {*self.avoid, *failed_ids}
--- a/samphirerill/relay/peer_help.py
+++ b/samphirerill/relay/peer_help.py
@@ -118,7 +118,8 @@
         cfg = self._state.adapter.decode_configuration(text)
         if self._state.apply_configuration(cfg, text):
             _LOG.info(
-                'configuration fetched from a peer', extra={'version': cfg.version}
+                'configuration fetched from a peer',
+                extra={'version': cfg.version},
             )
 
     async def _fetch_replicas(self, address: str) -> None:
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -233,7 +233,9 @@
             raise QuarantinedError(self._quarantine.describe_hold(self._task))
         return conn
 
-    async def _call(self, endpoint: ReplicaState, conn: HttpConnection) -> _Outcome:
+    async def _call(
+        self, endpoint: ReplicaState, conn: HttpConnection
+    ) -> _Outcome:
         deadline = self._get_attempt_deadline()
         conn.send(self._build_call(endpoint))
         head, facts = await read_head(
@@ -241,7 +243,9 @@
         )
         body = await read_body(conn, deadline)
         if facts.is_not_run and not is_success(head.status):
-            return _Outcome(is_not_run=True, reason='endpoint rejected the request')
+            return _Outcome(
+                is_not_run=True, reason='endpoint rejected the request'
+            )
         self._may_have_run = True
         self._quarantine.record_completion(self._task)
         return _Outcome(head, body)
@@ -262,7 +266,10 @@
         task = self._task
         remaining_s = task.client_deadline - self._loop.time()
         attempt = Attempt(
-            endpoint.replica, task.account_name, remaining_s, task.strips_api_key
+            endpoint.replica,
+            task.account_name,
+            remaining_s,
+            task.strips_api_key,
         )
         headers = self._state.adapter.build_headers(
             task.req, task.facts, attempt
@@ -286,7 +293,9 @@
     def _avoid(self, endpoint: ReplicaState, reason: str) -> None:
         now = self._loop.time()
         replica_id = endpoint.replica.replica_id
-        if self._state.view.add_silence_report(replica_id, now + _AVOIDANCE_S, now):
+        if self._state.view.add_silence_report(
+            replica_id, now + _AVOIDANCE_S, now
+        ):
             _LOG.info(
                 'endpoint suspected',
                 extra={'replica': replica_id, 'reason': reason},
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -88,7 +88,9 @@
     def release(self, replica: Replica, conn: HttpConnection) -> None:
         """Keep a connection whose response was read completely."""
         now = asyncio.get_running_loop().time()
-        if replica.is_different_process(self._start_times.get(replica.replica_id, 0)):
+        if replica.is_different_process(
+            self._start_times.get(replica.replica_id, 0)
+        ):
             conn.close()
             return
         idle = self._idle[replica.replica_id]
@@ -131,7 +133,9 @@
             return
         idle = self._idle[replica_id]
         if not idle:
-            raise ConnectionLimitError(f'{replica_id}: all {max_open} connections are in use')
+            raise ConnectionLimitError(
+                f'{replica_id}: all {max_open} connections are in use'
+            )
         idle.pop(0).close()
 
     def _track_open(self, replica_id: str, conn: HttpConnection) -> None:
--- a/samphirerill/relay/quarantine/__init__.py
+++ b/samphirerill/relay/quarantine/__init__.py
@@ -5,4 +5,9 @@
 from samphirerill.relay.quarantine.stored_holds import StoredHolds
 from samphirerill.relay.quarantine.witness import CrashDetector
 
-__all__ = ('QuarantineManager', 'EvidenceExchange', 'StoredHolds', 'CrashDetector')
+__all__ = (
+    'QuarantineManager',
+    'EvidenceExchange',
+    'StoredHolds',
+    'CrashDetector',
+)
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/sharing.py
@@ -174,7 +174,9 @@
             if record.crashes and (is_suspect or record.crashes[-1].at > since):
                 yield request
 
-    def _build_records(self, requests: Iterable[bytes]) -> Iterator[EvidenceMessage]:
+    def _build_records(
+        self, requests: Iterable[bytes]
+    ) -> Iterator[EvidenceMessage]:
         now = self._loop.time()
         for request in requests:
             record = self._state.quarantine.get_record(request)
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/witness.py
@@ -99,7 +99,9 @@
         record = self._state.quarantine.get_record(task.identity)
         if record is None or not record.crashes:
             return 'it crashed replicas'
-        return f'it crashes replicas, first seen as {record.crashes[0].request_id}'
+        return (
+            f'it crashes replicas, first seen as {record.crashes[0].request_id}'
+        )
 
     def is_suspect(self, task: RequestContext) -> bool:
         """Return whether more than one replica crashed with a request."""
@@ -137,7 +139,10 @@
             await asyncio.sleep(delay_s)
 
     def record_failure(
-        self, task: RequestContext, replica: Replica, run: RunTimes | None = None
+        self,
+        task: RequestContext,
+        replica: Replica,
+        run: RunTimes | None = None,
     ) -> None:
         """Probe whether the replica of a failed run has terminated.
 
--- a/samphirerill/relay/reload.py
+++ b/samphirerill/relay/reload.py
@@ -69,7 +69,10 @@
         try:
             return self._load(str(self._path))
         except InvalidDocumentError as exc:
-            _LOG.error('settings file is invalid; keeping the current settings', extra={'error': str(exc)})
+            _LOG.error(
+                'settings file is invalid; keeping the current settings',
+                extra={'error': str(exc)},
+            )
             return None
 
     def _read_file_version(self) -> tuple[int, int, int] | None:
@@ -129,7 +132,8 @@
         ]
         if needs_restart:
             _LOG.warning(
-                'changed settings need a restart', extra={'changed': needs_restart}
+                'changed settings need a restart',
+                extra={'changed': needs_restart},
             )
         kept = {name: getattr(current, name) for name in _RESTART_ONLY}
         settings = structs.replace(loaded, **kept)
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_folder.py
@@ -143,7 +143,9 @@
     def _get_grace(self) -> float:
         """Return until when a missing entry may come back; 0 for never."""
         now = self._loop.time()
-        return self._health.compute_grace_deadline(now, self._find_leaves_at() - now)
+        return self._health.compute_grace_deadline(
+            now, self._find_leaves_at() - now
+        )
 
     def _find_leaves_at(self) -> float:
         return self.state.compute_leaving_deadline(self._loop.time())
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/send_budget.py
@@ -50,7 +50,9 @@
         self._holds_retry = False
         if attempts:
             nodes = self._state.count_nodes()
-            self._holds_retry = budget.try_spend(now, nodes, is_urgent=is_urgent)
+            self._holds_retry = budget.try_spend(
+                now, nodes, is_urgent=is_urgent
+            )
             return self._holds_retry
         if not self._is_counted:
             # Counted once: counting each refused connection would inflate the
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -91,7 +91,9 @@
         Retry budget of each service.
     """
 
-    def __init__(self, settings: EdgeSettings, adapter: PlatformAdapter) -> None:
+    def __init__(
+        self, settings: EdgeSettings, adapter: PlatformAdapter
+    ) -> None:
         self.settings = settings
         self.adapter = adapter
         self.random = Random()
--- a/samphirerill/relay/stream_call.py
+++ b/samphirerill/relay/stream_call.py
@@ -24,7 +24,10 @@
 
 
 def build_stream_call(
-    state: EdgeState, task: RequestContext, stages: tuple[Stage, ...], resume: bytes
+    state: EdgeState,
+    task: RequestContext,
+    stages: tuple[Stage, ...],
+    resume: bytes,
 ) -> bytes:
     """Return the HTTP request that sends a stream over a path.
 
@@ -49,7 +52,9 @@
         resume,
     )
     headers = state.adapter.build_headers(task.req, task.facts, attempt)
-    return serialize_request(task.req.method, task.req.target, headers, task.req.body)
+    return serialize_request(
+        task.req.method, task.req.target, headers, task.req.body
+    )
 
 
 def get_stall_timeout_s(route: FleetRoute) -> float:
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -145,7 +145,10 @@
 
     def _leave_failed_head(self, conn: HttpConnection) -> None:
         """Leave a head replica that is gone or drops its layers."""
-        if self._start_handover(conn, f'{self._path.head_id} has failed or stopped serving its layers'):
+        if self._start_handover(
+            conn,
+            f'{self._path.head_id} has failed or stopped serving its layers',
+        ):
             return
         if self._path.is_head_dead() or self._can_resend():
             conn.close()
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -153,5 +153,9 @@
         if progress.attempts >= _MAX_ATTEMPTS and not progress.has_started:
             return f'sent {progress.attempts} times, the maximum'
         if progress.attempts and progress.may_have_run:
-            return '' if self._task.is_retryable else 'it may have run and is not retryable'
+            return (
+                ''
+                if self._task.is_retryable
+                else 'it may have run and is not retryable'
+            )
         return ''
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -150,7 +150,9 @@
         Its head differs, so that no replica runs the same stream twice at a
         time. Raises ``NoPathError`` if no path is found.
         """
-        wanted = self.finder.build_parallel_request(self.head_id, self.list_failed())
+        wanted = self.finder.build_parallel_request(
+            self.head_id, self.list_failed()
+        )
         return await self._admit(wanted, rank, deadline)
 
     def release(self) -> None:
@@ -218,7 +220,9 @@
     def is_head_dead(self) -> bool:
         """Return whether the head replica is gone or considered dead."""
         head = self._state.view.replicas.get(self.head_id)
-        return head is None or head.suspicion.suspected_until > self._loop.time()
+        return (
+            head is None or head.suspicion.suspected_until > self._loop.time()
+        )
 
     def find_stalled_replica(
         self, diagnosis: Diagnosis, request_id: str
@@ -266,7 +270,9 @@
         for stage in self.stages:
             name = stage.replica.replica_id
             end = find_stage_end(view, stage, now)
-            is_draining_head = name == self.head_id and name in view.leaving_deadlines
+            is_draining_head = (
+                name == self.head_id and name in view.leaving_deadlines
+            )
             if 0 < end < float('inf') and not is_draining_head:
                 ends[name] = end
         return ends
@@ -289,7 +295,9 @@
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
         other = self.finder.find_alternative(ending)
-        concurrent = max(self._state.load_tracker.count_requests(name) for name in ending)
+        concurrent = max(
+            self._state.load_tracker.count_requests(name) for name in ending
+        )
         if not self.list_failed():
             concurrent = concurrent // _SPREAD_FACTOR + 1
         move_ms = predict_reroute_pause_ms(
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -144,7 +144,9 @@
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
             if self._progress.has_started:
-                self._state.view.note_refusal(replica.replica_id, self._loop.time())
+                self._state.view.note_refusal(
+                    replica.replica_id, self._loop.time()
+                )
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
         else:
@@ -226,13 +228,22 @@
         )
 
     def handle_rejection(
-        self, head_id: str, head: ResponseHead, failed_address: str, *, is_new_head: bool
+        self,
+        head_id: str,
+        head: ResponseHead,
+        failed_address: str,
+        *,
+        is_new_head: bool,
     ) -> None:
         """Exclude the replica at fault after a path rejected the stream."""
         if is_new_head:
             # A replica that ran the stream before still counts as used.
             self._path.used_heads.discard(head_id)
-        faulty = self._state.view.find_by_address(failed_address) if failed_address else None
+        faulty = (
+            self._state.view.find_by_address(failed_address)
+            if failed_address
+            else None
+        )
         replica_id = head_id if faulty is None else faulty.replica.replica_id
         if (
             faulty is not None
@@ -240,7 +251,9 @@
             and head.status == _UNAVAILABLE
         ):
             self._examiner.probe_in_background(faulty.replica)
-        self._record_refusal(replica_id, f'engine rejected the stream with status {head.status}')
+        self._record_refusal(
+            replica_id, f'engine rejected the stream with status {head.status}'
+        )
 
     async def _start_run(
         self,
@@ -283,14 +296,18 @@
     def _record_parallel_failure(self, replica_id: str, reason: str) -> None:
         """Record that a parallel run failed and exclude the replica."""
         self._path.avoid.add(replica_id)
-        self._log('stream run in parallel failed', replica=replica_id, reason=reason)
+        self._log(
+            'stream run in parallel failed', replica=replica_id, reason=reason
+        )
 
     def _record_refusal(self, replica_id: str, reason: str) -> None:
         """Record that a replica refused; it is not asked again at once."""
         self._exclude_for_now(replica_id, reason)
         self._state.view.note_refusal(replica_id, self._loop.time())
         self._state.counters['streams.refused'] += 1
-        self._log('engine rejected the stream', replica=replica_id, reason=reason)
+        self._log(
+            'engine rejected the stream', replica=replica_id, reason=reason
+        )
 
     def _exclude_for_now(self, replica_id: str, reason: str) -> None:
         """Prefer other replicas for the next attempt.
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -468,11 +468,15 @@
 
     def _register(self) -> None:
         self._state.streams.add(self)
-        self._state.get_retry_budget(self._task.service.name).active_streams += 1
+        self._state.get_retry_budget(
+            self._task.service.name
+        ).active_streams += 1
 
     def _unregister(self) -> None:
         self._state.streams.discard(self)
-        self._state.get_retry_budget(self._task.service.name).active_streams -= 1
+        self._state.get_retry_budget(
+            self._task.service.name
+        ).active_streams -= 1
         facts = self._times.describe(self._loop.time())
         self._log('stream ended', sends=self._progress.attempts, **facts)
 
--- a/samphirerill/relay/telling.py
+++ b/samphirerill/relay/telling.py
@@ -182,4 +182,7 @@
         }
 
     def _read_versions(self) -> tuple[int, int]:
-        return self._state.load_tracker.own_version, self._state.view.own_suspicions_version
+        return (
+            self._state.load_tracker.own_version,
+            self._state.view.own_suspicions_version,
+        )
--- a/samphirerill/relay/usage.py
+++ b/samphirerill/relay/usage.py
@@ -67,4 +67,6 @@
         increase = used - self._logged
         self._logged = used
         if increase:
-            _LOG.info('usage since the last report', extra={'counts': dict(increase)})
+            _LOG.info(
+                'usage since the last report', extra={'counts': dict(increase)}
+            )
--- a/samphirerill/testing/host.py
+++ b/samphirerill/testing/host.py
@@ -43,10 +43,7 @@
     )
     engines = spec.get('engines', {})
     engine_addresses = await asyncio.gather(
-        *(
-            FakeEngine(**options).start(_HOST, 0)
-            for options in engines.values()
-        )
+        *(FakeEngine(**options).start(_HOST, 0) for options in engines.values())
     )
     addresses['engines'] = dict(zip(engines, engine_addresses, strict=True))
     return addresses
--- a/samphirerill/testing/platform_store.py
+++ b/samphirerill/testing/platform_store.py
@@ -156,7 +156,9 @@
             async with asyncio.timeout(int(query['waitMs']) / _MS_PER_S):
                 async with self._changed:
                     await self._changed.wait_for(
-                        lambda: not self.withholds_changes and self.revision > after
+                        lambda: (
+                            not self.withholds_changes and self.revision > after
+                        )
                     )
         except TimeoutError:
             return _OK, {'events': [], 'currentRev': after}
--- a/samphirerill/testing/soak/faults.py
+++ b/samphirerill/testing/soak/faults.py
@@ -217,8 +217,8 @@
 
     async def _lose_store_responses(self) -> None:
         async with self._fault('store loses answers'):
-            self._environment.service.responses_to_lose += self._random.randrange(
-                1, 6
+            self._environment.service.responses_to_lose += (
+                self._random.randrange(1, 6)
             )
             await self._wait_random()
 
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -262,7 +262,11 @@
         }
 
     def _refuse(
-        self, req: Request, conn: ClientConnection, status: int, failed_address: str
+        self,
+        req: Request,
+        conn: ClientConnection,
+        status: int,
+        failed_address: str,
     ) -> None:
         headers = [
             (_REQUEST_ID_HEADER, req.get(_REQUEST_ID_HEADER) or b''),
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/ending_engines.py
@@ -100,7 +100,9 @@
         engine.events = self.events
         await self.world.start_replica(engine)
         address = self.world.addresses[name]
-        entry = build_announcement(self.service, address, self.kind, self.layers)
+        entry = build_announcement(
+            self.service, address, self.kind, self.layers
+        )
         await self.world.store.put(f'servers/{name}', entry)
 
     async def announce_leaving(self, name: str) -> None:
@@ -141,7 +143,9 @@
         """Send a request; the status is 0 if the response breaks off."""
         headers = build_headers(request_id, key)
         try:
-            return await self.world.send_request(self.target, headers, body, node)
+            return await self.world.send_request(
+                self.target, headers, body, node
+            )
         except EndpointError as exc:
             return FAILED, str(exc).encode()
 
--- a/samphirerill/tests/support.py
+++ b/samphirerill/tests/support.py
@@ -29,7 +29,9 @@
         """Address of the first node for callers."""
         return self.cluster.nodes[0].callers
 
-    def assert_complete(self, texts: list[str], prompt: str, count: int) -> None:
+    def assert_complete(
+        self, texts: list[str], prompt: str, count: int
+    ) -> None:
         """Assert that each token arrived once, in order."""
         expected = [make_token(prompt, index) for index in range(count)]
         self.assertEqual(texts, expected)
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -9,7 +9,11 @@
 from samphirerill.fleet.paths import PathRequest
 from samphirerill.platform.dialect import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.admission import AdmissionQueue, NoPathError, OutageError
+from samphirerill.relay.admission import (
+    AdmissionQueue,
+    NoPathError,
+    OutageError,
+)
 from samphirerill.relay.state import EdgeState
 from samphirerill.tests.fleets import ENGINE, build_replica
 
@@ -66,7 +70,9 @@
     ) -> None:
         with self.assertRaises(NoPathError) as caught:
             await self.admit(1e9, _NEW_RANK, 0.05)
-        self.assertIn('no replica has free memory for layers', str(caught.exception))
+        self.assertIn(
+            'no replica has free memory for layers', str(caught.exception)
+        )
 
     async def test_request_without_live_layers_is_rejected_at_once(
         self,
--- a/samphirerill/tests/test_alarms.py
+++ b/samphirerill/tests/test_alarms.py
@@ -61,12 +61,16 @@
         Alarms to all nodes are forwarded, and may arrive after a direct one.
         """
         self.deliver(6, alive=3000)
-        self.assertTrue(self.deliver(5, suspected=(10, 2000, 2)).suspected_until)
+        self.assertTrue(
+            self.deliver(5, suspected=(10, 2000, 2)).suspected_until
+        )
 
     async def test_a_duplicate_alarm_is_ignored(self) -> None:
         self.deliver(5, suspected=(10, 2000, 2))
         self.node.state.view.note_alive('one')
-        self.assertFalse(self.deliver(5, suspected=(10, 2000, 2)).suspected_until)
+        self.assertFalse(
+            self.deliver(5, suspected=(10, 2000, 2)).suspected_until
+        )
 
     async def test_outdated_and_future_entries_are_ignored(self) -> None:
         self.assertFalse(self.deliver(5, suspected=(5000, 2000, 2)).reports)
--- a/samphirerill/tests/test_bad_input.py
+++ b/samphirerill/tests/test_bad_input.py
@@ -23,7 +23,9 @@
 
     def test_unknown_route_is_rejected(self) -> None:
         """A route that does not exist is reported as unknown."""
-        response = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'nowhere', 'x', 2)
+        response = request_completion(
+            self.callers, FIRST_ACCOUNT_KEY, 'nowhere', 'x', 2
+        )
         self.assert_refused(response, 404, 'unknown-route')
 
     def test_unknown_key_is_rejected(self) -> None:
@@ -59,13 +61,19 @@
         body = json.dumps(
             {**_VALID_BODY, 'prompt': 'x' * _MAX_BODY_BYTES}
         ).encode()
-        response = send_request(self.callers, '/v1/completions', FIRST_ACCOUNT_KEY, body)
+        response = send_request(
+            self.callers, '/v1/completions', FIRST_ACCOUNT_KEY, body
+        )
         self.assert_refused(response, 413, 'request-entity-too-large')
 
     def test_wrong_method_is_rejected(self) -> None:
         """Completions only accept POST."""
         response = send_request(
-            self.callers, '/v1/completions', FIRST_ACCOUNT_KEY, b'', method='PUT'
+            self.callers,
+            '/v1/completions',
+            FIRST_ACCOUNT_KEY,
+            b'',
+            method='PUT',
         )
         self.assert_refused(response, 405, 'bad-request')
 
@@ -83,7 +91,9 @@
 
     def test_non_idempotent_route_requires_a_key(self) -> None:
         """Without a key, retries are indistinguishable from new requests."""
-        response = send_request(self.callers, '/svc/notices/x', SECOND_ACCOUNT_KEY, b'{}')
+        response = send_request(
+            self.callers, '/svc/notices/x', SECOND_ACCOUNT_KEY, b'{}'
+        )
         self.assert_refused(response, 400, 'key-required')
 
     def test_models_of_the_account_are_listed(self) -> None:
--- a/samphirerill/tests/test_beside_changes.py
+++ b/samphirerill/tests/test_beside_changes.py
@@ -52,7 +52,9 @@
         stream, _, _ = await self.start_stream()
         plain_request = self.start_request(b'/pickup/x')
         await self.wait_until(lambda: plain_replica.received_requests)
-        self.change_settings(retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1)
+        self.change_settings(
+            retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1
+        )
         self.world.store.is_unavailable = True
         await asyncio.sleep(SETTLE_S)
         plain_replica.responding.set()
@@ -131,7 +133,9 @@
 
     async def try_send(self, conn: HttpConnection) -> bool:
         """Send a request; return whether it got a response."""
-        call = serialize_request(b'POST', b'/pickup/x', build_headers('r1'), b'')
+        call = serialize_request(
+            b'POST', b'/pickup/x', build_headers('r1'), b''
+        )
         conn.send(call)
         until = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
         try:
--- a/samphirerill/tests/test_cfg_texts.py
+++ b/samphirerill/tests/test_cfg_texts.py
@@ -79,11 +79,15 @@
     def test_known_older_version_gets_delta(self) -> None:
         encoded = self.sender.encode_update(3)
         self.assertLess(len(encoded), 300)
-        self.assertEqual(self.receiver.decode_update(encoded, 3), _build_text(8))
+        self.assertEqual(
+            self.receiver.decode_update(encoded, 3), _build_text(8)
+        )
 
     def test_unknown_version_gets_full_text(self) -> None:
         encoded = self.sender.encode_update(4)
-        self.assertEqual(self.receiver.decode_update(encoded, 4), _build_text(8))
+        self.assertEqual(
+            self.receiver.decode_update(encoded, 4), _build_text(8)
+        )
 
     def test_delta_to_different_text_of_same_version_is_rejected(self) -> None:
         self.receiver.add(5, _build_text(6))
@@ -199,7 +203,9 @@
         pool = ConnectionPool(Counter())
         loop = asyncio.get_running_loop()
         with patch.object(loop, 'create_connection', connect):
-            task = asyncio.create_task(pool.acquire(build_replica('one'), max_open=1))
+            task = asyncio.create_task(
+                pool.acquire(build_replica('one'), max_open=1)
+            )
             await asyncio.sleep(0.02)
             self.assertFalse(pool.has_available('one', 1))
             task.cancel()
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -10,7 +10,10 @@
 from samphirerill.control.claims import ClaimBatch, Claim
 from samphirerill.core.commands import Outcome, SettleClaim, WriteClaim
 from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
-from samphirerill.node.claim_carriers import MAX_DIRECT_WRITERS, choose_aggregator
+from samphirerill.node.claim_carriers import (
+    MAX_DIRECT_WRITERS,
+    choose_aggregator,
+)
 from samphirerill.node.claim_writer import RELEASE_DELAY_S, ClaimWriter
 from samphirerill.node.members import Member
 from samphirerill.node.store_worker import StoreWorker
@@ -73,7 +76,9 @@
     async def claim(self, request_id: str, key: str, body: str = 'b') -> Any:
         """Claim a key and return the resulting event."""
         before = len(self.sink.events)
-        self.writer.queue_claim(WriteClaim(request_id, 'viti', 'notices', key, body))
+        self.writer.queue_claim(
+            WriteClaim(request_id, 'viti', 'notices', key, body)
+        )
         for _ in range(400):
             await asyncio.sleep(0.01)
             if len(self.sink.events) > before:
@@ -167,7 +172,8 @@
         verdict = await self.one.claim('r1', 'k')
         self.assertEqual(verdict, ClaimFailed('r1'))
         self.assertEqual(
-            await self.two.claim('r2', 'k'), ClaimConflicted('r2', 'running', True)
+            await self.two.claim('r2', 'k'),
+            ClaimConflicted('r2', 'running', True),
         )
         self.one.store.down = False
         await asyncio.sleep(RELEASE_DELAY_S + 0.5)
@@ -207,7 +213,9 @@
 
     async def test_equal_keys_of_two_accounts_do_not_conflict(self) -> None:
         await self.one.claim('r1', 'k')
-        self.two.writer.queue_claim(WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b'))
+        self.two.writer.queue_claim(
+            WriteClaim('r2', 'tromsvik', 'notices', 'k', 'b')
+        )
         await asyncio.sleep(0.2)
         self.assertEqual(self.two.sink.events, [ClaimAcquired('r2')])
 
@@ -232,7 +240,9 @@
         self.sender = next(
             node
             for node in self.nodes
-            if choose_aggregator(node.writer.node_id, cast('Membership', node.members))
+            if choose_aggregator(
+                node.writer.node_id, cast('Membership', node.members)
+            )
         )
         self.collector = next(
             node for node in self.nodes if node is not self.sender
@@ -248,7 +258,9 @@
 
     async def test_claims_and_outcomes_go_through_the_collector(self) -> None:
         """The sender itself does not call the service."""
-        self.assertEqual(await self.sender.claim('r1', 'k'), ClaimAcquired('r1'))
+        self.assertEqual(
+            await self.sender.claim('r1', 'k'), ClaimAcquired('r1')
+        )
         await self.sender.settle('r1', Outcome.ANSWERED, {'text': 'done'})
         await asyncio.sleep(0.2)
         again = await self.sender.claim('r2', 'k')
@@ -279,7 +291,8 @@
         remote_claim = Claim('/p/claims/k', 'n2', 'r1', 'b')
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(
-                node.writer.write_for_peer(ClaimBatch([remote_claim])), timeout=0.5
+                node.writer.write_for_peer(ClaimBatch([remote_claim])),
+                timeout=0.5,
             )
         await asyncio.sleep(1.5)
         node.store.down = False
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -59,7 +59,9 @@
                 data_centres[number % len(data_centres)] if data_centres else ''
             )
             request = PathRequest(_TOKENS, data_centre=home, policy=policy)
-            stages = choose_path(_ENGINE, self.known, load_tracker, request, _START_S)
+            stages = choose_path(
+                _ENGINE, self.known, load_tracker, request, _START_S
+            )
             load_tracker.add_request(list_replica_ids(stages), _TOKENS)
             first_stages[stages[0].replica.data_centre] += 1
         return load_tracker, first_stages
@@ -103,12 +105,17 @@
     def find_max_streams(self, load_tracker: LoadTracker) -> int:
         """Return how many streams the busiest replica has."""
         return max(
-            load_tracker.count_requests(found.replica.replica_id) for found in self.known
+            load_tracker.count_requests(found.replica.replica_id)
+            for found in self.known
         )
 
     def predict_pause(self, load_tracker: LoadTracker) -> float:
         """Return the pause of a stream whose replica is lost."""
         request = PathRequest(_TOKENS)
-        stages = choose_path(_ENGINE, self.known, load_tracker, request, _START_S)
+        stages = choose_path(
+            _ENGINE, self.known, load_tracker, request, _START_S
+        )
         concurrent = self.find_max_streams(load_tracker)
-        return predict_reroute_pause_ms(_ENGINE, stages, (), _TOKENS, concurrent)
+        return predict_reroute_pause_ms(
+            _ENGINE, stages, (), _TOKENS, concurrent
+        )
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -8,7 +8,11 @@
 
 from msgspec.structs import replace
 
-from samphirerill.relay.connection import ResponseHead, HttpConnection, serialize_request
+from samphirerill.relay.connection import (
+    ResponseHead,
+    HttpConnection,
+    serialize_request,
+)
 from samphirerill.relay.errors import BrokenResponseError
 from samphirerill.relay.pool import read_response
 from samphirerill.testing.platform_world import PlatformHarness
@@ -98,7 +102,9 @@
 
     async def test_streams_and_plain_responses_are_complete(self) -> None:
         self.assertEqual(await self.stream(), self.build_events(5))
-        status, body = await self.world.send_request(b'/pickup/x', _HEADERS, b'gown')
+        status, body = await self.world.send_request(
+            b'/pickup/x', _HEADERS, b'gown'
+        )
         self.assertEqual((status, body), (_OK, b'plain gown'))
         seen = self.world.replicas['desk-1'].received_requests[0]
         self.assertIsNone(seen.get(b'authorization'))
@@ -235,7 +241,9 @@
         stream = asyncio.create_task(self.stream())
         while not self.list_used_engines():
             await asyncio.sleep(0.005)
-        process.state.view.add_silence_report(self.list_used_engines()[0], now + 9, now)
+        process.state.view.add_silence_report(
+            self.list_used_engines()[0], now + 9, now
+        )
         with self.assertRaises(BrokenResponseError):
             await stream
         self.assertLessEqual(len(set(self.list_used_engines())), 2)
@@ -255,10 +263,13 @@
         await self.world.wait_for_replica_count(4)
         for name in ('desk-1', 'desk-2'):
             self.world.replicas[name].failures_left = 1
-        status, body = await self.world.send_request(b'/pickup/x', _HEADERS, b'gown')
+        status, body = await self.world.send_request(
+            b'/pickup/x', _HEADERS, b'gown'
+        )
         self.assertEqual((status, body), (500, b'failed'))
         runs = [
-            len(self.world.replicas[name].received_requests) for name in ('desk-1', 'desk-2')
+            len(self.world.replicas[name].received_requests)
+            for name in ('desk-1', 'desk-2')
         ]
         self.assertEqual(sum(runs), 1)
 
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_ending.py
@@ -63,7 +63,9 @@
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
-        call = serialize_request(b'POST', b'/pickup/x', build_headers('r1'), b'')
+        call = serialize_request(
+            b'POST', b'/pickup/x', build_headers('r1'), b''
+        )
         writer.write(call)
         await self.wait_until(lambda: self.plain_endpoint.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
@@ -118,7 +120,9 @@
         for is_last in (False, True):
             if is_last:
                 self.process.start_draining()
-            call = serialize_request(b'POST', b'/pickup/x', build_headers('r'), b'')
+            call = serialize_request(
+                b'POST', b'/pickup/x', build_headers('r'), b''
+            )
             conn.send(call)
             deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
             status, _ = await read_response(conn, deadline)
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_ending_requests.py
@@ -214,7 +214,9 @@
         conn: HttpConnection = await self.world.connect(self.nodes[0])
         try:
             conn.send(
-                serialize_request(b'POST', self.target, build_headers('h1'), POISON)
+                serialize_request(
+                    b'POST', self.target, build_headers('h1'), POISON
+                )
             )
             head = await conn.read(self.loop.time() + 10)
         finally:
--- a/samphirerill/tests/test_evidence.py
+++ b/samphirerill/tests/test_evidence.py
@@ -4,7 +4,11 @@
 
 import unittest
 
-from samphirerill.control.evidence import FRESH_FOR_S, GRACE_S, ConfigurationFreshness
+from samphirerill.control.evidence import (
+    FRESH_FOR_S,
+    GRACE_S,
+    ConfigurationFreshness,
+)
 
 _LATER_S = FRESH_FOR_S + GRACE_S + 2
 
@@ -17,10 +21,16 @@
         self.evidence = ConfigurationFreshness(0)
         self.evidence.record_store_read(0)
 
-    def find_suspension_reason(self, version: int = 5, known_nodes: int = 8) -> str:
+    def find_suspension_reason(
+        self, version: int = 5, known_nodes: int = 8
+    ) -> str:
         """Check twice, a grace period apart, as the node does."""
-        self.evidence.find_suspension_reason(_LATER_S - GRACE_S, version, known_nodes)
-        return self.evidence.find_suspension_reason(_LATER_S, version, known_nodes)
+        self.evidence.find_suspension_reason(
+            _LATER_S - GRACE_S, version, known_nodes
+        )
+        return self.evidence.find_suspension_reason(
+            _LATER_S, version, known_nodes
+        )
 
     def receive_reports(
         self, count: int, read_age_s: float, version: int = 5
@@ -28,7 +38,9 @@
         """Receive recent reports of some peers."""
         for at in (_LATER_S - GRACE_S, _LATER_S):
             for peer in range(count):
-                self.evidence.record_peer_report(f'n{peer}', at, read_age_s, version)
+                self.evidence.record_peer_report(
+                    f'n{peer}', at, read_age_s, version
+                )
 
     def test_own_recent_read_is_enough(self) -> None:
         """Whatever the peers report."""
@@ -66,7 +78,9 @@
         """A short interruption refuses no requests."""
         self.evidence.find_suspension_reason(FRESH_FOR_S + 1, 5, 8)
         within_grace_s = FRESH_FOR_S + GRACE_S / 2
-        self.assertEqual(self.evidence.find_suspension_reason(within_grace_s, 5, 8), '')
+        self.assertEqual(
+            self.evidence.find_suspension_reason(within_grace_s, 5, 8), ''
+        )
 
 
 if __name__ == '__main__':
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_examiner.py
@@ -127,7 +127,9 @@
     async def test_streams_share_one_probe(self) -> None:
         await self.world.add_replica('tail')
         stages = self._build_path(self.world.addresses['tail'])
-        await asyncio.gather(*(self.examiner.diagnose_path(stages) for _ in range(5)))
+        await asyncio.gather(
+            *(self.examiner.diagnose_path(stages) for _ in range(5))
+        )
         await self.examiner.diagnose_path(stages)
         process = self.world.require_first_node()
         self.assertEqual(process.state.counters['reports.asked'], 2)
--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -46,7 +46,10 @@
     # The pause lasts from 2.0 s to 2.3 s.
     _line(2.08, 'replica suspected', replica='one', reason='is unresponsive'),
     _line(
-        2.1, 'stream run failed', request='unresponsive', reason='path is stalled by one'
+        2.1,
+        'stream run failed',
+        request='unresponsive',
+        reason='path is stalled by one',
     ),
     _line(
         2.2, 'stream sent', request='unresponsive', path='two:0-80', waited_ms=9
@@ -63,7 +66,12 @@
 
 _QUARANTINE_LOG = [
     _line(1, 'stream sent', request='first', path='one:0-80', waited_ms=1),
-    _line(2, 'replica crashed while starting requests', requests=['first'], count=3),
+    _line(
+        2,
+        'replica crashed while starting requests',
+        requests=['first'],
+        count=3,
+    ),
     _line(
         5,
         'request quarantined',
@@ -126,14 +134,22 @@
     def test_unresponsive_replica_is_distinguished_from_lost_one(self) -> None:
         reasons = {
             'silent': ('one is unresponsive', Cause.REPLICA_UNRESPONSIVE),
-            'lost': ('one has failed or stopped serving its layers', Cause.MOVED),
+            'lost': (
+                'one has failed or stopped serving its layers',
+                Cause.MOVED,
+            ),
         }
         for request, (reason, cause) in reasons.items():
             with self.subTest(request):
                 index = LogIndex()
                 lines = (
                     _line(1, 'stream sent', request=request, waited_ms=1),
-                    _line(2.1, 'stream handover started', request=request, reason=reason),
+                    _line(
+                        2.1,
+                        'stream handover started',
+                        request=request,
+                        reason=reason,
+                    ),
                     _line(2.15, 'stream sent in parallel', request=request),
                     _end(4, request, 300, 1700),
                 )
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -130,7 +130,9 @@
         answer = self._send_notice('outage')
         self.assert_refused(answer, 503, 'claim-unavailable')
         self.assertIn('retry-after', answer.headers)
-        completion = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', 'outage', 4)
+        completion = request_completion(
+            self.callers, FIRST_ACCOUNT_KEY, 'plans', 'outage', 4
+        )
         self.assert_complete(completion.texts, 'outage', 4)
         with self.assertRaises(CallError) as caught:
             self.cluster.submit([])
@@ -205,7 +207,12 @@
         killed_node = self.cluster.nodes[0]
         caller = threading.Thread(
             target=send_request,
-            args=(killed_node.callers, '/svc/notices/x', SECOND_ACCOUNT_KEY, b'{}'),
+            args=(
+                killed_node.callers,
+                '/svc/notices/x',
+                SECOND_ACCOUNT_KEY,
+                b'{}',
+            ),
             kwargs={'headers': {'Idempotency-Key': 'doomed'}},
         )
         caller.start()
@@ -227,7 +234,9 @@
         self.assertEqual(retry.status, 409)
         self.assertEqual(retry.outcome, 'may-have-run')
         self.assertEqual(list(self.cluster.read_stats(desk).values()), [1])
-        completion = request_completion(other, FIRST_ACCOUNT_KEY, 'plans', 'after', 4)
+        completion = request_completion(
+            other, FIRST_ACCOUNT_KEY, 'plans', 'after', 4
+        )
         self.assert_complete(completion.texts, 'after', 4)
 
 
@@ -241,7 +250,9 @@
         self.cluster.control(engines['stage0-1'], repeat=True)
         for number in range(4):
             prompt = f'crossed {number}'
-            answer = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', prompt, 10)
+            answer = request_completion(
+                self.callers, FIRST_ACCOUNT_KEY, 'plans', prompt, 10
+            )
             self.assert_complete(answer.texts, prompt, 10)
 
 
@@ -264,7 +275,9 @@
         )
         before = self._count_sequences(engines['stage0-0'])
         for node in self.cluster.nodes:
-            answer = request_completion(node.callers, FIRST_ACCOUNT_KEY, 'plans', 'new', 3)
+            answer = request_completion(
+                node.callers, FIRST_ACCOUNT_KEY, 'plans', 'new', 3
+            )
             self.assertEqual(answer.outcome, 'answered')
         self.assertEqual(self._count_sequences(engines['stage0-0']), before)
         caller.join()
@@ -295,7 +308,9 @@
         node.process.send_signal(signal.SIGTERM)
         wait_for(
             lambda: (
-                send_request(node.callers, '/health', '', b'', method='GET').status
+                send_request(
+                    node.callers, '/health', '', b'', method='GET'
+                ).status
                 == 503
             ),
             'a failing health check',
@@ -337,7 +352,9 @@
             lambda: node.is_ready(self.cluster.version),
             'the configuration from a peer',
         )
-        answer = request_completion(node.callers, FIRST_ACCOUNT_KEY, 'plans', 'seed', 3)
+        answer = request_completion(
+            node.callers, FIRST_ACCOUNT_KEY, 'plans', 'seed', 3
+        )
         self.assert_complete(answer.texts, 'seed', 3)
 
     def test_unreachable_store_refuses_requests(self) -> None:
@@ -346,7 +363,9 @@
             node = NodeProcess(_build_settings_without_store(0), Path(folder))
             self.addCleanup(node.stop)
             node.wait_listening()
-            answer = request_completion(node.callers, FIRST_ACCOUNT_KEY, 'plans', 'x', 2)
+            answer = request_completion(
+                node.callers, FIRST_ACCOUNT_KEY, 'plans', 'x', 2
+            )
             self.assert_refused(answer, 503, 'no-configuration')
             self.assertIn('retry-after', answer.headers)
             self.assertEqual(node.stop(), 0)
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -13,7 +13,12 @@
 from samphirerill.fleet.endings import is_stage_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
-from samphirerill.fleet.load import PEER_TIMEOUT_S, ReplicaLoad, LoadTracker, list_replica_ids
+from samphirerill.fleet.load import (
+    PEER_TIMEOUT_S,
+    ReplicaLoad,
+    LoadTracker,
+    list_replica_ids,
+)
 from samphirerill.fleet.model import (
     ClientLimits,
     FleetConfiguration,
@@ -82,7 +87,11 @@
         }
         fleet = build_fleet(zones)
         names = {item.replica_id for item in fleet}
-        known = build_states(apply_moves(fleet, plan_moves(ENGINE, fleet, PlanTargets(200), names)))
+        known = build_states(
+            apply_moves(
+                fleet, plan_moves(ENGINE, fleet, PlanTargets(200), names)
+            )
+        )
         started_at = process_time()
         self.assertTrue(
             choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
@@ -103,7 +112,9 @@
                 build_replica('last', 'a', 'large', (40, 80)),
             ]
         )
-        request = PathRequest(900, first_replicas=frozenset(('head',)), first_stage_end=20)
+        request = PathRequest(
+            900, first_replicas=frozenset(('head',)), first_stage_end=20
+        )
         stages = choose_path(ENGINE, known, LoadTracker(), request, 0)
         names = ('head', 'other', 'next', 'last')
         self.assertEqual(list_replica_ids(stages), names)
@@ -238,7 +249,9 @@
     def test_reports_of_others_are_not_echoed(self) -> None:
         """Nodes that echo suspicions flood each other with datagrams."""
         before = self.view.own_suspicions_version
-        self.view.add_silence_report('one', 5, 1, reporter='other', votes=CONFIRMING_VOTES)
+        self.view.add_silence_report(
+            'one', 5, 1, reporter='other', votes=CONFIRMING_VOTES
+        )
         self.assertEqual(self.view.own_suspicions_version, before)
         self.assertEqual(self.view.list_live('llm', 2), [])
 
@@ -286,10 +299,14 @@
         nodes = 78
         budget = RetryBudget(0.2, 340, 10)
         budget.active_streams = 7
-        alone = sum(budget.try_spend(1, nodes, is_urgent=True) for _ in range(7))
+        alone = sum(
+            budget.try_spend(1, nodes, is_urgent=True) for _ in range(7)
+        )
         self.assertLess(alone, 7)
         budget.peers.update('all of b', RetryUsage(900, 20, 200), 1)
-        together = sum(budget.try_spend(1, nodes, is_urgent=True) for _ in range(7))
+        together = sum(
+            budget.try_spend(1, nodes, is_urgent=True) for _ in range(7)
+        )
         self.assertEqual(together, 7)
         self.assertFalse(budget.try_spend(1, nodes))
 
@@ -366,8 +383,12 @@
     def test_slow_replica_is_avoided(self) -> None:
         view = FleetView()
         for name in ('slow', 'usual'):
-            view.apply_announcement(build_replica(name, 'a', 'large', (0, 40)), 1)
-        view.apply_announcement(build_replica('tail', 'a', 'large', (40, 80)), 1)
+            view.apply_announcement(
+                build_replica(name, 'a', 'large', (0, 40)), 1
+            )
+        view.apply_announcement(
+            build_replica('tail', 'a', 'large', (40, 80)), 1
+        )
         view.note_slowness('slow', 4.0, 0)
         usable = view.list_usable('llm', 1)
         stages = choose_path(ENGINE, usable, LoadTracker(), PathRequest(1), 1)
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_going_on.py
@@ -91,7 +91,9 @@
         for replica in others:
             replica.refuses = True
         self.world.replicas[head].close_after_event = 1
-        await self.wait_until(lambda: any(replica.received_requests for replica in others))
+        await self.wait_until(
+            lambda: any(replica.received_requests for replica in others)
+        )
         await asyncio.sleep(2 * SETTLE_S)
         for replica in others:
             replica.refuses = False
@@ -109,7 +111,9 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].event_interval_s = GAP_S / 2
         second_stream = self.start_request(b'/notes/x')
-        await self.wait_until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(
+            lambda: self.world.replicas[other].received_requests
+        )
         await self.drop_layers(head)
         answers = await asyncio.gather(stream, second_stream)
         for answer in answers:
@@ -159,13 +163,19 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].resets_left = 100
         self.world.replicas[head].close_after_event = 10
-        await self.wait_until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(
+            lambda: self.world.replicas[other].received_requests
+        )
         await asyncio.sleep(2 * SETTLE_S)
-        self.assertLessEqual(len(self.world.replicas[other].received_requests), 2)
+        self.assertLessEqual(
+            len(self.world.replicas[other].received_requests), 2
+        )
         await asyncio.sleep(2 * SETTLE_S)
         self.world.replicas[other].resets_left = 0
         self.assert_complete(await stream)
-        self.assertLessEqual(len(self.world.replicas[other].received_requests), 5)
+        self.assertLessEqual(
+            len(self.world.replicas[other].received_requests), 5
+        )
 
     async def withdraw(self, name: str) -> None:
         """Remove the announcement of an engine that has got the stream."""
@@ -189,8 +199,12 @@
         """
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
         state = EdgeState(settings, HttpPlatformAdapter())
-        state.view.apply_announcement(build_replica('one', 'a', 'large', (0, 40)), 1)
-        state.view.apply_announcement(build_replica('two', 'a', 'large', (40, 80)), 1)
+        state.view.apply_announcement(
+            build_replica('one', 'a', 'large', (0, 40)), 1
+        )
+        state.view.apply_announcement(
+            build_replica('two', 'a', 'large', (40, 80)), 1
+        )
         admission = AdmissionQueue(state)
 
         async def admit(avoid: set[str]) -> bool:
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -152,7 +152,9 @@
         self.assertTrue(
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
         )
-        self.assertEqual(len(self.world.replicas['head'].received_requests), len(streams))
+        self.assertEqual(
+            len(self.world.replicas['head'].received_requests), len(streams)
+        )
 
     async def test_head_without_entry_keeps_serving(self) -> None:
         """A removed entry must not be taken for the failure of the replica.
--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -121,11 +121,15 @@
 
     def test_repeated_prompts_hit_the_cache_once_each(self) -> None:
         """A repeated prompt neither runs twice nor misses its cache."""
-        request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, _TOKENS)
+        request_completion(
+            self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, _TOKENS
+        )
         wait_for(self._is_indexed, 'the cached prefix in the node index')
         for number in range(6):
             self._delay(_SLOW_MS if number % 3 < 2 else 0)
-            request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, _TOKENS)
+            request_completion(
+                self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, _TOKENS
+            )
             self.assertEqual(self._count('cache_hits'), number + 1)
 
     def _delay(self, link_ms: float) -> None:
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -29,7 +29,9 @@
     from samphirerill.fleet.model import Replica
 
 _OK = 200
-_REPORT_REQUEST = serialize_request(b'GET', b'/report', [(b'host', b'engine')], b'')
+_REPORT_REQUEST = serialize_request(
+    b'GET', b'/report', [(b'host', b'engine')], b''
+)
 _RESPONSE_DELAY_S = 0.03
 _READ_TIMEOUT_S = 0.08
 _BLOCKED_S = 2 * CONNECT_TIMEOUT_S
@@ -130,7 +132,9 @@
         for steps in range(_MAX_STEPS):
             with self.subTest(steps=steps):
                 now = asyncio.get_running_loop().time()
-                probe = asyncio.create_task(examiner.probe_replicas([probed], now))
+                probe = asyncio.create_task(
+                    examiner.probe_replicas([probed], now)
+                )
                 for _ in range(steps):
                     await asyncio.sleep(0)
                 await self.block_loop()
--- a/samphirerill/tests/test_loss_rounds.py
+++ b/samphirerill/tests/test_loss_rounds.py
@@ -4,7 +4,11 @@
 
 from unittest import TestCase
 
-from samphirerill.fleet.losses import ProberAssignment, CorrelatedFailure, is_local_fault
+from samphirerill.fleet.losses import (
+    ProberAssignment,
+    CorrelatedFailure,
+    is_local_fault,
+)
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import FleetView
 from samphirerill.tests.fleets import build_replica
@@ -26,13 +30,16 @@
         fewer.pop('n7')
         names = [f'r{number}' for number in range(300)]
         changed = sum(
-            ProberAssignment(nodes).choose_probers(name) != ProberAssignment(fewer).choose_probers(name)
+            ProberAssignment(nodes).choose_probers(name)
+            != ProberAssignment(fewer).choose_probers(name)
             for name in names
         )
         self.assertLess(changed, len(names) // 3)
 
     def test_single_node_probes_all(self) -> None:
-        self.assertEqual(ProberAssignment({'n': 'a'}).list_assigned('n', ['x']), ['x'])
+        self.assertEqual(
+            ProberAssignment({'n': 'a'}).list_assigned('n', ['x']), ['x']
+        )
 
     def test_assignments_are_even(self) -> None:
         """A failure is detected late if one node has to probe most replicas."""
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -8,7 +8,11 @@
 from unittest.mock import patch
 
 from samphirerill.fleet.model import LayerRange, Stage
-from samphirerill.fleet.suspicion import CONFIRMING_VOTES, Suspicion, SilenceReport
+from samphirerill.fleet.suspicion import (
+    CONFIRMING_VOTES,
+    Suspicion,
+    SilenceReport,
+)
 from samphirerill.fleet.view import FleetView
 from samphirerill.relay.health import ReplicaProber, LossProber
 from samphirerill.relay.health.probing import Probe, Verdict
@@ -202,11 +206,19 @@
         """
         replica = Suspicion()
         replica.note_alive(5.0)
-        self.assertFalse(replica.add_report(SilenceReport(4.9, 9.0, 1, 'n1'), 5.1))
-        self.assertFalse(replica.add_report(SilenceReport(4.9, 9.0, 1, 'n2'), 5.1))
+        self.assertFalse(
+            replica.add_report(SilenceReport(4.9, 9.0, 1, 'n1'), 5.1)
+        )
+        self.assertFalse(
+            replica.add_report(SilenceReport(4.9, 9.0, 1, 'n2'), 5.1)
+        )
         self.assertEqual(replica.confirmed_until, 0)
-        self.assertFalse(replica.add_report(SilenceReport(5.1, 9.0, 1, 'n1'), 5.2))
-        self.assertTrue(replica.add_report(SilenceReport(5.1, 9.0, 1, 'n2'), 5.2))
+        self.assertFalse(
+            replica.add_report(SilenceReport(5.1, 9.0, 1, 'n1'), 5.2)
+        )
+        self.assertTrue(
+            replica.add_report(SilenceReport(5.1, 9.0, 1, 'n2'), 5.2)
+        )
         self.assertFalse(replica.note_alive(5.05))
         self.assertEqual(replica.suspected_until, 9.0)
         self.assertTrue(replica.note_alive(5.3))
--- a/samphirerill/tests/test_news.py
+++ b/samphirerill/tests/test_news.py
@@ -263,9 +263,7 @@
         self.assertEqual(changes.events, versions)
 
     async def test_a_delta_to_an_unknown_text_is_an_error(self) -> None:
-        self.source.log.reset(
-            10, [StoredItem('op/config', 10, self.text[:-1])]
-        )
+        self.source.log.reset(10, [StoredItem('op/config', 10, self.text[:-1])])
         self.append_version(11, self.text + b',{"route": "new"}')
         with self.assertRaises(EndpointError):
             await self.source.watch(self.watcher, 10)
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -38,7 +38,9 @@
 
     def setUp(self) -> None:
         """Acquire the key at a known time."""
-        self.tenure = LeaderTerm.start(7, requested_at=_NOW, acquired_at=_NOW + 0.1)
+        self.tenure = LeaderTerm.start(
+            7, requested_at=_NOW, acquired_at=_NOW + 0.1
+        )
 
     def test_paused_leader_sends_no_orders(self) -> None:
         """A pause past the lease is noticed by the clock.
@@ -61,15 +63,21 @@
         """Orders of the previous leader must have arrived before."""
         soon = _NOW + 1
         self.assertTrue(self.tenure.may_send_orders(soon, checks_fencing=True))
-        self.assertFalse(self.tenure.may_send_orders(soon, checks_fencing=False))
+        self.assertFalse(
+            self.tenure.may_send_orders(soon, checks_fencing=False)
+        )
         later = _NOW + 0.2 + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
-        self.assertTrue(self.tenure.may_send_orders(later, checks_fencing=False))
+        self.assertTrue(
+            self.tenure.may_send_orders(later, checks_fencing=False)
+        )
 
 
 class TestPlanOrders(unittest.TestCase):
     """Orders bring engines to their desired state and no further."""
 
-    def plan(self, statuses: dict[str, EngineStatus], loads: int = 2) -> list[str]:
+    def plan(
+        self, statuses: dict[str, EngineStatus], loads: int = 2
+    ) -> list[str]:
         """Return which engines get an order."""
         endpoints = [_build_endpoint(f'e{index}') for index in range(4)]
         tenure = LeaderTerm.start(7, _NOW, _NOW)
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -112,8 +112,12 @@
     def test_not_executed_is_distinguished_from_failure(self) -> None:
         not_run = ResponseHead(503, [(b'x-samphirerill-not-executed', b'1')])
         self.assertTrue(self.adapter.parse_response(not_run).is_not_run)
-        self.assertTrue(self.adapter.parse_response(ResponseHead(421)).is_not_run)
-        self.assertFalse(self.adapter.parse_response(ResponseHead(503)).is_not_run)
+        self.assertTrue(
+            self.adapter.parse_response(ResponseHead(421)).is_not_run
+        )
+        self.assertFalse(
+            self.adapter.parse_response(ResponseHead(503)).is_not_run
+        )
 
     def test_invalid_headers_count_as_absent(self) -> None:
         req = Request(
--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -80,9 +80,13 @@
         request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, 2)
         wait_for(self._is_indexed, 'cache events at the node')
         for _ in range(3):
-            request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, 2)
+            request_completion(
+                self.callers, FIRST_ACCOUNT_KEY, 'plans', _PROMPT, 2
+            )
         self.assertEqual(self._count('cache_hits'), 3)
-        request_completion(self.callers, SECOND_ACCOUNT_KEY, 'plans', _PROMPT, 2)
+        request_completion(
+            self.callers, SECOND_ACCOUNT_KEY, 'plans', _PROMPT, 2
+        )
         self.assertEqual(self._count('cache_hits'), 3)
 
     def _is_indexed(self) -> bool:
--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_starts.py
@@ -46,7 +46,9 @@
         """
         stage = Stage(self.first_process, _ALL_LAYERS)
         losses = self.view.loss_count
-        self.view.apply_announcement(replace(self.second_process, layers=_ALL_LAYERS), 2)
+        self.view.apply_announcement(
+            replace(self.second_process, layers=_ALL_LAYERS), 2
+        )
         self.assertTrue(is_stage_lost(self.view, stage, 0))
         self.assertGreater(self.view.loss_count, losses)
 
@@ -71,7 +73,9 @@
 
     def test_entry_without_start_time_is_the_same_process(self) -> None:
         self.view.add_silence_report('one', 9, 1)
-        self.view.apply_announcement(replace(self.first_process, started_ms=0), 2)
+        self.view.apply_announcement(
+            replace(self.first_process, started_ms=0), 2
+        )
         self.assertEqual(self.view.list_usable('llm', 2), [])
 
 
@@ -112,7 +116,9 @@
 
     def setUp(self) -> None:
         self.adapter = HttpPlatformAdapter()
-        self.entry = json.decode(build_announcement('llm', _ADDRESS, 'vast', (0, 80)))
+        self.entry = json.decode(
+            build_announcement('llm', _ADDRESS, 'vast', (0, 80))
+        )
 
     def test_complete_entry_is_decoded(self) -> None:
         text = json.encode({**self.entry, 'born': _FIRST_START_MS})
@@ -148,5 +154,7 @@
         view = FleetView(services=frozenset(('llm',)))
         one = build_replica('one', layers=(0, 80))
         view.apply_announcement(one, 1)
-        view.apply_announcement(replace(one, replica_id='odd', service='odd'), 2)
+        view.apply_announcement(
+            replace(one, replica_id='odd', service='odd'), 2
+        )
         self.assertEqual(len(view.list_usable('llm', 0)), 1)
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_succession.py
@@ -36,7 +36,9 @@
 
     def assert_nothing_reserved(self) -> None:
         """Check that no capacity is reserved."""
-        self.assertEqual(dict(self.process.state.load_tracker.get_own_load()), {})
+        self.assertEqual(
+            dict(self.process.state.load_tracker.get_own_load()), {}
+        )
 
 
 class TestHandover(HandoverCase):
@@ -46,7 +48,9 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].prefill_s = _SLOW_START_S
         self.world.replicas[head].responding.clear()
-        await self.wait_until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(
+            lambda: self.world.replicas[other].received_requests
+        )
         stream.cancel()
         await asyncio.sleep(0.2)
         self.world.replicas[head].responding.set()
@@ -58,7 +62,9 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].prefill_s = _SLOW_START_S
         self.mark_dead(head)
-        await self.wait_until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(
+            lambda: self.world.replicas[other].received_requests
+        )
         self.world.replicas[head].event_interval_s = 0.001
         self.assert_complete(await stream)
         await asyncio.sleep(0.3)
@@ -69,9 +75,13 @@
         stream, head, other = await self.start_stream()
         self.world.replicas[other].refuses = True
         self.mark_dead(head)
-        await self.wait_until(lambda: self.world.replicas[other].received_requests)
+        await self.wait_until(
+            lambda: self.world.replicas[other].received_requests
+        )
         await asyncio.sleep(0.1)
-        self.assertEqual(set(self.process.state.load_tracker.get_own_load()), {head})
+        self.assertEqual(
+            set(self.process.state.load_tracker.get_own_load()), {head}
+        )
         self.assert_complete(await stream)
         self.assert_nothing_reserved()
 
@@ -135,7 +145,9 @@
         book.remove_request([other], _ALL_TOKENS)
         self.process.state.notify_listeners()
         async with asyncio.timeout(0.1):
-            await self.wait_until(lambda: self.world.replicas[other].received_requests)
+            await self.wait_until(
+                lambda: self.world.replicas[other].received_requests
+            )
         self.world.replicas[head].responding.set()
         self.assert_complete(await stream)
         await new_stream
--- a/samphirerill/tests/test_taking_over.py
+++ b/samphirerill/tests/test_taking_over.py
@@ -167,7 +167,9 @@
             asyncio.create_task(self.request_with(b'/notes/x', headers))
             for _ in range(3)
         ]
-        await self.wait_until(lambda: len(self.list_used_engines()) == len(streams))
+        await self.wait_until(
+            lambda: len(self.list_used_engines()) == len(streams)
+        )
         sent = self.list_used_engines()
         await self.drop_layers(max(sent, key=sent.count))
         for status, body in await asyncio.gather(*streams):
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_telling.py
@@ -33,7 +33,9 @@
         nodes = list(network.nodes.values())
         for node in nodes:
             node.add_peers(nodes)
-            node.state.view.apply_announcement(build_replica('one', layers=(0, 80)), 1)
+            node.state.view.apply_announcement(
+                build_replica('one', layers=(0, 80)), 1
+            )
             node.state.get_retry_budget(_SERVICE).active_streams = _STREAMS
             for _ in range(_STREAMS):
                 node.state.load_tracker.add_request(('one',), 160)
@@ -52,7 +54,9 @@
         now = asyncio.get_running_loop().time()
         for node in network.nodes.values():
             self.assertEqual(
-                node.state.load_tracker.count_requests('one'), count * _STREAMS, node.name
+                node.state.load_tracker.count_requests('one'),
+                count * _STREAMS,
+                node.name,
             )
             others = node.state.get_retry_budget(_SERVICE).peers.get_total(now)
             self.assertEqual(others.active_streams, (count - 1) * _STREAMS)
@@ -91,7 +95,9 @@
 
     def test_the_choice_does_not_depend_on_order(self) -> None:
         names = [f'node-{number}' for number in range(20)]
-        self.assertEqual(choose_aggregator(names), choose_aggregator(names[::-1]))
+        self.assertEqual(
+            choose_aggregator(names), choose_aggregator(names[::-1])
+        )
 
     def test_aggregates_are_used_above_a_fleet_size(self) -> None:
         self.assertTrue(is_full_mesh(MAX_DIRECT_PEERS))
--- a/samphirerill/tests/test_whole_path.py
+++ b/samphirerill/tests/test_whole_path.py
@@ -93,7 +93,9 @@
         Guards against a memory leak by attempts that are not removed.
         """
         for number in range(3):
-            request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', f'p{number}', 3)
+            request_completion(
+                self.callers, FIRST_ACCOUNT_KEY, 'plans', f'p{number}', 3
+            )
         send_request(self.callers, '/svc/lookups/x', SECOND_ACCOUNT_KEY, b'')
         request_completion(
             self.callers,
@@ -131,7 +133,9 @@
 
         crash_thread = threading.Thread(target=crash_middle_stage)
         crash_thread.start()
-        response = request_completion(self.callers, FIRST_ACCOUNT_KEY, 'plans', 'knee', 50)
+        response = request_completion(
+            self.callers, FIRST_ACCOUNT_KEY, 'plans', 'knee', 50
+        )
         crash_thread.join()
         self.assertEqual(len(crashed), 1)
         self.assert_complete(response.texts, 'knee', 50)
