--- a/samphirerill/emulator/lab.py
+++ b/samphirerill/emulator/lab.py
@@ -15,7 +15,7 @@
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.doubling import list_uncovered
 from samphirerill.fleet.migration import build_pipeline
-from samphirerill.fleet.planner import group_by_zone
+from samphirerill.fleet.planner import group_by_data_centre
 from samphirerill.fleet.rates import predict_event_ms, predict_rate
 
 if TYPE_CHECKING:
@@ -63,7 +63,9 @@
     engine = scenario.build_engine()
     replicas = build_fleet(scenario, EventLoop()).list_replicas()
     lines: list[str] = []
-    for data_centre, data_centre_replicas in group_by_zone(replicas).items():
+    for data_centre, data_centre_replicas in group_by_data_centre(
+        replicas
+    ).items():
         chains = [
             chain
             for chain in extract_chains(engine, data_centre_replicas)
--- a/samphirerill/fleet/chains.py
+++ b/samphirerill/fleet/chains.py
@@ -46,15 +46,17 @@
 
     def crosses_data_centres(self) -> bool:
         """Return whether the stages are in more than one data centre."""
-        zones = {stage.replica.data_centre for stage in self.stages}
-        return len(zones) > 1
+        data_centres = {stage.replica.data_centre for stage in self.stages}
+        return len(data_centres) > 1
 
     def find_main_data_centre(self) -> str:
         """Return the data centre that holds the most layers."""
         layers: dict[str, int] = {}
         for stage in self.stages:
-            zone = stage.replica.data_centre
-            layers[zone] = layers.get(zone, 0) + stage.layers.count
+            data_centre = stage.replica.data_centre
+            layers[data_centre] = (
+                layers.get(data_centre, 0) + stage.layers.count
+            )
         return max(sorted(layers), key=layers.__getitem__, default='')
 
 
@@ -98,12 +100,18 @@
     }
     best[0][''] = _Step(0, None, None, None)
     for index, boundary in enumerate(boundaries[:-1]):
-        for zone, step in tuple(best[boundary].items()):
-            _extend_over_gap(best, boundaries, index, zone, step)
+        for data_centre, step in tuple(best[boundary].items()):
+            _extend_over_gap(best, boundaries, index, data_centre, step)
             for replica in replicas:
                 if replica.held.first <= boundary < replica.held.end:
                     _extend_over_replica(
-                        engine, best, boundary, zone, step, replica, crossing_ms
+                        engine,
+                        best,
+                        boundary,
+                        data_centre,
+                        step,
+                        replica,
+                        crossing_ms,
                     )
     return _build_chain(min(best[engine.layers].values(), key=_get_cost))
 
@@ -121,7 +129,7 @@
     best: dict[int, dict[str, _Step]],
     boundaries: list[int],
     index: int,
-    zone: str,
+    data_centre: str,
     step: _Step,
 ) -> None:
     """Extend a partial chain over missing layers, up to the next boundary."""
@@ -129,14 +137,14 @@
     cost = step.cost + gap.count * _MISSING_LAYER_COST_MS
     if step.gap is None:
         cost += _GAP_COST_MS
-    _relax(best, gap.end, zone, _Step(cost, step, None, gap))
+    _relax(best, gap.end, data_centre, _Step(cost, step, None, gap))
 
 
 def _extend_over_replica(
     engine: EngineSpec,
     best: dict[int, dict[str, _Step]],
     boundary: int,
-    zone: str,
+    data_centre: str,
     step: _Step,
     replica: Replica,
     crossing_ms: float,
@@ -147,18 +155,21 @@
     layers = LayerRange(boundary, replica.held.end)
     cost = step.cost + STAGE_OVERHEAD_MS
     cost += predict_stage_ms(engine, accelerator, layers.count, 1)
-    if zone and zone != replica.data_centre:
+    if data_centre and data_centre != replica.data_centre:
         cost += crossing_ms
     found = _Step(cost, step, Stage(replica, layers), None)
     _relax(best, layers.end, replica.data_centre, found)
 
 
 def _relax(
-    best: dict[int, dict[str, _Step]], boundary: int, zone: str, step: _Step
+    best: dict[int, dict[str, _Step]],
+    boundary: int,
+    data_centre: str,
+    step: _Step,
 ) -> None:
-    known = best[boundary].get(zone)
+    known = best[boundary].get(data_centre)
     if known is None or step.cost < known.cost:
-        best[boundary][zone] = step
+        best[boundary][data_centre] = step
 
 
 def _build_chain(step: _Step | None) -> Chain:
--- a/samphirerill/fleet/zone_state.py
+++ b/samphirerill/fleet/data_centre_state.py
@@ -8,7 +8,7 @@
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.migration import build_pipeline
 from samphirerill.fleet.model import LayerRange
-from samphirerill.fleet.planner import plan_zone
+from samphirerill.fleet.planner import plan_data_centre
 from samphirerill.fleet.prediction import predict_stage_ms
 from samphirerill.fleet.rates import get_accelerator
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Zone:
+class DataCentreState:
     """The pipelines, spares and planned moves of one data centre.
 
     `complete` pipelines work, or will after `moves`; `incomplete` ones are to
@@ -38,13 +38,13 @@
     moves: Moves = field(default_factory=dict)
 
 
-def analyze_zone(
+def analyze_data_centre(
     engine: EngineSpec,
     replicas: list[Replica],
     aims: PlanTargets,
     settled: Collection[str],
     previous_count: int,
-) -> Zone:
+) -> DataCentreState:
     """Return the pipelines and spares of a data centre.
 
     The number of incomplete pipelines to repair is limited to what a plan of
@@ -59,28 +59,30 @@
         settled_replicas = [
             item for item in replicas if item.replica_id in settled
         ]
-        plan = plan_zone(engine, settled_replicas, aims)
+        plan = plan_data_centre(engine, settled_replicas, aims)
         target_count = 0 if plan is None else len(plan.pipelines)
         incomplete.sort(key=lambda chain: _predict_layer_ms(engine, chain))
         incomplete = incomplete[
             : max(0, max(target_count, previous_count) - len(complete))
         ]
-    zone = Zone(replicas, complete, incomplete)
-    used = list_used_ids(zone)
-    zone.spares = [item for item in replicas if item.replica_id not in used]
-    return zone
+    data_centre = DataCentreState(replicas, complete, incomplete)
+    used = list_used_ids(data_centre)
+    data_centre.spares = [
+        item for item in replicas if item.replica_id not in used
+    ]
+    return data_centre
 
 
-def list_used_ids(zone: Zone) -> set[str]:
+def list_used_ids(data_centre: DataCentreState) -> set[str]:
     """Return the replicas that complete or incomplete pipelines need."""
     used = {
         replica.replica_id
-        for pipeline in zone.complete
+        for pipeline in data_centre.complete
         for replica, _ in pipeline.members
     }
     used.update(
         stage.replica.replica_id
-        for other in zone.incomplete
+        for other in data_centre.incomplete
         for stage in other.stages
     )
     return used
@@ -91,9 +93,9 @@
     return [item.layers for item in replicas if item.layers is not None]
 
 
-def index_replicas(zone: Zone) -> dict[str, Replica]:
+def index_replicas(data_centre: DataCentreState) -> dict[str, Replica]:
     """Return the replicas of a data centre by id."""
-    return {item.replica_id: item for item in zone.replicas}
+    return {item.replica_id: item for item in data_centre.replicas}
 
 
 def _predict_layer_ms(engine: EngineSpec, chain: Chain) -> float:
--- a/samphirerill/fleet/losses.py
+++ b/samphirerill/fleet/losses.py
@@ -56,11 +56,11 @@
         The data centre of each node, by the node's name.
     """
 
-    __slots__ = ('_hashes', '_is_one_zone', '_nodes', '_ring')
+    __slots__ = ('_hashes', '_is_single_data_centre', '_nodes', '_ring')
 
     def __init__(self, nodes: Mapping[str, str]) -> None:
         self._nodes = nodes
-        self._is_one_zone = len(set(nodes.values())) == 1
+        self._is_single_data_centre = len(set(nodes.values())) == 1
         positions = sorted(
             (_hash(f'{name}/{position}'), name)
             for name in nodes
@@ -104,12 +104,12 @@
         first = next(following, None)
         if first is None:
             return ()
-        if self._is_one_zone:
+        if self._is_single_data_centre:
             return (first, *islice(following, count - 1))
-        first_zone = self._nodes[first]
+        first_data_centre = self._nodes[first]
         skipped: list[str] = []
         for name in following:
-            if self._nodes[name] != first_zone:
+            if self._nodes[name] != first_data_centre:
                 rest = chain(skipped, following)
                 return (first, name, *islice(rest, count - PROBERS_PER_REPLICA))
             skipped.append(name)
--- a/samphirerill/fleet/migration.py
+++ b/samphirerill/fleet/migration.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.model import LayerRange
-from samphirerill.fleet.planner import plan_zone
+from samphirerill.fleet.planner import plan_data_centre
 from samphirerill.fleet.rates import Pipeline
 from samphirerill.fleet.worth import predict_goodput
 
@@ -51,7 +51,7 @@
     aims : PlanTargets
         The targets of the plan.
     """
-    plan = plan_zone(engine, replicas, aims)
+    plan = plan_data_centre(engine, replicas, aims)
     if plan is None:
         return {}
     goodput = predict_goodput(engine, current, backups, aims)
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -241,21 +241,23 @@
         """Extend the cheapest partial paths that end at a boundary."""
         entries: dict[str, tuple[float, _PartialPath] | None] = {}
         for candidate in candidates:
-            zone = candidate.replica.data_centre
-            if zone not in entries:
-                entries[zone] = self._find_cheapest_entry(boundary, zone)
-            entry = entries[zone]
+            data_centre = candidate.replica.data_centre
+            if data_centre not in entries:
+                entries[data_centre] = self._find_cheapest_entry(
+                    boundary, data_centre
+                )
+            entry = entries[data_centre]
             if entry is not None:
                 layers = LayerRange(boundary, candidate.replica.held.end)
                 self._add(entry[1], candidate, layers, entry[0])
 
     def _find_cheapest_entry(
-        self, boundary: int, zone: str
+        self, boundary: int, data_centre: str
     ) -> tuple[float, _PartialPath] | None:
         """Return the cost and start of the cheapest way into a data centre."""
         options = []
         for origin, partial in self._best[boundary].items():
-            hop_ms = self._find_hop_ms(origin, zone)
+            hop_ms = self._find_hop_ms(origin, data_centre)
             if hop_ms is not None and partial.stages < MAX_STAGES:
                 options.append((partial.cost + hop_ms, hop_ms, partial))
         if not options:
@@ -290,11 +292,11 @@
         if previous is not None:
             cost += previous.cost
             count += previous.stages
-        zone = candidate.replica.data_centre
+        data_centre = candidate.replica.data_centre
         best = self._best.setdefault(layers.end, {})
-        known = best.get(zone)
+        known = best.get(data_centre)
         if known is None or cost < known.cost:
-            best[zone] = _PartialPath(
+            best[data_centre] = _PartialPath(
                 cost, candidate.replica, layers, previous, count
             )
 
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -81,15 +81,15 @@
     """
     plans = []
     unplaced: list[Replica] = []
-    for zone_replicas in group_by_zone(replicas).values():
-        plan = plan_zone(engine, zone_replicas, aims)
+    for data_centre_replicas in group_by_data_centre(replicas).values():
+        plan = plan_data_centre(engine, data_centre_replicas, aims)
         if plan is None:
-            unplaced.extend(zone_replicas)
+            unplaced.extend(data_centre_replicas)
         else:
             plans.append(plan)
-    cross_zone = _plan_across_zones(engine, unplaced, aims)
-    if cross_zone is not None:
-        plans.append(cross_zone)
+    cross_data_centre = _plan_across_data_centres(engine, unplaced, aims)
+    if cross_data_centre is not None:
+        plans.append(cross_data_centre)
     if not plans:
         return None
     return PlacementPlan(
@@ -100,7 +100,7 @@
     )
 
 
-def plan_zone(
+def plan_data_centre(
     engine: EngineSpec, replicas: Sequence[Replica], aims: PlanTargets
 ) -> PlacementPlan | None:
     """Return the best plan of one data centre, or ``None``."""
@@ -114,12 +114,14 @@
     return None
 
 
-def group_by_zone(replicas: Iterable[Replica]) -> dict[str, list[Replica]]:
+def group_by_data_centre(
+    replicas: Iterable[Replica],
+) -> dict[str, list[Replica]]:
     """Return the replicas of each data centre, ordered by its name."""
-    zones: dict[str, list[Replica]] = {}
+    data_centres: dict[str, list[Replica]] = {}
     for replica in replicas:
-        zones.setdefault(replica.data_centre, []).append(replica)
-    return dict(sorted(zones.items()))
+        data_centres.setdefault(replica.data_centre, []).append(replica)
+    return dict(sorted(data_centres.items()))
 
 
 def _choose_best(plans: list[PlacementPlan]) -> PlacementPlan | None:
@@ -147,7 +149,7 @@
     return PlacementPlan(pipelines, spares, backups, goodput)
 
 
-def _plan_across_zones(
+def _plan_across_data_centres(
     engine: EngineSpec, replicas: Sequence[Replica], aims: PlanTargets
 ) -> PlacementPlan | None:
     """Build pipelines across data centres that have too few replicas."""
@@ -156,7 +158,7 @@
         max_layers, free = _list_candidates(engine, replicas, tokens)
         pipelines = []
         while pipeline := _build_pipeline(
-            engine, free, _order_by_zone(free, max_layers), max_layers
+            engine, free, _order_by_data_centre(free, max_layers), max_layers
         ):
             pipelines.append(pipeline)
         rate = predict_total_rate(engine, pipelines, aims.pause_ms)
@@ -181,7 +183,7 @@
     return max_layers, free
 
 
-def _order_by_zone(
+def _order_by_data_centre(
     free: list[Replica], max_layers: dict[str, int]
 ) -> list[Replica]:
     """Return replicas, those of the data centre with the most layers first."""
--- a/samphirerill/fleet/rates.py
+++ b/samphirerill/fleet/rates.py
@@ -70,9 +70,11 @@
 
     def list_crossings(self) -> Counter[frozenset[str]]:
         """Return how often a prompt crosses each link."""
-        zones = [replica.data_centre for replica, _ in self.members]
+        data_centres = [replica.data_centre for replica, _ in self.members]
         return Counter(
-            frozenset(pair) for pair in pairwise(zones) if pair[0] != pair[1]
+            frozenset(pair)
+            for pair in pairwise(data_centres)
+            if pair[0] != pair[1]
         )
 
 
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -24,17 +24,20 @@
 )
 from samphirerill.fleet.migration import plan_rebalance
 from samphirerill.fleet.model import NO_LAYERS, LayerRange
-from samphirerill.fleet.planner import group_by_zone, plan_layers
+from samphirerill.fleet.planner import group_by_data_centre, plan_layers
 from samphirerill.fleet.rates import (
     count_max_layers,
     predict_rate,
 )
-from samphirerill.fleet.stranded import rebuild_zone, repair_across_zones
-from samphirerill.fleet.zone_state import (
+from samphirerill.fleet.stranded import (
+    rebuild_data_centre,
+    repair_across_data_centres,
+)
+from samphirerill.fleet.data_centre_state import (
     index_replicas,
     list_held_ranges,
     list_used_ids,
-    analyze_zone,
+    analyze_data_centre,
 )
 
 if TYPE_CHECKING:
@@ -43,7 +46,7 @@
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.worth import PlanTargets
-    from samphirerill.fleet.zone_state import Zone
+    from samphirerill.fleet.data_centre_state import DataCentreState
 
 # A slower pipeline is dismantled for a faster one only above this ratio of
 # rates.
@@ -87,27 +90,30 @@
     if all(replica.layers is None for replica in known):
         plan = plan_layers(engine, known, aims)
         return {} if plan is None else plan.list_ranges()
-    zones = [
-        analyze_zone(
+    data_centres = [
+        analyze_data_centre(
             engine, replicas, aims, settled, (max_complete or {}).get(name, 0)
         )
-        for name, replicas in group_by_zone(known).items()
+        for name, replicas in group_by_data_centre(known).items()
     ]
-    for zone in zones:
-        _repair_zone(engine, zone, aims)
-        if not zone.complete:
-            rebuild_zone(engine, zone, aims)
-    repair_across_zones(engine, zones)
-    moves = _drop_unchanged(_merge_moves(item.moves for item in zones), known)
+    for data_centre in data_centres:
+        _repair_data_centre(engine, data_centre, aims)
+        if not data_centre.complete:
+            rebuild_data_centre(engine, data_centre, aims)
+    repair_across_data_centres(engine, data_centres)
+    moves = _drop_unchanged(
+        _merge_moves(item.moves for item in data_centres), known
+    )
     if moves:
         return moves
     backups = [
-        _assign_zone_backups(engine, item, aims, settled) for item in zones
+        _assign_data_centre_backups(engine, item, aims, settled)
+        for item in data_centres
     ]
     moves = _drop_unchanged(_merge_moves(backups), known)
     if moves or not is_stable:
         return moves
-    return _rebalance(engine, zones, aims)
+    return _rebalance(engine, data_centres, aims)
 
 
 def count_complete(
@@ -116,77 +122,85 @@
     """Return the number of complete pipelines in each data centre."""
     return {
         name: sum(not chain.gaps for chain in extract_chains(engine, replicas))
-        for name, replicas in group_by_zone(present).items()
+        for name, replicas in group_by_data_centre(present).items()
     }
 
 
-def _repair_zone(engine: EngineSpec, zone: Zone, aims: PlanTargets) -> None:
+def _repair_data_centre(
+    engine: EngineSpec, data_centre: DataCentreState, aims: PlanTargets
+) -> None:
     """Repair incomplete pipelines, the fastest first."""
-    for chain in tuple(zone.incomplete):
-        if chain not in zone.incomplete:
+    for chain in tuple(data_centre.incomplete):
+        if chain not in data_centre.incomplete:
             # A faster pipeline has taken its replicas.
             continue
-        moves = _find_moves(engine, zone, chain, aims)
-        if moves and _is_net_gain(engine, zone, chain, moves, aims):
-            _apply_moves(zone, chain, moves)
+        moves = _find_moves(engine, data_centre, chain, aims)
+        if moves and _is_net_gain(engine, data_centre, chain, moves, aims):
+            _apply_moves(data_centre, chain, moves)
 
 
 def _find_moves(
-    engine: EngineSpec, zone: Zone, chain: Chain, aims: PlanTargets
+    engine: EngineSpec,
+    data_centre: DataCentreState,
+    chain: Chain,
+    aims: PlanTargets,
 ) -> Moves | None:
     """Return the least disruptive moves that complete a pipeline."""
     return (
-        fill_gaps(engine, chain, zone.spares)
-        or _fill_from_slower(engine, zone, chain)
-        or repartition(engine, chain, zone.spares, aims.pause_ms)
-        or _dismantle_slowest(engine, zone, chain, aims)
+        fill_gaps(engine, chain, data_centre.spares)
+        or _fill_from_slower(engine, data_centre, chain)
+        or repartition(engine, chain, data_centre.spares, aims.pause_ms)
+        or _dismantle_slowest(engine, data_centre, chain, aims)
     )
 
 
 def _fill_from_slower(
-    engine: EngineSpec, zone: Zone, chain: Chain
+    engine: EngineSpec, data_centre: DataCentreState, chain: Chain
 ) -> Moves | None:
     """Fill gaps with the stages of slower incomplete pipelines."""
-    at = zone.incomplete.index(chain)
+    at = data_centre.incomplete.index(chain)
     slower = [
         stage.replica
-        for other in zone.incomplete[at + 1 :]
+        for other in data_centre.incomplete[at + 1 :]
         for stage in other.stages
     ]
     if not slower:
         return None
-    return fill_gaps(engine, chain, [*zone.spares, *slower])
+    return fill_gaps(engine, chain, [*data_centre.spares, *slower])
 
 
 def _dismantle_slowest(
-    engine: EngineSpec, zone: Zone, chain: Chain, aims: PlanTargets
+    engine: EngineSpec,
+    data_centre: DataCentreState,
+    chain: Chain,
+    aims: PlanTargets,
 ) -> Moves | None:
     """Fill gaps with the stages of the slowest complete pipeline."""
     slowest = min(
-        zone.complete,
+        data_centre.complete,
         key=lambda pipeline: predict_rate(engine, pipeline, aims.pause_ms),
         default=None,
     )
     if slowest is None:
         return None
     stages = [replica for replica, _ in slowest.members]
-    moves = fill_gaps(engine, chain, [*zone.spares, *stages])
+    moves = fill_gaps(engine, chain, [*data_centre.spares, *stages])
     if moves is None:
         return None
     gained_rate = predict_rate(
         engine,
-        build_repaired_pipeline(chain, moves, index_replicas(zone)),
+        build_repaired_pipeline(chain, moves, index_replicas(data_centre)),
         aims.pause_ms,
     )
     if gained_rate < predict_rate(engine, slowest, aims.pause_ms) * _MIN_GAIN:
         return None
-    zone.complete.remove(slowest)
+    data_centre.complete.remove(slowest)
     return moves
 
 
 def _is_net_gain(
     engine: EngineSpec,
-    zone: Zone,
+    data_centre: DataCentreState,
     chain: Chain,
     moves: Moves,
     aims: PlanTargets,
@@ -194,53 +208,57 @@
     """Return whether a pipeline outweighs the backups that it takes away."""
     gained_rate = predict_rate(
         engine,
-        build_repaired_pipeline(chain, moves, index_replicas(zone)),
+        build_repaired_pipeline(chain, moves, index_replicas(data_centre)),
         aims.pause_ms,
     )
-    stages = list_rated_stages(engine, zone.complete, aims.pause_ms)
-    backups = list_held_ranges(zone.spares)
+    stages = list_rated_stages(engine, data_centre.complete, aims.pause_ms)
+    backups = list_held_ranges(data_centre.spares)
     before = predict_repair_loss(stages, backups)
-    remaining = [item for item in zone.spares if item.replica_id not in moves]
+    remaining = [
+        item for item in data_centre.spares if item.replica_id not in moves
+    ]
     return (
         gained_rate
         > predict_repair_loss(stages, list_held_ranges(remaining)) - before
     )
 
 
-def _apply_moves(zone: Zone, chain: Chain, moves: Moves) -> None:
+def _apply_moves(
+    data_centre: DataCentreState, chain: Chain, moves: Moves
+) -> None:
     """Update the data centre's state as if moves were done."""
-    zone.complete.append(
-        build_repaired_pipeline(chain, moves, index_replicas(zone))
+    data_centre.complete.append(
+        build_repaired_pipeline(chain, moves, index_replicas(data_centre))
     )
-    zone.incomplete.remove(chain)
-    zone.incomplete = [
+    data_centre.incomplete.remove(chain)
+    data_centre.incomplete = [
         other
-        for other in zone.incomplete
+        for other in data_centre.incomplete
         if not any(stage.replica.replica_id in moves for stage in other.stages)
     ]
-    zone.moves.update(moves)
-    used = list_used_ids(zone)
-    zone.spares = [
-        item for item in zone.replicas if item.replica_id not in used
+    data_centre.moves.update(moves)
+    used = list_used_ids(data_centre)
+    data_centre.spares = [
+        item for item in data_centre.replicas if item.replica_id not in used
     ]
 
 
-def _assign_zone_backups(
+def _assign_data_centre_backups(
     engine: EngineSpec,
-    zone: Zone,
+    data_centre: DataCentreState,
     aims: PlanTargets,
     settled: Collection[str],
 ) -> Moves:
     """Assign backups to settled spares, and likely replacements to newcomers."""
-    moves = _preload_replacements(engine, zone, settled)
-    stages = list_rated_stages(engine, zone.complete, aims.pause_ms)
-    spares = [item for item in zone.spares if item.replica_id in settled]
+    moves = _preload_replacements(engine, data_centre, settled)
+    stages = list_rated_stages(engine, data_centre.complete, aims.pause_ms)
+    spares = [item for item in data_centre.spares if item.replica_id in settled]
     moves.update(assign_backups(engine, stages, spares))
     return moves
 
 
 def _preload_replacements(
-    engine: EngineSpec, zone: Zone, settled: Collection[str]
+    engine: EngineSpec, data_centre: DataCentreState, settled: Collection[str]
 ) -> Moves:
     """Assign newcomers the layers of the replica they probably replace.
 
@@ -249,10 +267,10 @@
     shortens the time that their pipeline is out of service.
     """
     moves: Moves = {}
-    for replica in zone.spares:
+    for replica in data_centre.spares:
         if replica.replica_id in settled or replica.layers is not None:
             continue
-        held = _list_ranges_by_accelerator(zone, replica.accelerator)
+        held = _list_ranges_by_accelerator(data_centre, replica.accelerator)
         remaining = [item for item in held if item not in moves.values()]
         largest = max(remaining, key=_get_count, default=NO_LAYERS)
         fits = 0 < largest.count <= count_max_layers(engine, replica)
@@ -262,29 +280,29 @@
 
 
 def _list_ranges_by_accelerator(
-    zone: Zone, accelerator: str
+    data_centre: DataCentreState, accelerator: str
 ) -> list[LayerRange]:
     """Return the pipelines' layer ranges on one kind of accelerator."""
     return [
         stage.layers
-        for pipeline in zone.complete
+        for pipeline in data_centre.complete
         for stage in pipeline.list_stages()
         if stage.replica.accelerator == accelerator
     ]
 
 
 def _rebalance(
-    engine: EngineSpec, zones: list[Zone], aims: PlanTargets
+    engine: EngineSpec, data_centres: list[DataCentreState], aims: PlanTargets
 ) -> Moves:
     """Return the moves that rebalance the first data centre that gains by it."""
-    for zone in zones:
-        if not zone.complete:
+    for data_centre in data_centres:
+        if not data_centre.complete:
             continue
         moves = plan_rebalance(
             engine,
-            zone.replicas,
-            zone.complete,
-            list_held_ranges(zone.spares),
+            data_centre.replicas,
+            data_centre.complete,
+            list_held_ranges(data_centre.spares),
             aims,
         )
         if moves:
--- a/samphirerill/fleet/stranded.py
+++ b/samphirerill/fleet/stranded.py
@@ -12,17 +12,19 @@
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.gap_filling import fill_gaps
 from samphirerill.fleet.migration import assign_stages
-from samphirerill.fleet.planner import plan_zone
-from samphirerill.fleet.zone_state import list_used_ids
+from samphirerill.fleet.planner import plan_data_centre
+from samphirerill.fleet.data_centre_state import list_used_ids
 
 if TYPE_CHECKING:
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.worth import PlanTargets
-    from samphirerill.fleet.zone_state import Zone
+    from samphirerill.fleet.data_centre_state import DataCentreState
 
 
-def rebuild_zone(engine: EngineSpec, zone: Zone, aims: PlanTargets) -> None:
+def rebuild_data_centre(
+    engine: EngineSpec, data_centre: DataCentreState, aims: PlanTargets
+) -> None:
     """Plan a data centre from scratch if none of its pipelines is repairable.
 
     Its replicas restarted empty, or hold layers that do not fit together. These
@@ -30,36 +32,50 @@
     limit. Without this, a data centre whose replicas had all restarted would
     never serve again, as there is no incomplete pipeline to repair.
     """
-    plan = plan_zone(engine, zone.replicas, aims)
+    plan = plan_data_centre(engine, data_centre.replicas, aims)
     if plan is None:
         return
-    zone.moves.update(assign_stages(plan.pipelines, zone.replicas))
-    zone.complete.extend(plan.pipelines)
-    zone.incomplete.clear()
-    used = list_used_ids(zone)
-    used.update(zone.moves)
-    zone.spares = [
-        item for item in zone.replicas if item.replica_id not in used
+    data_centre.moves.update(
+        assign_stages(plan.pipelines, data_centre.replicas)
+    )
+    data_centre.complete.extend(plan.pipelines)
+    data_centre.incomplete.clear()
+    used = list_used_ids(data_centre)
+    used.update(data_centre.moves)
+    data_centre.spares = [
+        item for item in data_centre.replicas if item.replica_id not in used
     ]
 
 
-def repair_across_zones(engine: EngineSpec, zones: list[Zone]) -> None:
+def repair_across_data_centres(
+    engine: EngineSpec, data_centres: list[DataCentreState]
+) -> None:
     """Complete a pipeline from data centres without one and others' spares."""
-    unserved = [zone for zone in zones if not zone.complete]
+    unserved = [
+        data_centre for data_centre in data_centres if not data_centre.complete
+    ]
     if not unserved:
         return
-    data_centres = {
-        replica.data_centre for zone in unserved for replica in zone.replicas
+    unserved_names = {
+        replica.data_centre
+        for data_centre in unserved
+        for replica in data_centre.replicas
     }
-    replicas = [replica for zone in unserved for replica in zone.replicas]
+    replicas = [
+        replica for data_centre in unserved for replica in data_centre.replicas
+    ]
     replicas.extend(
-        replica for zone in zones if zone.complete for replica in zone.spares
+        replica
+        for data_centre in data_centres
+        if data_centre.complete
+        for replica in data_centre.spares
     )
     chains = [
         chain
         for chain in extract_chains(engine, replicas)
         if any(
-            stage.replica.data_centre in data_centres for stage in chain.stages
+            stage.replica.data_centre in unserved_names
+            for stage in chain.stages
         )
     ]
     if not chains:
@@ -71,10 +87,12 @@
             replica for replica in replicas if replica.replica_id not in held
         ]
         unserved[0].moves.update(fill_gaps(engine, best, free) or {})
-    _reserve_spares(zones, chains)
+    _reserve_spares(data_centres, chains)
 
 
-def _reserve_spares(zones: list[Zone], chains: list[Chain]) -> None:
+def _reserve_spares(
+    data_centres: list[DataCentreState], chains: list[Chain]
+) -> None:
     """Remove the spares that a pipeline across data centres uses."""
     used = {
         stage.replica.replica_id
@@ -82,8 +100,12 @@
         if not chain.gaps
         for stage in chain.stages
     }
-    used.update(name for zone in zones for name in zone.moves)
-    for zone in zones:
-        zone.spares = [
-            replica for replica in zone.spares if replica.replica_id not in used
+    used.update(
+        name for data_centre in data_centres for name in data_centre.moves
+    )
+    for data_centre in data_centres:
+        data_centre.spares = [
+            replica
+            for replica in data_centre.spares
+            if replica.replica_id not in used
         ]
--- a/samphirerill/fleet/timing.py
+++ b/samphirerill/fleet/timing.py
@@ -49,8 +49,10 @@
 
     def note_complete(self, counts: dict[str, int]) -> None:
         """Record the number of complete pipelines in each data centre."""
-        for zone, count in counts.items():
-            self.max_complete[zone] = max(count, self.max_complete.get(zone, 0))
+        for data_centre, count in counts.items():
+            self.max_complete[data_centre] = max(
+                count, self.max_complete.get(data_centre, 0)
+            )
 
     def has_settled(self, present: Sequence[Replica], now: float) -> bool:
         """Return whether all replicas of a first plan should be known."""
--- a/samphirerill/tests/fleets.py
+++ b/samphirerill/tests/fleets.py
@@ -36,7 +36,7 @@
         'tiny': Accelerator('tiny', 14_400, 15, 15),
     },
 )
-THREE_ZONES = {
+THREE_DATA_CENTRES = {
     'a': {'large': 1, 'middle': 1, 'small': 5, 'tiny': 7},
     'b': {'middle': 1, 'small': 8, 'tiny': 3},
     'c': {'middle': 2, 'small': 4, 'tiny': 7},
@@ -44,13 +44,15 @@
 START_S = 0.0
 
 
-def build_fleet(zones: dict[str, dict[str, int]]) -> list[Replica]:
+def build_fleet(data_centres: dict[str, dict[str, int]]) -> list[Replica]:
     """Return replicas without layers, named by data centre, kind and number."""
     fleet: list[Replica] = []
-    for zone, kinds in zones.items():
+    for data_centre, kinds in data_centres.items():
         for kind, count in kinds.items():
             fleet.extend(
-                build_replica(f'{zone}-{kind}-{number}', zone, kind)
+                build_replica(
+                    f'{data_centre}-{kind}-{number}', data_centre, kind
+                )
                 for number in range(count)
             )
     return fleet
@@ -58,7 +60,7 @@
 
 def build_replica(
     name: str,
-    zone: str = 'a',
+    data_centre: str = 'a',
     kind: str = 'small',
     layers: tuple[int, int] | None = None,
 ) -> Replica:
@@ -68,7 +70,7 @@
         replica_id=name,
         service='llm',
         address=f'10.0.0.1:{1024 + crc32(name.encode()) % 9000}',
-        data_centre=zone,
+        data_centre=data_centre,
         slots=96,
         accelerator=kind,
         layers=held,
--- a/samphirerill/tests/test_crowds.py
+++ b/samphirerill/tests/test_crowds.py
@@ -24,10 +24,12 @@
 _START_S = 0.0
 
 
-def _build_pipeline(zone: str) -> list[Replica]:
+def _build_pipeline(data_centre: str) -> list[Replica]:
     """Return a pipeline of small replicas."""
     return [
-        build_replica(f'{zone}-{first}', zone, 'small', (first, end))
+        build_replica(
+            f'{data_centre}-{first}', data_centre, 'small', (first, end)
+        )
         for first, end in zip(range(0, 80, 10), range(10, 90, 10), strict=True)
     ]
 
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -62,8 +62,8 @@
     ) -> None:
         known = build_states(
             [
-                build_replica(f'r{number}', zone, 'large', layers)
-                for number, (layers, zone) in enumerate(parts)
+                build_replica(f'r{number}', data_centre, 'large', layers)
+                for number, (layers, data_centre) in enumerate(parts)
             ]
         )
         stages = choose_path(ENGINE, known, LoadTracker(), PathRequest(900), 0)
@@ -81,11 +81,11 @@
 
     def test_search_is_fast_for_large_fleet(self) -> None:
         """The search must not grow with all combinations of stage boundaries."""
-        zones = {
-            zone: {'large': 4, 'middle': 16, 'small': 45, 'tiny': 45}
-            for zone in 'abcdefg'
+        data_centres = {
+            data_centre: {'large': 4, 'middle': 16, 'small': 45, 'tiny': 45}
+            for data_centre in 'abcdefg'
         }
-        fleet = build_fleet(zones)
+        fleet = build_fleet(data_centres)
         names = {item.replica_id for item in fleet}
         known = build_states(
             apply_moves(
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -22,7 +22,7 @@
 from samphirerill.fleet.worth import PlanTargets
 from samphirerill.tests.fleets import (
     ENGINE,
-    THREE_ZONES,
+    THREE_DATA_CENTRES,
     build_fleet,
     build_replica,
     apply_moves,
@@ -72,7 +72,7 @@
 
     def test_pipelines_stay_within_data_centres(self) -> None:
         plan = self.assert_sound(
-            plan_layers(ENGINE, build_fleet(THREE_ZONES), _AIMS)
+            plan_layers(ENGINE, build_fleet(THREE_DATA_CENTRES), _AIMS)
         )
         local = [item for item in plan.pipelines if not item.count_crossings()]
         self.assertEqual(len(local), 3)
@@ -81,21 +81,21 @@
         shapes = {
             'one kind only': {'a': {'small': 12}, 'b': {'small': 12}},
             'four data centres': {
-                zone: {'small': 6, 'tiny': 6} for zone in 'abcd'
+                data_centre: {'small': 6, 'tiny': 6} for data_centre in 'abcd'
             },
             'no fast one': {'a': {'small': 8, 'tiny': 8}, 'b': {'tiny': 20}},
             'one data centre': {'a': {'large': 2, 'middle': 1}},
         }
-        for name, zones in shapes.items():
+        for name, data_centres in shapes.items():
             with self.subTest(name):
                 self.assert_sound(
-                    plan_layers(ENGINE, build_fleet(zones), _AIMS)
+                    plan_layers(ENGINE, build_fleet(data_centres), _AIMS)
                 )
 
     def test_slow_links_are_crossed_less(self) -> None:
         slow = replace(ENGINE, pipe_mbps=1_100)
         plan = self.assert_sound(
-            plan_layers(slow, build_fleet(THREE_ZONES), _AIMS)
+            plan_layers(slow, build_fleet(THREE_DATA_CENTRES), _AIMS)
         )
         crossings = sum(item.count_crossings() for item in plan.pipelines)
         self.assertLessEqual(crossings, 2)
@@ -106,11 +106,11 @@
         )
 
     def test_planning_is_fast_for_large_fleet(self) -> None:
-        zones = {
-            zone: {'large': 4, 'middle': 16, 'small': 45, 'tiny': 45}
-            for zone in 'abcdefg'
+        data_centres = {
+            data_centre: {'large': 4, 'middle': 16, 'small': 45, 'tiny': 45}
+            for data_centre in 'abcdefg'
         }
-        fleet = build_fleet(zones)
+        fleet = build_fleet(data_centres)
         started_at = process_time()
         self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
         self.assertLess(process_time() - started_at, 4.0)
@@ -124,7 +124,7 @@
 
         Each stage is a replica whose loss interrupts streams.
         """
-        fleet = build_fleet(THREE_ZONES)
+        fleet = build_fleet(THREE_DATA_CENTRES)
         lean = self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
         max_rate = self.assert_sound(plan_layers(ENGINE, fleet, _MAX_RATE_AIMS))
         self.assertLess(_count_stages(lean), _count_stages(max_rate))
@@ -135,7 +135,7 @@
                 self.assertLessEqual(count, max_layers)
 
     def test_large_demand_raises_rate(self) -> None:
-        fleet = build_fleet(THREE_ZONES)
+        fleet = build_fleet(THREE_DATA_CENTRES)
         large = self.assert_sound(
             plan_layers(ENGINE, fleet, replace(_AIMS, demand=1000))
         )
@@ -157,7 +157,7 @@
     """Repairs after losses."""
 
     def setUp(self) -> None:
-        fleet = build_fleet(THREE_ZONES)
+        fleet = build_fleet(THREE_DATA_CENTRES)
         self.fleet = self.settle(fleet)
 
     def test_complete_pipelines_are_kept(self) -> None:
@@ -261,14 +261,14 @@
         held = self._find_stage('a', 0).layers
         self.assertEqual(moves, {'new': held})
 
-    def _find_stage(self, zone: str, number: int) -> Replica:
+    def _find_stage(self, data_centre: str, number: int) -> Replica:
         """Return the replica that runs a stage of a data centre's pipeline."""
-        local = [item for item in self.fleet if item.data_centre == zone]
+        local = [item for item in self.fleet if item.data_centre == data_centre]
         chain = extract_chains(ENGINE, local)[0]
         return chain.stages[number].replica
 
 
-class TestZoneRebuild(PlanCase):
+class TestDataCentreRebuild(PlanCase):
     """Data centres without a complete pipeline."""
 
     def count_by_data_centre(self, replicas: list[Replica]) -> dict[str, int]:
@@ -281,7 +281,7 @@
         Nothing can be repaired with them, so data centres without a complete
         pipeline are planned from scratch.
         """
-        fleet = build_fleet(THREE_ZONES)
+        fleet = build_fleet(THREE_DATA_CENTRES)
         known = fleet[::3]
         plan = plan_layers(ENGINE, known, _AIMS)
         assert plan is not None
@@ -291,7 +291,7 @@
 
     def test_data_centre_with_restarted_replicas_recovers(self) -> None:
         """Replicas that all restarted leave no incomplete pipeline to repair."""
-        fleet = self.settle(build_fleet(THREE_ZONES))
+        fleet = self.settle(build_fleet(THREE_DATA_CENTRES))
         lost = [
             replace(item, layers=None) if item.data_centre == 'b' else item
             for item in fleet
@@ -300,7 +300,7 @@
         self.assertTrue(all(complete.values()), complete)
 
     def test_rebuild_does_not_move_other_data_centres(self) -> None:
-        fleet = self.settle(build_fleet(THREE_ZONES))
+        fleet = self.settle(build_fleet(THREE_DATA_CENTRES))
         lost = [
             replace(item, layers=None) if item.data_centre == 'b' else item
             for item in fleet
--- a/samphirerill/tests/test_loss_rounds.py
+++ b/samphirerill/tests/test_loss_rounds.py
@@ -44,8 +44,8 @@
     def test_assignments_are_even(self) -> None:
         """A failure is detected late if one node has to probe most replicas."""
         nodes = {
-            f'edge-hall-{zone}-{number}': zone
-            for zone in 'abcde'
+            f'edge-hall-{data_centre}-{number}': data_centre
+            for data_centre in 'abcde'
             for number in range(4)
         }
         askers = ProberAssignment(nodes)
