--- a/samphirerill/__init__.py
+++ b/samphirerill/__init__.py
@@ -12,9 +12,12 @@
 if TYPE_CHECKING:
     from samphirerill.control.configuration_log import ConfigurationLog
     from samphirerill.control.configuration_view import ConfigurationView
-    from samphirerill.control.evidence import ConfigurationFreshness
+    from samphirerill.control.freshness import ConfigurationFreshness
     from samphirerill.control.orders import LeaderTerm
-    from samphirerill.core.model import Configuration, build_configuration
+    from samphirerill.core.configuration import (
+        Configuration,
+        build_configuration,
+    )
     from samphirerill.core.router import Router
 
 __all__ = (
@@ -27,13 +30,13 @@
     'build_configuration',
 )
 _HOMES = {
-    'Configuration': 'core.model',
+    'Configuration': 'core.configuration',
     'ConfigurationLog': 'control.configuration_log',
     'ConfigurationView': 'control.configuration_view',
-    'ConfigurationFreshness': 'control.evidence',
+    'ConfigurationFreshness': 'control.freshness',
     'Router': 'core.router',
     'LeaderTerm': 'control.orders',
-    'build_configuration': 'core.model',
+    'build_configuration': 'core.configuration',
 }
 
 
--- a/samphirerill/backends/engine.py
+++ b/samphirerill/backends/engine_call.py
@@ -14,7 +14,7 @@
 from msgspec import DecodeError, Struct, field
 from msgspec.json import Decoder
 
-from samphirerill.backends.calls import EndpointCall, build_request
+from samphirerill.backends.endpoint_call import EndpointCall, build_request
 from samphirerill.core.events import (
     AttemptProgressed,
     AttemptRefused,
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from samphirerill.backends.calls import EventSink
+    from samphirerill.backends.endpoint_call import EventSink
     from samphirerill.core.commands import OpenAttempt
 
 _OK = 200
--- a/samphirerill/backends/service.py
+++ b/samphirerill/backends/service_call.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from samphirerill.backends.calls import EndpointCall
+from samphirerill.backends.endpoint_call import EndpointCall
 from samphirerill.core.events import ServiceAnswered
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import EventSink
+    from samphirerill.backends.endpoint_call import EventSink
 
 MAX_RESPONSE_BYTES = 4_194_304
 _HOP_BY_HOP = frozenset(
--- a/samphirerill/bench/rival.py
+++ b/samphirerill/bench/baseline_proxy.py
@@ -12,7 +12,7 @@
 import sys
 from typing import Any
 
-from samphirerill.backends.calls import build_request
+from samphirerill.backends.endpoint_call import build_request
 from samphirerill.core.commands import Stage
 from samphirerill.testing.httpd import Connection, Request
 
--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -13,14 +13,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from samphirerill.bench import slopes
-from samphirerill.bench.slopes import US_PER_S, fit_line
-from samphirerill.node.claim_carriers import AGGREGATOR_COUNT
+from samphirerill.bench import cost_measurements
+from samphirerill.bench.cost_measurements import US_PER_S, fit_line
+from samphirerill.node.claim_batches import AGGREGATOR_COUNT
 from samphirerill.node.claim_writer import FLEET_WRITES_PER_S
-from samphirerill.node.follower import FLEET_READS_PER_S, MIN_POLL_INTERVAL_S
+from samphirerill.node.configuration_follower import (
+    FLEET_READS_PER_S,
+    MIN_POLL_INTERVAL_S,
+)
 from samphirerill.node.gossip import EXCHANGE_INTERVAL_S, FANOUT
-from samphirerill.node.members import RENEWALS_PER_LEASE
-from samphirerill.node.probes import LOAD_POLLS_PER_S
+from samphirerill.node.membership import RENEWALS_PER_LEASE
+from samphirerill.node.health_checks import LOAD_POLLS_PER_S
 from samphirerill.node.vm_reader import FLEET_READS_PER_INTERVAL
 from samphirerill.settings.model import StoreSettings
 
@@ -91,13 +94,13 @@
     points = {}
     for tokens in (50, 150, 300):
         _report_progress(f'streams of {tokens} tokens')
-        measurements = slopes.measure_streams(_STREAM_COUNT, tokens)
+        measurements = cost_measurements.measure_streams(_STREAM_COUNT, tokens)
         points[measurements['tokens']] = measurements['cpu_s']
     line = fit_line(points)
     memory_mb = {}
     for streams in (50, 200, 400):
         _report_progress(f'{streams} concurrent streams')
-        measurements = slopes.measure_streams(streams, 100)
+        measurements = cost_measurements.measure_streams(streams, 100)
         memory_mb[float(streams)] = measurements['memory_mb']
     return [
         Row('path.token_us', line.slope * US_PER_S, 'µs a token', '3 lengths'),
@@ -123,12 +126,12 @@
     measurements = {}
     for replicas, accounts in ((192, 275), (384, 550), (REPLICAS, ACCOUNTS)):
         _report_progress(f'one router core with {replicas} replicas')
-        decisions = slopes.measure_decisions(replicas, accounts)
+        decisions = cost_measurements.measure_decisions(replicas, accounts)
         request_us[float(replicas)] = decisions['request_us']
-        memory_mb[float(replicas)] = slopes.measure_core_memory(
+        memory_mb[float(replicas)] = cost_measurements.measure_core_memory(
             replicas, accounts
         )
-        measurements = slopes.measure_change(replicas, accounts)
+        measurements = cost_measurements.measure_change(replicas, accounts)
         change_ms[float(replicas)] = measurements['change_ms']
     source = '192, 384, 770 replicas with 275, 550, 1,100 accounts'
     return [
@@ -167,17 +170,17 @@
     idle_nodes = {}
     for nodes in (2, 4, 8):
         _report_progress(f'{nodes} idle nodes')
-        idle_nodes[nodes] = slopes.measure_idle(nodes)
+        idle_nodes[nodes] = cost_measurements.measure_idle(nodes)
     gossip = {}
     for nodes in (50, 100, 200, NODES):
-        gossip[nodes] = slopes.measure_gossip(nodes)
+        gossip[nodes] = cost_measurements.measure_gossip(nodes)
     claim_bytes = {
-        float(size): slopes.measure_claim_batch(size)['bytes']
+        float(size): cost_measurements.measure_claim_batch(size)['bytes']
         for size in (1, 10, 50)
     }
     _report_progress('a node with the whole planned fleet')
-    full_node = slopes.measure_full_node()
-    polls = slopes.measure_polls()
+    full_node = cost_measurements.measure_full_node()
+    polls = cost_measurements.measure_polls()
     source = '2, 4, 8 idle nodes'
     gossip_source = '50, 100, 200, 400 nodes without sockets'
     fleet_source = '770 endpoints, 1,100 accounts, 1 node'
--- a/samphirerill/bench/catalogue.py
+++ b/samphirerill/bench/catalogue.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from samphirerill.bench import overhead, scenes, state_scenes
-from samphirerill.bench.scenes import BenchmarkResult, build_layout
+from samphirerill.bench import overhead, route_benchmarks, state_benchmarks
+from samphirerill.bench.route_benchmarks import BenchmarkResult, build_layout
 from samphirerill.bench.targets import BaselineTarget, NodesTarget, Target
 from samphirerill.testing.layout import Layout
 
@@ -43,7 +43,7 @@
         Benchmark(
             'throughput',
             'goodput at full load; latency and CPU cost below it',
-            scenes.run_throughput,
+            route_benchmarks.run_throughput,
         ),
         Benchmark(
             'overhead',
@@ -54,80 +54,80 @@
         Benchmark(
             'overload',
             'twice the maximum load, with priorities and a small account',
-            scenes.run_overload,
-            scenes.build_overload_layout,
+            route_benchmarks.run_overload,
+            route_benchmarks.build_overload_layout,
         ),
         Benchmark(
             'stage-death',
             'a replica of the middle stage is killed under load',
-            scenes.run_stage_death,
+            route_benchmarks.run_stage_death,
             _build_three_replicas,
         ),
         Benchmark(
             'silent-link',
             'a replica of the first stage stops answering',
-            scenes.run_silent_link,
+            route_benchmarks.run_silent_link,
             _build_three_replicas,
         ),
         Benchmark(
             'two-faults',
             'one replica dies and one stops answering in a store outage',
-            scenes.run_two_faults,
+            route_benchmarks.run_two_faults,
             _build_three_replicas,
         ),
         Benchmark(
             'slow-link',
             'the latency of a link rises',
-            scenes.run_slow_link,
+            route_benchmarks.run_slow_link,
             _build_three_replicas,
         ),
         Benchmark(
             'crossed-answers',
             'engines mix up answers and repeat tokens',
-            scenes.run_crossed_answers,
+            route_benchmarks.run_crossed_answers,
             _build_three_replicas,
         ),
         Benchmark(
             'at-most-once',
             'requests with idempotency keys sent twice, during faults',
-            state_scenes.run_at_most_once,
+            state_benchmarks.run_at_most_once,
             nodes=3,
         ),
         Benchmark(
             'kv-outage',
             'an outage of the key-value store',
-            state_scenes.run_store_outage,
+            state_benchmarks.run_store_outage,
             nodes=2,
         ),
         Benchmark(
             'patch-race',
             'operators patch the same number concurrently',
-            state_scenes.run_patch_race,
+            state_benchmarks.run_patch_race,
             nodes=8,
         ),
         Benchmark(
             'leaving',
             'an endpoint drains under load; the VM list lags by a second',
-            state_scenes.run_draining,
+            state_benchmarks.run_draining,
             _build_lagging_vm_list,
             nodes=3,
         ),
         Benchmark(
             'shutdown',
             'one of two nodes is shut down under load',
-            state_scenes.run_shutdown,
+            state_benchmarks.run_shutdown,
             nodes=2,
         ),
         Benchmark(
             'node-kill',
             'one of three nodes is killed',
-            state_scenes.run_node_kill,
+            state_benchmarks.run_node_kill,
             nodes=3,
         ),
         Benchmark(
             'restart-all',
             'all nodes are replaced one after another under load',
-            state_scenes.run_restart_all,
+            state_benchmarks.run_restart_all,
             nodes=3,
         ),
     )
--- a/samphirerill/bench/slopes.py
+++ b/samphirerill/bench/cost_measurements.py
@@ -18,7 +18,11 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.backends.peers import measure_message
-from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
+from samphirerill.bench.http_client import (
+    ClientRequest,
+    RequestResult,
+    send_request,
+)
 from samphirerill.control.claims import (
     ClaimBatch,
     Settlement,
@@ -27,7 +31,7 @@
 )
 from samphirerill.control.configuration_log import Change
 from samphirerill.control.configuration_view import ConfigurationView
-from samphirerill.control.evidence import ConfigurationFreshness
+from samphirerill.control.freshness import ConfigurationFreshness
 from samphirerill.control.patches import apply_patch
 from samphirerill.core.commands import OpenAttempt, Outcome, WriteClaim
 from samphirerill.core.events import (
@@ -37,11 +41,11 @@
     RequestArrived,
     TokenArrived,
 )
-from samphirerill.core.model import build_configuration
+from samphirerill.core.configuration import build_configuration
 from samphirerill.core.router import Router
-from samphirerill.node.accounts import KeyIndex
+from samphirerill.node.key_index import KeyIndex
 from samphirerill.node.gossip import FANOUT, Gossip
-from samphirerill.node.probes import build_fetch_request
+from samphirerill.node.health_checks import build_fetch_request
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import FakeEngine
--- a/samphirerill/bench/figures.py
+++ b/samphirerill/bench/latency_metrics.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.bench.calls import RequestResult
+    from samphirerill.bench.http_client import RequestResult
 
 _MAX_DURATION_US = 600_000_000
 _US_PER_S = 1_000_000
--- a/samphirerill/bench/load.py
+++ b/samphirerill/bench/load_generator.py
@@ -12,7 +12,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
+from samphirerill.bench.http_client import (
+    ClientRequest,
+    RequestResult,
+    send_request,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/samphirerill/bench/oracle.py
+++ b/samphirerill/bench/oracle.py
@@ -13,7 +13,7 @@
 from samphirerill.testing.engine import make_token
 
 if TYPE_CHECKING:
-    from samphirerill.bench.calls import RequestResult
+    from samphirerill.bench.http_client import RequestResult
 
 
 @dataclass(slots=True)
--- a/samphirerill/bench/overhead.py
+++ b/samphirerill/bench/overhead.py
@@ -7,10 +7,14 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.bench.calls import ClientRequest, RequestResult, send_request
-from samphirerill.bench.figures import compute_p95_s, list_token_gaps
+from samphirerill.bench.http_client import (
+    ClientRequest,
+    RequestResult,
+    send_request,
+)
+from samphirerill.bench.latency_metrics import compute_p95_s, list_token_gaps
 from samphirerill.bench.oracle import check_results
-from samphirerill.bench.scenes import BenchmarkResult
+from samphirerill.bench.route_benchmarks import BenchmarkResult
 from samphirerill.bench.targets import list_executed_prompts
 from samphirerill.testing.layout import (
     FIRST_ACCOUNT_KEY,
--- a/samphirerill/bench/scenes.py
+++ b/samphirerill/bench/route_benchmarks.py
@@ -7,15 +7,20 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.bench.figures import (
+from samphirerill.bench.latency_metrics import (
     compute_p95_s,
     list_interruptions,
     list_token_gaps,
 )
-from samphirerill.bench.load import LoadAccount, LoadPlan, LoadRun, run_load
+from samphirerill.bench.load_generator import (
+    LoadAccount,
+    LoadPlan,
+    LoadRun,
+    run_load,
+)
 from samphirerill.bench.oracle import Verdict, check_results
 from samphirerill.bench.targets import Target, list_executed_prompts
-from samphirerill.edges.operators import hash_api_key
+from samphirerill.edges.operator_api import hash_api_key
 from samphirerill.testing.layout import (
     SECOND_ACCOUNT_KEY,
     FIRST_ACCOUNT_KEY,
--- a/samphirerill/bench/state_scenes.py
+++ b/samphirerill/bench/state_benchmarks.py
@@ -11,10 +11,10 @@
 
 from samphirerill.backends.etcd import EtcdStore
 from samphirerill.backends.store import Put, Transaction
-from samphirerill.bench.figures import compute_p95_s
-from samphirerill.bench.load import LoadAccount, LoadPlan
+from samphirerill.bench.latency_metrics import compute_p95_s
+from samphirerill.bench.load_generator import LoadAccount, LoadPlan
 from samphirerill.bench.oracle import Verdict, check_results
-from samphirerill.bench.scenes import (
+from samphirerill.bench.route_benchmarks import (
     TOKENS,
     BenchmarkResult,
     compute_max_throughput,
--- a/samphirerill/bench/targets.py
+++ b/samphirerill/bench/targets.py
@@ -150,7 +150,7 @@
             [
                 sys.executable,
                 '-m',
-                'samphirerill.bench.rival',
+                'samphirerill.bench.baseline_proxy',
                 json.dumps(document),
             ],
             stdin=subprocess.PIPE,
--- a/samphirerill/cli/main.py
+++ b/samphirerill/cli/main.py
@@ -199,7 +199,7 @@
 def _serve(options: argparse.Namespace) -> int:
     settings = load_settings(options.config)
     # Imported lazily: the server's libraries would slow down other commands.
-    from samphirerill.edges.serving import ListenError
+    from samphirerill.edges.http_server import ListenError
     from samphirerill.node.logs import start_logging
     from samphirerill.node.process import serve
 
@@ -283,7 +283,7 @@
 
 
 def _hash_key(options: argparse.Namespace) -> int:
-    from samphirerill.edges.operators import hash_api_key
+    from samphirerill.edges.operator_api import hash_api_key
 
     _print_line(hash_api_key(sys.stdin.readline().strip()))
     return EXIT_OK
--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.core.model import DesiredState, Endpoint
+    from samphirerill.core.configuration import DesiredState, Endpoint
 
 LEASE_S = 10
 RENEW_EVERY_S = 3.0
--- a/samphirerill/core/admission.py
+++ b/samphirerill/core/admission.py
@@ -14,7 +14,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from samphirerill.core.model import HIGH, NORMAL
+from samphirerill.core.configuration import HIGH, NORMAL
 
 NORMAL_INTERVAL = 6
 _INTERVAL_SMOOTHING = 0.1
--- a/samphirerill/core/events.py
+++ b/samphirerill/core/events.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from samphirerill.core.model import Configuration
+    from samphirerill.core.configuration import Configuration
     from samphirerill.core.prefixes import CacheEvents
     from samphirerill.quarantine.messages import EvidenceMessage
 
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -11,7 +11,7 @@
     DeliverToken,
     ProbeEndpoint,
 )
-from samphirerill.core.ending import (
+from samphirerill.core.completion import (
     finish_request,
     get_queue_name,
     remove_attempt,
@@ -25,7 +25,7 @@
     TokenArrived,
 )
 from samphirerill.core.handling import handle
-from samphirerill.core.on_endings import (
+from samphirerill.core.on_crashes import (
     record_failure,
     record_survival,
     record_token,
@@ -37,7 +37,7 @@
     observe_hops,
     predict_token_ms,
 )
-from samphirerill.core.starting import (
+from samphirerill.core.scheduling import (
     dispatch_queue,
     requeue_at_front,
     retry_or_refuse,
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -12,14 +12,14 @@
     ReplayAnswer,
     SettleClaim,
 )
-from samphirerill.core.ending import (
+from samphirerill.core.completion import (
     get_queue_name,
     refuse_request,
     remove_request,
 )
 from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
 from samphirerill.core.handling import handle
-from samphirerill.core.starting import (
+from samphirerill.core.scheduling import (
     dispatch_queue,
     requeue_at_front,
     start_attempt,
--- a/samphirerill/core/on_endings.py
+++ b/samphirerill/core/on_crashes.py
@@ -13,16 +13,16 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.core.ending import (
+from samphirerill.core.completion import (
     determine_outcome,
     get_queue_name,
     refuse_request,
 )
 from samphirerill.core.events import EvidenceReceived
 from samphirerill.core.handling import handle
-from samphirerill.core.starting import dispatch_queue
+from samphirerill.core.scheduling import dispatch_queue
 from samphirerill.quarantine import Crash
-from samphirerill.quarantine.book import SURVIVAL_S, SETTLE_S
+from samphirerill.quarantine.decision import SURVIVAL_S, SETTLE_S
 from samphirerill.quarantine.messages import apply_messages
 
 if TYPE_CHECKING:
--- a/samphirerill/core/on_time.py
+++ b/samphirerill/core/on_deadlines.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import ProbeEndpoint
-from samphirerill.core.ending import get_queue_name, refuse_request
+from samphirerill.core.completion import get_queue_name, refuse_request
 from samphirerill.core.events import AttemptFailed, TimerFired
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import on_attempt_broke
-from samphirerill.core.on_endings import evaluate_quarantine
-from samphirerill.core.starting import dispatch_queue
+from samphirerill.core.on_crashes import evaluate_quarantine
+from samphirerill.core.scheduling import dispatch_queue
 from samphirerill.core.state import Health, Phase
 
 if TYPE_CHECKING:
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -14,14 +14,14 @@
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.on_attempts import mark_suspect
-from samphirerill.core.on_endings import record_probe
+from samphirerill.core.on_crashes import record_probe
 from samphirerill.core.placement import SLOW_START_S
-from samphirerill.core.starting import dispatch_all_queues, dispatch_queue
+from samphirerill.core.scheduling import dispatch_all_queues, dispatch_queue
 from samphirerill.core.state import EndpointState, Health
 from samphirerill.core.subsets import group_by_model
 
 if TYPE_CHECKING:
-    from samphirerill.core.model import Endpoint
+    from samphirerill.core.configuration import Endpoint
     from samphirerill.core.state import CoreState
 
 
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -7,7 +7,7 @@
 
 from samphirerill.core.admission import QueueEntry
 from samphirerill.core.commands import Outcome, Problem, RefuseRequest
-from samphirerill.core.ending import (
+from samphirerill.core.completion import (
     determine_outcome,
     get_queue_name,
     remove_request,
@@ -20,13 +20,17 @@
     ServingSuspended,
 )
 from samphirerill.core.handling import handle
-from samphirerill.core.model import choose_priority
-from samphirerill.core.on_endings import find_quarantine_problem
-from samphirerill.core.starting import deposit_retry, dispatch_queue, get_queue
+from samphirerill.core.configuration import choose_priority
+from samphirerill.core.on_crashes import find_quarantine_problem
+from samphirerill.core.scheduling import (
+    deposit_retry,
+    dispatch_queue,
+    get_queue,
+)
 from samphirerill.core.state import Phase, RequestState
 
 if TYPE_CHECKING:
-    from samphirerill.core.model import Account, Route
+    from samphirerill.core.configuration import Account, Route
     from samphirerill.core.state import CoreState
 
 _DRAIN_RETRY_S = 1.0
--- a/samphirerill/core/router.py
+++ b/samphirerill/core/router.py
@@ -7,10 +7,10 @@
 from samphirerill.core import (
     on_attempts,
     on_claims,
-    on_endings,
+    on_crashes,
     on_fleet,
     on_requests,
-    on_time,
+    on_deadlines,
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.state import CoreState
@@ -21,10 +21,10 @@
 HANDLER_MODULES = (
     on_attempts,
     on_claims,
-    on_endings,
+    on_crashes,
     on_fleet,
     on_requests,
-    on_time,
+    on_deadlines,
 )
 
 
--- a/samphirerill/core/starting.py
+++ b/samphirerill/core/scheduling.py
@@ -9,12 +9,12 @@
 from samphirerill.core.admission import FairQueue, QueueEntry
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import OpenAttempt, Stage, WriteClaim
-from samphirerill.core.ending import (
+from samphirerill.core.completion import (
     get_queue_name,
     refuse_request,
     release_account_slot,
 )
-from samphirerill.core.model import SERVICE_ROUTE
+from samphirerill.core.configuration import SERVICE_ROUTE
 from samphirerill.core.placement import choose_pipeline, choose_service
 from samphirerill.core.state import AttemptState, Phase
 
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -17,12 +17,12 @@
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import Command, Stage
 from samphirerill.core.links import LinkLatencies
-from samphirerill.core.model import Configuration, Endpoint
+from samphirerill.core.configuration import Configuration, Endpoint
 from samphirerill.core.prefixes import PrefixIndex
 from samphirerill.quarantine import Quarantine
 
 if TYPE_CHECKING:
-    from samphirerill.core.model import Route
+    from samphirerill.core.configuration import Route
     from samphirerill.quarantine import Crash
 
 MAX_VM_LIST_LAG_S = 30.0
--- a/samphirerill/edges/callers.py
+++ b/samphirerill/edges/client_api.py
@@ -12,7 +12,7 @@
 
 import cherrypy
 
-from samphirerill.backends.service import drop_hop_by_hop
+from samphirerill.backends.service_call import drop_hop_by_hop
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.edges.handoff import SOCKET_HANDLERS
 from samphirerill.edges.request_validation import (
@@ -20,12 +20,12 @@
     parse_completion_body,
     parse_request_timeout,
 )
-from samphirerill.edges.serving import (
+from samphirerill.edges.http_server import (
     read_bearer_token,
     render_json,
     render_problem,
 )
-from samphirerill.node.answers import ClientRequest
+from samphirerill.node.responses import ClientRequest
 
 if TYPE_CHECKING:
     import socket
--- a/samphirerill/edges/handoff.py
+++ b/samphirerill/edges/handoff.py
@@ -18,7 +18,7 @@
 from cheroot.wsgi import Gateway_10, Server
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.node.answers import OUTCOME_HEADER, build_problem_document
+from samphirerill.node.responses import OUTCOME_HEADER, build_problem_document
 from samphirerill.node.logs import get_logger
 
 if TYPE_CHECKING:
--- a/samphirerill/edges/serving.py
+++ b/samphirerill/edges/http_server.py
@@ -10,7 +10,7 @@
 
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.edges.handoff import HandoffServer
-from samphirerill.node.answers import OUTCOME_HEADER, build_problem_document
+from samphirerill.node.responses import OUTCOME_HEADER, build_problem_document
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/samphirerill/edges/operators.py
+++ b/samphirerill/edges/operator_api.py
@@ -22,7 +22,7 @@
 )
 from samphirerill.control.errors import InvalidPatchError
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.edges.serving import (
+from samphirerill.edges.http_server import (
     read_bearer_token,
     render_json,
     render_problem,
--- a/samphirerill/emulator/ablation.py
+++ b/samphirerill/emulator/ablation.py
@@ -8,7 +8,7 @@
 
 from msgspec import structs
 
-from samphirerill.emulator.play import run_scenario
+from samphirerill.emulator.simulation import run_scenario
 from samphirerill.fleet.policy import Policy
 
 if TYPE_CHECKING:
--- a/samphirerill/emulator/streams.py
+++ b/samphirerill/emulator/client_traffic.py
@@ -10,17 +10,17 @@
 
 from samphirerill.emulator.engine import StageTask
 from samphirerill.emulator.fleet import SERVICE
-from samphirerill.fleet.endings import is_stage_lost
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.load import LoadTracker, list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.pipes import LinkUsage
+from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.prediction import predict_transfer_ms
 
 if TYPE_CHECKING:
     from random import Random
 
-    from samphirerill.emulator.agenda import EventLoop
+    from samphirerill.emulator.event_loop import EventLoop
     from samphirerill.emulator.fleet import EmulatedFleet
     from samphirerill.emulator.scenario import Traffic
     from samphirerill.fleet.model import Stage
--- a/samphirerill/emulator/engine.py
+++ b/samphirerill/emulator/engine.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from samphirerill.emulator.agenda import EventLoop
+    from samphirerill.emulator.event_loop import EventLoop
     from samphirerill.fleet.model import Accelerator, EngineSpec, LayerRange
 
 _BITS_PER_BYTE = 8
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -16,9 +16,9 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from samphirerill.emulator.agenda import EventLoop
+    from samphirerill.emulator.event_loop import EventLoop
     from samphirerill.fleet.model import EngineSpec
-    from samphirerill.fleet.worth import PlanTargets
+    from samphirerill.fleet.goodput import PlanTargets
 
 SERVICE = 'llm'
 # As often as the leader among the nodes runs the planner.
--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -6,7 +6,7 @@
 
 from samphirerill.fleet.model import Accelerator, EngineSpec, LayerRange
 from samphirerill.fleet.policy import Policy
-from samphirerill.fleet.worth import PlanTargets
+from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.settings.errors import Finding, InvalidDocumentError
 from samphirerill.settings.jsonc import read_jsonc
 
--- a/samphirerill/fleet/stranded.py
+++ b/samphirerill/fleet/data_centre_rebuild.py
@@ -11,14 +11,14 @@
 
 from samphirerill.fleet.chains import extract_chains
 from samphirerill.fleet.gap_filling import fill_gaps
-from samphirerill.fleet.migration import assign_stages
+from samphirerill.fleet.rebalancing import assign_stages
 from samphirerill.fleet.planner import plan_data_centre
 from samphirerill.fleet.data_centre_state import list_used_ids
 
 if TYPE_CHECKING:
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec
-    from samphirerill.fleet.worth import PlanTargets
+    from samphirerill.fleet.goodput import PlanTargets
     from samphirerill.fleet.data_centre_state import DataCentreState
 
 
--- a/samphirerill/fleet/data_centre_state.py
+++ b/samphirerill/fleet/data_centre_state.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.chains import extract_chains
-from samphirerill.fleet.migration import build_pipeline
+from samphirerill.fleet.rebalancing import build_pipeline
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.planner import plan_data_centre
 from samphirerill.fleet.prediction import predict_stage_ms
@@ -18,7 +18,7 @@
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.rates import Pipeline
-    from samphirerill.fleet.worth import PlanTargets
+    from samphirerill.fleet.goodput import PlanTargets
 
 Moves = dict[str, LayerRange]
 
--- a/samphirerill/fleet/worth.py
+++ b/samphirerill/fleet/goodput.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.doubling import (
+from samphirerill.fleet.redundancy import (
     list_rated_stages,
     list_uncovered,
     predict_repair_loss,
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -27,7 +27,7 @@
 
     from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.pipes import LinkUsage
+    from samphirerill.fleet.link_usage import LinkUsage
     from samphirerill.fleet.view import ReplicaState
 
 # Load reports of other nodes lag, and answers may be longer than announced. The
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.chains import extract_chains
-from samphirerill.fleet.doubling import (
+from samphirerill.fleet.redundancy import (
     assign_backups,
     list_rated_stages,
     predict_repair_loss,
@@ -22,14 +22,14 @@
     build_repaired_pipeline,
     repartition,
 )
-from samphirerill.fleet.migration import plan_rebalance
+from samphirerill.fleet.rebalancing import plan_rebalance
 from samphirerill.fleet.model import NO_LAYERS, LayerRange
 from samphirerill.fleet.planner import group_by_data_centre, plan_layers
 from samphirerill.fleet.rates import (
     count_max_layers,
     predict_rate,
 )
-from samphirerill.fleet.stranded import (
+from samphirerill.fleet.data_centre_rebuild import (
     rebuild_data_centre,
     repair_across_data_centres,
 )
@@ -45,7 +45,7 @@
 
     from samphirerill.fleet.chains import Chain
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.worth import PlanTargets
+    from samphirerill.fleet.goodput import PlanTargets
     from samphirerill.fleet.data_centre_state import DataCentreState
 
 # A slower pipeline is dismantled for a faster one only above this ratio of
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from samphirerill.fleet.gathering import name_aggregate
+from samphirerill.fleet.load_aggregation import name_aggregate
 
 # Votes of different nodes that confirm a death.
 CONFIRMING_VOTES = 2
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.endings import releases_layers
-from samphirerill.fleet.losses import CorrelatedFailure
+from samphirerill.fleet.stage_lifetime import releases_layers
+from samphirerill.fleet.failure_detection import CorrelatedFailure
 from samphirerill.fleet.suspicion import (
     CONFIRMING_VOTES,
     Suspicion,
--- a/samphirerill/node/claim_carriers.py
+++ b/samphirerill/node/claim_batches.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.backends.peers import PeerClients
-    from samphirerill.node.members import Membership
+    from samphirerill.node.membership import Membership
     from samphirerill.node.store_worker import StoreWorker
 
 AGGREGATOR_COUNT = 8
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -22,7 +22,7 @@
 )
 from samphirerill.core.commands import Outcome
 from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
-from samphirerill.node.claim_carriers import (
+from samphirerill.node.claim_batches import (
     MAX_DIRECT_WRITERS,
     AGGREGATOR_COUNT,
     UNKNOWN_STATE,
@@ -35,10 +35,10 @@
 from samphirerill.node.logs import get_logger
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import EventSink
+    from samphirerill.backends.endpoint_call import EventSink
     from samphirerill.backends.peers import PeerClients
     from samphirerill.core.commands import SettleClaim, WriteClaim
-    from samphirerill.node.members import Membership
+    from samphirerill.node.membership import Membership
     from samphirerill.node.store_worker import StoreWorker
 
 _LOG = get_logger('claims')
--- a/samphirerill/node/actions.py
+++ b/samphirerill/node/command_execution.py
@@ -8,9 +8,9 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.backends.calls import build_request
-from samphirerill.backends.engine import EngineCall, build_engine_request
-from samphirerill.backends.service import ServiceCall
+from samphirerill.backends.endpoint_call import build_request
+from samphirerill.backends.engine_call import EngineCall, build_engine_request
+from samphirerill.backends.service_call import ServiceCall
 from samphirerill.control.claims import MAX_STORED_RESPONSE_SIZE
 from samphirerill.core.commands import (
     CancelAttempt,
@@ -26,12 +26,12 @@
     SettleClaim,
     WriteClaim,
 )
-from samphirerill.node.answers import StoredResponse
+from samphirerill.node.responses import StoredResponse
 from samphirerill.node.metrics import FIRST_TOKEN, RESPONSE_TIME, TOKEN_INTERVAL
-from samphirerill.node.probes import probe_endpoint
+from samphirerill.node.health_checks import probe_endpoint
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import EndpointCall
+    from samphirerill.backends.endpoint_call import EndpointCall
     from samphirerill.node.node import Node
     from samphirerill.node.sessions import Session
 
--- a/samphirerill/node/follower.py
+++ b/samphirerill/node/configuration_follower.py
@@ -23,20 +23,20 @@
 )
 from samphirerill.control.configuration_view import ConfigurationView
 from samphirerill.control.errors import ConfigurationError
-from samphirerill.control.evidence import ConfigurationFreshness
+from samphirerill.control.freshness import ConfigurationFreshness
 from samphirerill.core.events import (
     ConfigurationAccepted,
     ServingResumed,
     ServingSuspended,
 )
-from samphirerill.core.model import build_configuration
+from samphirerill.core.configuration import build_configuration
 from samphirerill.node.engine_controller import EngineController
 from samphirerill.node.jitter import WIDE_JITTER, add_jitter
 from samphirerill.node.logs import get_logger
 from samphirerill.node.vm_reader import parse_leaving_endpoints
 
 if TYPE_CHECKING:
-    from samphirerill.node.members import Membership
+    from samphirerill.node.membership import Membership
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -27,11 +27,11 @@
 )
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
-from samphirerill.node.probes import try_fetch
+from samphirerill.node.health_checks import try_fetch
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import WatchBatch
-    from samphirerill.core.model import Endpoint
+    from samphirerill.core.configuration import Endpoint
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -22,10 +22,10 @@
     PeerMessage,
 )
 from samphirerill.control.configuration_log import parse_change
-from samphirerill.control.evidence import PEER_EXPIRY_S
+from samphirerill.control.freshness import PEER_EXPIRY_S
 from samphirerill.core.events import EvidenceReceived, VmListRead
 from samphirerill.core.queries import list_crash_records, list_leaving_endpoints
-from samphirerill.edges.serving import ListenError
+from samphirerill.edges.http_server import ListenError
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
 from samphirerill.quarantine.messages import (
@@ -36,8 +36,8 @@
 
 if TYPE_CHECKING:
     from samphirerill.control.claims import ClaimBatch, ClaimResult
-    from samphirerill.node.follower import ConfigurationFollower
-    from samphirerill.node.members import Membership
+    from samphirerill.node.configuration_follower import ConfigurationFollower
+    from samphirerill.node.membership import Membership
     from samphirerill.node.node import Node
 
 EXCHANGE_INTERVAL_S = 1.0
--- a/samphirerill/node/accounts.py
+++ b/samphirerill/node/key_index.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from samphirerill.core.model import Configuration
+    from samphirerill.core.configuration import Configuration
 
 _PREFIX_LENGTH = 12
 DigestEntry = tuple[str, str]
--- a/samphirerill/node/node.py
+++ b/samphirerill/node/node.py
@@ -1,7 +1,7 @@
 """The node: runs the decision core on the event loop.
 
 Every event is passed to :meth:`Node.apply`; the commands that the core returns
-are executed by :func:`samphirerill.node.actions.execute`.
+are executed by :func:`samphirerill.node.command_execution.execute`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from samphirerill.core.events import TimerFired
 from samphirerill.core.router import Router
-from samphirerill.node.accounts import KeyIndex
-from samphirerill.node.actions import execute
+from samphirerill.node.key_index import KeyIndex
+from samphirerill.node.command_execution import execute
 from samphirerill.node.logs import get_logger
 from samphirerill.node.metrics import Metrics
 
 if TYPE_CHECKING:
-    from samphirerill.backends.calls import EndpointCall
+    from samphirerill.backends.endpoint_call import EndpointCall
     from samphirerill.node.claim_writer import ClaimWriter
     from samphirerill.node.sessions import Session
     from samphirerill.settings.model import Settings
--- a/samphirerill/node/operations.py
+++ b/samphirerill/node/operator_requests.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from samphirerill.control.configuration_log import Change
-    from samphirerill.node.follower import ConfigurationFollower
+    from samphirerill.node.configuration_follower import ConfigurationFollower
     from samphirerill.node.node import Node
     from samphirerill.node.process import NodeProcess
 
--- a/samphirerill/node/arrivals.py
+++ b/samphirerill/node/request_receiver.py
@@ -10,17 +10,17 @@
 
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.core.events import ClientDisconnected, RequestArrived
-from samphirerill.core.model import MODEL_ROUTE, choose_priority
+from samphirerill.core.configuration import MODEL_ROUTE, choose_priority
 from samphirerill.core.prefixes import digest_prefixes
-from samphirerill.edges.callers import MODEL_LIST_REQUEST
-from samphirerill.node.answers import get_prompt_text
+from samphirerill.edges.client_api import MODEL_LIST_REQUEST
+from samphirerill.node.responses import get_prompt_text
 from samphirerill.node.sessions import Session
 from samphirerill.quarantine import digest_request
 
 if TYPE_CHECKING:
     import socket
 
-    from samphirerill.node.answers import ClientRequest
+    from samphirerill.node.responses import ClientRequest
     from samphirerill.node.node import Node
 
 
--- a/samphirerill/node/sessions.py
+++ b/samphirerill/node/sessions.py
@@ -10,7 +10,7 @@
 from msgspec.json import encode
 
 from samphirerill.core.commands import Outcome
-from samphirerill.node.answers import (
+from samphirerill.node.responses import (
     OUTCOME_HEADER,
     ClientRequest,
     Completion,
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import WatchBatch
-    from samphirerill.node.members import Membership
+    from samphirerill.node.membership import Membership
     from samphirerill.node.node import Node
     from samphirerill.node.store_worker import StoreWorker
 
--- a/samphirerill/platform/announcements.py
+++ b/samphirerill/platform/announcements.py
@@ -8,7 +8,7 @@
 
 from samphirerill.fleet.model import LayerRange, Replica
 from samphirerill.platform.documents import decode_document
-from samphirerill.relay.dialect import DocumentError, ReplicaReport
+from samphirerill.relay.platform_adapter import DocumentError, ReplicaReport
 
 _LEAVING = 'draining'
 _STATES = ('ready', _LEAVING)
--- a/samphirerill/platform/documents.py
+++ b/samphirerill/platform/documents.py
@@ -1,7 +1,7 @@
 """Decode the operators' configuration into the project's types.
 
 Documents are validated while they are decoded; an invalid one raises
-:class:`~samphirerill.relay.dialect.DocumentError`. Unknown fields are ignored.
+:class:`~samphirerill.relay.platform_adapter.DocumentError`. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     Service,
     ServiceWeight,
 )
-from samphirerill.relay.dialect import DocumentError
+from samphirerill.relay.platform_adapter import DocumentError
 
 _MAX_QUOTED_BYTES = 80
 _REPEAT_BY_KIND = {
--- a/samphirerill/platform/dialect.py
+++ b/samphirerill/platform/http_adapter.py
@@ -7,8 +7,11 @@
 from msgspec import Struct, field, json
 
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.platform import announcements, documents, words
-from samphirerill.relay.dialect import ResponseMetadata, RequestMetadata
+from samphirerill.platform import announcements, documents, wire_names
+from samphirerill.relay.platform_adapter import (
+    ResponseMetadata,
+    RequestMetadata,
+)
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -18,7 +21,7 @@
         Stage,
     )
     from samphirerill.relay.connection import ResponseHead, Headers
-    from samphirerill.relay.dialect import Attempt, ReplicaReport
+    from samphirerill.relay.platform_adapter import Attempt, ReplicaReport
     from samphirerill.relay.server import Request
 
 _BEARER = 'bearer '
@@ -39,11 +42,11 @@
         b'upgrade',
         b'expect',
         b'content-length',
-        words.ACCOUNT,
-        words.DEADLINE_MS,
-        words.TARGET_REPLICA,
-        words.PATH,
-        words.PRIORITY,
+        wire_names.ACCOUNT,
+        wire_names.DEADLINE_MS,
+        wire_names.TARGET_REPLICA,
+        wire_names.PATH,
+        wire_names.PRIORITY,
     )
 )
 
@@ -66,29 +69,31 @@
 
 
 class HttpPlatformAdapter:
-    """Implements :class:`~samphirerill.relay.dialect.PlatformAdapter`."""
+    """Implements :class:`~samphirerill.relay.platform_adapter.PlatformAdapter`."""
 
-    ready_path = words.READY_PATH.encode()
-    report_path = words.STATUS_PATH.encode()
-    order_path = words.ORDER_PATH.encode()
+    ready_path = wire_names.READY_PATH.encode()
+    report_path = wire_names.STATUS_PATH.encode()
+    order_path = wire_names.ORDER_PATH.encode()
     configuration_key = 'op/config'
     replicas_prefix = 'servers/'
 
     def parse_request(self, req: Request) -> RequestMetadata:
         """Return the metadata of a request; invalid values count as absent."""
-        prompt, _, max_answer = (req.get(words.TOKEN_COUNTS) or b'').partition(
-            b','
-        )
+        prompt, _, max_answer = (
+            req.get(wire_names.TOKEN_COUNTS) or b''
+        ).partition(b',')
         return RequestMetadata(
-            request_id=req.get(words.REQUEST_ID) or b'',
+            request_id=req.get(wire_names.REQUEST_ID) or b'',
             api_key=_parse_bearer_token(req.get(b'authorization') or b''),
-            deadline_s=_parse_deadline_s(req.get(words.DEADLINE_MS) or b''),
+            deadline_s=_parse_deadline_s(
+                req.get(wire_names.DEADLINE_MS) or b''
+            ),
             prompt_tokens=_parse_number(prompt),
             max_answer_tokens=_parse_number(max_answer),
             expected_answer_tokens=_parse_number(
-                req.get(words.LENGTH_HINT) or b''
+                req.get(wire_names.LENGTH_HINT) or b''
             ),
-            resume_after=req.get(words.RESUME_AFTER) or b'',
+            resume_after=req.get(wire_names.RESUME_AFTER) or b'',
         )
 
     def build_headers(
@@ -99,26 +104,28 @@
         if attempt.strips_api_key:
             dropped.add(b'authorization')
         if attempt.resume_after:
-            dropped.add(words.RESUME_AFTER)
+            dropped.add(wire_names.RESUME_AFTER)
         headers = [
             pair
             for pair in req.headers
             if pair[0] not in _NOT_FORWARDED and pair[0] not in dropped
         ]
         headers.append(
-            (words.TARGET_REPLICA, attempt.replica.replica_id.encode())
+            (wire_names.TARGET_REPLICA, attempt.replica.replica_id.encode())
         )
         remaining_ms = max(1, int(attempt.remaining_s * MS_PER_S))
-        headers.append((words.DEADLINE_MS, b'%d' % remaining_ms))
+        headers.append((wire_names.DEADLINE_MS, b'%d' % remaining_ms))
         if attempt.account:
-            headers.append((words.ACCOUNT, attempt.account.encode()))
+            headers.append((wire_names.ACCOUNT, attempt.account.encode()))
         if attempt.resume_after:
-            headers.append((words.RESUME_AFTER, attempt.resume_after))
+            headers.append((wire_names.RESUME_AFTER, attempt.resume_after))
         if attempt.stages:
-            headers.append((words.PATH, format_path(attempt.stages).encode()))
+            headers.append(
+                (wire_names.PATH, format_path(attempt.stages).encode())
+            )
         if attempt.priority is not None:
             priority = min(_HIGHEST_PRIORITY, max(0, attempt.priority))
-            headers.append((words.PRIORITY, b'%d' % priority))
+            headers.append((wire_names.PRIORITY, b'%d' % priority))
         return headers
 
     def parse_response(self, head: ResponseHead) -> ResponseMetadata:
@@ -126,11 +133,12 @@
         encoding = (head.get(b'content-encoding') or b'identity').lower()
         is_other_replica = head.status == _MISDIRECTED
         return ResponseMetadata(
-            request_id=head.get(words.REQUEST_ID) or b'',
-            is_signed=bool(head.get(words.RESPONSE_SIGNATURE)),
-            is_not_run=is_other_replica or head.get(words.NOT_RUN) is not None,
+            request_id=head.get(wire_names.REQUEST_ID) or b'',
+            is_signed=bool(head.get(wire_names.RESPONSE_SIGNATURE)),
+            is_not_run=is_other_replica
+            or head.get(wire_names.NOT_RUN) is not None,
             is_encoded=encoding != b'identity',
-            failed_address=(head.get(words.FAILED_REPLICA) or b'').decode(
+            failed_address=(head.get(wire_names.FAILED_REPLICA) or b'').decode(
                 'latin-1'
             ),
         )
--- a/samphirerill/platform/start.py
+++ b/samphirerill/platform/start.py
@@ -8,7 +8,7 @@
 
 from samphirerill.node.log_sink import LogSink
 from samphirerill.node.logs import start_logging
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import (
     SETTINGS_VARIABLE,
     EdgeSettings,
@@ -16,7 +16,7 @@
 )
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.process import EdgeProcess
-from samphirerill.relay.reload import SettingsFile
+from samphirerill.relay.settings_reload import SettingsFile
 from samphirerill.settings.model import LogSettings
 
 
--- a/samphirerill/properties/agreement.py
+++ b/samphirerill/properties/coordination.py
@@ -22,7 +22,7 @@
 from samphirerill.control.configuration_view import ConfigurationView
 from samphirerill.control.orders import LEASE_S, LeaderTerm
 from samphirerill.properties.oracle import expect
-from samphirerill.testing.kv_rules import EtcdState
+from samphirerill.testing.etcd_state import EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 if TYPE_CHECKING:
--- a/samphirerill/properties/long_run.py
+++ b/samphirerill/properties/long_run.py
@@ -15,8 +15,8 @@
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis.stateful import invariant, run_state_machine_as_test
 
-from samphirerill.properties.agreement import CoordinationMachine
-from samphirerill.properties.machine import RouterMachine
+from samphirerill.properties.coordination import CoordinationMachine
+from samphirerill.properties.router_machine import RouterMachine
 
 _STEP_COUNT = 80
 _EXAMPLE_COUNT = 1500
--- a/samphirerill/properties/oracle.py
+++ b/samphirerill/properties/oracle.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from samphirerill.core.commands import Stage
     from samphirerill.core.router import Router
-    from samphirerill.properties.world import Simulation
+    from samphirerill.properties.simulation import Simulation
 
 _NON_IDEMPOTENT_ROUTES = ('once', 'notices')
 
--- a/samphirerill/properties/machine.py
+++ b/samphirerill/properties/router_machine.py
@@ -17,7 +17,7 @@
 
 from samphirerill.core import events
 from samphirerill.properties.oracle import check_guarantees
-from samphirerill.properties.world import FOREIGN_TEXT, TOKENS, Simulation
+from samphirerill.properties.simulation import FOREIGN_TEXT, TOKENS, Simulation
 from samphirerill.testing.memory_store import MemoryStore
 
 NODES = 2
--- a/samphirerill/properties/world.py
+++ b/samphirerill/properties/simulation.py
@@ -24,7 +24,7 @@
 from samphirerill.core import commands as core_commands
 from samphirerill.core import events
 from samphirerill.core.commands import Outcome
-from samphirerill.core.model import Configuration, build_configuration
+from samphirerill.core.configuration import Configuration, build_configuration
 from samphirerill.core.router import Router
 from samphirerill.properties.oracle import check_coverage, expect
 
--- a/samphirerill/properties/test_promises.py
+++ b/samphirerill/properties/test_guarantees.py
@@ -4,8 +4,8 @@
 
 from hypothesis import HealthCheck, settings
 
-from samphirerill.properties.agreement import CoordinationMachine
-from samphirerill.properties.machine import RouterMachine
+from samphirerill.properties.coordination import CoordinationMachine
+from samphirerill.properties.router_machine import RouterMachine
 
 _SHORT_RUN = settings(
     max_examples=200,
--- a/samphirerill/quarantine/__init__.py
+++ b/samphirerill/quarantine/__init__.py
@@ -1,6 +1,6 @@
 """Detection and quarantine of requests that crash the endpoints running them."""
 
-from samphirerill.quarantine.book import HoldChange, Quarantine
+from samphirerill.quarantine.decision import HoldChange, Quarantine
 from samphirerill.quarantine.identity import digest_request
 from samphirerill.quarantine.records import Crash, EvidenceRecord
 
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.quarantine.book import Quarantine
+    from samphirerill.quarantine.decision import Quarantine
     from samphirerill.quarantine.records import EvidenceRecord
 
 _MS_PER_S = 1000
--- a/samphirerill/relay/sums.py
+++ b/samphirerill/relay/aggregate_status.py
@@ -5,8 +5,8 @@
 from operator import add
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.gathering import name_aggregate
-from samphirerill.relay.messages import (
+from samphirerill.fleet.load_aggregation import name_aggregate
+from samphirerill.relay.node_status import (
     NodeStatus,
     encode_link_usage,
     encode_suspicions,
--- a/samphirerill/relay/send_budget.py
+++ b/samphirerill/relay/attempt_budget.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 
 class AttemptBudget:
--- a/samphirerill/relay/change_log.py
+++ b/samphirerill/relay/change_log.py
@@ -15,7 +15,7 @@
     build_delta,
 )
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
-from samphirerill.relay.messages import checksum_name
+from samphirerill.relay.node_status import checksum_name
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
--- a/samphirerill/relay/hearing.py
+++ b/samphirerill/relay/datagram_receiver.py
@@ -7,23 +7,23 @@
 
 from msgspec import DecodeError, ValidationError, msgpack
 
-from samphirerill.fleet.gathering import name_aggregate
+from samphirerill.fleet.load_aggregation import name_aggregate
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.alarms import TYPE_PREFIX
-from samphirerill.relay.health.words import apply_suspicions
-from samphirerill.relay.messages import NodeStatus, apply_node_status
-from samphirerill.relay.roster import Peer
+from samphirerill.relay.health.remote_suspicions import apply_suspicions
+from samphirerill.relay.node_status import NodeStatus, apply_node_status
+from samphirerill.relay.peer_directory import Peer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from samphirerill.relay.change_log import ChangeLog
     from samphirerill.relay.health.alarms import Alarms
-    from samphirerill.relay.news import ChangeSource
-    from samphirerill.relay.peer_help import PeerSync
-    from samphirerill.relay.roster import PeerDirectory
+    from samphirerill.relay.change_source import ChangeSource
+    from samphirerill.relay.peer_sync import PeerSync
+    from samphirerill.relay.peer_directory import PeerDirectory
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.telling import StatusSender
+    from samphirerill.relay.status_sender import StatusSender
 
 _LOG = get_logger('members')
 _TYPE_PREFIX_BYTES = 2
--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -15,15 +15,18 @@
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.words import apply_suspicion, decode_suspicion
-from samphirerill.relay.messages import checksum_name
-from samphirerill.relay.post import DatagramDeduplicator
+from samphirerill.relay.health.remote_suspicions import (
+    apply_suspicion,
+    decode_suspicion,
+)
+from samphirerill.relay.node_status import checksum_name
+from samphirerill.relay.datagrams import DatagramDeduplicator
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
     from typing import TypeVar
 
-    from samphirerill.relay.post import DatagramSender
+    from samphirerill.relay.datagrams import DatagramSender
     from samphirerill.relay.state import EdgeState
 
     Finding = TypeVar('Finding')
--- a/samphirerill/relay/health/survey.py
+++ b/samphirerill/relay/health/loss_prober.py
@@ -10,7 +10,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.losses import ProberAssignment
+from samphirerill.fleet.failure_detection import ProberAssignment
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
 
@@ -20,7 +20,7 @@
     from samphirerill.fleet.model import Replica
     from samphirerill.fleet.view import ReplicaState
     from samphirerill.relay.health.alarms import Alarms
-    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.health.prober import ReplicaProber
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('survey')
--- a/samphirerill/relay/health/probe_retries.py
+++ b/samphirerill/relay/health/probe_retries.py
@@ -5,14 +5,17 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.health.patience import MIN_TIMEOUT_S, ProbeDeadline
+from samphirerill.relay.health.probe_timeouts import (
+    MIN_TIMEOUT_S,
+    ProbeDeadline,
+)
 from samphirerill.relay.health.probing import Probe, Verdict, probe_once
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from samphirerill.fleet.model import Replica
-    from samphirerill.relay.health.patience import ProbeLatencies
+    from samphirerill.relay.health.probe_timeouts import ProbeLatencies
     from samphirerill.relay.state import EdgeState
 
 # Ends a round even if the event loop lags.
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.dialect import DocumentError
+from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.errors import (
     EndpointError,
     ConnectRefusedError,
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
-    from samphirerill.relay.dialect import ReplicaReport
+    from samphirerill.relay.platform_adapter import ReplicaReport
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('examiner')
--- a/samphirerill/relay/health/words.py
+++ b/samphirerill/relay/health/remote_suspicions.py
@@ -7,11 +7,11 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.suspicion import SilenceReport
-from samphirerill.relay.health.signs import find_live_replicas
+from samphirerill.relay.health.passive_checks import find_live_replicas
 
 if TYPE_CHECKING:
     from samphirerill.relay.health.alarms import Alarm
-    from samphirerill.relay.messages import NodeStatus
+    from samphirerill.relay.node_status import NodeStatus
     from samphirerill.relay.state import EdgeState
 
 # An event may have passed the replica this long before it arrived here.
--- a/samphirerill/relay/commander.py
+++ b/samphirerill/relay/layer_controller.py
@@ -18,7 +18,7 @@
 from samphirerill.fleet.rates import DEFAULT_PAUSE_MS
 from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.worth import PlanTargets
+from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.probing import fetch_report
 from samphirerill.relay.orders import ACCEPTED_STATUSES, send_order
@@ -32,7 +32,7 @@
     )
     from samphirerill.fleet.repair import Moves
     from samphirerill.fleet.view import ReplicaState
-    from samphirerill.relay.health.survey import LossProber
+    from samphirerill.relay.health.loss_prober import LossProber
     from samphirerill.relay.leadership import Leadership
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
--- a/samphirerill/relay/members.py
+++ b/samphirerill/relay/membership.py
@@ -13,14 +13,14 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import LeaseNotFoundError
-from samphirerill.relay.hearing import DatagramReceiver
+from samphirerill.relay.datagram_receiver import DatagramReceiver
 from samphirerill.relay.leases import revoke_lease
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.messages import NodeAnnouncement
-from samphirerill.relay.news import PeerRequestHandler
-from samphirerill.relay.peer_help import PeerSync
-from samphirerill.relay.roster import PeerDirectory
-from samphirerill.relay.telling import StatusSender
+from samphirerill.relay.node_status import NodeAnnouncement
+from samphirerill.relay.change_source import PeerRequestHandler
+from samphirerill.relay.peer_sync import PeerSync
+from samphirerill.relay.peer_directory import PeerDirectory
+from samphirerill.relay.status_sender import StatusSender
 
 if TYPE_CHECKING:
     from samphirerill.platform.store import (
@@ -30,8 +30,8 @@
     )
     from samphirerill.relay.change_log import ChangeLog
     from samphirerill.relay.health.alarms import Alarms
-    from samphirerill.relay.news import ChangeSource
-    from samphirerill.relay.post import DatagramHandler
+    from samphirerill.relay.change_source import ChangeSource
+    from samphirerill.relay.datagrams import DatagramHandler
     from samphirerill.relay.server import ClientConnection
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
--- a/samphirerill/relay/messages.py
+++ b/samphirerill/relay/node_status.py
@@ -12,12 +12,12 @@
 
 from msgspec import Struct
 
-from samphirerill.fleet.budget import RetryUsage
+from samphirerill.fleet.retry_budget import RetryUsage
 from samphirerill.fleet.load import ReplicaLoad
 from samphirerill.fleet.model import MS_PER_S
 
 if TYPE_CHECKING:
-    from samphirerill.fleet.pipes import LinkKey
+    from samphirerill.fleet.link_usage import LinkKey
     from samphirerill.fleet.suspicion import SilenceReport
     from samphirerill.fleet.view import FleetView
     from samphirerill.relay.state import EdgeState
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -14,7 +14,7 @@
     from samphirerill.fleet.model import EngineSpec, Stage
     from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 # Head replicas to try for an isolated run; bounds the path searches.
 _MAX_ISOLATED_CANDIDATES = 3
--- a/samphirerill/relay/roster.py
+++ b/samphirerill/relay/peer_directory.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.gathering import (
+from samphirerill.fleet.load_aggregation import (
     choose_aggregator,
     is_full_mesh,
     list_receivers,
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.relay.messages import NodeAnnouncement, NodeStatus
+    from samphirerill.relay.node_status import NodeAnnouncement, NodeStatus
 
 # Nodes without an announcement expire this long after their last status.
 _PEER_EXPIRY_S = 20.0
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -13,14 +13,14 @@
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.answers import (
+from samphirerill.relay.responses import (
     filter_headers,
     is_success,
     read_body,
     read_head,
 )
 from samphirerill.relay.connection import ResponseHead, serialize_request
-from samphirerill.relay.dialect import Attempt
+from samphirerill.relay.platform_adapter import Attempt
 from samphirerill.relay.errors import (
     BrokenResponseError,
     ConnectError,
@@ -36,7 +36,7 @@
     Refusal,
     send_refusal,
 )
-from samphirerill.relay.send_budget import AttemptBudget
+from samphirerill.relay.attempt_budget import AttemptBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -46,7 +46,7 @@
     from samphirerill.relay.connection import HttpConnection
     from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('plain')
 _SERVER_ERROR = 500
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -9,22 +9,22 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.admission import AdmissionQueue
-from samphirerill.relay.commander import LayerController
-from samphirerill.relay.follower import build_store_follower
-from samphirerill.relay.front import RequestDispatcher
+from samphirerill.relay.layer_controller import LayerController
+from samphirerill.relay.store_follower import build_store_follower
+from samphirerill.relay.request_dispatcher import RequestDispatcher
 from samphirerill.relay.health import Alarms, ReplicaProber, LossProber
 from samphirerill.relay.leadership import Leadership
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.members import Membership
-from samphirerill.relay.news import ChangeSource
-from samphirerill.relay.node_pages import StatusEndpoints
+from samphirerill.relay.membership import Membership
+from samphirerill.relay.change_source import ChangeSource
+from samphirerill.relay.status_endpoints import StatusEndpoints
 from samphirerill.relay.quarantine import (
     QuarantineManager,
     EvidenceExchange,
     StoredHolds,
     CrashDetector,
 )
-from samphirerill.relay.reload import SettingsReloader, SettingsFile
+from samphirerill.relay.settings_reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
 
@@ -33,7 +33,7 @@
 
     from samphirerill.platform.settings import EdgeSettings
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.dialect import PlatformAdapter
+    from samphirerill.relay.platform_adapter import PlatformAdapter
     from samphirerill.relay.server import ClientConnection
 
 _LOG = get_logger('edge')
--- a/samphirerill/relay/quarantine/witness.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.node.logs import get_logger
-from samphirerill.quarantine.book import SUSPECT_CRASHES
+from samphirerill.quarantine.decision import SUSPECT_CRASHES
 from samphirerill.quarantine.records import Crash
 
 if TYPE_CHECKING:
@@ -22,11 +22,11 @@
 
     from samphirerill.fleet.model import Replica
     from samphirerill.relay.health import ReplicaProber
-    from samphirerill.relay.quarantine.keeper import QuarantineManager
-    from samphirerill.relay.quarantine.sharing import EvidenceExchange
+    from samphirerill.relay.quarantine.manager import QuarantineManager
+    from samphirerill.relay.quarantine.evidence_exchange import EvidenceExchange
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_times import RunTimes
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('quarantine')
 # Delays before each probe of a replica, as packets may be lost.
--- a/samphirerill/relay/quarantine/sharing.py
+++ b/samphirerill/relay/quarantine/evidence_exchange.py
@@ -13,22 +13,22 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from samphirerill.node.logs import get_logger
-from samphirerill.quarantine.book import SUSPECT_CRASHES
+from samphirerill.quarantine.decision import SUSPECT_CRASHES
 from samphirerill.quarantine.messages import (
     InvalidEvidenceError,
     build_message,
     decode_messages,
     encode_messages,
 )
-from samphirerill.relay.post import DatagramDeduplicator
+from samphirerill.relay.datagrams import DatagramDeduplicator
 from samphirerill.relay.quarantine.trials import TRIAL_S, Trials
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
     from samphirerill.quarantine.messages import EvidenceMessage
-    from samphirerill.relay.post import DatagramSender
-    from samphirerill.relay.quarantine.keeper import QuarantineManager
+    from samphirerill.relay.datagrams import DatagramSender
+    from samphirerill.relay.quarantine.manager import QuarantineManager
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
--- a/samphirerill/relay/quarantine/keeper.py
+++ b/samphirerill/relay/quarantine/manager.py
@@ -7,14 +7,14 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
-from samphirerill.quarantine.book import SETTLE_S
+from samphirerill.quarantine.decision import SETTLE_S
 from samphirerill.quarantine.messages import apply_messages
 from samphirerill.quarantine.records import describe_crashes, describe_record
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from samphirerill.quarantine.book import HoldChange
+    from samphirerill.quarantine.decision import HoldChange
     from samphirerill.quarantine.messages import EvidenceMessage
     from samphirerill.quarantine.records import Crash
     from samphirerill.relay.state import EdgeState
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -30,7 +30,7 @@
         StoredItem,
     )
     from samphirerill.relay.leadership import Leadership
-    from samphirerill.relay.quarantine.keeper import QuarantineManager
+    from samphirerill.relay.quarantine.manager import QuarantineManager
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('quarantine')
--- a/samphirerill/relay/refusals.py
+++ b/samphirerill/relay/refusals.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers
-    from samphirerill.relay.dialect import RequestMetadata
+    from samphirerill.relay.platform_adapter import RequestMetadata
     from samphirerill.relay.server import ClientConnection
     from samphirerill.relay.state import EdgeState
 
--- a/samphirerill/relay/replica_folder.py
+++ b/samphirerill/relay/replica_handler.py
@@ -7,7 +7,7 @@
 
 from samphirerill.fleet.model import format_layers
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.dialect import DocumentError
+from samphirerill.relay.platform_adapter import DocumentError
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
--- a/samphirerill/relay/task.py
+++ b/samphirerill/relay/request_context.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import ClientAccount, FleetRoute, Service
-    from samphirerill.relay.dialect import RequestMetadata
+    from samphirerill.relay.platform_adapter import RequestMetadata
     from samphirerill.relay.server import ClientConnection, Request
 
 
--- a/samphirerill/relay/answers.py
+++ b/samphirerill/relay/responses.py
@@ -10,7 +10,10 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers, HttpConnection
-    from samphirerill.relay.dialect import ResponseMetadata, PlatformAdapter
+    from samphirerill.relay.platform_adapter import (
+        ResponseMetadata,
+        PlatformAdapter,
+    )
 
 _SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 # Hop-by-hop headers, and the length, which this node sets itself.
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -6,17 +6,17 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.budget import RetryBudget
+from samphirerill.fleet.retry_budget import RetryBudget
 from samphirerill.fleet.load import LoadTracker
 from samphirerill.fleet.model import MS_PER_S, ClientLimits
-from samphirerill.fleet.pipes import LinkUsage
+from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.routes import RouteTable
 from samphirerill.fleet.view import FleetView
 from samphirerill.node.logs import get_logger
 from samphirerill.node.metrics import Metrics
 from samphirerill.quarantine import Quarantine
-from samphirerill.relay.cfg_texts import ConfigurationHistory
-from samphirerill.relay.messages import ReplicaIdIndex
+from samphirerill.relay.configuration_history import ConfigurationHistory
+from samphirerill.relay.node_status import ReplicaIdIndex
 from samphirerill.relay.pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
     from samphirerill.fleet.model import FleetConfiguration, Service
     from samphirerill.platform.settings import EdgeSettings
-    from samphirerill.relay.dialect import PlatformAdapter
+    from samphirerill.relay.platform_adapter import PlatformAdapter
     from samphirerill.relay.streaming import StreamExchange
 
 _LOG = get_logger('state')
--- a/samphirerill/relay/telling.py
+++ b/samphirerill/relay/status_sender.py
@@ -3,7 +3,7 @@
 In a small fleet every node sends to every other one, less often to those in
 other data centres. In a large fleet a node sends to its own data centre only,
 and one node of each data centre sends an aggregate to the others (see
-`fleet.gathering`).
+`fleet.load_aggregation`).
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from msgspec import msgpack
 
-from samphirerill.relay.messages import build_node_status
-from samphirerill.relay.sums import build_aggregate
+from samphirerill.relay.node_status import build_node_status
+from samphirerill.relay.aggregate_status import build_aggregate
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from samphirerill.relay.messages import NodeStatus
-    from samphirerill.relay.roster import PeerDirectory
+    from samphirerill.relay.node_status import NodeStatus
+    from samphirerill.relay.peer_directory import PeerDirectory
     from samphirerill.relay.state import EdgeState
 
 # A status is sent this long after a change, and at this interval without one;
--- a/samphirerill/relay/follower.py
+++ b/samphirerill/relay/store_follower.py
@@ -13,9 +13,9 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import DeletedKey, RevisionCompactedError
-from samphirerill.relay.dialect import DocumentError
+from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.replica_folder import ReplicaHandler
+from samphirerill.relay.replica_handler import ReplicaHandler
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,7 +26,7 @@
         StoredItem,
     )
     from samphirerill.relay.change_log import ChangeLog
-    from samphirerill.relay.news import ChangeSource
+    from samphirerill.relay.change_source import ChangeSource
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
 
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -20,9 +20,9 @@
 
     from samphirerill.fleet.model import Stage
     from samphirerill.relay.connection import HttpConnection
-    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.health.prober import ReplicaProber
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
     Read = TypeVar('Read')
 
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.send_budget import AttemptBudget
-from samphirerill.relay.stream_call import get_stall_timeout_s
+from samphirerill.relay.attempt_budget import AttemptBudget
+from samphirerill.relay.stream_request import get_stall_timeout_s
 
 if TYPE_CHECKING:
     from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_sender import StreamProgress
     from samphirerill.relay.stream_times import StreamTimes
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 # Clients give up after two seconds without an event, also before the first one;
 # a request that waits longer for a path is rejected instead.
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -6,13 +6,13 @@
 import enum
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.endings import find_stage_end, is_stage_lost
+from samphirerill.fleet.stage_lifetime import find_stage_end, is_stage_lost
 from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.moves import predict_reroute_pause_ms
+from samphirerill.fleet.stream_rerouting import predict_reroute_pause_ms
 from samphirerill.fleet.paths import predict_event_interval_ms
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.health.signs import list_unconfirmed
+from samphirerill.relay.health.passive_checks import list_unconfirmed
 from samphirerill.relay.orders import request_reroute
 from samphirerill.relay.path_finder import ANY_HEAD, PathFinder
 
@@ -20,10 +20,10 @@
     from samphirerill.fleet.model import EngineSpec, Stage
     from samphirerill.fleet.paths import PathRequest
     from samphirerill.relay.admission import AdmissionQueue
-    from samphirerill.relay.health.examiner import Diagnosis
+    from samphirerill.relay.health.prober import Diagnosis
     from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('streams')
 # Share of the time left on a draining replica before a stream may move. Most
--- a/samphirerill/relay/stream_call.py
+++ b/samphirerill/relay/stream_request.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.relay.connection import serialize_request
-from samphirerill.relay.dialect import Attempt
+from samphirerill.relay.platform_adapter import Attempt
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import FleetRoute, Stage
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 # Clients give up a stream after two seconds without an event, or after four
 # times the latency objective of the first event or eight times that between
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -11,26 +11,26 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.answers import is_success, read_head
+from samphirerill.relay.responses import is_success, read_head
 from samphirerill.relay.errors import (
     BrokenResponseError,
     ConnectError,
     EndpointError,
     ConnectionLimitError,
 )
-from samphirerill.relay.stream_call import build_stream_call, parse_event_id
+from samphirerill.relay.stream_request import build_stream_call, parse_event_id
 from samphirerill.relay.stream_path import format_path
-from samphirerill.relay.succession import StreamRun
+from samphirerill.relay.handover import StreamRun
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica, Stage
     from samphirerill.relay.connection import ResponseHead, HttpConnection
-    from samphirerill.relay.dialect import ResponseMetadata
+    from samphirerill.relay.platform_adapter import ResponseMetadata
     from samphirerill.relay.health import ReplicaProber
     from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('streams')
 # Also the status when a path waits for a stage in vain.
--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -6,7 +6,7 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.smoothing import SmoothedDuration
-from samphirerill.quarantine.book import SURVIVAL_S
+from samphirerill.quarantine.decision import SURVIVAL_S
 
 if TYPE_CHECKING:
     from samphirerill.fleet.policy import Policy
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -13,7 +13,7 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.admission import NoPathError, OutageError
-from samphirerill.relay.answers import (
+from samphirerill.relay.responses import (
     filter_headers,
     is_success,
     read_body,
@@ -25,8 +25,11 @@
     EndOfResponse,
 )
 from samphirerill.relay.errors import BrokenResponseError, EndpointError
-from samphirerill.relay.events import EventParser
-from samphirerill.relay.leaving import should_seek_path, must_resend_to_head
+from samphirerill.relay.server_sent_events import EventParser
+from samphirerill.relay.leaving_replicas import (
+    should_seek_path,
+    must_resend_to_head,
+)
 from samphirerill.relay.refusals import (
     FAILED,
     TIMED_OUT,
@@ -39,17 +42,17 @@
 from samphirerill.relay.stream_path import StreamPath, format_path
 from samphirerill.relay.stream_sender import StreamProgress, StreamSender
 from samphirerill.relay.stream_times import RunTimes, StreamTimes
-from samphirerill.relay.succession import Handover, StreamRun
+from samphirerill.relay.handover import Handover, StreamRun
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Coroutine
 
     from samphirerill.fleet.model import EngineSpec, Stage
     from samphirerill.relay.admission import AdmissionQueue
-    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.health.prober import ReplicaProber
     from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.state import EdgeState
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('streams')
 # Admission rank of started streams: ahead of all new ones.
--- a/samphirerill/reports/lateness.py
+++ b/samphirerill/reports/late_streams.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from samphirerill.reports.journal import LogIndex, LogRecord
+    from samphirerill.reports.log_index import LogIndex, LogRecord
 
 _MS_PER_S = 1000
 # Records of the same event may have slightly different times.
--- a/samphirerill/testing/cluster.py
+++ b/samphirerill/testing/cluster.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.edges.operators import hash_api_key
+from samphirerill.edges.operator_api import hash_api_key
 from samphirerill.testing.clients import call_json
 from samphirerill.testing.layout import OPERATOR_KEY
 
--- a/samphirerill/testing/ending_fleet.py
+++ b/samphirerill/testing/crash_simulation.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.quarantine import Crash, Quarantine
-from samphirerill.quarantine.book import (
+from samphirerill.quarantine.decision import (
     SURVIVAL_S,
     SETTLE_S,
     SUSPECT_CRASHES,
--- a/samphirerill/testing/engine.py
+++ b/samphirerill/testing/engine.py
@@ -21,14 +21,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from samphirerill.testing.chain import (
+from samphirerill.testing.stages import (
     FrameResult,
     Pipeline,
     StageRunner,
     StageServer,
 )
 from samphirerill.testing.httpd import Connection
-from samphirerill.testing.order_taker import OrderHandler
+from samphirerill.testing.order_handler import OrderHandler
 from samphirerill.testing.prefix_cache import PrefixCache
 
 if TYPE_CHECKING:
--- a/samphirerill/testing/host.py
+++ b/samphirerill/testing/host.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from samphirerill.testing.engine import FakeEngine
-from samphirerill.testing.kv import FakeKeyValueService
+from samphirerill.testing.key_value_service import FakeKeyValueService
 from samphirerill.testing.services import FakeService, FakeVmList
 
 _HOST = '127.0.0.1'
--- a/samphirerill/testing/kv.py
+++ b/samphirerill/testing/key_value_service.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from samphirerill.testing.httpd import Connection
-from samphirerill.testing.kv_rules import InvalidCallError, EtcdState
+from samphirerill.testing.etcd_state import InvalidCallError, EtcdState
 
 if TYPE_CHECKING:
     from samphirerill.testing.httpd import Request
--- a/samphirerill/testing/layout.py
+++ b/samphirerill/testing/layout.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from samphirerill.edges.operators import hash_api_key
+from samphirerill.edges.operator_api import hash_api_key
 
 OPERATOR_KEY = 'operator-key'
 FIRST_ACCOUNT_KEY = 'coach-key'
--- a/samphirerill/testing/platform_world.py
+++ b/samphirerill/testing/platform_harness.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.platform.store import PlatformStore
 from samphirerill.relay.connection import HttpConnection, serialize_request
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -13,7 +13,7 @@
     serialize_request,
 )
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.events import EventParser
+from samphirerill.relay.server_sent_events import EventParser
 from samphirerill.relay.pool import call_once
 from samphirerill.testing.soak.environment import HOST, KEYS
 from samphirerill.testing.soak.replicas import count_events
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -16,7 +16,7 @@
     ReplicaRegistry,
     SoakReplica,
 )
-from samphirerill.testing.soak.truth import GroundTruth
+from samphirerill.testing.soak.ground_truth import GroundTruth
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/samphirerill/testing/soak/faults.py
+++ b/samphirerill/testing/soak/faults.py
@@ -12,7 +12,7 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING
 
-from samphirerill.testing.soak.truth import Fault
+from samphirerill.testing.soak.ground_truth import Fault
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.server import ClientConnection, Request
-    from samphirerill.testing.soak.truth import GroundTruth
+    from samphirerill.testing.soak.ground_truth import GroundTruth
 
 LAYERS = 80
 _OK = 200
--- a/samphirerill/tests/ending_engines.py
+++ b/samphirerill/tests/crashing_engines.py
@@ -11,8 +11,8 @@
 from msgspec.structs import replace
 
 from samphirerill.relay.errors import EndpointError
-from samphirerill.testing.ending_replica import CrashingReplica
-from samphirerill.testing.platform_world import PlatformHarness
+from samphirerill.testing.crashing_replica import CrashingReplica
+from samphirerill.testing.platform_harness import PlatformHarness
 from samphirerill.tests.platform_documents import (
     API_KEY,
     build_configuration,
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -7,17 +7,17 @@
 from typing import TYPE_CHECKING, Any, cast
 from unittest.mock import Mock
 
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.health import Alarms
-from samphirerill.relay.hearing import DatagramReceiver
-from samphirerill.relay.messages import NodeAnnouncement
-from samphirerill.relay.news import ChangeSource
-from samphirerill.relay.peer_help import PeerSync
-from samphirerill.relay.roster import PeerDirectory
+from samphirerill.relay.datagram_receiver import DatagramReceiver
+from samphirerill.relay.node_status import NodeAnnouncement
+from samphirerill.relay.change_source import ChangeSource
+from samphirerill.relay.peer_sync import PeerSync
+from samphirerill.relay.peer_directory import PeerDirectory
 from samphirerill.relay.state import EdgeState
-from samphirerill.relay.telling import StatusSender
+from samphirerill.relay.status_sender import StatusSender
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -25,9 +25,9 @@
     TimerFired,
     TokenArrived,
 )
-from samphirerill.core.model import HIGH, NORMAL, build_configuration
+from samphirerill.core.configuration import HIGH, NORMAL, build_configuration
 from samphirerill.core.router import Router
-from samphirerill.properties.world import build_configuration_document
+from samphirerill.properties.simulation import build_configuration_document
 
 
 def _fill(queue: FairQueue, account: str, priority: str, count: int) -> None:
--- a/samphirerill/tests/test_admission_edge.py
+++ b/samphirerill/tests/test_admission_edge.py
@@ -7,7 +7,7 @@
 
 from samphirerill.fleet.outage import Outage
 from samphirerill.fleet.paths import PathRequest
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.admission import (
     AdmissionQueue,
@@ -15,7 +15,7 @@
     OutageError,
 )
 from samphirerill.relay.state import EdgeState
-from samphirerill.tests.fleets import ENGINE, build_replica
+from samphirerill.tests.fleet_builders import ENGINE, build_replica
 
 _STARTED_RANK = -1
 _NEW_RANK = 1
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -10,18 +10,18 @@
 from samphirerill.control.claims import ClaimBatch, Claim
 from samphirerill.core.commands import Outcome, SettleClaim, WriteClaim
 from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
-from samphirerill.node.claim_carriers import (
+from samphirerill.node.claim_batches import (
     MAX_DIRECT_WRITERS,
     choose_aggregator,
 )
 from samphirerill.node.claim_writer import RELEASE_DELAY_S, ClaimWriter
-from samphirerill.node.members import Member
+from samphirerill.node.membership import Member
 from samphirerill.node.store_worker import StoreWorker
-from samphirerill.testing.kv_rules import EtcdState
+from samphirerill.testing.etcd_state import EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 if TYPE_CHECKING:
-    from samphirerill.node.members import Membership
+    from samphirerill.node.membership import Membership
 
 
 class _Sink:
--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -17,10 +17,10 @@
 from samphirerill.control.configuration_view import ConfigurationView
 from samphirerill.control.errors import InvalidPatchError
 from samphirerill.control.patches import apply_patch
-from samphirerill.core.model import build_configuration
-from samphirerill.properties.world import build_configuration_document
+from samphirerill.core.configuration import build_configuration
+from samphirerill.properties.simulation import build_configuration_document
 from samphirerill.settings.checks import check_configuration
-from samphirerill.testing.kv_rules import MAX_VALUE, EtcdState
+from samphirerill.testing.etcd_state import MAX_VALUE, EtcdState
 from samphirerill.testing.memory_store import MemoryStore
 
 _SET_WEIGHT = [
--- a/samphirerill/tests/test_cfg_texts.py
+++ b/samphirerill/tests/test_configuration_history.py
@@ -11,14 +11,14 @@
 from msgspec import json
 
 from samphirerill.fleet.deltas import DeltaError, apply_delta, build_delta
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
-from samphirerill.relay.cfg_texts import ConfigurationHistory
-from samphirerill.relay.peer_help import PeerSync
+from samphirerill.relay.configuration_history import ConfigurationHistory
+from samphirerill.relay.peer_sync import PeerSync
 from samphirerill.relay.pool import ConnectionPool
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 
 if TYPE_CHECKING:
     from samphirerill.relay.listeners import Page
@@ -100,7 +100,8 @@
         The delta used to be computed anew for each of them.
         """
         patched = patch(
-            'samphirerill.relay.cfg_texts.build_delta', wraps=build_delta
+            'samphirerill.relay.configuration_history.build_delta',
+            wraps=build_delta,
         )
         with patched as build:
             encoded = {self.sender.encode_update(5) for _ in range(3)}
@@ -182,7 +183,7 @@
                 else (404, b'')
             )
 
-        with patch('samphirerill.relay.peer_help.call_once', call):
+        with patch('samphirerill.relay.peer_sync.call_once', call):
             helper.sync_if_behind('a', 2, 0)
             await asyncio.sleep(0.5)
         self.assertEqual(receiver.version, 2)
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -14,8 +14,8 @@
     ConnectionLimitError,
 )
 from samphirerill.relay.pool import ConnectionPool, read_response
-from samphirerill.testing.platform_world import PlatformHarness
-from samphirerill.tests.fleets import build_replica
+from samphirerill.testing.platform_harness import PlatformHarness
+from samphirerill.tests.fleet_builders import build_replica
 
 
 class TestConnectionLimit(IsolatedAsyncioTestCase):
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -24,10 +24,10 @@
     TimerFired,
     TokenArrived,
 )
-from samphirerill.core.model import build_configuration
+from samphirerill.core.configuration import build_configuration
 from samphirerill.core.queries import describe_state, list_crash_records
 from samphirerill.core.router import Router
-from samphirerill.properties.world import build_configuration_document
+from samphirerill.properties.simulation import build_configuration_document
 from samphirerill.quarantine import digest_request
 
 if TYPE_CHECKING:
--- a/samphirerill/tests/test_loss_rounds.py
+++ b/samphirerill/tests/test_correlated_failures.py
@@ -4,14 +4,14 @@
 
 from unittest import TestCase
 
-from samphirerill.fleet.losses import (
+from samphirerill.fleet.failure_detection import (
     ProberAssignment,
     CorrelatedFailure,
     is_local_fault,
 )
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import FleetView
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 
 
 class TestProberAssignment(TestCase):
--- a/samphirerill/tests/test_ending_fleet.py
+++ b/samphirerill/tests/test_crash_simulation.py
@@ -4,7 +4,7 @@
 
 from unittest import TestCase
 
-from samphirerill.testing.ending_fleet import (
+from samphirerill.testing.crash_simulation import (
     CrashSimulation,
     Scenario,
     SimulationResult,
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -15,7 +15,7 @@
 )
 from samphirerill.relay.errors import BrokenResponseError
 from samphirerill.relay.pool import read_response
-from samphirerill.testing.platform_world import PlatformHarness
+from samphirerill.testing.platform_harness import PlatformHarness
 from samphirerill.tests.platform_documents import (
     API_KEY,
     build_configuration,
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -11,10 +11,10 @@
 
 from msgspec import json
 
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings, load_edge_settings
 from samphirerill.platform.store import PlatformStore
-from samphirerill.relay.reload import SettingsReloader, SettingsFile
+from samphirerill.relay.settings_reload import SettingsReloader, SettingsFile
 from samphirerill.relay.state import EdgeState
 
 _TEMPLATE = Path(__file__).parents[2] / 'deploy' / 'settings.template'
--- a/samphirerill/tests/test_emulator.py
+++ b/samphirerill/tests/test_emulator.py
@@ -10,15 +10,15 @@
 from msgspec import structs
 
 from samphirerill.emulator.ablation import ablate
-from samphirerill.emulator.agenda import EventLoop
+from samphirerill.emulator.event_loop import EventLoop
 from samphirerill.emulator.engine import EmulatedEngine, EmulatedLink, StageTask
 from samphirerill.emulator.lab import describe_plan
-from samphirerill.emulator.play import run_scenario
+from samphirerill.emulator.simulation import run_scenario
 from samphirerill.emulator.scenario import Crash, Scenario, load_scenario
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.policy import Policy
 from samphirerill.settings.errors import InvalidDocumentError
-from samphirerill.tests.fleets import ENGINE
+from samphirerill.tests.fleet_builders import ENGINE
 
 _EXAMPLE = (
     Path(__file__).parents[2] / 'examples' / 'lab-three-data-centres.json'
--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -12,8 +12,8 @@
 
 from samphirerill.cli.main import main
 from samphirerill.reports.explain import format_table
-from samphirerill.reports.journal import LogIndex
-from samphirerill.reports.lateness import (
+from samphirerill.reports.log_index import LogIndex
+from samphirerill.reports.late_streams import (
     Cause,
     LatencyTargets,
     list_late_streams,
--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -6,10 +6,10 @@
 from collections import Counter
 from typing import Any
 
-from samphirerill.bench.slopes import build_configuration_document
+from samphirerill.bench.cost_measurements import build_configuration_document
 from samphirerill.core.commands import OpenAttempt
 from samphirerill.core.events import ConfigurationAccepted, RequestArrived
-from samphirerill.core.model import build_configuration
+from samphirerill.core.configuration import build_configuration
 from samphirerill.core.placement import SLOW_START_S, count_free_slots
 from samphirerill.core.router import Router
 from samphirerill.core.subsets import MAX_SUBSET_REPLICAS
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from samphirerill.fleet.budget import RetryBudget, RetryUsage
-from samphirerill.fleet.endings import is_stage_lost
+from samphirerill.fleet.retry_budget import RetryBudget, RetryUsage
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
 from samphirerill.fleet.load import (
@@ -29,13 +29,13 @@
     Stage,
 )
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.pipes import LinkUsage
+from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.repair import plan_moves
 from samphirerill.fleet.routes import RouteTable
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
-from samphirerill.fleet.worth import PlanTargets
-from samphirerill.tests.fleets import (
+from samphirerill.fleet.goodput import PlanTargets
+from samphirerill.tests.fleet_builders import (
     ENGINE,
     build_fleet,
     build_replica,
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -19,8 +19,8 @@
 )
 from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.worth import PlanTargets
-from samphirerill.tests.fleets import (
+from samphirerill.fleet.goodput import PlanTargets
+from samphirerill.tests.fleet_builders import (
     ENGINE,
     THREE_DATA_CENTRES,
     build_fleet,
--- a/samphirerill/tests/test_fleet_view.py
+++ b/samphirerill/tests/test_fleet_view.py
@@ -6,7 +6,7 @@
 from unittest import TestCase
 
 from samphirerill.fleet.view import FleetView
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 
 
 class TestAddresses(TestCase):
--- a/samphirerill/tests/test_evidence.py
+++ b/samphirerill/tests/test_freshness.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from samphirerill.control.evidence import (
+from samphirerill.control.freshness import (
     FRESH_FOR_S,
     GRACE_S,
     ConfigurationFreshness,
--- a/samphirerill/tests/test_ending.py
+++ b/samphirerill/tests/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 from msgspec import json
 
 from samphirerill.relay.connection import HttpConnection, serialize_request
-from samphirerill.relay.members import PREFIX
+from samphirerill.relay.membership import PREFIX
 from samphirerill.relay.pool import read_response
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
@@ -42,7 +42,7 @@
             leaving.set()
             await asyncio.sleep(2 * SETTLE_S)
 
-        with patch('samphirerill.relay.members.Membership.leave', leave):
+        with patch('samphirerill.relay.membership.Membership.leave', leave):
             self.plain_endpoint.responding.clear()
             self.process.start_draining()
             await leaving.wait()
@@ -144,7 +144,7 @@
 
     async def asyncSetUp(self) -> None:
         fast_renewal = patch(
-            'samphirerill.relay.members._RENEW_INTERVAL_S', SETTLE_S / 2
+            'samphirerill.relay.membership._RENEW_INTERVAL_S', SETTLE_S / 2
         )
         fast_renewal.start()
         self.addCleanup(fast_renewal.stop)
--- a/samphirerill/tests/test_succession.py
+++ b/samphirerill/tests/test_handover.py
@@ -20,7 +20,7 @@
 )
 
 if TYPE_CHECKING:
-    from samphirerill.fleet.budget import RetryUsage
+    from samphirerill.fleet.retry_budget import RetryUsage
 
 _SLOW_START_S = 0.6
 _ALL_TOKENS = 1e9
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -13,7 +13,7 @@
 
 from msgspec import json
 
-from samphirerill.node.probes import try_fetch
+from samphirerill.node.health_checks import try_fetch
 from samphirerill.relay.connection import (
     CONNECT_TIMEOUT_S,
     ResponseHead,
@@ -21,9 +21,9 @@
     serialize_request,
 )
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.examiner import ReplicaProber
-from samphirerill.testing.platform_world import PlatformHarness
-from samphirerill.tests.fleets import build_replica
+from samphirerill.relay.health.prober import ReplicaProber
+from samphirerill.testing.platform_harness import PlatformHarness
+from samphirerill.tests.fleet_builders import build_replica
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -17,7 +17,7 @@
 from samphirerill.relay.health import ReplicaProber, LossProber
 from samphirerill.relay.health.probing import Probe, Verdict
 from samphirerill.testing.virtual_time import run_with_virtual_time
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 from samphirerill.tests.peers import Network, Node
 
 if TYPE_CHECKING:
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -13,7 +13,7 @@
     LeaderTerm,
     plan_orders,
 )
-from samphirerill.core.model import DesiredState, Endpoint
+from samphirerill.core.configuration import DesiredState, Endpoint
 from samphirerill.testing.clients import CallError, call_json
 from samphirerill.testing.cluster import NodeProcess, wait_for
 from samphirerill.tests.support import ClusterCase
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -13,7 +13,7 @@
     StoreUnreachableError,
 )
 from samphirerill.fleet.model import LayerRange, RetryClass, Stage
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.store import (
     PreconditionFailedError,
     DeletedKey,
@@ -22,11 +22,11 @@
     PlatformStore,
 )
 from samphirerill.relay.connection import ResponseHead
-from samphirerill.relay.dialect import Attempt, DocumentError
+from samphirerill.relay.platform_adapter import Attempt, DocumentError
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.server import Request
 from samphirerill.testing.platform_store import FakePlatformStore
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 from samphirerill.tests.platform_documents import CONFIGURATION, API_KEY
 
 _PACKAGE = pathlib.Path(__file__).parent.parent
--- a/samphirerill/tests/test_ending_requests.py
+++ b/samphirerill/tests/test_poison_requests.py
@@ -14,7 +14,7 @@
 from samphirerill.quarantine import digest_request
 from samphirerill.relay.connection import HttpConnection, serialize_request
 from samphirerill.relay.pool import call_once
-from samphirerill.tests.ending_engines import (
+from samphirerill.tests.crashing_engines import (
     EVENTS,
     POISON,
     OTHER_KEY,
--- a/samphirerill/tests/test_examiner.py
+++ b/samphirerill/tests/test_prober.py
@@ -10,11 +10,11 @@
 
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.examiner import ReplicaProber
-from samphirerill.relay.health.patience import MAX_TIMEOUT_S
+from samphirerill.relay.health.prober import ReplicaProber
+from samphirerill.relay.health.probe_timeouts import MAX_TIMEOUT_S
 from samphirerill.relay.stream_times import MIN_SILENCE_S
-from samphirerill.testing.platform_world import PlatformHarness
-from samphirerill.tests.fleets import build_replica
+from samphirerill.testing.platform_harness import PlatformHarness
+from samphirerill.tests.fleet_builders import build_replica
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica
@@ -44,7 +44,8 @@
         await self.world.start()
         for bound in ('MIN_TIMEOUT_S', '_INITIAL_TIMEOUT_S', 'MAX_TIMEOUT_S'):
             patched = patch(
-                f'samphirerill.relay.health.patience.{bound}', _LONG_TIMEOUT_S
+                f'samphirerill.relay.health.probe_timeouts.{bound}',
+                _LONG_TIMEOUT_S,
             )
             patched.start()
             self.addCleanup(patched.stop)
--- a/samphirerill/tests/test_quarantine.py
+++ b/samphirerill/tests/test_quarantine.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from samphirerill.quarantine import Crash, Quarantine, digest_request
-from samphirerill.quarantine.book import MAX_RECORDS, SETTLE_S
+from samphirerill.quarantine.decision import MAX_RECORDS, SETTLE_S
 from samphirerill.quarantine.messages import (
     InvalidEvidenceError,
     build_message,
--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from samphirerill.tests.ending_engines import CrashingEnginesCase
+from samphirerill.tests.crashing_engines import CrashingEnginesCase
 
 _OK = 200
 _STREAMS = 24
--- a/samphirerill/tests/test_starts.py
+++ b/samphirerill/tests/test_replica_restarts.py
@@ -9,13 +9,13 @@
 
 from msgspec import json
 
-from samphirerill.fleet.endings import is_stage_lost
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.view import FleetView
-from samphirerill.platform.dialect import HttpPlatformAdapter
-from samphirerill.relay.dialect import DocumentError
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
+from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.pool import ConnectionPool
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 from samphirerill.tests.platform_documents import build_announcement
 
 _FIRST_START_MS = 1_790_000_000_000
--- a/samphirerill/tests/test_going_on.py
+++ b/samphirerill/tests/test_resending.py
@@ -10,14 +10,14 @@
 
 from samphirerill.fleet.paths import PathRequest
 from samphirerill.fleet.view import LAPSE_GRACE_S
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.admission import AdmissionQueue, NoPathError
 from samphirerill.relay.connection import HttpConnection
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_guard import StreamGuard
 from samphirerill.relay.stream_path import MoveResult
-from samphirerill.tests.fleets import ENGINE, build_replica
+from samphirerill.tests.fleet_builders import ENGINE, build_replica
 from samphirerill.tests.platform_documents import build_configuration
 from samphirerill.tests.two_engines import (
     EVENTS,
@@ -28,9 +28,9 @@
 )
 
 if TYPE_CHECKING:
-    from samphirerill.relay.health.examiner import ReplicaProber
+    from samphirerill.relay.health.prober import ReplicaProber
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
     from samphirerill.testing.platform_replicas import FakeReplica
 
 _STARTED_RANK = -1
--- a/samphirerill/tests/test_catch_up.py
+++ b/samphirerill/tests/test_resynchronization.py
@@ -11,8 +11,8 @@
 
 from samphirerill.backends.store import RangeResult, StoredEntry
 from samphirerill.control.configuration_log import LoadedConfiguration
-from samphirerill.node.follower import ConfigurationFollower
-from samphirerill.node.members import Membership
+from samphirerill.node.configuration_follower import ConfigurationFollower
+from samphirerill.node.membership import Membership
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING, cast
 from unittest import IsolatedAsyncioTestCase
 
-from samphirerill.platform.dialect import HttpPlatformAdapter
+from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.admission import AdmissionQueue
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.stream_path import StreamPath
-from samphirerill.tests.fleets import ENGINE, build_replica
+from samphirerill.tests.fleet_builders import ENGINE, build_replica
 from samphirerill.tests.two_engines import GAP_S, TwoEnginesCase
 
 if TYPE_CHECKING:
-    from samphirerill.relay.task import RequestContext
+    from samphirerill.relay.request_context import RequestContext
 
 _RUNS_PER_ENGINE = 2
 _STARTED_RANK = -1
--- a/samphirerill/tests/test_soak.py
+++ b/samphirerill/tests/test_soak.py
@@ -7,7 +7,7 @@
 from unittest import TestCase
 
 from samphirerill.testing.soak.run import run_seed
-from samphirerill.testing.soak.truth import Fault, GroundTruth
+from samphirerill.testing.soak.ground_truth import Fault, GroundTruth
 
 _SEED = 7
 _FAULT_DURATION_S = 8.0
--- a/samphirerill/tests/test_telling.py
+++ b/samphirerill/tests/test_status_exchange.py
@@ -6,13 +6,13 @@
 from unittest import IsolatedAsyncioTestCase, TestCase
 from unittest.mock import Mock
 
-from samphirerill.fleet.gathering import (
+from samphirerill.fleet.load_aggregation import (
     MAX_DIRECT_PEERS,
     choose_aggregator,
     is_full_mesh,
     name_aggregate,
 )
-from samphirerill.tests.fleets import build_replica
+from samphirerill.tests.fleet_builders import build_replica
 from samphirerill.tests.peers import Network, Node
 
 _DATA_CENTRES = ('a', 'b', 'c')
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -15,15 +15,15 @@
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.errors import WatchLostError, EndpointError
-from samphirerill.relay.follower import StoreFollower
-from samphirerill.relay.news import ChangeSource
+from samphirerill.relay.store_follower import StoreFollower
+from samphirerill.relay.change_source import ChangeSource
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.store_health import StoreHealth
 from samphirerill.testing.virtual_time import run_with_virtual_time
 
 if TYPE_CHECKING:
     from samphirerill.platform.store import PlatformStore
-    from samphirerill.relay.follower import ChangeHandler
+    from samphirerill.relay.store_follower import ChangeHandler
 
 _WATCH_DELAY_S = 0.05
 _NODE_NAMES = [
--- a/samphirerill/tests/test_news.py
+++ b/samphirerill/tests/test_store_changes.py
@@ -11,7 +11,7 @@
 from samphirerill.relay.change_log import ChangeLog
 from samphirerill.relay.errors import EndpointError, ChangeTooLargeError
 from samphirerill.relay.listeners import listen
-from samphirerill.relay.news import (
+from samphirerill.relay.change_source import (
     MAX_LAG_S,
     ChangeSource,
     PeerRequestHandler,
@@ -75,7 +75,7 @@
 
     def build_started_source(self, own: str) -> ChangeSource:
         """Return the source of a node that is past its startup."""
-        with patch('samphirerill.relay.news._STARTUP_S', 0):
+        with patch('samphirerill.relay.change_source._STARTUP_S', 0):
             source = ChangeSource(own)
         source.update_peers(self.names)
         return source
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -6,7 +6,7 @@
 
 from samphirerill.quarantine import Crash, digest_request
 from samphirerill.relay.quarantine.stored_holds import PREFIX
-from samphirerill.tests.ending_engines import POISON, CrashingEnginesCase
+from samphirerill.tests.crashing_engines import POISON, CrashingEnginesCase
 
 _ARRIVALS = 4
 _ARRIVAL_INTERVAL_S = 0.25
