--- a/samphirerill/bench/http_client.py
+++ b/samphirerill/bench/http_client.py
@@ -1,7 +1,7 @@
 """HTTP client of the benchmarks: streamed requests on one event loop.
 
 It records the text and the arrival time of every token, so that the oracle can
-tell complete answers from truncated, duplicated or mixed-up ones.
+distinguish complete answers from truncated, duplicated or mixed-up ones.
 """
 
 from __future__ import annotations
--- a/samphirerill/control/freshness.py
+++ b/samphirerill/control/freshness.py
@@ -1,15 +1,16 @@
 """Decide whether this node's configuration may still be taken as in force.
 
 A node that reaches neither the key-value service nor any peer that does cannot
-tell an outage of the service, in which no change can be accepted, from a
+distinguish an outage of the service, in which no change can be accepted, from a
 network partition, in which others may accept changes. It decides by what it
 receives:
 
 1. Its own read of the service succeeded recently: in force.
 2. A peer's read succeeded recently and this node has at least that peer's
    version: in force.
-3. No peer it hears from reaches the service, and it hears from at least half
-   of the known nodes, itself included: an outage. It keeps serving.
+3. No peer whose messages it receives reaches the service, and it receives
+   messages from at least half of the known nodes, itself included: an outage.
+   It keeps serving.
 4. Otherwise it is considered partitioned. After a grace period it accepts no
    new requests.
 """
--- a/samphirerill/core/commands.py
+++ b/samphirerill/core/commands.py
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class FinishAnswer:
-    """Tell the caller that the answer is complete."""
+    """Report to the caller that the answer is complete."""
 
     request_id: str
 
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -210,7 +210,7 @@
 
 
 def probe_stages(state: CoreState, attempt: AttemptState) -> None:
-    """Probe all stages, to tell a failed endpoint from a failed link."""
+    """Probe all stages, to distinguish a failed endpoint from a failed link."""
     for stage in attempt.stages:
         state.emit(ProbeEndpoint(stage.endpoint, stage.address))
 
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -53,7 +53,7 @@
 def on_claim_taken(
     event: ClaimConflicted, state: CoreState, now: float
 ) -> None:
-    """Tell a retry the outcome of the first request with its key."""
+    """Answer a retry with the outcome of the first request with its key."""
     req = state.requests.get(event.request_id)
     if req is None:
         return
--- a/samphirerill/core/on_crashes.py
+++ b/samphirerill/core/on_crashes.py
@@ -35,7 +35,7 @@
 
 
 @handle.register(EvidenceReceived)
-def on_evidence_told(
+def on_evidence_received(
     event: EvidenceReceived, state: CoreState, now: float
 ) -> None:
     """Merge another node's crash records."""
--- a/samphirerill/fleet/failure_detection.py
+++ b/samphirerill/fleet/failure_detection.py
@@ -186,7 +186,7 @@
         return now < until
 
     def is_recent(self, now: float) -> bool:
-        """Return whether replicas not heard from since may be lost too."""
+        """Return whether replicas silent since then may be lost too."""
         return now < self.last_extended_at + _EVENT_WINDOW_S
 
     def is_known_alive(self, replica_id: str) -> bool:
@@ -197,14 +197,16 @@
         )
 
 
-def is_local_fault(silent: Collection[str], heard: Collection[str]) -> bool:
+def is_local_fault(
+    silent: Collection[str], responding: Collection[str]
+) -> bool:
     """Return whether the probing node itself is cut off or stalled.
 
-    A node that hears from fewer replicas than are silent to it reports none of
-    them, as it would otherwise declare the whole fleet dead. One that hears
-    from as many is considered connected: half of a path may fail at once.
+    A node with fewer responding than silent replicas reports none of them, as
+    it would otherwise declare the whole fleet dead. One with as many is
+    considered connected: half of a path may fail at once.
     """
-    return len(silent) > max(1, len(heard))
+    return len(silent) > max(1, len(responding))
 
 
 def _hash(name: str) -> int:
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -2,8 +2,8 @@
 
 Each node finds silent replicas by itself and reports them to the others. Its
 report applies to its own streams at once; a death is confirmed for all nodes by
-two reports. A report is discarded at a node that has heard from the replica
-since.
+two reports. A report is discarded at a node that has since received a
+message from the replica.
 """
 
 from __future__ import annotations
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -29,7 +29,7 @@
 # A replica that refused is not used for this long, doubled with each further
 # refusal in the window.
 _REFUSAL_BACKOFF_S = 0.25
-_MAX_DOUBLINGS = 4
+_MAX_BACKOFF_EXPONENT = 4
 _REFUSAL_WINDOW_S = 5.0
 # How long a replica's own report of its slowness is valid.
 _SLOWNESS_TTL_S = 5.0
@@ -285,7 +285,7 @@
         found.refusals += 1
         found.refused_at = now
         pause_s = _REFUSAL_BACKOFF_S * 2 ** min(
-            found.refusals - 1, _MAX_DOUBLINGS
+            found.refusals - 1, _MAX_BACKOFF_EXPONENT
         )
         found.backoff_until = max(found.backoff_until, now + pause_s)
 
--- a/samphirerill/properties/simulation.py
+++ b/samphirerill/properties/simulation.py
@@ -42,7 +42,7 @@
 class AttemptRecord:
     """Ground truth about one attempt.
 
-    `ran` tells whether the endpoint started to execute it.
+    `ran` is whether the endpoint started to execute it.
     """
 
     node: int
--- a/samphirerill/relay/datagram_receiver.py
+++ b/samphirerill/relay/datagram_receiver.py
@@ -40,7 +40,7 @@
         The other nodes.
     status_sender : StatusSender
         Forwards aggregates of other data centres.
-    news : ChangeSource
+    change_source : ChangeSource
         Notified of the replica revisions that other nodes have.
     log : ChangeLog
         Store changes that this node has received.
@@ -55,7 +55,7 @@
         state: EdgeState,
         peers: PeerDirectory,
         status_sender: StatusSender,
-        news: ChangeSource,
+        change_source: ChangeSource,
         log: ChangeLog,
         peer_sync: PeerSync,
         alarms: Alarms,
@@ -65,7 +65,7 @@
         self._state = state
         self._peers = peers
         self._status_sender = status_sender
-        self._news = news
+        self._change_source = change_source
         self._log = log
         self._peer_sync = peer_sync
         self._loop = asyncio.get_running_loop()
@@ -170,4 +170,6 @@
         apply_node_status(self._state, status, self._loop.time())
         apply_suspicions(self._state, status)
         self._state.notify_listeners()
-        self._news.note_peer_revision(status.revision, self._log.revision)
+        self._change_source.note_peer_revision(
+            status.revision, self._log.revision
+        )
--- a/samphirerill/relay/health/loss_prober.py
+++ b/samphirerill/relay/health/loss_prober.py
@@ -180,7 +180,7 @@
         )
 
     def _send_alive(self, share: Iterable[ReplicaState], since: float) -> None:
-        """Tell the leader which replicas of the share work."""
+        """Report to the leader which replicas of the share work."""
         leader = self._find_leader()
         if leader == self._state.settings.name:
             return
--- a/samphirerill/relay/health/prober.py
+++ b/samphirerill/relay/health/prober.py
@@ -53,9 +53,9 @@
 # Replicas report stalls with this delay; a replica that has worked since is not
 # the cause.
 _STALL_REPORT_LAG_S = 0.3
-# Control probes tell a failed path from a failed network of this node: other
-# replicas are probed, three for each missing answer. With a third of the fleet
-# lost, three controls all fail in one case of 250, two in one of 16.
+# Control probes distinguish a failed path from a failed network of this node:
+# other replicas are probed, three for each missing answer. With a third of the
+# fleet lost, three controls all fail in one case of 250, two in one of 16.
 _CONTROLS_PER_MISSING = 3
 _MAX_CONTROLS = 12
 # Each probe takes about 1 ms of processor time.
--- a/samphirerill/relay/layer_controller.py
+++ b/samphirerill/relay/layer_controller.py
@@ -86,10 +86,10 @@
     leadership : Leadership
         Leader election by a lease in the store.
     health : StoreHealth
-        Tells whether announcements may be missing because their leases
+        Returns whether announcements may be missing because their leases
         expired during a store outage.
     survey : LossProber
-        Probes replicas that have not been heard from since a failure began.
+        Probes replicas that have sent nothing since a failure began.
     """
 
     def __init__(
--- a/samphirerill/relay/membership.py
+++ b/samphirerill/relay/membership.py
@@ -55,7 +55,7 @@
         Where nodes announce themselves.
     health : StoreHealth
         Tracks whether the store answers; shared by all its users.
-    news : ChangeSource
+    change_source : ChangeSource
         Notified of the other nodes and of the revisions that they have.
     log : ChangeLog
         Store changes that this node serves to others.
@@ -70,11 +70,11 @@
         state: EdgeState,
         store: PlatformStore,
         health: StoreHealth,
-        news: ChangeSource,
+        change_source: ChangeSource,
         log: ChangeLog,
         alarms: Alarms,
     ) -> None:
-        self._news = news
+        self._change_source = change_source
         self._log = log
         self._state = state
         self._store = store
@@ -89,7 +89,7 @@
             state,
             self._peers,
             self._status_sender,
-            news,
+            change_source,
             log,
             self._peer_sync,
             alarms,
@@ -162,7 +162,10 @@
 
     def _receives_from_store(self) -> bool:
         """Return whether this node receives changes from the store itself."""
-        return self._health.is_up and not self._news.was_refused_by_store()
+        return (
+            self._health.is_up
+            and not self._change_source.was_refused_by_store()
+        )
 
     async def _keep_lease(self) -> None:
         while not self._has_left:
@@ -199,4 +202,4 @@
     def _update_peers(self) -> None:
         announced = self._peers.list_announced()
         self._state.peer_count = len(announced)
-        self._news.update_peers(announced)
+        self._change_source.update_peers(announced)
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -95,9 +95,9 @@
             examiner,
             CrashDetector(self.state, examiner, keeper, self._quarantine_sync),
         )
-        news = ChangeSource(settings.name)
+        change_source = ChangeSource(settings.name)
         self._members = Membership(
-            self.state, store, health, news, news.log, alarms
+            self.state, store, health, change_source, change_source.log, alarms
         )
         self._members.add_datagram_handler(self._quarantine_sync)
         leadership = Leadership(self.state, store)
@@ -115,8 +115,8 @@
             store,
             health,
             (self._members, leadership, self._stored_quarantine),
-            news,
-            news.log,
+            change_source,
+            change_source.log,
         )
         self._node_pages = StatusEndpoints(
             self.state, self._admission, store, self._count_busy, keeper
--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -116,7 +116,7 @@
         return self._sharing.trials.list(self._loop.time())
 
     def record_send(self, task: RequestContext, replica: Replica) -> None:
-        """Tell all nodes if the request being sent is a suspect."""
+        """Notify all nodes if the request being sent is a suspect."""
         if self.is_suspect(task):
             self._state.counters['quarantine.trials'] += 1
             self._sharing.broadcast_trial(replica.replica_id)
--- a/samphirerill/relay/quarantine/evidence_exchange.py
+++ b/samphirerill/relay/quarantine/evidence_exchange.py
@@ -53,7 +53,7 @@
 
     `sequence` increases with each datagram of one process run, which `started`
     identifies. `trial` is the replica to which a suspect request is being sent.
-    `is_broadcast` tells whether to forward the datagram to all nodes;
+    `is_broadcast` is whether to forward the datagram to all nodes;
     forwarding gossip would overload the links.
     """
 
@@ -99,7 +99,7 @@
         self._pending.update(dict.fromkeys(requests))
 
     def broadcast_trial(self, replica_id: str) -> None:
-        """Tell all nodes that a suspect is being sent to a replica."""
+        """Notify all nodes that a suspect is being sent to a replica."""
         self._record_trial(replica_id)
         if self._datagram_sender is not None:
             self._datagram_sender.send_to_all(self._encode([], replica_id))
--- a/samphirerill/relay/quarantine/manager.py
+++ b/samphirerill/relay/quarantine/manager.py
@@ -49,11 +49,11 @@
     def record_survival(self, request: bytes) -> bool:
         """Record that a run got past its start; return whether that is new."""
         now = self._loop.time()
-        is_news = self._state.quarantine.note_survival(request, now)
-        if is_news:
+        is_new = self._state.quarantine.note_survival(request, now)
+        if is_new:
             self._state.counters['quarantine.refuted'] += 1
             self._schedule_evaluation()
-        return is_news
+        return is_new
 
     def apply_records(self, records: Iterable[EvidenceMessage]) -> None:
         """Apply the evidence of another node."""
--- a/samphirerill/relay/replica_handler.py
+++ b/samphirerill/relay/replica_handler.py
@@ -29,7 +29,7 @@
     state : EdgeState
         Holds the view of the fleet.
     health : StoreHealth
-        Tells whether a missing entry may only have expired during an outage.
+        Returns whether a missing entry may only have expired during an outage.
 
     Attributes
     ----------
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -101,8 +101,8 @@
         self.metrics = Metrics()
         self.view = FleetView()
         self.replica_names = ReplicaIdIndex(self.view)
-        # Sent in each datagram, so that peers can tell a restarted process
-        # from the one before.
+        # Sent in each datagram, so that peers can distinguish a restarted
+        # process from the one before.
         self.incarnation = self.random.randrange(_INCARNATION_RANGE)
         self.load_tracker = LoadTracker()
         self.link_usage = LinkUsage()
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -141,7 +141,7 @@
         """Return whether retries reserved for started streams may be used.
 
         A client can retry a stream that was rejected. A stream whose run broke
-        off fails for good, whether or not it has returned an event.
+        off fails permanently, whether or not it has returned an event.
         """
         return self._progress.has_started or self._progress.has_broken_run
 
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -309,7 +309,7 @@
         return bool(other) and resend_ms < move_ms
 
     async def _reroute(self, stages: tuple[Stage, ...]) -> bool:
-        """Tell the head to use new stages; keep one of the two reserved."""
+        """Instruct the head to use new stages; keep one of the two reserved."""
         try:
             moved = await request_reroute(
                 self._state, self._task.facts.request_id, stages
--- a/samphirerill/tests/test_correlated_failures.py
+++ b/samphirerill/tests/test_correlated_failures.py
@@ -19,9 +19,9 @@
 
     def test_probers_are_in_two_data_centres(self) -> None:
         nodes = {f'n{number}': 'abc'[number % 3] for number in range(30)}
-        askers = ProberAssignment(nodes)
+        assignment = ProberAssignment(nodes)
         for number in range(100):
-            chosen = askers.choose_probers(f'r{number}')
+            chosen = assignment.choose_probers(f'r{number}')
             self.assertEqual(len({nodes[name] for name in chosen}), 2)
 
     def test_membership_change_moves_few_assignments(self) -> None:
@@ -48,10 +48,10 @@
             for data_centre in 'abcde'
             for number in range(4)
         }
-        askers = ProberAssignment(nodes)
+        assignment = ProberAssignment(nodes)
         names = [f'i-{number:010x}' for number in range(30)]
         max_assigned = max(
-            len(askers.list_assigned(node, names)) for node in nodes
+            len(assignment.list_assigned(node, names)) for node in nodes
         )
         self.assertLessEqual(max_assigned, 9)
 
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -201,8 +201,7 @@
     def test_newer_evidence_outweighs_suspicions(self) -> None:
         """Guard against two cut-off nodes making a working replica dead.
 
-        Suspicions do not count against a replica that has been heard from
-        since.
+        Suspicions do not count against a replica that has responded since.
         """
         replica = Suspicion()
         replica.note_alive(5.0)
--- a/samphirerill/tests/test_resending.py
+++ b/samphirerill/tests/test_resending.py
@@ -103,7 +103,7 @@
         """Streams were aborted while all connections were in use.
 
         The run was ended before a connection was available, and the engine
-        without one was excluded for good.
+        without one was excluded permanently.
         """
         document = json.decode(build_configuration(8))
         document['services'][0]['maxConnections'] = 8
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -34,7 +34,7 @@
 
 
 def _build_follower(
-    store: object, handlers: list[ChangeHandler], news: object
+    store: object, handlers: list[ChangeHandler], change_source: object
 ) -> StoreFollower:
     """Return a follower with a fake store and a fake source of changes."""
     return StoreFollower(
@@ -42,7 +42,7 @@
         cast('PlatformStore', store),
         StoreHealth(0),
         handlers,
-        cast('ChangeSource', news),
+        cast('ChangeSource', change_source),
         ChangeLog(),
     )
 
