--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -44,7 +44,7 @@
         Shared state of this node.
     admission : AdmissionQueue
         The admission queue for streams.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes unresponsive replicas.
     quarantine : CrashDetector
         Detects requests that crash replicas.
@@ -54,13 +54,13 @@
         self,
         state: EdgeState,
         admission: AdmissionQueue,
-        examiner: ReplicaProber,
+        prober: ReplicaProber,
         quarantine: CrashDetector,
     ) -> None:
         self._quarantine = quarantine
         self._state = state
         self._admission = admission
-        self._examiner = examiner
+        self._prober = prober
         self._loop = asyncio.get_running_loop()
 
     def get_limits(self) -> ClientLimits:
@@ -99,7 +99,7 @@
                 task,
                 engine,
                 self._admission,
-                self._examiner,
+                self._prober,
                 self._quarantine,
             ).run()
 
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -99,7 +99,7 @@
         The path, with the replicas that were used and those to avoid.
     progress : StreamProgress
         The progress, which is kept up to date.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes replicas that others report as the cause of a failure.
     quarantine : CrashDetector
         Knows whether the request is quarantined; informed of runs that break
@@ -107,7 +107,7 @@
     """
 
     __slots__ = (
-        '_examiner',
+        '_prober',
         '_loop',
         '_path',
         '_progress',
@@ -122,10 +122,10 @@
         task: RequestContext,
         path: StreamPath,
         progress: StreamProgress,
-        examiner: ReplicaProber,
+        prober: ReplicaProber,
         quarantine: CrashDetector,
     ) -> None:
-        self._examiner = examiner
+        self._prober = prober
         self._quarantine = quarantine
         self._state = state
         self._task = task
@@ -250,7 +250,7 @@
             and replica_id != head_id
             and head.status == _UNAVAILABLE
         ):
-            self._examiner.probe_in_background(faulty.replica)
+            self._prober.probe_in_background(faulty.replica)
         self._record_refusal(
             replica_id, f'engine rejected the stream with status {head.status}'
         )
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -82,7 +82,7 @@
         Performance figures of the service's engine.
     admission : AdmissionQueue
         Grants paths with free capacity.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes unresponsive replicas.
     quarantine : CrashDetector
         Informed of runs that break off and of runs that go on.
@@ -94,7 +94,7 @@
         task: RequestContext,
         engine: EngineSpec,
         admission: AdmissionQueue,
-        examiner: ReplicaProber,
+        prober: ReplicaProber,
         quarantine: CrashDetector,
     ) -> None:
         self._state = state
@@ -111,7 +111,7 @@
         )
         self._progress = StreamProgress(task)
         self._sender = StreamSender(
-            state, task, self._path, self._progress, examiner, quarantine
+            state, task, self._path, self._progress, prober, quarantine
         )
         self._limits = StreamLimits(
             state, task, self._progress, self._times, quarantine
@@ -125,7 +125,7 @@
         self._guard = StreamGuard(
             task,
             self._path,
-            examiner,
+            prober,
             self._limits.may_retry,
             self._start_handover,
         )
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -115,7 +115,7 @@
         random: Random,
     ) -> None:
         self._environment = environment
-        self._truth = environment.truth
+        self._ground_truth = environment.ground_truth
         self._balancer = balancer
         self._random = random
         self._loop = asyncio.get_running_loop()
@@ -132,12 +132,12 @@
     async def _send_request(self, kind: str) -> None:
         request_id = f'{self._random.getrandbits(_ID_BITS):016x}'
         account = self._random.choice(tuple(KEYS))
-        self._truth.accounts[request_id] = account
+        self._ground_truth.accounts[request_id] = account
         if kind == 'book':
-            self._truth.non_idempotent.add(request_id)
+            self._ground_truth.non_idempotent.add(request_id)
         since = self._loop.time()
         response = await self._exchange(kind, request_id, account)
-        self._truth.counts[f'{kind}.{response.status}'] += 1
+        self._ground_truth.counts[f'{kind}.{response.status}'] += 1
         self._check_response(kind, request_id, response, since)
 
     async def _exchange(
@@ -182,9 +182,9 @@
         self, kind: str, request_id: str, response: _Response, since: float
     ) -> None:
         if response.status in _NOT_EXECUTED_STATUSES:
-            self._truth.record_refusal(request_id)
+            self._ground_truth.record_refusal(request_id)
         if response.request_id not in (b'', request_id.encode()):
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{request_id}: got the response to {response.request_id!r}'
             )
         if response.status == _OK:
@@ -193,17 +193,17 @@
         is_success = response.status == _OK and response.is_complete
         if self._raced_with_close(request_id, response):
             return
-        if not is_success and self._truth.is_fault_free(
+        if not is_success and self._ground_truth.is_fault_free(
             since - _FAULT_GRACE_S, now
         ):
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{request_id}: {kind} got status {response.status}, '
                 f'complete: {response.is_complete}, with no fault nearby'
             )
 
     def _raced_with_close(self, request_id: str, response: _Response) -> bool:
         """Return whether the node closed a reused connection before the send."""
-        was_executed = bool(self._truth.runs.get(request_id))
+        was_executed = bool(self._ground_truth.runs.get(request_id))
         return self._is_reused and not response.status and not was_executed
 
     def _check_body(
@@ -212,7 +212,7 @@
         if kind != 'notes':
             expected = f'{request_id} desk'.encode()
             if response.is_complete and response.body != expected:
-                self._truth.record_violation(
+                self._ground_truth.record_violation(
                     f'{request_id}: got body {response.body!r}'
                 )
             return
@@ -221,12 +221,12 @@
         for number, event in enumerate(events, 1):
             expected = f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
             if event.raw != expected:
-                self._truth.record_violation(
+                self._ground_truth.record_violation(
                     f'{request_id}: event {number} is {event.raw!r}'
                 )
                 return
         if response.is_complete and len(events) != count_events(request_id):
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{request_id}: ended after {len(events)} events'
             )
 
@@ -236,7 +236,7 @@
 
     def __init__(self, environment: SoakEnvironment, random: Random) -> None:
         self._environment = environment
-        self._truth = environment.truth
+        self._ground_truth = environment.ground_truth
         self._random = random
         self._loop = asyncio.get_running_loop()
         # Newest version seen and when, by node name and process start.
@@ -253,7 +253,7 @@
     async def _probe(self, node: SoakNode, version: int) -> None:
         key = (node.name, node.start_count)
         request_id = f'{self._random.getrandbits(_ID_BITS):016x}'
-        self._truth.accounts[request_id] = 'suva'
+        self._ground_truth.accounts[request_id] = 'suva'
         since = self._loop.time()
         conn = HttpConnection(node.callers)
         response = _Response()
@@ -277,7 +277,7 @@
             self._newest_seen[key] = (version, self._loop.time())
         is_older = version < newest_seen and since > seen_at + _REVERT_GRACE_S
         if status == _OK and is_older:
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{key}: reverted to configuration {version}'
             )
         committed_at = self._environment.committed_at[version]
@@ -289,9 +289,9 @@
         if (
             is_due
             and is_rejected
-            and self._truth.is_fault_free(committed_at, since)
+            and self._ground_truth.is_fault_free(committed_at, since)
         ):
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{key}: configuration {version} is not in force'
             )
 
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -90,7 +90,7 @@
         engines: int = 6,
         services: int = 2,
     ) -> None:
-        self.truth = GroundTruth()
+        self.ground_truth = GroundTruth()
         self.service = FakePlatformStore()
         self.version = 0
         self.committed_at: dict[int, float] = {}
@@ -115,7 +115,7 @@
             ReplicaSlot(engines + index, port, 'desk', '')
             for index in range(services)
         )
-        self._replicas = ReplicaRegistry(self.truth)
+        self._replicas = ReplicaRegistry(self.ground_truth)
         self._loop = asyncio.get_running_loop()
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
--- a/samphirerill/testing/soak/faults.py
+++ b/samphirerill/testing/soak/faults.py
@@ -53,7 +53,7 @@
 
     def __init__(self, environment: SoakEnvironment, random: Random) -> None:
         self._environment = environment
-        self._truth = environment.truth
+        self._ground_truth = environment.ground_truth
         self._random = random
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -115,8 +115,8 @@
     async def _fault(self, name: str) -> AsyncIterator[None]:
         """Record a fault as active for the duration of the block."""
         fault = Fault(name, self._loop.time())
-        self._truth.faults.append(fault)
-        self._truth.counts[f'fault.{name}'] += 1
+        self._ground_truth.faults.append(fault)
+        self._ground_truth.counts[f'fault.{name}'] += 1
         try:
             yield
         finally:
@@ -276,11 +276,11 @@
         if node is None or self._is_any_node_reserved():
             return
         async with self._reserve(node.name):
-            self._truth.counts['planned.rolled'] += 1
+            self._ground_truth.counts['planned.rolled'] += 1
             node.send_signal(signal.SIGTERM)
             code = await node.wait_for_exit()
             if code is None:
-                self._truth.record_violation(
+                self._ground_truth.record_violation(
                     f'{node.name}: did not exit after SIGTERM'
                 )
                 node.kill()
@@ -290,13 +290,13 @@
         node = self._choose_node()
         if node is None:
             return
-        self._truth.counts['planned.settings'] += 1
+        self._ground_truth.counts['planned.settings'] += 1
         node.write_settings(retry_slack=self._random.randrange(40, 80))
         if self._random.random() < _SIGHUP_SHARE:
             node.send_signal(signal.SIGHUP)
 
     async def _configure(self) -> None:
-        self._truth.counts['planned.configured'] += 1
+        self._ground_truth.counts['planned.configured'] += 1
         await self._environment.configure()
 
     async def _drain_replica(self) -> None:
@@ -304,7 +304,7 @@
         if slot is None:
             return
         async with self._reserve(slot.address):
-            self._truth.counts['planned.left'] += 1
+            self._ground_truth.counts['planned.left'] += 1
             await self._environment.drain_replica(slot)
             await asyncio.sleep(_DRAIN_S)
             # Requests that are still running end with the replica.
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -46,8 +46,8 @@
 class ReplicaRegistry:
     """Running replicas by address, so that engines see other stages."""
 
-    def __init__(self, truth: GroundTruth) -> None:
-        self.truth = truth
+    def __init__(self, ground_truth: GroundTruth) -> None:
+        self.ground_truth = ground_truth
         self.by_address: dict[str, SoakReplica] = {}
 
     def find(self, address: str) -> SoakReplica | None:
@@ -93,7 +93,7 @@
         self.orders = 0
         self._listen_address = listen_address
         self._replicas = replicas
-        self._truth = replicas.truth
+        self._ground_truth = replicas.ground_truth
         self._loop = asyncio.get_running_loop()
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
@@ -172,7 +172,9 @@
 
     async def _answer_plain(self, req: Request, conn: ClientConnection) -> None:
         request_id = _read_id(req)
-        self._truth.record_run(request_id, self.replica_id, _read_account(req))
+        self._ground_truth.record_run(
+            request_id, self.replica_id, _read_account(req)
+        )
         await asyncio.sleep(_SERVICE_TIME_S)
         body = f'{request_id} {self.service}'.encode()
         conn.respond(_OK, self._build_headers(req), body)
@@ -185,7 +187,9 @@
     ) -> None:
         request_id = _read_id(req)
         first = int(req.get(b'last-event-id') or b'0') + 1
-        self._truth.record_run(request_id, self.replica_id, _read_account(req))
+        self._ground_truth.record_run(
+            request_id, self.replica_id, _read_account(req)
+        )
         self._pipelines[request_id] = pipeline
         headers = [
             *self._build_headers(req),
@@ -284,10 +288,10 @@
     def _check_draining(self, req: Request) -> None:
         """Check that a draining replica gets no new request after the bound."""
         delay_s = self._loop.time() - self.leaving_since
-        if delay_s > _DRAIN_BOUND_S and self._truth.is_fault_free(
+        if delay_s > _DRAIN_BOUND_S and self._ground_truth.is_fault_free(
             self.leaving_since, self._loop.time()
         ):
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{_read_id(req)}: sent to {self.replica_id} {delay_s:.1f} s '
                 'after it started draining'
             )
@@ -302,7 +306,7 @@
                 break
             position = layers.end
         if position != LAYERS or pipeline[0][0] != self.address:
-            self._truth.record_violation(
+            self._ground_truth.record_violation(
                 f'{_read_id(req)}: incomplete pipeline {pipeline}'
             )
 
--- a/samphirerill/testing/soak/run.py
+++ b/samphirerill/testing/soak/run.py
@@ -94,7 +94,9 @@
     finally:
         await environment.stop()
     return SoakReport(
-        seed, environment.truth.violations, dict(environment.truth.counts)
+        seed,
+        environment.ground_truth.violations,
+        dict(environment.ground_truth.counts),
     )
 
 
@@ -127,7 +129,7 @@
     new.subtract(before)
     answered = new.pop('200', 0)
     if not answered or new.total():
-        environment.truth.record_violation(
+        environment.ground_truth.record_violation(
             f'not recovered: {answered} requests succeeded, '
             f'{new.total()} failed'
         )
@@ -136,7 +138,7 @@
 def _count_statuses(environment: SoakEnvironment) -> Counter[str]:
     """Return the number of requests by status."""
     statuses: Counter[str] = Counter()
-    for name, count in environment.truth.counts.items():
+    for name, count in environment.ground_truth.counts.items():
         kind, _, status = name.partition('.')
         if kind in KINDS:
             statuses[status] += count
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -105,12 +105,12 @@
         node.state.random.seed(node.name)
         for replica in self.replicas:
             node.state.view.apply_announcement(replica, 1)
-        examiner = ReplicaProber(node.state, node.alarms)
-        self.examiners[node.name] = examiner
-        survey = LossProber(
-            node.state, examiner, node.alarms, lambda: self.nodes[0].name
+        prober = ReplicaProber(node.state, node.alarms)
+        self.examiners[node.name] = prober
+        loss_prober = LossProber(
+            node.state, prober, node.alarms, lambda: self.nodes[0].name
         )
-        self.tasks.append(asyncio.create_task(survey.run()))
+        self.tasks.append(asyncio.create_task(loss_prober.run()))
         self.tasks.append(asyncio.create_task(node.status_sender.run()))
 
 
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -48,13 +48,15 @@
         """Start a node."""
         data_centre = 'abc'[number % 3]
         node = Node(self.network, f'{data_centre}-{number}', data_centre)
-        keeper = QuarantineManager(node.state)
-        sharing = EvidenceExchange(node.state, keeper)
-        sharing.bind(node.status_sender)
-        node.receiver.add_handler(sharing.type_prefix, sharing.handle_datagram)
-        self.keepers[node.name] = keeper
-        self.sharings[node.name] = sharing
-        self.tasks.append(asyncio.create_task(sharing.run()))
+        quarantine_manager = QuarantineManager(node.state)
+        evidence_exchange = EvidenceExchange(node.state, quarantine_manager)
+        evidence_exchange.bind(node.status_sender)
+        node.receiver.add_handler(
+            evidence_exchange.type_prefix, evidence_exchange.handle_datagram
+        )
+        self.keepers[node.name] = quarantine_manager
+        self.sharings[node.name] = evidence_exchange
+        self.tasks.append(asyncio.create_task(evidence_exchange.run()))
         self.nodes.append(node)
         return node
 
--- a/samphirerill/tests/test_soak.py
+++ b/samphirerill/tests/test_soak.py
@@ -27,27 +27,27 @@
     """The checker detects each kind of violation."""
 
     def setUp(self) -> None:
-        self.truth = GroundTruth()
-        self.truth.accounts['r1'] = 'suva'
+        self.ground_truth = GroundTruth()
+        self.ground_truth.accounts['r1'] = 'suva'
 
     def test_second_run_of_non_idempotent_request(self) -> None:
-        self.truth.non_idempotent.add('r1')
-        self.truth.record_run('r1', 'desk-1', 'suva')
-        self.assertEqual(self.truth.violations, [])
-        self.truth.record_run('r1', 'desk-2', 'suva')
-        self.assertEqual(len(self.truth.violations), 1)
+        self.ground_truth.non_idempotent.add('r1')
+        self.ground_truth.record_run('r1', 'desk-1', 'suva')
+        self.assertEqual(self.ground_truth.violations, [])
+        self.ground_truth.record_run('r1', 'desk-2', 'suva')
+        self.assertEqual(len(self.ground_truth.violations), 1)
 
     def test_run_after_refusal(self) -> None:
-        self.truth.record_refusal('r1')
-        self.truth.record_run('r1', 'desk-1', 'suva')
-        self.assertEqual(len(self.truth.violations), 1)
+        self.ground_truth.record_refusal('r1')
+        self.ground_truth.record_run('r1', 'desk-1', 'suva')
+        self.assertEqual(len(self.ground_truth.violations), 1)
 
     def test_run_for_another_account(self) -> None:
-        self.truth.record_run('r1', 'desk-1', 'nadi')
-        self.assertEqual(len(self.truth.violations), 1)
+        self.ground_truth.record_run('r1', 'desk-1', 'nadi')
+        self.assertEqual(len(self.ground_truth.violations), 1)
 
     def test_fault_free_intervals(self) -> None:
-        self.truth.faults.append(Fault('node killed', 10, 12))
-        self.assertTrue(self.truth.is_fault_free(1, 9))
-        self.assertFalse(self.truth.is_fault_free(11, 13))
-        self.assertTrue(self.truth.is_fault_free(13, 20))
+        self.ground_truth.faults.append(Fault('node killed', 10, 12))
+        self.assertTrue(self.ground_truth.is_fault_free(1, 9))
+        self.assertFalse(self.ground_truth.is_fault_free(11, 13))
+        self.assertTrue(self.ground_truth.is_fault_free(13, 20))
