--- a/samphirerill/tests/test_resending.py
+++ b/samphirerill/tests/test_resending.py
@@ -244,7 +244,7 @@
         return MoveResult.MOVED
 
 
-class _RetryableTask:
+class _RetryableContext:
     """A retryable task."""
 
     is_retryable = True
@@ -261,7 +261,7 @@
         """
         path = _PathStub()
         guard = StreamGuard(
-            cast('RequestContext', _RetryableTask()),
+            cast('RequestContext', _RetryableContext()),
             cast('StreamPath', path),
             cast('ReplicaProber', None),
             lambda: True,
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -46,7 +46,7 @@
     arrived_at = 0.0
 
 
-class _TaskStub:
+class _ContextStub:
     """A stream whose route allows two replicas."""
 
     facts = _FactsStub()
@@ -71,7 +71,7 @@
             self.state.view.apply_announcement(later_stage, revision)
         self.path = StreamPath(
             self.state,
-            cast('RequestContext', _TaskStub()),
+            cast('RequestContext', _ContextStub()),
             ENGINE,
             AdmissionQueue(self.state),
         )
