--- a/samphirerill/emulator/client_traffic.py
+++ b/samphirerill/emulator/client_traffic.py
@@ -129,7 +129,7 @@
             tokens,
             links=self._link_usage,
             is_urgent=is_urgent,
-            policy=self.fleet.aims.policy,
+            policy=self.fleet.plan_targets.policy,
         )
         stages = choose_path(
             self.fleet.engine, usable, self._load_tracker, path_request, now
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -41,7 +41,7 @@
         Performance figures of the service's engines.
     replica_counts : mapping
         For each data centre, the number of replicas by type of accelerator.
-    aims : PlanTargets
+    plan_targets : PlanTargets
         Targets of the planner, and the enabled policy mechanisms.
     """
 
@@ -50,7 +50,7 @@
         event_loop: EventLoop,
         engine: EngineSpec,
         replica_counts: Mapping[str, Mapping[str, int]],
-        aims: PlanTargets,
+        plan_targets: PlanTargets,
     ) -> None:
         self.engine = engine
         self.view = FleetView()
@@ -58,7 +58,7 @@
         self.engines: dict[str, EmulatedEngine] = {}
         self.load_count = 0
         self._event_loop = event_loop
-        self.aims = aims
+        self.plan_targets = plan_targets
         self._replicas: dict[str, Replica] = {}
         self._target_layers: dict[str, LayerRange] = {}
         self._timing = PlanTiming()
@@ -75,7 +75,9 @@
         present = list(self._replicas.values())
         names = set(self._replicas)
         if placement is None:
-            placement = plan_moves(self.engine, present, self.aims, names)
+            placement = plan_moves(
+                self.engine, present, self.plan_targets, names
+            )
         for name, layers in placement.items():
             self._set_layers(name, layers)
         self._event_loop.call_later(_PLANNING_INTERVAL_S, self._run_planner)
@@ -162,7 +164,7 @@
         moves = plan_moves(
             self.engine,
             present,
-            self.aims,
+            self.plan_targets,
             settled,
             is_stable=is_stable,
             max_complete=self._timing.max_complete,
--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -98,7 +98,7 @@
         }
         return EngineSpec(accelerators=accelerators, **figures)
 
-    def build_aims(self) -> PlanTargets:
+    def build_plan_targets(self) -> PlanTargets:
         """Return the targets of the planner."""
         return PlanTargets(self.traffic.pause_aim_ms, policy=self.policy)
 
--- a/samphirerill/emulator/simulation.py
+++ b/samphirerill/emulator/simulation.py
@@ -41,7 +41,7 @@
         event_loop,
         scenario.build_engine(),
         scenario.zones,
-        scenario.build_aims(),
+        scenario.build_plan_targets(),
     )
     fleet.place_initial_layers(scenario.build_placement())
     return fleet
--- a/samphirerill/fleet/data_centre_rebuild.py
+++ b/samphirerill/fleet/data_centre_rebuild.py
@@ -23,7 +23,7 @@
 
 
 def rebuild_data_centre(
-    engine: EngineSpec, data_centre: DataCentreState, aims: PlanTargets
+    engine: EngineSpec, data_centre: DataCentreState, plan_targets: PlanTargets
 ) -> None:
     """Plan a data centre from scratch if none of its pipelines is repairable.
 
@@ -32,7 +32,7 @@
     limit. Without this, a data centre whose replicas had all restarted would
     never serve again, as there is no incomplete pipeline to repair.
     """
-    plan = plan_data_centre(engine, data_centre.replicas, aims)
+    plan = plan_data_centre(engine, data_centre.replicas, plan_targets)
     if plan is None:
         return
     data_centre.moves.update(
--- a/samphirerill/fleet/data_centre_state.py
+++ b/samphirerill/fleet/data_centre_state.py
@@ -41,7 +41,7 @@
 def analyze_data_centre(
     engine: EngineSpec,
     replicas: list[Replica],
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
     settled: Collection[str],
     previous_count: int,
 ) -> DataCentreState:
@@ -59,7 +59,7 @@
         settled_replicas = [
             item for item in replicas if item.replica_id in settled
         ]
-        plan = plan_data_centre(engine, settled_replicas, aims)
+        plan = plan_data_centre(engine, settled_replicas, plan_targets)
         target_count = 0 if plan is None else len(plan.pipelines)
         incomplete.sort(key=lambda chain: _predict_layer_ms(engine, chain))
         incomplete = incomplete[
--- a/samphirerill/fleet/goodput.py
+++ b/samphirerill/fleet/goodput.py
@@ -60,7 +60,7 @@
     engine: EngineSpec,
     pipelines: Sequence[Pipeline],
     backups: Sequence[LayerRange],
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> float:
     """Return the predicted rate of useful answers on time, per second.
 
@@ -72,18 +72,18 @@
         The pipelines of one data centre.
     backups : sequence of LayerRange
         The layers of replicas that no pipeline needs.
-    aims : PlanTargets
+    plan_targets : PlanTargets
         The targets of the plan.
     """
     if not pipelines:
         return 0.0
-    rate = predict_total_rate(engine, pipelines, aims.pause_ms)
-    stages = list_rated_stages(engine, pipelines, aims.pause_ms)
+    rate = predict_total_rate(engine, pipelines, plan_targets.pause_ms)
+    stages = list_rated_stages(engine, pipelines, plan_targets.pause_ms)
     repair_loss = predict_repair_loss(stages, backups)
-    if not aims.policy.lean_plans:
+    if not plan_targets.policy.lean_plans:
         return rate - repair_loss
     answer_s = _predict_answer_s(engine, pipelines)
-    useful = min(rate, aims.demand / answer_s)
+    useful = min(rate, plan_targets.demand / answer_s)
     useful += _SURPLUS_WEIGHT * (rate - useful)
     exposed = _count_exposed_stages(pipelines, backups) / len(pipelines)
     on_time_share = 1 - min(1.0, _LOSS_RATE_PER_S * answer_s * exposed)
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -66,7 +66,7 @@
 def plan_layers(
     engine: EngineSpec,
     replicas: Sequence[Replica],
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> PlacementPlan | None:
     """Return the best plan found, or ``None`` if no pipeline can be built.
 
@@ -76,18 +76,20 @@
         The service's figures.
     replicas : sequence of Replica
         The replicas of one service that may be assigned layers.
-    aims : PlanTargets
+    plan_targets : PlanTargets
         The targets of the plan.
     """
     plans = []
     unplaced: list[Replica] = []
     for data_centre_replicas in group_by_data_centre(replicas).values():
-        plan = plan_data_centre(engine, data_centre_replicas, aims)
+        plan = plan_data_centre(engine, data_centre_replicas, plan_targets)
         if plan is None:
             unplaced.extend(data_centre_replicas)
         else:
             plans.append(plan)
-    cross_data_centre = _plan_across_data_centres(engine, unplaced, aims)
+    cross_data_centre = _plan_across_data_centres(
+        engine, unplaced, plan_targets
+    )
     if cross_data_centre is not None:
         plans.append(cross_data_centre)
     if not plans:
@@ -101,12 +103,13 @@
 
 
 def plan_data_centre(
-    engine: EngineSpec, replicas: Sequence[Replica], aims: PlanTargets
+    engine: EngineSpec, replicas: Sequence[Replica], plan_targets: PlanTargets
 ) -> PlacementPlan | None:
     """Return the best plan of one data centre, or ``None``."""
     for targets in _list_token_targets(engine):
         plans = [
-            _plan_local(engine, replicas, tokens, aims) for tokens in targets
+            _plan_local(engine, replicas, tokens, plan_targets)
+            for tokens in targets
         ]
         best = _choose_best(plans)
         if best is not None:
@@ -133,7 +136,7 @@
     engine: EngineSpec,
     replicas: Sequence[Replica],
     tokens: float,
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> PlacementPlan:
     """Build pipelines whose stages all have memory for so many tokens."""
     max_layers, free = _list_candidates(engine, replicas, tokens)
@@ -141,16 +144,18 @@
     while pipeline := _build_pipeline(engine, free, free, max_layers):
         pipelines.append(pipeline)
     spares = _list_unused(replicas, pipelines)
-    stages = list_rated_stages(engine, pipelines, aims.pause_ms)
+    stages = list_rated_stages(engine, pipelines, plan_targets.pause_ms)
     backups = assign_backups(
         engine, stages, [_without_layers(item) for item in spares]
     )
-    goodput = predict_goodput(engine, pipelines, list(backups.values()), aims)
+    goodput = predict_goodput(
+        engine, pipelines, list(backups.values()), plan_targets
+    )
     return PlacementPlan(pipelines, spares, backups, goodput)
 
 
 def _plan_across_data_centres(
-    engine: EngineSpec, replicas: Sequence[Replica], aims: PlanTargets
+    engine: EngineSpec, replicas: Sequence[Replica], plan_targets: PlanTargets
 ) -> PlacementPlan | None:
     """Build pipelines across data centres that have too few replicas."""
     plans = []
@@ -161,7 +166,7 @@
             engine, free, _order_by_data_centre(free, max_layers), max_layers
         ):
             pipelines.append(pipeline)
-        rate = predict_total_rate(engine, pipelines, aims.pause_ms)
+        rate = predict_total_rate(engine, pipelines, plan_targets.pause_ms)
         plans.append(
             PlacementPlan(
                 pipelines, _list_unused(replicas, pipelines), {}, rate
--- a/samphirerill/fleet/rebalancing.py
+++ b/samphirerill/fleet/rebalancing.py
@@ -34,7 +34,7 @@
     replicas: Sequence[Replica],
     current: Sequence[Pipeline],
     backups: Sequence[LayerRange],
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> Moves:
     """Return the moves to a clearly better placement, if there is one.
 
@@ -48,13 +48,13 @@
         The pipelines that are complete now.
     backups : sequence of LayerRange
         The layers of replicas that no pipeline needs.
-    aims : PlanTargets
+    plan_targets : PlanTargets
         The targets of the plan.
     """
-    plan = plan_data_centre(engine, replicas, aims)
+    plan = plan_data_centre(engine, replicas, plan_targets)
     if plan is None:
         return {}
-    goodput = predict_goodput(engine, current, backups, aims)
+    goodput = predict_goodput(engine, current, backups, plan_targets)
     moves = assign_stages(plan.pipelines, replicas)
     if plan.goodput * (1 - _MOVE_PENALTY * len(moves)) <= goodput * _MIN_GAIN:
         return {}
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -60,7 +60,7 @@
 def plan_moves(
     engine: EngineSpec,
     present: Sequence[Replica],
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
     settled: Collection[str],
     *,
     is_stable: bool = True,
@@ -74,7 +74,7 @@
         The service's figures.
     present : sequence of Replica
         The live replicas that are not draining.
-    aims : PlanTargets
+    plan_targets : PlanTargets
         The targets of the plan.
     settled : collection of str
         Replicas that may become backups; newer ones are kept free to replace
@@ -88,18 +88,22 @@
         item for item in present if item.accelerator in engine.accelerators
     ]
     if all(replica.layers is None for replica in known):
-        plan = plan_layers(engine, known, aims)
+        plan = plan_layers(engine, known, plan_targets)
         return {} if plan is None else plan.list_ranges()
     data_centres = [
         analyze_data_centre(
-            engine, replicas, aims, settled, (max_complete or {}).get(name, 0)
+            engine,
+            replicas,
+            plan_targets,
+            settled,
+            (max_complete or {}).get(name, 0),
         )
         for name, replicas in group_by_data_centre(known).items()
     ]
     for data_centre in data_centres:
-        _repair_data_centre(engine, data_centre, aims)
+        _repair_data_centre(engine, data_centre, plan_targets)
         if not data_centre.complete:
-            rebuild_data_centre(engine, data_centre, aims)
+            rebuild_data_centre(engine, data_centre, plan_targets)
     repair_across_data_centres(engine, data_centres)
     moves = _drop_unchanged(
         _merge_moves(item.moves for item in data_centres), known
@@ -107,13 +111,13 @@
     if moves:
         return moves
     backups = [
-        _assign_data_centre_backups(engine, item, aims, settled)
+        _assign_data_centre_backups(engine, item, plan_targets, settled)
         for item in data_centres
     ]
     moves = _drop_unchanged(_merge_moves(backups), known)
     if moves or not is_stable:
         return moves
-    return _rebalance(engine, data_centres, aims)
+    return _rebalance(engine, data_centres, plan_targets)
 
 
 def count_complete(
@@ -127,15 +131,17 @@
 
 
 def _repair_data_centre(
-    engine: EngineSpec, data_centre: DataCentreState, aims: PlanTargets
+    engine: EngineSpec, data_centre: DataCentreState, plan_targets: PlanTargets
 ) -> None:
     """Repair incomplete pipelines, the fastest first."""
     for chain in tuple(data_centre.incomplete):
         if chain not in data_centre.incomplete:
             # A faster pipeline has taken its replicas.
             continue
-        moves = _find_moves(engine, data_centre, chain, aims)
-        if moves and _is_net_gain(engine, data_centre, chain, moves, aims):
+        moves = _find_moves(engine, data_centre, chain, plan_targets)
+        if moves and _is_net_gain(
+            engine, data_centre, chain, moves, plan_targets
+        ):
             _apply_moves(data_centre, chain, moves)
 
 
@@ -143,14 +149,14 @@
     engine: EngineSpec,
     data_centre: DataCentreState,
     chain: Chain,
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> Moves | None:
     """Return the least disruptive moves that complete a pipeline."""
     return (
         fill_gaps(engine, chain, data_centre.spares)
         or _fill_from_slower(engine, data_centre, chain)
-        or repartition(engine, chain, data_centre.spares, aims.pause_ms)
-        or _dismantle_slowest(engine, data_centre, chain, aims)
+        or repartition(engine, chain, data_centre.spares, plan_targets.pause_ms)
+        or _dismantle_slowest(engine, data_centre, chain, plan_targets)
     )
 
 
@@ -173,12 +179,14 @@
     engine: EngineSpec,
     data_centre: DataCentreState,
     chain: Chain,
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> Moves | None:
     """Fill gaps with the stages of the slowest complete pipeline."""
     slowest = min(
         data_centre.complete,
-        key=lambda pipeline: predict_rate(engine, pipeline, aims.pause_ms),
+        key=lambda pipeline: predict_rate(
+            engine, pipeline, plan_targets.pause_ms
+        ),
         default=None,
     )
     if slowest is None:
@@ -190,9 +198,12 @@
     gained_rate = predict_rate(
         engine,
         build_repaired_pipeline(chain, moves, index_replicas(data_centre)),
-        aims.pause_ms,
+        plan_targets.pause_ms,
     )
-    if gained_rate < predict_rate(engine, slowest, aims.pause_ms) * _MIN_GAIN:
+    if (
+        gained_rate
+        < predict_rate(engine, slowest, plan_targets.pause_ms) * _MIN_GAIN
+    ):
         return None
     data_centre.complete.remove(slowest)
     return moves
@@ -203,15 +214,17 @@
     data_centre: DataCentreState,
     chain: Chain,
     moves: Moves,
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
 ) -> bool:
     """Return whether a pipeline outweighs the backups that it takes away."""
     gained_rate = predict_rate(
         engine,
         build_repaired_pipeline(chain, moves, index_replicas(data_centre)),
-        aims.pause_ms,
+        plan_targets.pause_ms,
+    )
+    stages = list_rated_stages(
+        engine, data_centre.complete, plan_targets.pause_ms
     )
-    stages = list_rated_stages(engine, data_centre.complete, aims.pause_ms)
     backups = list_held_ranges(data_centre.spares)
     before = predict_repair_loss(stages, backups)
     remaining = [
@@ -246,12 +259,14 @@
 def _assign_data_centre_backups(
     engine: EngineSpec,
     data_centre: DataCentreState,
-    aims: PlanTargets,
+    plan_targets: PlanTargets,
     settled: Collection[str],
 ) -> Moves:
     """Assign backups to settled spares, and likely replacements to newcomers."""
     moves = _preload_replacements(engine, data_centre, settled)
-    stages = list_rated_stages(engine, data_centre.complete, aims.pause_ms)
+    stages = list_rated_stages(
+        engine, data_centre.complete, plan_targets.pause_ms
+    )
     spares = [item for item in data_centre.spares if item.replica_id in settled]
     moves.update(assign_backups(engine, stages, spares))
     return moves
@@ -292,7 +307,9 @@
 
 
 def _rebalance(
-    engine: EngineSpec, data_centres: list[DataCentreState], aims: PlanTargets
+    engine: EngineSpec,
+    data_centres: list[DataCentreState],
+    plan_targets: PlanTargets,
 ) -> Moves:
     """Return the moves that rebalance the first data centre that gains by it."""
     for data_centre in data_centres:
@@ -303,7 +320,7 @@
             data_centre.replicas,
             data_centre.complete,
             list_held_ranges(data_centre.spares),
-            aims,
+            plan_targets,
         )
         if moves:
             return moves
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -156,11 +156,11 @@
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
-        pipes = LinkUsage()
-        request = PathRequest(900, links=pipes)
+        links = LinkUsage()
+        request = PathRequest(900, links=links)
         self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 0))
         for _ in range(20):
-            pipes.note_transfer('a', 'b', 34, 0)
+            links.note_transfer('a', 'b', 34, 0)
         self.assertFalse(choose_path(ENGINE, known, LoadTracker(), request, 0))
         self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 5))
 
@@ -261,13 +261,13 @@
 
     def test_urgent_backlog_is_limited(self) -> None:
         """Without a limit, streams wait on a link after their clients left."""
-        pipes = LinkUsage()
-        pipes.note_transfer('a', 'b', 400, 0)
-        self.assertFalse(pipes.is_open('a', 'b', 0))
-        self.assertTrue(pipes.is_open('a', 'b', 0, is_urgent=True))
-        pipes.note_transfer('a', 'b', 400, 0)
-        self.assertFalse(pipes.is_open('a', 'b', 0, is_urgent=True))
-        self.assertTrue(pipes.is_open('a', 'b', 0.6, is_urgent=True))
+        links = LinkUsage()
+        links.note_transfer('a', 'b', 400, 0)
+        self.assertFalse(links.is_open('a', 'b', 0))
+        self.assertTrue(links.is_open('a', 'b', 0, is_urgent=True))
+        links.note_transfer('a', 'b', 400, 0)
+        self.assertFalse(links.is_open('a', 'b', 0, is_urgent=True))
+        self.assertTrue(links.is_open('a', 'b', 0.6, is_urgent=True))
 
 
 class TestBudget(TestCase):
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -28,8 +28,8 @@
     apply_moves,
 )
 
-_AIMS = PlanTargets(200.0)
-_MAX_RATE_AIMS = PlanTargets(200.0, policy=Policy(lean_plans=False))
+_PLAN_TARGETS = PlanTargets(200.0)
+_MAX_RATE_TARGETS = PlanTargets(200.0, policy=Policy(lean_plans=False))
 
 
 class PlanCase(TestCase):
@@ -55,7 +55,7 @@
         """Apply plans until none has moves left."""
         names = {item.replica_id for item in replicas}
         for _ in range(rounds):
-            moves = plan_moves(ENGINE, replicas, _AIMS, names)
+            moves = plan_moves(ENGINE, replicas, _PLAN_TARGETS, names)
             if not moves:
                 break
             replicas = apply_moves(replicas, moves)
@@ -72,7 +72,7 @@
 
     def test_pipelines_stay_within_data_centres(self) -> None:
         plan = self.assert_sound(
-            plan_layers(ENGINE, build_fleet(THREE_DATA_CENTRES), _AIMS)
+            plan_layers(ENGINE, build_fleet(THREE_DATA_CENTRES), _PLAN_TARGETS)
         )
         local = [item for item in plan.pipelines if not item.count_crossings()]
         self.assertEqual(len(local), 3)
@@ -89,20 +89,22 @@
         for name, data_centres in shapes.items():
             with self.subTest(name):
                 self.assert_sound(
-                    plan_layers(ENGINE, build_fleet(data_centres), _AIMS)
+                    plan_layers(
+                        ENGINE, build_fleet(data_centres), _PLAN_TARGETS
+                    )
                 )
 
     def test_slow_links_are_crossed_less(self) -> None:
         slow = replace(ENGINE, pipe_mbps=1_100)
         plan = self.assert_sound(
-            plan_layers(slow, build_fleet(THREE_DATA_CENTRES), _AIMS)
+            plan_layers(slow, build_fleet(THREE_DATA_CENTRES), _PLAN_TARGETS)
         )
         crossings = sum(item.count_crossings() for item in plan.pipelines)
         self.assertLessEqual(crossings, 2)
 
     def test_too_few_replicas_give_no_plan(self) -> None:
         self.assertIsNone(
-            plan_layers(ENGINE, build_fleet({'a': {'tiny': 4}}), _AIMS)
+            plan_layers(ENGINE, build_fleet({'a': {'tiny': 4}}), _PLAN_TARGETS)
         )
 
     def test_planning_is_fast_for_large_fleet(self) -> None:
@@ -112,7 +114,7 @@
         }
         fleet = build_fleet(data_centres)
         started_at = process_time()
-        self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
+        self.assert_sound(plan_layers(ENGINE, fleet, _PLAN_TARGETS))
         self.assertLess(process_time() - started_at, 4.0)
 
 
@@ -125,8 +127,10 @@
         Each stage is a replica whose loss interrupts streams.
         """
         fleet = build_fleet(THREE_DATA_CENTRES)
-        lean = self.assert_sound(plan_layers(ENGINE, fleet, _AIMS))
-        max_rate = self.assert_sound(plan_layers(ENGINE, fleet, _MAX_RATE_AIMS))
+        lean = self.assert_sound(plan_layers(ENGINE, fleet, _PLAN_TARGETS))
+        max_rate = self.assert_sound(
+            plan_layers(ENGINE, fleet, _MAX_RATE_TARGETS)
+        )
         self.assertLess(_count_stages(lean), _count_stages(max_rate))
         self.assertGreater(len(lean.backups), len(max_rate.backups))
         for pipeline in lean.pipelines:
@@ -137,13 +141,13 @@
     def test_large_demand_raises_rate(self) -> None:
         fleet = build_fleet(THREE_DATA_CENTRES)
         large = self.assert_sound(
-            plan_layers(ENGINE, fleet, replace(_AIMS, demand=1000))
+            plan_layers(ENGINE, fleet, replace(_PLAN_TARGETS, demand=1000))
         )
         small = self.assert_sound(
-            plan_layers(ENGINE, fleet, replace(_AIMS, demand=5))
+            plan_layers(ENGINE, fleet, replace(_PLAN_TARGETS, demand=5))
         )
         rates = [
-            predict_total_rate(ENGINE, plan.pipelines, _AIMS.pause_ms)
+            predict_total_rate(ENGINE, plan.pipelines, _PLAN_TARGETS.pause_ms)
             for plan in (large, small)
         ]
         self.assertGreater(rates[0], rates[1])
@@ -173,7 +177,9 @@
             for stage in chain.stages
         }
         settled = {item.replica_id for item in left}
-        moves = plan_moves(ENGINE, left, _AIMS, settled, is_stable=False)
+        moves = plan_moves(
+            ENGINE, left, _PLAN_TARGETS, settled, is_stable=False
+        )
         self.assertFalse(kept & set(moves))
 
     def test_newcomer_takes_lost_stage(self) -> None:
@@ -182,7 +188,7 @@
         left = [item for item in self.fleet if item is not lost]
         settled = {item.replica_id for item in left}
         moves = plan_moves(
-            ENGINE, [*left, newcomer], _AIMS, settled, is_stable=False
+            ENGINE, [*left, newcomer], _PLAN_TARGETS, settled, is_stable=False
         )
         self.assertEqual(moves, {'new': lost.layers})
 
@@ -207,7 +213,7 @@
                 ]
                 settled = self.settle(left, rounds=16)
                 names = {item.replica_id for item in settled}
-                moves = plan_moves(ENGINE, settled, _AIMS, names)
+                moves = plan_moves(ENGINE, settled, _PLAN_TARGETS, names)
                 self.assertEqual(moves, {})
 
     def test_stage_with_backup_needs_no_load(self) -> None:
@@ -228,7 +234,9 @@
         lost = self._find_stage('a', 0)
         left = [item for item in self.fleet if item is not lost]
         settled = {item.replica_id for item in left}
-        moves = plan_moves(ENGINE, left, _AIMS, settled, is_stable=False)
+        moves = plan_moves(
+            ENGINE, left, _PLAN_TARGETS, settled, is_stable=False
+        )
         self.assertTrue(moves)
         self.assertTrue(all(name.startswith('a-') for name in moves), moves)
         self.assertEqual(self.count_complete(apply_moves(left, moves)), 3)
@@ -256,7 +264,11 @@
         newcomer = build_replica('new', 'a', 'large')
         settled = {item.replica_id for item in self.fleet}
         moves = plan_moves(
-            ENGINE, [*self.fleet, newcomer], _AIMS, settled, is_stable=False
+            ENGINE,
+            [*self.fleet, newcomer],
+            _PLAN_TARGETS,
+            settled,
+            is_stable=False,
         )
         held = self._find_stage('a', 0).layers
         self.assertEqual(moves, {'new': held})
@@ -283,7 +295,7 @@
         """
         fleet = build_fleet(THREE_DATA_CENTRES)
         known = fleet[::3]
-        plan = plan_layers(ENGINE, known, _AIMS)
+        plan = plan_layers(ENGINE, known, _PLAN_TARGETS)
         assert plan is not None
         replicas = self.settle(apply_moves(fleet, plan.list_ranges()))
         complete = self.count_by_data_centre(replicas)
@@ -306,7 +318,7 @@
             for item in fleet
         ]
         names = {item.replica_id for item in lost}
-        moves = plan_moves(ENGINE, lost, _AIMS, names, is_stable=False)
+        moves = plan_moves(ENGINE, lost, _PLAN_TARGETS, names, is_stable=False)
         moved = {item.data_centre for item in lost if item.replica_id in moves}
         self.assertEqual(moved, {'b'})
 
