--- a/samphirerill/fleet/failure_detection.py
+++ b/samphirerill/fleet/failure_detection.py
@@ -38,7 +38,7 @@
 # Reports on two replicas within this time belong to one failure: streams notice
 # silence up to this much apart.
 _CORRELATION_WINDOW_S = 0.3
-# A failure that continues triggers another survey; one takes 0.25 s.
+# A failure that continues triggers another round of probes, which takes 0.25 s.
 _RESURVEY_INTERVAL_S = 0.5
 
 
--- a/samphirerill/tests/test_correlated_failures.py
+++ b/samphirerill/tests/test_correlated_failures.py
@@ -65,7 +65,7 @@
     """When reports count as a correlated failure, and when it is complete."""
 
     def test_single_report_is_no_failure(self) -> None:
-        """Otherwise every lost packet would trigger a survey of all replicas."""
+        """Otherwise every lost packet would trigger probes of all replicas."""
         loss = CorrelatedFailure()
         loss.note_silence('one', 1.0)
         self.assertFalse(loss.is_in_progress(1.0))
@@ -118,7 +118,7 @@
         self.assertFalse(loss.is_known_alive('new'))
 
     def test_endpoint_without_layers_is_no_failure(self) -> None:
-        """Avoiding such an endpoint must not trigger a survey of the replicas."""
+        """Avoiding such an endpoint must not trigger probes of the replicas."""
         view = FleetView()
         view.apply_announcement(build_replica('plain'), 1)
         view.add_silence_report('plain', 9, 1, votes=CONFIRMING_VOTES)
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -335,7 +335,7 @@
         self.assertLess(plans, 10)
 
     def test_first_observed_fleet_counts_as_settled(self) -> None:
-        """A new commander must not treat all replicas as newcomers.
+        """A new leader must not treat all replicas as newcomers.
 
         Gaps would stay open, as newcomers justify no pipeline.
         """
