--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -72,9 +72,9 @@
     """Input of one run.
 
     `zones` maps each data centre to its number of replicas by type of
-    accelerator; the replicas are named ``DATA_CENTRE-KIND-NUMBER``. `placement` maps
-    replicas to their initial layers ``[FIRST, END]``; without it the planner
-    places them. `policy` disables single mechanisms.
+    accelerator; the replicas are named ``DATA_CENTRE-KIND-NUMBER``. `placement`
+    maps replicas to their initial layers ``[FIRST, END]``; without it the
+    planner places them. `policy` disables single mechanisms.
     """
 
     engine: EngineFigures
--- a/samphirerill/fleet/failure_detection.py
+++ b/samphirerill/fleet/failure_detection.py
@@ -133,9 +133,10 @@
     only its probers check it. Two reports close together, or a confirmed death,
     are treated as a failure: replicas that answered before it may be lost now.
 
-    `last_extended_at` is when the failure was last seen to continue, `last_alive` when each
-    replica is last known to have worked, and `unconfirmed` when each unconfirmed
-    report arrived, by replica; times are on the loop's clock.
+    `last_extended_at` is when the failure was last seen to continue,
+    `last_alive` when each replica is last known to have worked, and
+    `unconfirmed` when each unconfirmed report arrived, by replica; times are on
+    the loop's clock.
     """
 
     __slots__ = (
--- a/samphirerill/fleet/model.py
+++ b/samphirerill/fleet/model.py
@@ -30,8 +30,8 @@
 class Accelerator:
     """One kind of accelerator, with factors on the engine's nominal times.
 
-    `step_factor` multiplies the time of a decoding step, `prefill_factor` that of
-    prefill.
+    `step_factor` multiplies the time of a decoding step, `prefill_factor` that
+    of prefill.
     """
 
     name: str
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -73,11 +73,11 @@
 class PathRequest:
     """Requirements of a path: memory for `tokens` without replicas in `excluded`.
 
-    `first_replicas` limits the replicas that may run the first stage; empty means any.
-    `first_stage_end` is where the first stage must end; 0 means anywhere. Replicas in
-    `prefilled_on` already hold the tokens. An urgent request, whose stream has begun,
-    may use the reserved memory and links with a longer queue. `data_centre` is the
-    data centre of the requesting node.
+    `first_replicas` limits the replicas that may run the first stage; empty
+    means any. `first_stage_end` is where the first stage must end; 0 means
+    anywhere. Replicas in `prefilled_on` already hold the tokens. An urgent
+    request, whose stream has begun, may use the reserved memory and links with
+    a longer queue. `data_centre` is the data centre of the requesting node.
     """
 
     tokens: float
--- a/samphirerill/fleet/suspicion.py
+++ b/samphirerill/fleet/suspicion.py
@@ -24,8 +24,8 @@
     """A report, by a node or a whole data centre, that a replica is silent.
 
     It is valid from `since`, when the silence was found, to `until`, both on
-    the loop's clock. `votes` is the number of nodes behind it, or `CONFIRMING_VOTES`
-    for a confirmed death. `node` is empty for this node.
+    the loop's clock. `votes` is the number of nodes behind it, or
+    `CONFIRMING_VOTES` for a confirmed death. `node` is empty for this node.
     """
 
     since: float
@@ -44,10 +44,10 @@
 class Suspicion:
     """Evidence that a replica is dead or alive.
 
-    The replica is suspected until `suspected_until`, by this node's own report until
-    `self_suspected_until`, and by confirmed reports until `confirmed_until`. `has_stopped`
-    means that nothing listens at its address. `last_alive_at` is the latest time at
-    which it is known to have worked.
+    The replica is suspected until `suspected_until`, by this node's own report
+    until `self_suspected_until`, and by confirmed reports until
+    `confirmed_until`. `has_stopped` means that nothing listens at its address.
+    `last_alive_at` is the latest time at which it is known to have worked.
     """
 
     suspected_until: float = 0.0
--- a/samphirerill/relay/request_context.py
+++ b/samphirerill/relay/request_context.py
@@ -20,8 +20,8 @@
 
     `deadline` is the earlier of the client's deadline and the route's timeout,
     `client_deadline` the client's own; both are on the loop's clock.
-    `strips_api_key` is whether clients authenticate with API keys, which endpoints
-    must not see.
+    `strips_api_key` is whether clients authenticate with API keys, which
+    endpoints must not see.
     """
 
     req: Request
--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -89,13 +89,13 @@
     async def _serve(self, context: RequestContext) -> None:
         engine = context.service.engine
         if engine is None or not engine.layers:
-            if not self._reject_if_ending(
+            if not self._reject_if_shutting_down(
                 self._state.accept_requests_until, context
             ):
                 await PlainExchange(
                     self._state, context, self._quarantine
                 ).run()
-        elif not self._reject_if_ending(
+        elif not self._reject_if_shutting_down(
             self._state.accept_streams_until, context
         ):
             await StreamExchange(
@@ -107,8 +107,10 @@
                 self._quarantine,
             ).run()
 
-    def _reject_if_ending(self, until: float, context: RequestContext) -> bool:
-        """Reject a request if this node ends soon; return whether it did."""
+    def _reject_if_shutting_down(
+        self, until: float, context: RequestContext
+    ) -> bool:
+        """Reject a request shortly before shutdown; return whether it did."""
         if self._loop.time() < until:
             return False
         refusal = Refusal(UNAVAILABLE, 'the node is shutting down')
