--- a/samphirerill/relay/health/loss_prober.py
+++ b/samphirerill/relay/health/loss_prober.py
@@ -42,7 +42,7 @@
     ----------
     state : EdgeState
         State of this node.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes the replicas.
     alarms : Alarms
         Reports the results, and knows the other nodes.
@@ -53,12 +53,12 @@
     def __init__(
         self,
         state: EdgeState,
-        examiner: ReplicaProber,
+        prober: ReplicaProber,
         alarms: Alarms,
         find_leader: Callable[[], str],
     ) -> None:
         self._state = state
-        self._examiner = examiner
+        self._prober = prober
         self._alarms = alarms
         self._find_leader = find_leader
         self._loop = asyncio.get_running_loop()
@@ -86,14 +86,14 @@
             The ids of those that are dead.
         """
         loss = self._state.view.current_failure
-        alive = self._examiner.find_alive(loss.last_extended_at)
+        alive = self._prober.find_alive(loss.last_extended_at)
         unconfirmed = [
             replica
             for replica in replicas
             if replica.replica_id not in alive
             and not loss.is_known_alive(replica.replica_id)
         ]
-        return await self._examiner.probe_replicas(unconfirmed)
+        return await self._prober.probe_replicas(unconfirmed)
 
     def _on_state_change(self) -> None:
         """Probe if a loss has begun or continues."""
@@ -120,7 +120,7 @@
     async def _probe(self, names: Iterable[str]) -> set[str]:
         """Probe known replicas; return the ids of those that are dead."""
         known = self._state.view.replicas
-        return await self._examiner.probe_replicas(
+        return await self._prober.probe_replicas(
             [known[name].replica for name in names]
         )
 
@@ -156,7 +156,7 @@
 
     async def _probe_share(self) -> None:
         since = self._loss_began_at
-        alive = self._examiner.find_alive(since)
+        alive = self._prober.find_alive(since)
         share = self._list_share()
         unconfirmed = [
             found.replica
@@ -164,7 +164,7 @@
             if found.replica.replica_id not in alive
             and found.suspicion.confirmed_until <= since
         ]
-        dead = await self._examiner.probe_replicas(unconfirmed)
+        dead = await self._prober.probe_replicas(unconfirmed)
         self._schedule_fallback()
         self._send_alive(share, since)
         if not unconfirmed:
@@ -185,7 +185,7 @@
         if leader == self._state.settings.name:
             return
         names = {found.replica.replica_id for found in share}
-        alive = self._examiner.find_alive(since)
+        alive = self._prober.find_alive(since)
         self._alarms.send_alive(
             leader,
             {name: at for name, at in alive.items() if name in names},
@@ -238,7 +238,7 @@
             dict.fromkeys(own_share, now + _REPROBE_INTERVAL_S)
         )
         dead = await self._probe(own_share)
-        alive = self._examiner.find_alive(now)
+        alive = self._prober.find_alive(now)
         self._alarms.broadcast_alive(
             {
                 name: alive[name]
--- a/samphirerill/relay/layer_controller.py
+++ b/samphirerill/relay/layer_controller.py
@@ -88,7 +88,7 @@
     health : StoreHealth
         Returns whether announcements may be missing because their leases
         expired during a store outage.
-    survey : LossProber
+    loss_prober : LossProber
         Probes replicas that have sent nothing since a failure began.
     """
 
@@ -97,9 +97,9 @@
         state: EdgeState,
         leadership: Leadership,
         health: StoreHealth,
-        survey: LossProber,
+        loss_prober: LossProber,
     ) -> None:
-        self._survey = survey
+        self._loss_prober = loss_prober
         self._state = state
         self._leadership = leadership
         self._health = health
@@ -209,7 +209,7 @@
         present = self._list_present(service, now)
         if not self._state.view.current_failure.is_recent(now):
             return present
-        dead = await self._survey.probe_unconfirmed(present)
+        dead = await self._loss_prober.probe_unconfirmed(present)
         return [
             replica
             for replica in self._list_present(service, self._loop.time())
--- a/samphirerill/relay/membership.py
+++ b/samphirerill/relay/membership.py
@@ -102,11 +102,11 @@
 
     async def start(self) -> None:
         """Open the ports for the other nodes."""
-        pages = PeerRequestHandler(
+        handler = PeerRequestHandler(
             self._peer_sync.list_pages(), self._log, self._receives_from_store
         )
         self._server = await listen(
-            self._state.settings.peers, pages, self._connections
+            self._state.settings.peers, handler, self._connections
         )
         await self._receiver.start()
 
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -90,17 +90,20 @@
         Shared state of this node.
     task : RequestContext
         The request.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Knows whether the request is quarantined; informed of attempts that
         break off.
     """
 
     def __init__(
-        self, state: EdgeState, task: RequestContext, quarantine: CrashDetector
+        self,
+        state: EdgeState,
+        task: RequestContext,
+        crash_detector: CrashDetector,
     ) -> None:
         self._state = state
         self._task = task
-        self._quarantine = quarantine
+        self._crash_detector = crash_detector
         self._quarantined_until = 0.0
         self._budget = AttemptBudget(state, task)
         self._loop = asyncio.get_running_loop()
@@ -125,7 +128,7 @@
                 self._budget.refund()
             if self._is_final(outcome):
                 break
-            await self._quarantine.delay_retry(self._task)
+            await self._crash_detector.delay_retry(self._task)
         self._respond(outcome)
 
     async def _wait_for_endpoint(self) -> ReplicaState | None:
@@ -158,7 +161,9 @@
     def _may_send(self) -> bool:
         """Return whether another attempt is allowed, and reserve it."""
         now = self._loop.time()
-        self._quarantined_until = self._quarantine.find_held_until(self._task)
+        self._quarantined_until = self._crash_detector.find_held_until(
+            self._task
+        )
         if self._quarantined_until or now >= self._task.deadline:
             return False
         if self._attempts >= self._task.route.max_attempts:
@@ -228,9 +233,11 @@
             fresh=not self._task.is_retryable,
             max_open=self._state.get_connection_limit(self._task.service),
         )
-        if self._quarantine.find_held_until(self._task):
+        if self._crash_detector.find_held_until(self._task):
             self._state.pool.release(replica, conn)
-            raise QuarantinedError(self._quarantine.describe_hold(self._task))
+            raise QuarantinedError(
+                self._crash_detector.describe_hold(self._task)
+            )
         return conn
 
     async def _call(
@@ -247,7 +254,7 @@
                 is_not_run=True, reason='endpoint rejected the request'
             )
         self._may_have_run = True
-        self._quarantine.record_completion(self._task)
+        self._crash_detector.record_completion(self._task)
         return _Outcome(head, body)
 
     def _handle_error(
@@ -256,7 +263,7 @@
         self._may_have_run = True
         self._has_broken_run = True
         if isinstance(exc, BrokenResponseError):
-            self._quarantine.record_failure(self._task, endpoint.replica)
+            self._crash_detector.record_failure(self._task, endpoint.replica)
         is_silent = isinstance(exc, EndpointTimeoutError)
         if is_silent and self._loop.time() - sent_at >= _MIN_SILENCE_S:
             self._avoid(endpoint, str(exc))
@@ -324,7 +331,7 @@
         timed_out = now >= self._task.deadline
         reason, retry_s = outcome.reason, _DEFAULT_RETRY_S
         if self._quarantined_until:
-            reason = self._quarantine.describe_hold(self._task)
+            reason = self._crash_detector.describe_hold(self._task)
             retry_s = self._quarantined_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -86,40 +86,48 @@
         self._health = health
         self._admission = AdmissionQueue(self.state)
         alarms = Alarms(self.state)
-        examiner = ReplicaProber(self.state, alarms)
-        keeper = QuarantineManager(self.state)
-        self._quarantine_sync = EvidenceExchange(self.state, keeper)
-        self._front = RequestDispatcher(
+        prober = ReplicaProber(self.state, alarms)
+        quarantine_manager = QuarantineManager(self.state)
+        self._evidence_exchange = EvidenceExchange(
+            self.state, quarantine_manager
+        )
+        self._dispatcher = RequestDispatcher(
             self.state,
             self._admission,
-            examiner,
-            CrashDetector(self.state, examiner, keeper, self._quarantine_sync),
+            prober,
+            CrashDetector(
+                self.state, prober, quarantine_manager, self._evidence_exchange
+            ),
         )
         change_source = ChangeSource(settings.name)
         self._members = Membership(
             self.state, store, health, change_source, change_source.log, alarms
         )
-        self._members.add_datagram_handler(self._quarantine_sync)
+        self._members.add_datagram_handler(self._evidence_exchange)
         leadership = Leadership(self.state, store)
-        self._stored_quarantine = StoredHolds(
-            self.state, store, keeper, leadership
+        self._stored_holds = StoredHolds(
+            self.state, store, quarantine_manager, leadership
         )
-        self._survey = LossProber(
-            self.state, examiner, alarms, lambda: leadership.leader
+        self._loss_prober = LossProber(
+            self.state, prober, alarms, lambda: leadership.leader
         )
-        self._commander = LayerController(
-            self.state, leadership, health, self._survey
+        self._layer_controller = LayerController(
+            self.state, leadership, health, self._loss_prober
         )
         self._follower = build_store_follower(
             self.state,
             store,
             health,
-            (self._members, leadership, self._stored_quarantine),
+            (self._members, leadership, self._stored_holds),
             change_source,
             change_source.log,
         )
-        self._node_pages = StatusEndpoints(
-            self.state, self._admission, store, self._count_busy, keeper
+        self._status_endpoints = StatusEndpoints(
+            self.state,
+            self._admission,
+            store,
+            self._count_busy,
+            quarantine_manager,
         )
         self._reloader = SettingsReloader(self.state, store, source)
         self._connections: set[ClientConnection] = set()
@@ -138,13 +146,13 @@
         for run_loop, name in (
             (self._follower.run, 'follow'),
             (self._members.run, 'membership'),
-            (self._commander.run, 'commander'),
-            (self._survey.run, 'survey'),
-            (self._quarantine_sync.run, 'quarantine'),
-            (self._stored_quarantine.run, 'stored holds'),
+            (self._layer_controller.run, 'commander'),
+            (self._loss_prober.run, 'survey'),
+            (self._evidence_exchange.run, 'quarantine'),
+            (self._stored_holds.run, 'stored holds'),
             (self._sweep, 'sweep'),
             (self._reloader.run, 'settings'),
-            (self._node_pages.usage.run, 'usage'),
+            (self._status_endpoints.usage.run, 'usage'),
         ):
             self._start_task(self._keep_running(run_loop, name), name)
         _LOG.info('started', extra={'node': self.state.settings.name})
@@ -161,7 +169,7 @@
         for conn in (*self._connections, *self._page_connections):
             conn.shut_down()
         self._members.close()
-        self._node_pages.usage.log()
+        self._status_endpoints.usage.log()
         for task in tuple(self._tasks):
             task.cancel()
 
@@ -190,15 +198,15 @@
         metrics_address = f'{settings.host}:{settings.metrics_port}'
         self._servers.extend(
             await asyncio.gather(
-                listen(settings.callers, self._front, self._connections),
+                listen(settings.callers, self._dispatcher, self._connections),
                 listen(
                     settings.readiness,
-                    self._node_pages.build_readiness_handler(),
+                    self._status_endpoints.build_readiness_handler(),
                     self._page_connections,
                 ),
                 listen(
                     metrics_address,
-                    self._node_pages.build_metrics_handler(),
+                    self._status_endpoints.build_metrics_handler(),
                     self._page_connections,
                 ),
             )
@@ -212,7 +220,7 @@
         if self._handled_losses == self.state.view.loss_count:
             return
         self._handled_losses = self.state.view.loss_count
-        self._commander.trigger()
+        self._layer_controller.trigger()
         for stream in tuple(self.state.streams):
             stream.handle_view_change()
 
@@ -242,7 +250,7 @@
         self.state.accept_streams_until = finish_by - _EXPECTED_STREAM_S
         self.state.accept_requests_until = finish_by - _MAX_REQUEST_S
         notice_ends_at = now + _READINESS_NOTICE_S
-        await self._revoke_lease(self._commander.stop())
+        await self._revoke_lease(self._layer_controller.stop())
         await asyncio.sleep(notice_ends_at - self._loop.time())
         self._close_idle()
         await self._finish_requests(finish_by)
--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -58,25 +58,25 @@
     ----------
     state : EdgeState
         Replicas and the quarantine.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes whether replicas have terminated.
-    keeper : QuarantineManager
+    manager : QuarantineManager
         Records the evidence.
-    sharing : EvidenceExchange
+    evidence_exchange : EvidenceExchange
         Sends it to the other nodes.
     """
 
     def __init__(
         self,
         state: EdgeState,
-        examiner: ReplicaProber,
-        keeper: QuarantineManager,
-        sharing: EvidenceExchange,
+        prober: ReplicaProber,
+        manager: QuarantineManager,
+        evidence_exchange: EvidenceExchange,
     ) -> None:
         self._state = state
-        self._examiner = examiner
-        self._keeper = keeper
-        self._sharing = sharing
+        self._prober = prober
+        self._manager = manager
+        self._evidence_exchange = evidence_exchange
         self._loop = asyncio.get_running_loop()
         # Failed runs of each replica process that is being probed.
         self._failed_runs: dict[str, list[_FailedRun]] = {}
@@ -113,13 +113,13 @@
 
     def list_trials(self) -> frozenset[str]:
         """Return the replicas that run a suspect."""
-        return self._sharing.trials.list(self._loop.time())
+        return self._evidence_exchange.trials.list(self._loop.time())
 
     def record_send(self, task: RequestContext, replica: Replica) -> None:
         """Notify all nodes if the request being sent is a suspect."""
         if self.is_suspect(task):
             self._state.counters['quarantine.trials'] += 1
-            self._sharing.broadcast_trial(replica.replica_id)
+            self._evidence_exchange.broadcast_trial(replica.replica_id)
 
     async def delay_retry(self, task: RequestContext) -> None:
         """Delay the retry of a suspect.
@@ -187,8 +187,8 @@
             self._note_survival(task)
 
     def _note_survival(self, task: RequestContext) -> None:
-        if self._keeper.record_survival(task.identity):
-            self._sharing.broadcast((task.identity,))
+        if self._manager.record_survival(task.identity):
+            self._evidence_exchange.broadcast((task.identity,))
 
     async def _investigate(
         self, replica: Replica, process_name: str, since: float
@@ -216,8 +216,10 @@
         )
         for run in failed_runs:
             crash = Crash(process_name, run.request_id, run.at)
-            self._keeper.record_crash(run.request, crash)
-        self._sharing.broadcast([failed.request for failed in failed_runs])
+            self._manager.record_crash(run.request, crash)
+        self._evidence_exchange.broadcast(
+            [failed.request for failed in failed_runs]
+        )
 
     async def _has_terminated(self, replica: Replica, since: float) -> bool:
         """Return whether the process has terminated; silence is no proof."""
@@ -226,7 +228,7 @@
             await asyncio.sleep(delay_s)
             if replica_id not in self._state.view.replicas:
                 return not self._state.view.is_leaving(replica_id)
-            if not await self._examiner.probe_replicas([replica], since):
+            if not await self._prober.probe_replicas([replica], since):
                 return False
             if self._state.view.has_stopped(replica_id):
                 return True
--- a/samphirerill/relay/quarantine/evidence_exchange.py
+++ b/samphirerill/relay/quarantine/evidence_exchange.py
@@ -72,15 +72,15 @@
     ----------
     state : EdgeState
         Holds the quarantine.
-    keeper : QuarantineManager
+    manager : QuarantineManager
         Applies the evidence of other nodes.
     """
 
     type_prefix = TYPE_PREFIX
 
-    def __init__(self, state: EdgeState, keeper: QuarantineManager) -> None:
+    def __init__(self, state: EdgeState, manager: QuarantineManager) -> None:
         self._state = state
-        self._keeper = keeper
+        self._manager = manager
         self._loop = asyncio.get_running_loop()
         self._datagram_sender: DatagramSender | None = None
         self._deduplicator = DatagramDeduplicator()
@@ -120,7 +120,7 @@
             return
         if self._datagram_sender is not None and evidence.is_broadcast:
             self._datagram_sender.forward_from(sender, data)
-        self._keeper.apply_records(records)
+        self._manager.apply_records(records)
         if evidence.trial:
             self._record_trial(evidence.trial)
 
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -62,7 +62,7 @@
         Holds the quarantine.
     store : PlatformStore
         Where holds are stored.
-    keeper : QuarantineManager
+    manager : QuarantineManager
         Applies the stored evidence.
     leadership : Leadership
         Whether this node is the leader.
@@ -74,12 +74,12 @@
         self,
         state: EdgeState,
         store: PlatformStore,
-        keeper: QuarantineManager,
+        manager: QuarantineManager,
         leadership: Leadership,
     ) -> None:
         self._state = state
         self._store = store
-        self._keeper = keeper
+        self._manager = manager
         self._leadership = leadership
         self._loop = asyncio.get_running_loop()
         self._stored: dict[str, bytes] = {}
@@ -105,7 +105,7 @@
             return
         self._stored[item.key] = hold.record.request
         age_ms = max(0, _read_clock_ms() - hold.written_ms)
-        self._keeper.apply_records([add_age(hold.record, age_ms)])
+        self._manager.apply_records([add_age(hold.record, age_ms)])
 
     def apply_deletion(self, gone: DeletedKey) -> None:
         """Remove a stored hold that was deleted or has expired."""
--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -44,9 +44,9 @@
         Shared state of this node.
     admission : AdmissionQueue
         The admission queue for streams.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes unresponsive replicas.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Detects requests that crash replicas.
     """
 
@@ -54,13 +54,13 @@
         self,
         state: EdgeState,
         admission: AdmissionQueue,
-        examiner: ReplicaProber,
-        quarantine: CrashDetector,
+        prober: ReplicaProber,
+        crash_detector: CrashDetector,
     ) -> None:
-        self._quarantine = quarantine
+        self._crash_detector = crash_detector
         self._state = state
         self._admission = admission
-        self._examiner = examiner
+        self._prober = prober
         self._loop = asyncio.get_running_loop()
 
     def get_limits(self) -> ClientLimits:
@@ -92,15 +92,17 @@
             if not self._reject_if_ending(
                 self._state.accept_requests_until, task
             ):
-                await PlainExchange(self._state, task, self._quarantine).run()
+                await PlainExchange(
+                    self._state, task, self._crash_detector
+                ).run()
         elif not self._reject_if_ending(self._state.accept_streams_until, task):
             await StreamExchange(
                 self._state,
                 task,
                 engine,
                 self._admission,
-                self._examiner,
-                self._quarantine,
+                self._prober,
+                self._crash_detector,
             ).run()
 
     def _reject_if_ending(self, until: float, task: RequestContext) -> bool:
--- a/samphirerill/relay/status_endpoints.py
+++ b/samphirerill/relay/status_endpoints.py
@@ -35,7 +35,7 @@
         Client of the store, which counts its calls.
     count_busy : callable
         Returns the number of connections with a request in progress.
-    keeper : QuarantineManager
+    quarantine_manager : QuarantineManager
         Lists the quarantined requests.
 
     Attributes
@@ -50,9 +50,9 @@
         admission: AdmissionQueue,
         store: PlatformStore,
         count_busy: Callable[[], int],
-        keeper: QuarantineManager,
+        quarantine_manager: QuarantineManager,
     ) -> None:
-        self._quarantine_keeper = keeper
+        self._quarantine_manager = quarantine_manager
         self._state = state
         self._admission = admission
         self.usage = UsageReporter(state, store)
@@ -82,7 +82,7 @@
             'version': state.version,
             'replicas': len(state.view.replicas),
             'streams': len(state.streams),
-            'quarantine': self._quarantine_keeper.describe(),
+            'quarantine': self._quarantine_manager.describe(),
         }
         return _OK, json.encode(dump)
 
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -45,7 +45,7 @@
         The request.
     path : StreamPath
         The path of the stream.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes the replicas of silent paths.
     may_retry : callable
         Returns whether another attempt is allowed.
@@ -59,13 +59,13 @@
         self,
         task: RequestContext,
         path: StreamPath,
-        examiner: ReplicaProber,
+        prober: ReplicaProber,
         may_retry: Callable[[], bool],
         start_handover: Callable[[HttpConnection, str], bool],
     ) -> None:
         self._task = task
         self._path = path
-        self._examiner = examiner
+        self._prober = prober
         self._may_retry = may_retry
         self._start_handover = start_handover
         self._loop = asyncio.get_running_loop()
@@ -204,7 +204,7 @@
             The stages that may be dead.
         """
         head_id = self._path.head_id
-        diagnosis = await self._examiner.diagnose_path(unproven)
+        diagnosis = await self._prober.diagnose_path(unproven)
         if head_id in diagnosis.dead:
             self._leave_path(f'{head_id} is unresponsive')
             return
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -51,7 +51,7 @@
         The progress of the stream.
     times : StreamTimes
         The times of its events.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Knows whether the request is quarantined.
     """
 
@@ -62,7 +62,7 @@
         '_state',
         '_task',
         '_times',
-        '_quarantine',
+        '_crash_detector',
     )
 
     def __init__(
@@ -71,26 +71,26 @@
         task: RequestContext,
         progress: StreamProgress,
         times: StreamTimes,
-        quarantine: CrashDetector,
+        crash_detector: CrashDetector,
     ) -> None:
         self._state = state
         self._task = task
         self._progress = progress
         self._times = times
-        self._quarantine = quarantine
+        self._crash_detector = crash_detector
         self._loop = asyncio.get_running_loop()
         self._budget = AttemptBudget(state, task)
 
     def is_quarantined(self) -> bool:
         """Return whether the request is quarantined for crashing replicas."""
-        return self._quarantine.find_held_until(self._task) > 0
+        return self._crash_detector.find_held_until(self._task) > 0
 
     def acquire_attempt(self) -> AttemptDenial | None:
         """Reserve one attempt; return why it is denied, or none."""
         now = self._loop.time()
-        quarantined_until = self._quarantine.find_held_until(self._task)
+        quarantined_until = self._crash_detector.find_held_until(self._task)
         if quarantined_until:
-            reason = self._quarantine.describe_hold(self._task)
+            reason = self._crash_detector.describe_hold(self._task)
             return AttemptDenial(reason, quarantined_until - now)
         denial = self._find_final_denial(now)
         if denial:
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -122,7 +122,7 @@
         self.stages = await self._admit(wanted, rank, deadline)
 
     async def find_isolated_head(
-        self, quarantine: CrashDetector, until: float
+        self, crash_detector: CrashDetector, until: float
     ) -> frozenset[str]:
         """Return the heads for a suspected request; empty for any.
 
@@ -134,8 +134,8 @@
             min(until, self._loop.time() + _MAX_ISOLATION_WAIT_S)
             - _ISOLATION_POLL_S
         )
-        while quarantine.is_suspect(self._task):
-            excluded_ids = quarantine.list_trials()
+        while crash_detector.is_suspect(self._task):
+            excluded_ids = crash_detector.list_trials()
             heads = self.finder.find_isolated_head(excluded_ids)
             if heads or not excluded_ids or self._loop.time() >= last:
                 return heads
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -99,21 +99,21 @@
         The path, with the replicas that were used and those to avoid.
     progress : StreamProgress
         The progress, which is kept up to date.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes replicas that others report as the cause of a failure.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Knows whether the request is quarantined; informed of runs that break
         off.
     """
 
     __slots__ = (
-        '_examiner',
+        '_prober',
         '_loop',
         '_path',
         '_progress',
         '_state',
         '_task',
-        '_quarantine',
+        '_crash_detector',
     )
 
     def __init__(
@@ -122,11 +122,11 @@
         task: RequestContext,
         path: StreamPath,
         progress: StreamProgress,
-        examiner: ReplicaProber,
-        quarantine: CrashDetector,
+        prober: ReplicaProber,
+        crash_detector: CrashDetector,
     ) -> None:
-        self._examiner = examiner
-        self._quarantine = quarantine
+        self._prober = prober
+        self._crash_detector = crash_detector
         self._state = state
         self._task = task
         self._path = path
@@ -150,7 +150,7 @@
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
         else:
-            if not self._quarantine.find_held_until(self._task):
+            if not self._crash_detector.find_held_until(self._task):
                 return conn
             # The request was quarantined while connecting.
             self._state.pool.release(replica, conn)
@@ -186,7 +186,7 @@
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
             waited_ms=round(waited_s * MS_PER_S),
         )
-        self._quarantine.record_send(self._task, stages[0].replica)
+        self._crash_detector.record_send(self._task, stages[0].replica)
         conn.send(self._build_call(stages))
         return is_new_head
 
@@ -213,7 +213,9 @@
                 stages[0].replica.replica_id, str(exc)
             )
             if isinstance(exc, BrokenResponseError):
-                self._quarantine.record_failure(self._task, stages[0].replica)
+                self._crash_detector.record_failure(
+                    self._task, stages[0].replica
+                )
         finally:
             if head is None:
                 conn.close()
@@ -250,7 +252,7 @@
             and replica_id != head_id
             and head.status == _UNAVAILABLE
         ):
-            self._examiner.probe_in_background(faulty.replica)
+            self._prober.probe_in_background(faulty.replica)
         self._record_refusal(
             replica_id, f'engine rejected the stream with status {head.status}'
         )
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -82,9 +82,9 @@
         Performance figures of the service's engine.
     admission : AdmissionQueue
         Grants paths with free capacity.
-    examiner : ReplicaProber
+    prober : ReplicaProber
         Probes unresponsive replicas.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Informed of runs that break off and of runs that go on.
     """
 
@@ -94,12 +94,12 @@
         task: RequestContext,
         engine: EngineSpec,
         admission: AdmissionQueue,
-        examiner: ReplicaProber,
-        quarantine: CrashDetector,
+        prober: ReplicaProber,
+        crash_detector: CrashDetector,
     ) -> None:
         self._state = state
         self._task = task
-        self._quarantine = quarantine
+        self._crash_detector = crash_detector
         self._loop = asyncio.get_running_loop()
         self._admission = admission
         self._path = StreamPath(state, task, engine, admission)
@@ -111,10 +111,10 @@
         )
         self._progress = StreamProgress(task)
         self._sender = StreamSender(
-            state, task, self._path, self._progress, examiner, quarantine
+            state, task, self._path, self._progress, prober, crash_detector
         )
         self._limits = StreamLimits(
-            state, task, self._progress, self._times, quarantine
+            state, task, self._progress, self._times, crash_detector
         )
         self._ended = False
         self._error_response: tuple[ResponseHead, bytes] | None = None
@@ -125,7 +125,7 @@
         self._guard = StreamGuard(
             task,
             self._path,
-            examiner,
+            prober,
             self._limits.may_retry,
             self._start_handover,
         )
@@ -192,9 +192,9 @@
             return
         if backoff_s:
             await self._wait_unless_quarantined(asyncio.sleep(backoff_s))
-        if self._quarantine.is_suspect(self._task):
+        if self._crash_detector.is_suspect(self._task):
             await self._wait_unless_quarantined(
-                self._quarantine.delay_retry(self._task)
+                self._crash_detector.delay_retry(self._task)
             )
 
     async def _wait_for_path(self) -> bool:
@@ -210,7 +210,7 @@
     async def _acquire_path(self) -> None:
         has_started = self._progress.has_started
         until = self._limits.get_admission_deadline()
-        heads = await self._path.find_isolated_head(self._quarantine, until)
+        heads = await self._path.find_isolated_head(self._crash_detector, until)
         await self._path.acquire(
             _STARTED_RANK if has_started else self._task.priority,
             until,
@@ -376,7 +376,7 @@
             part = await self._guard.read(conn, silence_s, _read_part)
             if isinstance(part, EndOfResponse):
                 if self._run.events:
-                    self._quarantine.record_completion(self._task)
+                    self._crash_detector.record_completion(self._task)
                 client.write_body(splitter.buffer)
                 client.finish_response()
                 self._ended = True
@@ -391,7 +391,7 @@
             if not self._run.events:
                 self._mark_path_working()
             self._run.record_events(len(events), self._loop.time())
-            self._quarantine.record_progress(self._task, self._run)
+            self._crash_detector.record_progress(self._task, self._run)
         for event in events:
             if event.event_id < 0 or event.event_id > self._progress.last_id:
                 self._progress.last_id = max(
@@ -413,7 +413,7 @@
     def _handle_break(self, exc: EndpointError) -> None:
         if isinstance(exc, BrokenResponseError):
             head = self._path.stages[0].replica
-            self._quarantine.record_failure(self._task, head, self._run)
+            self._crash_detector.record_failure(self._task, head, self._run)
         if self._handover.has_replacement:
             self._state.counters['streams.taken_over'] += 1
             return
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -128,12 +128,12 @@
         probed, control = self.build_engine('asked'), self.build_engine('other')
         process.state.view.apply_announcement(probed, 1)
         process.state.view.apply_announcement(control, 2)
-        examiner = ReplicaProber(process.state, Alarms(process.state))
+        prober = ReplicaProber(process.state, Alarms(process.state))
         for steps in range(_MAX_STEPS):
             with self.subTest(steps=steps):
                 now = asyncio.get_running_loop().time()
                 probe = asyncio.create_task(
-                    examiner.probe_replicas([probed], now)
+                    prober.probe_replicas([probed], now)
                 )
                 for _ in range(steps):
                     await asyncio.sleep(0)
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -51,7 +51,7 @@
             build_replica(f'r{number}', 'abc'[number % 3], layers=(0, _LAYERS))
             for number in range(replicas)
         ]
-        self.examiners: dict[str, ReplicaProber] = {}
+        self.probers: dict[str, ReplicaProber] = {}
         self.tasks: list[asyncio.Task[None]] = []
         for node in self.nodes:
             self._start_node(node)
@@ -88,7 +88,7 @@
             for replica in self.replicas
             if replica.replica_id in path
         )
-        await self.examiners[node.name].diagnose_path(stages)
+        await self.probers[node.name].diagnose_path(stages)
 
     def count_agreeing_nodes(self) -> int:
         """Return how many nodes take exactly the dead replicas for dead."""
@@ -105,12 +105,12 @@
         node.state.random.seed(node.name)
         for replica in self.replicas:
             node.state.view.apply_announcement(replica, 1)
-        examiner = ReplicaProber(node.state, node.alarms)
-        self.examiners[node.name] = examiner
-        survey = LossProber(
-            node.state, examiner, node.alarms, lambda: self.nodes[0].name
+        prober = ReplicaProber(node.state, node.alarms)
+        self.probers[node.name] = prober
+        loss_prober = LossProber(
+            node.state, prober, node.alarms, lambda: self.nodes[0].name
         )
-        self.tasks.append(asyncio.create_task(survey.run()))
+        self.tasks.append(asyncio.create_task(loss_prober.run()))
         self.tasks.append(asyncio.create_task(node.status_sender.run()))
 
 
--- a/samphirerill/tests/test_prober.py
+++ b/samphirerill/tests/test_prober.py
@@ -50,7 +50,7 @@
             patched.start()
             self.addCleanup(patched.stop)
         process = self.world.require_first_node()
-        self.examiner = ReplicaProber(process.state, Alarms(process.state))
+        self.prober = ReplicaProber(process.state, Alarms(process.state))
         await self.world.add_replica('head')
 
     async def test_detection_and_probe_fit_into_the_accepted_pause(
@@ -118,10 +118,10 @@
         async with asyncio.timeout(_LIMIT_S):
             await self._examine(stages[:1])
             for _ in range(5):
-                self.examiner.probe_in_background(stages[1].replica)
+                self.prober.probe_in_background(stages[1].replica)
             while not state.view.replicas['tail'].suspicion.suspected_until:
                 await asyncio.sleep(0.01)
-        self.examiner.probe_in_background(stages[1].replica)
+        self.prober.probe_in_background(stages[1].replica)
         await asyncio.sleep(0)
         self.assertEqual(state.counters['reports.asked'], 2)
 
@@ -129,9 +129,9 @@
         await self.world.add_replica('tail')
         stages = self._build_path(self.world.addresses['tail'])
         await asyncio.gather(
-            *(self.examiner.diagnose_path(stages) for _ in range(5))
+            *(self.prober.diagnose_path(stages) for _ in range(5))
         )
-        await self.examiner.diagnose_path(stages)
+        await self.prober.diagnose_path(stages)
         process = self.world.require_first_node()
         self.assertEqual(process.state.counters['reports.asked'], 2)
 
@@ -151,7 +151,7 @@
 
     async def _examine(self, stages: tuple[Stage, ...]) -> set[str]:
         async with asyncio.timeout(_LIMIT_S):
-            diagnosis = await self.examiner.diagnose_path(stages)
+            diagnosis = await self.prober.diagnose_path(stages)
         return diagnosis.dead
 
     def _build_path(self, address: str) -> tuple[Stage, ...]:
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -33,8 +33,8 @@
         self.network = Network()
         self.sent_bytes = 0
         self.cut_off: set[str] = set()
-        self.keepers: dict[str, QuarantineManager] = {}
-        self.sharings: dict[str, EvidenceExchange] = {}
+        self.managers: dict[str, QuarantineManager] = {}
+        self.exchanges: dict[str, EvidenceExchange] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.nodes: list[Node] = []
         self._deliver = self.network.send
@@ -48,13 +48,15 @@
         """Start a node."""
         data_centre = 'abc'[number % 3]
         node = Node(self.network, f'{data_centre}-{number}', data_centre)
-        keeper = QuarantineManager(node.state)
-        sharing = EvidenceExchange(node.state, keeper)
-        sharing.bind(node.status_sender)
-        node.receiver.add_handler(sharing.type_prefix, sharing.handle_datagram)
-        self.keepers[node.name] = keeper
-        self.sharings[node.name] = sharing
-        self.tasks.append(asyncio.create_task(sharing.run()))
+        manager = QuarantineManager(node.state)
+        evidence_exchange = EvidenceExchange(node.state, manager)
+        evidence_exchange.bind(node.status_sender)
+        node.receiver.add_handler(
+            evidence_exchange.type_prefix, evidence_exchange.handle_datagram
+        )
+        self.managers[node.name] = manager
+        self.exchanges[node.name] = evidence_exchange
+        self.tasks.append(asyncio.create_task(evidence_exchange.run()))
         self.nodes.append(node)
         return node
 
@@ -66,8 +68,8 @@
         for number, name in enumerate(replica_ids):
             at = now - len(replica_ids) + number
             crash = Crash(name, f'{node.name}-{number}', at)
-            self.keepers[node.name].record_crash(request, crash)
-        self.sharings[node.name].broadcast((request,))
+            self.managers[node.name].record_crash(request, crash)
+        self.exchanges[node.name].broadcast((request,))
 
     def count_holding_nodes(self) -> int:
         """Return how many nodes hold the poison request."""
@@ -166,7 +168,7 @@
         fleet = _Fleet(3)
         node = fleet.nodes[0]
         for text in (b'', b'\x95', b'\x94\xa1n\x01\x01\xc4\x00', b'x' * 999):
-            datagram = fleet.sharings[node.name].type_prefix + text
+            datagram = fleet.exchanges[node.name].type_prefix + text
             node.receiver.datagram_received(datagram, ('10.0.1.1', 1))
         self.assertEqual(len(node.state.quarantine), 0)
         fleet.stop()
--- a/samphirerill/tests/test_store_changes.py
+++ b/samphirerill/tests/test_store_changes.py
@@ -62,9 +62,9 @@
         self.log = ChangeLog()
         self.log.reset(10)
         self.is_connected = True
-        pages = PeerRequestHandler({}, self.log, lambda: self.is_connected)
+        handler = PeerRequestHandler({}, self.log, lambda: self.is_connected)
         connections: set[ClientConnection] = set()
-        server = await listen('127.0.0.1:0', pages, connections)
+        server = await listen('127.0.0.1:0', handler, connections)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         self.names = {f'n{at}': f'127.0.0.1:{port}' for at in range(20)}
