--- a/samphirerill/relay/attempt_budget.py
+++ b/samphirerill/relay/attempt_budget.py
@@ -20,15 +20,15 @@
     ----------
     state : EdgeState
         Retry budgets and the number of nodes.
-    task : RequestContext
+    context : RequestContext
         The request.
     """
 
-    __slots__ = ('_holds_retry', '_is_counted', '_state', '_task')
+    __slots__ = ('_holds_retry', '_is_counted', '_state', '_context')
 
-    def __init__(self, state: EdgeState, task: RequestContext) -> None:
+    def __init__(self, state: EdgeState, context: RequestContext) -> None:
         self._state = state
-        self._task = task
+        self._context = context
         self._is_counted = False
         self._holds_retry = False
 
@@ -46,7 +46,7 @@
         is_urgent : bool
             Whether the response has started, or a run broke off.
         """
-        budget = self._state.get_retry_budget(self._task.service.name)
+        budget = self._state.get_retry_budget(self._context.service.name)
         self._holds_retry = False
         if attempts:
             nodes = self._state.count_nodes()
@@ -65,4 +65,4 @@
         """Refund a reserved retry for which nothing was sent."""
         if self._holds_retry:
             self._holds_retry = False
-            self._state.get_retry_budget(self._task.service.name).refund()
+            self._state.get_retry_budget(self._context.service.name).refund()
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -36,7 +36,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : RequestContext
+    context : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
@@ -48,7 +48,7 @@
         '_admission',
         '_engine',
         '_state',
-        '_task',
+        '_context',
         'avoid',
         'departed_heads',
         'used_heads',
@@ -59,17 +59,17 @@
     def __init__(
         self,
         state: EdgeState,
-        task: RequestContext,
+        context: RequestContext,
         engine: EngineSpec,
         admission: AdmissionQueue,
     ) -> None:
-        self.tokens = _estimate_tokens(engine, task)
+        self.tokens = _estimate_tokens(engine, context)
         self.avoid: set[str] = set()
         self.used_heads: set[str] = set()
         self.departed_heads: set[str] = set()
         self.failed_sends: Counter[str] = Counter()
         self._state = state
-        self._task = task
+        self._context = context
         self._engine = engine
         self._admission = admission
 
@@ -169,7 +169,7 @@
     def find_path(self, wanted: PathRequest) -> tuple[Stage, ...]:
         """Return a path with free capacity; empty if there is none."""
         return self._admission.find_path(
-            self._task.service.name, self._engine, wanted
+            self._context.service.name, self._engine, wanted
         )
 
     def _list_least_loaded_heads(
@@ -177,7 +177,7 @@
     ) -> list[str]:
         """Return the head replicas with the fewest requests."""
         usable = self._state.view.list_usable(
-            self._task.service.name, asyncio.get_running_loop().time()
+            self._context.service.name, asyncio.get_running_loop().time()
         )
         heads = [
             found.replica.replica_id
@@ -203,18 +203,18 @@
             for name in self.used_heads - self.departed_heads
             if not view.has_stopped(name)
         }
-        if len(live) < self._task.route.max_attempts:
+        if len(live) < self._context.route.max_attempts:
             return ANY_HEAD
         return frozenset(live)
 
 
-def _estimate_tokens(engine: EngineSpec, task: RequestContext) -> float:
+def _estimate_tokens(engine: EngineSpec, context: RequestContext) -> float:
     """Return the KV-cache size that a stream is expected to need, in tokens.
 
     Clients often set the maximum answer length much higher than what is
     generated, so the smaller of that and the usual length is reserved.
     """
-    facts = task.facts
+    facts = context.facts
     usual = engine.usual_answer
     answer_tokens = min(
         facts.max_answer_tokens or usual, facts.expected_answer_tokens or usual
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -88,7 +88,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : RequestContext
+    context : RequestContext
         The request.
     crash_detector : CrashDetector
         Knows whether the request is quarantined; informed of attempts that
@@ -98,14 +98,14 @@
     def __init__(
         self,
         state: EdgeState,
-        task: RequestContext,
+        context: RequestContext,
         crash_detector: CrashDetector,
     ) -> None:
         self._state = state
-        self._task = task
+        self._context = context
         self._crash_detector = crash_detector
         self._quarantined_until = 0.0
-        self._budget = AttemptBudget(state, task)
+        self._budget = AttemptBudget(state, context)
         self._loop = asyncio.get_running_loop()
         self._tried: set[str] = set()
         self._attempts = 0
@@ -128,7 +128,7 @@
                 self._budget.refund()
             if self._is_final(outcome):
                 break
-            await self._crash_detector.delay_retry(self._task)
+            await self._crash_detector.delay_retry(self._context)
         self._respond(outcome)
 
     async def _wait_for_endpoint(self) -> ReplicaState | None:
@@ -148,25 +148,25 @@
         return choose_endpoint(
             self._state.view,
             self._state.load_tracker,
-            self._task.service.name,
+            self._context.service.name,
             self._tried,
             self._loop.time(),
             may_call,
         )
 
     def _has_connection(self, replica_id: str) -> bool:
-        max_open = self._state.get_connection_limit(self._task.service)
+        max_open = self._state.get_connection_limit(self._context.service)
         return self._state.pool.has_available(replica_id, max_open)
 
     def _may_send(self) -> bool:
         """Return whether another attempt is allowed, and reserve it."""
         now = self._loop.time()
         self._quarantined_until = self._crash_detector.find_held_until(
-            self._task
+            self._context
         )
-        if self._quarantined_until or now >= self._task.deadline:
+        if self._quarantined_until or now >= self._context.deadline:
             return False
-        if self._attempts >= self._task.route.max_attempts:
+        if self._attempts >= self._context.route.max_attempts:
             return False
         return self._budget.reserve(
             now, self._attempts, is_urgent=self._has_broken_run
@@ -177,7 +177,7 @@
             return True
         if not outcome.was_sent or outcome.is_not_run:
             return False
-        return not self._task.is_retryable
+        return not self._context.is_retryable
 
     async def _send(self, endpoint: ReplicaState) -> _Outcome:
         replica = endpoint.replica
@@ -194,7 +194,7 @@
         _LOG.info(
             'request sent',
             extra={
-                'request': self._task.request_id,
+                'request': self._context.request_id,
                 'endpoint': endpoint.replica.replica_id,
                 'send': self._attempts,
                 'status': 0 if outcome.head is None else outcome.head.status,
@@ -230,13 +230,13 @@
     async def _connect(self, replica: Replica) -> HttpConnection:
         conn = await self._state.pool.acquire(
             replica,
-            fresh=not self._task.is_retryable,
-            max_open=self._state.get_connection_limit(self._task.service),
+            fresh=not self._context.is_retryable,
+            max_open=self._state.get_connection_limit(self._context.service),
         )
-        if self._crash_detector.find_held_until(self._task):
+        if self._crash_detector.find_held_until(self._context):
             self._state.pool.release(replica, conn)
             raise QuarantinedError(
-                self._crash_detector.describe_hold(self._task)
+                self._crash_detector.describe_hold(self._context)
             )
         return conn
 
@@ -246,7 +246,7 @@
         deadline = self._get_attempt_deadline()
         conn.send(self._build_call(endpoint))
         head, facts = await read_head(
-            conn, self._state.adapter, self._task.facts.request_id, deadline
+            conn, self._state.adapter, self._context.facts.request_id, deadline
         )
         body = await read_body(conn, deadline)
         if facts.is_not_run and not is_success(head.status):
@@ -254,7 +254,7 @@
                 is_not_run=True, reason='endpoint rejected the request'
             )
         self._may_have_run = True
-        self._crash_detector.record_completion(self._task)
+        self._crash_detector.record_completion(self._context)
         return _Outcome(head, body)
 
     def _handle_error(
@@ -263,26 +263,26 @@
         self._may_have_run = True
         self._has_broken_run = True
         if isinstance(exc, BrokenResponseError):
-            self._crash_detector.record_failure(self._task, endpoint.replica)
+            self._crash_detector.record_failure(self._context, endpoint.replica)
         is_silent = isinstance(exc, EndpointTimeoutError)
         if is_silent and self._loop.time() - sent_at >= _MIN_SILENCE_S:
             self._avoid(endpoint, str(exc))
         return _Outcome(timed_out=is_silent, reason=str(exc))
 
     def _build_call(self, endpoint: ReplicaState) -> bytes:
-        task = self._task
-        remaining_s = task.client_deadline - self._loop.time()
+        context = self._context
+        remaining_s = context.client_deadline - self._loop.time()
         attempt = Attempt(
             endpoint.replica,
-            task.account_name,
+            context.account_name,
             remaining_s,
-            task.strips_api_key,
+            context.strips_api_key,
         )
         headers = self._state.adapter.build_headers(
-            task.req, task.facts, attempt
+            context.req, context.facts, attempt
         )
         return serialize_request(
-            task.req.method, task.req.target, headers, task.req.body
+            context.req.method, context.req.target, headers, context.req.body
         )
 
     def _get_attempt_deadline(self) -> float:
@@ -291,11 +291,11 @@
         It leaves time for another attempt if the endpoint does not respond.
         """
         now = self._loop.time()
-        task = self._task
-        last = self._attempts >= task.route.max_attempts
-        if last or not task.is_retryable:
-            return task.deadline
-        return now + (task.deadline - now) * _ATTEMPT_SHARE
+        context = self._context
+        last = self._attempts >= context.route.max_attempts
+        if last or not context.is_retryable:
+            return context.deadline
+        return now + (context.deadline - now) * _ATTEMPT_SHARE
 
     def _avoid(self, endpoint: ReplicaState, reason: str) -> None:
         now = self._loop.time()
@@ -321,17 +321,17 @@
             self._state.view.note_alive(endpoint.replica.replica_id)
 
     def _respond(self, outcome: _Outcome) -> None:
-        conn = self._task.conn
-        facts = self._task.facts
+        conn = self._context.conn
+        facts = self._context.facts
         head = outcome.head
         if head is not None:
             conn.respond(head.status, filter_headers(head), outcome.body)
             return
         now = self._loop.time()
-        timed_out = now >= self._task.deadline
+        timed_out = now >= self._context.deadline
         reason, retry_s = outcome.reason, _DEFAULT_RETRY_S
         if self._quarantined_until:
-            reason = self._crash_detector.describe_hold(self._task)
+            reason = self._crash_detector.describe_hold(self._context)
             retry_s = self._quarantined_until - now
         refusal = Refusal(UNAVAILABLE, reason, retry_s)
         if self._may_have_run:
--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -83,56 +83,56 @@
         self._unresolved: Counter[bytes] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def find_held_until(self, task: RequestContext) -> float:
+    def find_held_until(self, context: RequestContext) -> float:
         """Return until when a request is rejected; 0 if it may run."""
         quarantine = self._state.quarantine
         if not len(quarantine):
             return 0.0
-        return quarantine.get_held_until(task.identity, self._loop.time())
+        return quarantine.get_held_until(context.identity, self._loop.time())
 
-    def describe_hold(self, task: RequestContext) -> str:
+    def describe_hold(self, context: RequestContext) -> str:
         """Return why a request is rejected, for the log.
 
         It names the id of the first request with this content, which operators
         can look up.
         """
-        record = self._state.quarantine.get_record(task.identity)
+        record = self._state.quarantine.get_record(context.identity)
         if record is None or not record.crashes:
             return 'it crashed replicas'
         return (
             f'it crashes replicas, first seen as {record.crashes[0].request_id}'
         )
 
-    def is_suspect(self, task: RequestContext) -> bool:
+    def is_suspect(self, context: RequestContext) -> bool:
         """Return whether more than one replica crashed with a request."""
         quarantine = self._state.quarantine
         if not len(quarantine) and not self._unresolved:
             return False
-        known = quarantine.count_crashes(task.identity)
-        return known + self._unresolved[task.identity] >= SUSPECT_CRASHES
+        known = quarantine.count_crashes(context.identity)
+        return known + self._unresolved[context.identity] >= SUSPECT_CRASHES
 
     def list_trials(self) -> frozenset[str]:
         """Return the replicas that run a suspect."""
         return self._evidence_exchange.trials.list(self._loop.time())
 
-    def record_send(self, task: RequestContext, replica: Replica) -> None:
+    def record_send(self, context: RequestContext, replica: Replica) -> None:
         """Notify all nodes if the request being sent is a suspect."""
-        if self.is_suspect(task):
+        if self.is_suspect(context):
             self._state.counters['quarantine.trials'] += 1
             self._evidence_exchange.broadcast_trial(replica.replica_id)
 
-    async def delay_retry(self, task: RequestContext) -> None:
+    async def delay_retry(self, context: RequestContext) -> None:
         """Delay the retry of a suspect.
 
         The replica of the last run is being probed; if it is alive, no delay is
         needed.
         """
         until = self._loop.time() + _MAX_RETRY_DELAY_S
-        while self._unresolved[task.identity] and self.is_suspect(task):
+        while self._unresolved[context.identity] and self.is_suspect(context):
             if self._loop.time() >= until:
                 break
             await asyncio.sleep(_POLL_INTERVAL_S)
-        if self.is_suspect(task):
+        if self.is_suspect(context):
             delay_s = self._state.random.uniform(
                 _MIN_RETRY_DELAY_S, _MAX_RETRY_DELAY_S
             )
@@ -140,7 +140,7 @@
 
     def record_failure(
         self,
-        task: RequestContext,
+        context: RequestContext,
         replica: Replica,
         run: RunTimes | None = None,
     ) -> None:
@@ -148,7 +148,7 @@
 
         Parameters
         ----------
-        task : RequestContext
+        context : RequestContext
             The task that was run.
         replica : Replica
             The replica that it was sent to.
@@ -156,12 +156,12 @@
             Progress of the run; omitted if it sent no events.
         """
         if run is not None and run.has_outlasted_start:
-            self._note_survival(task)
+            self._note_survival(context)
             return
         if self._state.view.is_leaving(replica.replica_id):
             return
         failed_run = _FailedRun(
-            task.identity, task.request_id, self._loop.time()
+            context.identity, context.request_id, self._loop.time()
         )
         self._unresolved[failed_run.request] += 1
         process_name = _name_process(replica)
@@ -172,23 +172,23 @@
                 self._investigate(replica, process_name, failed_run.at)
             )
 
-    def record_progress(self, task: RequestContext, run: RunTimes) -> None:
+    def record_progress(self, context: RequestContext, run: RunTimes) -> None:
         """Record that a run has sent events."""
         if not len(self._state.quarantine) or not run.has_outlasted_start:
             return
         now = self._loop.time()
         if now >= run.next_report_at:
             run.next_report_at = now + _NOTE_INTERVAL_S
-            self._note_survival(task)
+            self._note_survival(context)
 
-    def record_completion(self, task: RequestContext) -> None:
+    def record_completion(self, context: RequestContext) -> None:
         """Record that a run has completed, so that its replica is alive."""
         if len(self._state.quarantine):
-            self._note_survival(task)
+            self._note_survival(context)
 
-    def _note_survival(self, task: RequestContext) -> None:
-        if self._manager.record_survival(task.identity):
-            self._evidence_exchange.broadcast((task.identity,))
+    def _note_survival(self, context: RequestContext) -> None:
+        if self._manager.record_survival(context.identity):
+            self._evidence_exchange.broadcast((context.identity,))
 
     async def _investigate(
         self, replica: Replica, process_name: str, since: float
--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -86,31 +86,33 @@
             self._loop.time() - req.arrived_at,
         )
 
-    async def _serve(self, task: RequestContext) -> None:
-        engine = task.service.engine
+    async def _serve(self, context: RequestContext) -> None:
+        engine = context.service.engine
         if engine is None or not engine.layers:
             if not self._reject_if_ending(
-                self._state.accept_requests_until, task
+                self._state.accept_requests_until, context
             ):
                 await PlainExchange(
-                    self._state, task, self._crash_detector
+                    self._state, context, self._crash_detector
                 ).run()
-        elif not self._reject_if_ending(self._state.accept_streams_until, task):
+        elif not self._reject_if_ending(
+            self._state.accept_streams_until, context
+        ):
             await StreamExchange(
                 self._state,
-                task,
+                context,
                 engine,
                 self._admission,
                 self._prober,
                 self._crash_detector,
             ).run()
 
-    def _reject_if_ending(self, until: float, task: RequestContext) -> bool:
+    def _reject_if_ending(self, until: float, context: RequestContext) -> bool:
         """Reject a request if this node ends soon; return whether it did."""
         if self._loop.time() < until:
             return False
         refusal = Refusal(UNAVAILABLE, 'the node is shutting down')
-        send_refusal(self._state, task.conn, task.facts, refusal)
+        send_refusal(self._state, context.conn, context.facts, refusal)
         return True
 
     def _resolve(
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -41,7 +41,7 @@
 
     Parameters
     ----------
-    task : RequestContext
+    context : RequestContext
         The request.
     path : StreamPath
         The path of the stream.
@@ -57,13 +57,13 @@
 
     def __init__(
         self,
-        task: RequestContext,
+        context: RequestContext,
         path: StreamPath,
         prober: ReplicaProber,
         may_retry: Callable[[], bool],
         start_handover: Callable[[HttpConnection, str], bool],
     ) -> None:
-        self._task = task
+        self._context = context
         self._path = path
         self._prober = prober
         self._may_retry = may_retry
@@ -95,7 +95,7 @@
         Failed replicas are left at once, draining ones at a scheduled time.
         """
         conn = self._conn
-        if conn is None or not self._task.is_retryable:
+        if conn is None or not self._context.is_retryable:
             return
         lost = self._path.list_failed()
         if self._path.head_id in lost:
@@ -118,11 +118,11 @@
         """
         since = self._loop.time()
         while True:
-            until = min(self._task.deadline, self._loop.time() + silence_s)
+            until = min(self._context.deadline, self._loop.time() + silence_s)
             try:
                 return await read(conn, until)
             except EndpointTimeoutError:
-                if self._loop.time() >= self._task.deadline:
+                if self._loop.time() >= self._context.deadline:
                     raise
                 silence_s = await self._diagnose_silence(since, silence_s)
 
@@ -208,10 +208,10 @@
         if head_id in diagnosis.dead:
             self._leave_path(f'{head_id} is unresponsive')
             return
-        if not self._task.is_retryable:
+        if not self._context.is_retryable:
             return
         stalled_id = self._path.find_stalled_replica(
-            diagnosis, self._task.request_id
+            diagnosis, self._context.request_id
         )
         if not stalled_id:
             self._leave_stalled_path(since)
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -45,7 +45,7 @@
     ----------
     state : EdgeState
         Retry budgets and the number of nodes.
-    task : RequestContext
+    context : RequestContext
         The request.
     progress : StreamProgress
         The progress of the stream.
@@ -60,7 +60,7 @@
         '_loop',
         '_progress',
         '_state',
-        '_task',
+        '_context',
         '_times',
         '_crash_detector',
     )
@@ -68,29 +68,29 @@
     def __init__(
         self,
         state: EdgeState,
-        task: RequestContext,
+        context: RequestContext,
         progress: StreamProgress,
         times: StreamTimes,
         crash_detector: CrashDetector,
     ) -> None:
         self._state = state
-        self._task = task
+        self._context = context
         self._progress = progress
         self._times = times
         self._crash_detector = crash_detector
         self._loop = asyncio.get_running_loop()
-        self._budget = AttemptBudget(state, task)
+        self._budget = AttemptBudget(state, context)
 
     def is_quarantined(self) -> bool:
         """Return whether the request is quarantined for crashing replicas."""
-        return self._crash_detector.find_held_until(self._task) > 0
+        return self._crash_detector.find_held_until(self._context) > 0
 
     def acquire_attempt(self) -> AttemptDenial | None:
         """Reserve one attempt; return why it is denied, or none."""
         now = self._loop.time()
-        quarantined_until = self._crash_detector.find_held_until(self._task)
+        quarantined_until = self._crash_detector.find_held_until(self._context)
         if quarantined_until:
-            reason = self._crash_detector.describe_hold(self._task)
+            reason = self._crash_detector.describe_hold(self._context)
             return AttemptDenial(reason, quarantined_until - now)
         denial = self._find_final_denial(now)
         if denial:
@@ -111,7 +111,7 @@
 
         A path that may recover is kept rather than left without an alternative.
         """
-        budget = self._state.get_retry_budget(self._task.service.name)
+        budget = self._state.get_retry_budget(self._context.service.name)
         return budget.has_remaining(
             self._loop.time(),
             self._state.count_nodes(),
@@ -120,12 +120,12 @@
 
     def get_admission_deadline(self) -> float:
         """Return until when the stream may wait for a path."""
-        until = self._task.req.arrived_at + _MAX_ADMISSION_WAIT_S
+        until = self._context.req.arrived_at + _MAX_ADMISSION_WAIT_S
         if self._progress.has_started:
             # A run may break off before its first event.
             since = max(self._progress.response_started_at, self._times.last_at)
-            until = since + get_stall_timeout_s(self._task.route)
-        return min(self._task.deadline, until)
+            until = since + get_stall_timeout_s(self._context.route)
+        return min(self._context.deadline, until)
 
     def compute_backoff_s(self) -> float:
         """Record the end of an attempt; return the pause before the next."""
@@ -148,14 +148,14 @@
     def _find_final_denial(self, now: float) -> str:
         """Return why no further attempt is possible; empty if one is."""
         progress = self._progress
-        if now >= self._task.deadline:
+        if now >= self._context.deadline:
             return 'its deadline has passed'
         if progress.attempts >= _MAX_ATTEMPTS and not progress.has_started:
             return f'sent {progress.attempts} times, the maximum'
         if progress.attempts and progress.may_have_run:
             return (
                 ''
-                if self._task.is_retryable
+                if self._context.is_retryable
                 else 'it may have run and is not retryable'
             )
         return ''
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -63,7 +63,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : RequestContext
+    context : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
@@ -74,18 +74,18 @@
     def __init__(
         self,
         state: EdgeState,
-        task: RequestContext,
+        context: RequestContext,
         engine: EngineSpec,
         admission: AdmissionQueue,
     ) -> None:
         self.engine = engine
         self.stages: tuple[Stage, ...] = ()
-        self.finder = PathFinder(state, task, engine, admission)
+        self.finder = PathFinder(state, context, engine, admission)
         self.tokens = self.finder.tokens
         self.avoid = self.finder.avoid
         self.used_heads = self.finder.used_heads
         self._state = state
-        self._task = task
+        self._context = context
         self._admission = admission
         self._loop = asyncio.get_running_loop()
 
@@ -134,7 +134,7 @@
             min(until, self._loop.time() + _MAX_ISOLATION_WAIT_S)
             - _ISOLATION_POLL_S
         )
-        while crash_detector.is_suspect(self._task):
+        while crash_detector.is_suspect(self._context):
             excluded_ids = crash_detector.list_trials()
             heads = self.finder.find_isolated_head(excluded_ids)
             if heads or not excluded_ids or self._loop.time() >= last:
@@ -249,14 +249,14 @@
     async def _admit(
         self, wanted: PathRequest, rank: int, deadline: float
     ) -> tuple[Stage, ...]:
-        task = self._task
+        context = self._context
         return await self._admission.admit(
-            task.service.name,
+            context.service.name,
             self.engine,
             wanted,
             rank,
             deadline,
-            task.req.arrived_at + task.route.target_s,
+            context.req.arrived_at + context.route.target_s,
         )
 
     def _list_end_times(self, now: float) -> dict[str, float]:
@@ -312,7 +312,7 @@
         """Instruct the head to use new stages; keep one of the two reserved."""
         try:
             moved = await request_reroute(
-                self._state, self._task.facts.request_id, stages
+                self._state, self._context.facts.request_id, stages
             )
         except asyncio.CancelledError:
             self._admission.release(stages, self.tokens)
@@ -327,7 +327,7 @@
         _LOG.info(
             'stream moved',
             extra={
-                'request': self._task.request_id,
+                'request': self._context.request_id,
                 'path': format_path(self.stages),
                 'before': previous,
             },
--- a/samphirerill/relay/stream_request.py
+++ b/samphirerill/relay/stream_request.py
@@ -25,7 +25,7 @@
 
 def build_stream_call(
     state: EdgeState,
-    task: RequestContext,
+    context: RequestContext,
     stages: tuple[Stage, ...],
     resume: bytes,
 ) -> bytes:
@@ -35,7 +35,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : RequestContext
+    context : RequestContext
         The request.
     stages : tuple of Stage
         The path.
@@ -44,16 +44,16 @@
     """
     attempt = Attempt(
         stages[0].replica,
-        task.account_name,
-        task.deadline - asyncio.get_running_loop().time(),
-        task.strips_api_key,
+        context.account_name,
+        context.deadline - asyncio.get_running_loop().time(),
+        context.strips_api_key,
         stages,
-        task.priority,
+        context.priority,
         resume,
     )
-    headers = state.adapter.build_headers(task.req, task.facts, attempt)
+    headers = state.adapter.build_headers(context.req, context.facts, attempt)
     return serialize_request(
-        task.req.method, task.req.target, headers, task.req.body
+        context.req.method, context.req.target, headers, context.req.body
     )
 
 
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -58,8 +58,8 @@
         'attempts',
     )
 
-    def __init__(self, task: RequestContext) -> None:
-        self.last_id = parse_event_id(task.facts.resume_after)
+    def __init__(self, context: RequestContext) -> None:
+        self.last_id = parse_event_id(context.facts.resume_after)
         self.response_started_at = 0.0
         self.attempts = 0
         self.fruitless_attempts = 0
@@ -93,7 +93,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : RequestContext
+    context : RequestContext
         The request.
     path : StreamPath
         The path, with the replicas that were used and those to avoid.
@@ -112,14 +112,14 @@
         '_path',
         '_progress',
         '_state',
-        '_task',
+        '_context',
         '_crash_detector',
     )
 
     def __init__(
         self,
         state: EdgeState,
-        task: RequestContext,
+        context: RequestContext,
         path: StreamPath,
         progress: StreamProgress,
         prober: ReplicaProber,
@@ -128,7 +128,7 @@
         self._prober = prober
         self._crash_detector = crash_detector
         self._state = state
-        self._task = task
+        self._context = context
         self._path = path
         self._progress = progress
         self._loop = asyncio.get_running_loop()
@@ -138,8 +138,10 @@
         try:
             conn = await self._state.pool.acquire(
                 replica,
-                fresh=not self._task.is_retryable,
-                max_open=self._state.get_connection_limit(self._task.service),
+                fresh=not self._context.is_retryable,
+                max_open=self._state.get_connection_limit(
+                    self._context.service
+                ),
             )
         except ConnectionLimitError as exc:
             self._exclude_for_now(replica.replica_id, str(exc))
@@ -150,7 +152,7 @@
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
         else:
-            if not self._crash_detector.find_held_until(self._task):
+            if not self._crash_detector.find_held_until(self._context):
                 return conn
             # The request was quarantined while connecting.
             self._state.pool.release(replica, conn)
@@ -175,7 +177,7 @@
         head_id = stages[0].replica.replica_id
         is_new_head = head_id not in self._path.used_heads
         self._path.used_heads.add(head_id)
-        waited_s = self._loop.time() - self._task.req.arrived_at
+        waited_s = self._loop.time() - self._context.req.arrived_at
         self._log(
             event,
             path=format_path(stages),
@@ -186,7 +188,7 @@
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
             waited_ms=round(waited_s * MS_PER_S),
         )
-        self._crash_detector.record_send(self._task, stages[0].replica)
+        self._crash_detector.record_send(self._context, stages[0].replica)
         conn.send(self._build_call(stages))
         return is_new_head
 
@@ -214,7 +216,7 @@
             )
             if isinstance(exc, BrokenResponseError):
                 self._crash_detector.record_failure(
-                    self._task, stages[0].replica
+                    self._context, stages[0].replica
                 )
         finally:
             if head is None:
@@ -226,7 +228,7 @@
     ) -> tuple[ResponseHead, ResponseMetadata]:
         """Return the head of the response to this stream."""
         return await read_head(
-            conn, self._state.adapter, self._task.facts.request_id, deadline
+            conn, self._state.adapter, self._context.facts.request_id, deadline
         )
 
     def handle_rejection(
@@ -293,7 +295,7 @@
         resume = b''
         if self._progress.has_started and self._progress.last_id >= 0:
             resume = b'%d' % self._progress.last_id
-        return build_stream_call(self._state, self._task, stages, resume)
+        return build_stream_call(self._state, self._context, stages, resume)
 
     def _record_parallel_failure(self, replica_id: str, reason: str) -> None:
         """Record that a parallel run failed and exclude the replica."""
@@ -322,4 +324,4 @@
             self._path.avoid.add(replica_id)
 
     def _log(self, event: str, **facts: object) -> None:
-        _LOG.info(event, extra={'request': self._task.request_id, **facts})
+        _LOG.info(event, extra={'request': self._context.request_id, **facts})
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -76,7 +76,7 @@
     ----------
     state : EdgeState
         Shared state of this node.
-    task : RequestContext
+    context : RequestContext
         The request.
     engine : EngineSpec
         Performance figures of the service's engine.
@@ -91,30 +91,30 @@
     def __init__(
         self,
         state: EdgeState,
-        task: RequestContext,
+        context: RequestContext,
         engine: EngineSpec,
         admission: AdmissionQueue,
         prober: ReplicaProber,
         crash_detector: CrashDetector,
     ) -> None:
         self._state = state
-        self._task = task
+        self._context = context
         self._crash_detector = crash_detector
         self._loop = asyncio.get_running_loop()
         self._admission = admission
-        self._path = StreamPath(state, task, engine, admission)
+        self._path = StreamPath(state, context, engine, admission)
         self._times = StreamTimes(
             state.metrics,
-            task.req.arrived_at,
+            context.req.arrived_at,
             state.settings.policy,
-            task.route.gap_s,
+            context.route.gap_s,
         )
-        self._progress = StreamProgress(task)
+        self._progress = StreamProgress(context)
         self._sender = StreamSender(
-            state, task, self._path, self._progress, prober, crash_detector
+            state, context, self._path, self._progress, prober, crash_detector
         )
         self._limits = StreamLimits(
-            state, task, self._progress, self._times, crash_detector
+            state, context, self._progress, self._times, crash_detector
         )
         self._ended = False
         self._error_response: tuple[ResponseHead, bytes] | None = None
@@ -123,7 +123,7 @@
         self._wait_scope: asyncio.Timeout | None = None
         self._handover = Handover(self._start_parallel_run, self._discard_run)
         self._guard = StreamGuard(
-            task,
+            context,
             self._path,
             prober,
             self._limits.may_retry,
@@ -192,9 +192,9 @@
             return
         if backoff_s:
             await self._wait_unless_quarantined(asyncio.sleep(backoff_s))
-        if self._crash_detector.is_suspect(self._task):
+        if self._crash_detector.is_suspect(self._context):
             await self._wait_unless_quarantined(
-                self._crash_detector.delay_retry(self._task)
+                self._crash_detector.delay_retry(self._context)
             )
 
     async def _wait_for_path(self) -> bool:
@@ -212,7 +212,7 @@
         until = self._limits.get_admission_deadline()
         heads = await self._path.find_isolated_head(self._crash_detector, until)
         await self._path.acquire(
-            _STARTED_RANK if has_started else self._task.priority,
+            _STARTED_RANK if has_started else self._context.priority,
             until,
             is_urgent=has_started,
             heads=heads,
@@ -287,7 +287,7 @@
 
     def _start_handover(self, conn: HttpConnection, reason: str) -> bool:
         """Start a handover; return whether the stream has started."""
-        if self._progress.has_started and self._task.is_retryable:
+        if self._progress.has_started and self._context.is_retryable:
             self._log('stream handover started', reason=reason)
             if must_resend_to_head(self._path) and self._limits.may_retry():
                 # The new run starts at the same head, which must not run the
@@ -342,7 +342,7 @@
             conn, _HEAD_SILENCE_S, self._sender.read_head
         )
         if facts.is_not_run:
-            await read_body(conn, self._task.deadline)
+            await read_body(conn, self._context.deadline)
             self._sender.handle_rejection(
                 self._path.head_id,
                 head,
@@ -356,16 +356,16 @@
             return
         self._error_response = (
             head,
-            await read_body(conn, self._task.deadline),
+            await read_body(conn, self._context.deadline),
         )
         self._progress.reason = f'engine responded with status {head.status}'
         self._path.avoid.add(self._path.head_id)
-        if not self._task.is_retryable:
+        if not self._context.is_retryable:
             self._fail('it may have run and is not retryable', 0)
 
     async def _relay(self, conn: HttpConnection, head: ResponseHead) -> None:
         """Pass the events on to the client."""
-        client = self._task.conn
+        client = self._context.conn
         if not self._progress.has_started:
             self._progress.response_started_at = self._loop.time()
             client.start_response(head.status, filter_headers(head), None)
@@ -376,7 +376,7 @@
             part = await self._guard.read(conn, silence_s, _read_part)
             if isinstance(part, EndOfResponse):
                 if self._run.events:
-                    self._crash_detector.record_completion(self._task)
+                    self._crash_detector.record_completion(self._context)
                 client.write_body(splitter.buffer)
                 client.finish_response()
                 self._ended = True
@@ -391,7 +391,7 @@
             if not self._run.events:
                 self._mark_path_working()
             self._run.record_events(len(events), self._loop.time())
-            self._crash_detector.record_progress(self._task, self._run)
+            self._crash_detector.record_progress(self._context, self._run)
         for event in events:
             if event.event_id < 0 or event.event_id > self._progress.last_id:
                 self._progress.last_id = max(
@@ -400,7 +400,7 @@
                 new_events.append(event.raw)
         if new_events:
             self._times.record_event(self._loop.time())
-            self._task.conn.write_body(b''.join(new_events))
+            self._context.conn.write_body(b''.join(new_events))
 
     def _mark_path_working(self) -> None:
         """Mark all replicas of the path as working after a first event.
@@ -413,7 +413,7 @@
     def _handle_break(self, exc: EndpointError) -> None:
         if isinstance(exc, BrokenResponseError):
             head = self._path.stages[0].replica
-            self._crash_detector.record_failure(self._task, head, self._run)
+            self._crash_detector.record_failure(self._context, head, self._run)
         if self._handover.has_replacement:
             self._state.counters['streams.taken_over'] += 1
             return
@@ -443,7 +443,7 @@
     def _fail(self, denial: str, wait_s: float) -> None:
         """Send an error, or abort a response that has started."""
         self._ended = True
-        client = self._task.conn
+        client = self._context.conn
         if self._progress.has_started:
             self._state.counters['streams.cut'] += 1
             self._log(
@@ -455,7 +455,7 @@
             client.abort()
         elif self._error_response is None:
             refusal = self._build_refusal(denial, wait_s)
-            send_refusal(self._state, client, self._task.facts, refusal)
+            send_refusal(self._state, client, self._context.facts, refusal)
         else:
             head, body = self._error_response
             client.respond(head.status, filter_headers(head), body)
@@ -465,26 +465,26 @@
         reason = '; '.join(reasons)
         if not self._progress.may_have_run:
             return Refusal(UNAVAILABLE, reason, wait_s or _DEFAULT_RETRY_S)
-        if self._loop.time() >= self._task.deadline:
+        if self._loop.time() >= self._context.deadline:
             return Refusal(TIMED_OUT, reason)
         return Refusal(FAILED, reason)
 
     def _register(self) -> None:
         self._state.streams.add(self)
         self._state.get_retry_budget(
-            self._task.service.name
+            self._context.service.name
         ).active_streams += 1
 
     def _unregister(self) -> None:
         self._state.streams.discard(self)
         self._state.get_retry_budget(
-            self._task.service.name
+            self._context.service.name
         ).active_streams -= 1
         facts = self._times.describe(self._loop.time())
         self._log('stream ended', sends=self._progress.attempts, **facts)
 
     def _log(self, event: str, **facts: object) -> None:
-        _LOG.info(event, extra={'request': self._task.request_id, **facts})
+        _LOG.info(event, extra={'request': self._context.request_id, **facts})
 
 
 async def _read_part(
