--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -182,7 +182,7 @@
     async def Collect(self, request: ClaimGroup, context: Any) -> VerdictGroup:
         """Write claims on behalf of another node."""
         verdicts = await self._collect(_decode_group(request))
-        return VerdictGroup(verdicts=map(_encode_verdict, verdicts))
+        return VerdictGroup(verdicts=map(_encode_result, verdicts))
 
 
 def _encode_group(batch: ClaimBatch) -> ClaimGroup:
@@ -226,7 +226,7 @@
     return Claim(note.key, note.holder, note.request, note.fingerprint)
 
 
-def _encode_verdict(verdict: ClaimResult) -> VerdictNote:
+def _encode_result(verdict: ClaimResult) -> VerdictNote:
     return VerdictNote(
         request=verdict.claim.request_id,
         state=verdict.state,
--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -91,7 +91,7 @@
 def plan_orders(
     endpoints: Iterable[Endpoint],
     statuses: dict[str, EngineStatus],
-    tenure: LeaderTerm,
+    term: LeaderTerm,
     now: float,
     loads_at_once: int,
 ) -> list[Order]:
@@ -103,7 +103,7 @@
         The configured endpoints.
     statuses : dict of str to EngineStatus
         The reported state of each engine that answered.
-    tenure : LeaderTerm
+    term : LeaderTerm
         The leader's term.
     now : float
         Seconds on the leader's monotonic clock.
@@ -115,7 +115,7 @@
     )
     orders = []
     for endpoint in endpoints:
-        order = _plan_order(endpoint, statuses, tenure, now)
+        order = _plan_order(endpoint, statuses, term, now)
         if order is None or (order.needs_weights and free_loads <= 0):
             continue
         free_loads -= order.needs_weights
@@ -126,7 +126,7 @@
 def _plan_order(
     endpoint: Endpoint,
     statuses: dict[str, EngineStatus],
-    tenure: LeaderTerm,
+    term: LeaderTerm,
     now: float,
 ) -> Order | None:
     desired = endpoint.desired
@@ -135,7 +135,7 @@
         return None
     if _matches_desired(desired, status):
         return None
-    if not tenure.may_send_orders(now, checks_fencing=endpoint.checks_fencing):
+    if not term.may_send_orders(now, checks_fencing=endpoint.checks_fencing):
         return None
     has_weights = desired.version == status.version and (
         set(desired.adapters) <= set(status.adapters)
@@ -144,7 +144,7 @@
         endpoint.name,
         endpoint.address,
         desired,
-        tenure.fencing_token,
+        term.fencing_token,
         needs_weights=not has_weights,
     )
 
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -89,7 +89,7 @@
     if attempt.epoch != event.epoch:
         state.counters['dropped.epoch'] += 1
         failure = AttemptFailed(event.attempt_id, 'a token of another epoch')
-        on_attempt_broke(failure, state, now)
+        on_attempt_failed(failure, state, now)
         return
     req = state.requests[attempt.request_id]
     if event.index < req.delivered:
@@ -98,7 +98,7 @@
     if event.index > req.delivered:
         state.counters['dropped.gap'] += 1
         failure = AttemptFailed(event.attempt_id, 'a token is missing')
-        on_attempt_broke(failure, state, now)
+        on_attempt_failed(failure, state, now)
         return
     req.delivered += 1
     attempt.has_token = True
@@ -159,7 +159,7 @@
 
 
 @handle.register(AttemptFailed)
-def on_attempt_broke(
+def on_attempt_failed(
     event: AttemptFailed, state: CoreState, now: float
 ) -> None:
     """Exclude the failed stage, then retry elsewhere or end the request."""
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -33,7 +33,9 @@
 
 
 @handle.register(ClaimAcquired)
-def on_claim_won(event: ClaimAcquired, state: CoreState, now: float) -> None:
+def on_claim_acquired(
+    event: ClaimAcquired, state: CoreState, now: float
+) -> None:
     """Start the request that now holds its key.
 
     If the request ended while its claim was being written, nothing ran and the
@@ -62,7 +64,7 @@
         state.emit(ReplayAnswer(req.request_id))
         state.counters['replayed'] += 1
     else:
-        problem = _explain_taken(event)
+        problem = _explain_conflict(event)
         state.emit(RefuseRequest(req.request_id, problem))
         state.counters[f'refused.{problem.code}'] += 1
     dispatch_queue(state, get_queue_name(req), now)
@@ -85,7 +87,7 @@
     dispatch_queue(state, get_queue_name(req), now)
 
 
-def _explain_taken(event: ClaimConflicted) -> Problem:
+def _explain_conflict(event: ClaimConflicted) -> Problem:
     if event.state == 'mismatch':
         return Problem(
             HTTPStatus.UNPROCESSABLE_ENTITY,
--- a/samphirerill/core/on_deadlines.py
+++ b/samphirerill/core/on_deadlines.py
@@ -10,7 +10,7 @@
 from samphirerill.core.completion import get_queue_name, refuse_request
 from samphirerill.core.events import AttemptFailed, TimerFired
 from samphirerill.core.handling import handle
-from samphirerill.core.on_attempts import on_attempt_broke
+from samphirerill.core.on_attempts import on_attempt_failed
 from samphirerill.core.on_crashes import evaluate_quarantine
 from samphirerill.core.scheduling import dispatch_queue
 from samphirerill.core.state import Health, Phase
@@ -93,7 +93,7 @@
     state.requests[attempt.request_id].avoid.update(
         stage.endpoint for stage in attempt.stages
     )
-    on_attempt_broke(
+    on_attempt_failed(
         AttemptFailed(name, 'the endpoint went silent'), state, now
     )
 
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -64,7 +64,7 @@
 
 
 @handle.register(ClientDisconnected)
-def on_caller_left(
+def on_client_disconnected(
     event: ClientDisconnected, state: CoreState, now: float
 ) -> None:
     """Stop the request, unless a retry may ask for its answer.
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -269,14 +269,14 @@
         """Return the cost of a crossing, or ``None`` if the link is full."""
         if origin == destination:
             return 0.0
-        pipes = self._request.links
-        if pipes is None:
+        links = self._request.links
+        if links is None:
             return self._transfer_ms
-        if not pipes.is_open(
+        if not links.is_open(
             origin, destination, self._now, is_urgent=self._request.is_urgent
         ):
             return None
-        return self._transfer_ms + pipes.backlog_ms(
+        return self._transfer_ms + links.backlog_ms(
             origin, destination, self._now
         )
 
--- a/samphirerill/node/claim_batches.py
+++ b/samphirerill/node/claim_batches.py
@@ -107,23 +107,23 @@
         return claim_results, []
 
 
-def choose_aggregator(node_id: str, members: Membership) -> str:
+def choose_aggregator(node_id: str, membership: Membership) -> str:
     """Return the address of the node that aggregates for this one, or ''.
 
     Empty if this node writes directly: the fleet is small, or this node is an
     aggregator. Nodes with different views of the membership may choose
     differently, which only costs additional writes.
     """
-    if members.count <= MAX_DIRECT_WRITERS:
+    if membership.count <= MAX_DIRECT_WRITERS:
         return ''
-    ids = sorted([node_id, *members.peers], key=_compute_rank)
+    ids = sorted([node_id, *membership.peers], key=_compute_rank)
     aggregators = ids[:AGGREGATOR_COUNT]
     if node_id in aggregators:
         return ''
     chosen = min(
         aggregators, key=lambda other: _compute_rank(f'{node_id}/{other}')
     )
-    return members.peers[chosen].peer_address
+    return membership.peers[chosen].peer_address
 
 
 def _compute_rank(name: str) -> str:
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -109,7 +109,7 @@
         Prefix of the project's keys.
     sink : EventSink
         Receives the results as events.
-    members : Membership
+    membership : Membership
         The known nodes, from which aggregators are chosen.
     clients : PeerClients
         Channels to the aggregating node of a large fleet.
@@ -121,7 +121,7 @@
         holder: str,
         prefix: str,
         sink: EventSink,
-        members: Membership,
+        membership: Membership,
         clients: PeerClients,
     ) -> None:
         self.stored_responses: dict[str, dict[str, Any]] = {}
@@ -130,7 +130,7 @@
         self.node_id = holder
         self._prefix = prefix
         self._sink = sink
-        self._members = members
+        self._membership = membership
         self._clients = clients
         self._direct = DirectBatchWriter(worker)
         self._releases = ClaimReleaseQueue(worker)
@@ -211,7 +211,7 @@
 
     def _get_write_interval_s(self) -> float:
         """Return the time between two calls within the fleet's limit."""
-        writers = self._members.count
+        writers = self._membership.count
         if writers > MAX_DIRECT_WRITERS:
             writers = AGGREGATOR_COUNT
         return max(MIN_WRITE_INTERVAL_S, writers / FLEET_WRITES_PER_S)
@@ -249,7 +249,7 @@
     ) -> tuple[list[ClaimResult], list[Claim]]:
         """Write a batch, directly or through the aggregating node."""
         self.counters.calls += 1
-        address = choose_aggregator(self.node_id, self._members)
+        address = choose_aggregator(self.node_id, self._membership)
         batch_writer: BatchWriter = self._direct
         if address:
             batch_writer = PeerBatchWriter(self._clients, address)
@@ -314,7 +314,7 @@
         self._own_claims.pop(request_id, None)
         if claim_result.state == 'answered':
             self.stored_responses[request_id] = claim_result.answer
-        is_holder_alive = self._members.is_alive(claim_result.holder)
+        is_holder_alive = self._membership.is_alive(claim_result.holder)
         self._sink.apply(
             ClaimConflicted(request_id, claim_result.state, is_holder_alive)
         )
--- a/samphirerill/node/configuration_follower.py
+++ b/samphirerill/node/configuration_follower.py
@@ -53,7 +53,7 @@
     """Keeps the configuration and the membership of a node up to date."""
 
     def __init__(
-        self, node: Node, worker: StoreWorker, members: Membership
+        self, node: Node, worker: StoreWorker, membership: Membership
     ) -> None:
         self.view = ConfigurationView()
         self.evidence = ConfigurationFreshness(node.loop.time())
@@ -62,7 +62,7 @@
         self.engine_controller = EngineController(node, worker)
         self._node = node
         self._worker = worker
-        self._members = members
+        self._membership = membership
         self._prefix = prefix
         self._stop_requested = threading.Event()
         self._suspension_reason = ''
@@ -87,7 +87,9 @@
         """Suspend serving while the configuration may be stale."""
         while True:
             reason = self.evidence.find_suspension_reason(
-                self._node.loop.time(), self.view.version, self._members.count
+                self._node.loop.time(),
+                self.view.version,
+                self._membership.count,
             )
             if reason != self._suspension_reason:
                 self._suspension_reason = reason
@@ -183,7 +185,7 @@
             return
         self.apply_document(loaded.ok_value.version, loaded.ok_value.document)
         entries = shared.ok_value.entries
-        deleted_keys = self._members.list_missing_keys(entries)
+        deleted_keys = self._membership.list_missing_keys(entries)
         revision = shared.ok_value.revision
         self._handle_batch([], WatchBatch(revision, entries, deleted_keys))
         self._revision = max(self._revision, loaded.ok_value.revision)
@@ -191,7 +193,7 @@
     def _get_poll_interval_s(self) -> float:
         """Return a poll interval that keeps the fleet within its read limit."""
         interval_s = max(
-            MIN_POLL_INTERVAL_S, self._members.count / FLEET_READS_PER_S
+            MIN_POLL_INTERVAL_S, self._membership.count / FLEET_READS_PER_S
         )
         return add_jitter(interval_s, WIDE_JITTER)
 
@@ -231,7 +233,7 @@
         return batch.revision if batch.puts or batch.deleted_keys else 0
 
     def _handle_batch(self, changes: list[Change], batch: WatchBatch) -> None:
-        self._members.handle_watch_batch(batch)
+        self._membership.handle_watch_batch(batch)
         self.engine_controller.handle_watch_batch(batch)
         leaving = parse_leaving_endpoints(self._prefix, batch)
         if leaving is not None:
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -80,8 +80,8 @@
     def describe(self) -> dict[str, object]:
         """Return the leader, for the state dump."""
         term = self._term
-        fence = 0 if term is None else term.fencing_token
-        return {'commander': self._leader_id, 'own_fence': fence}
+        fencing_token = 0 if term is None else term.fencing_token
+        return {'commander': self._leader_id, 'own_fence': fencing_token}
 
     async def run(self) -> None:
         """Run for leader, and send orders while this node is the leader."""
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -62,11 +62,14 @@
     """Periodic exchange of messages with random peers."""
 
     def __init__(
-        self, node: Node, follower: ConfigurationFollower, members: Membership
+        self,
+        node: Node,
+        follower: ConfigurationFollower,
+        membership: Membership,
     ) -> None:
         self._node = node
         self._follower = follower
-        self._members = members
+        self._membership = membership
         self.clients = PeerClients(_MAX_CHANNELS)
         self._server = PeerServer(self._build_reply, self._write_claims)
         self._peer_statuses: dict[str, PeerStatus] = {}
@@ -94,7 +97,7 @@
 
     async def query_versions(self) -> list[dict[str, Any]]:
         """Query all known nodes for their configuration version."""
-        members = list(self._members.peers.values())
+        members = list(self._membership.peers.values())
         replies = await asyncio.gather(
             *(self._exchange(member.peer_address) for member in members)
         )
@@ -117,7 +120,7 @@
 
     def _choose_peers(self) -> list[str]:
         addresses = [
-            member.peer_address for member in self._members.peers.values()
+            member.peer_address for member in self._membership.peers.values()
         ]
         addresses = addresses or list(self._node.settings.peers.seeds)
         return random.sample(addresses, min(FANOUT, len(addresses)))
--- a/samphirerill/node/operator_requests.py
+++ b/samphirerill/node/operator_requests.py
@@ -94,7 +94,7 @@
             else {},
             'members': {
                 name: asdict(member)
-                for name, member in self._process.members.peers.items()
+                for name, member in self._process.membership.peers.items()
             },
             'peers': self._process.gossip.describe(),
             'orders': self._follower.engine_controller.describe(),
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -49,17 +49,17 @@
     def __init__(self, settings: Settings) -> None:
         self.node = Node(settings)
         self.worker = StoreWorker(EtcdStore(settings.store))
-        self.members = Membership(self.node, self.worker)
+        self.membership = Membership(self.node, self.worker)
         self.follower = ConfigurationFollower(
-            self.node, self.worker, self.members
+            self.node, self.worker, self.membership
         )
-        self.gossip = Gossip(self.node, self.follower, self.members)
+        self.gossip = Gossip(self.node, self.follower, self.membership)
         self.node.claim_writer = ClaimWriter(
             self.worker,
             self.node.node_id,
             settings.store.prefix,
             self.node,
-            self.members,
+            self.membership,
             self.gossip.clients,
         )
         self._settings = settings
@@ -95,7 +95,7 @@
     async def _start_servers(self) -> None:
         peer_port = await self.gossip.start()
         host = self._settings.peers.host
-        self.members.peer_address = f'{host}:{peer_port}'
+        self.membership.peer_address = f'{host}:{peer_port}'
         operator_port = self._operator_server.start()
         client_port = self._client_server.start()
         self.node.is_healthy = True
@@ -114,14 +114,14 @@
         node.start_task(self.follower.run(), 'follow')
         node.start_task(self.follower.monitor_freshness(), 'judge')
         node.start_task(self.follower.engine_controller.run(), 'commander')
-        node.start_task(self.members.run(), 'membership')
-        node.start_task(self.members.remove_expired(), 'sweep')
+        node.start_task(self.membership.run(), 'membership')
+        node.start_task(self.membership.remove_expired(), 'sweep')
         node.start_task(self.gossip.run(), 'gossip')
         node.start_task(poll_loads(node), 'loads')
         if node.claim_writer is not None:
             node.start_task(node.claim_writer.run(), 'claims')
         if self._settings.vm_list.address:
-            vm_reader = VmReader(node, self.worker, self.members)
+            vm_reader = VmReader(node, self.worker, self.membership)
             node.start_task(vm_reader.run(), 'vm list')
 
     def _install_signal_handlers(self) -> None:
@@ -164,7 +164,7 @@
     async def _stop(self) -> None:
         self.follower.stop()
         await self.follower.engine_controller.release_leadership()
-        await self.members.deregister()
+        await self.membership.deregister()
         await self._stop_servers()
         _LOG.info('ended', extra={'code': self._exit_code})
 
--- a/samphirerill/node/vm_reader.py
+++ b/samphirerill/node/vm_reader.py
@@ -34,11 +34,11 @@
     """Periodically reads the VM list and publishes leaving endpoints."""
 
     def __init__(
-        self, node: Node, worker: StoreWorker, members: Membership
+        self, node: Node, worker: StoreWorker, membership: Membership
     ) -> None:
         self._node = node
         self._worker = worker
-        self._members = members
+        self._membership = membership
         self._client = VmList(node.settings.vm_list.address)
 
     async def run(self) -> None:
@@ -68,7 +68,9 @@
     def _get_read_interval_s(self) -> float:
         """Return the interval between reads within the fleet's limit."""
         every_s = self._node.settings.vm_list.every_s
-        return every_s * max(1, self._members.count / FLEET_READS_PER_INTERVAL)
+        return every_s * max(
+            1, self._membership.count / FLEET_READS_PER_INTERVAL
+        )
 
     async def _publish(self, added: list[str], removed: list[str]) -> None:
         prefix = f'{self._node.settings.store.prefix}{LEAVING_PREFIX}'
--- a/samphirerill/properties/coordination.py
+++ b/samphirerill/properties/coordination.py
@@ -62,7 +62,7 @@
         self.store = FaultyStore(rules)
         self.log = ConfigurationLog(self.store, _PREFIX, retry_pause_s=0)
         self.view = ConfigurationView()
-        self.tenure: LeaderTerm | None = None
+        self.term: LeaderTerm | None = None
         self.lease = ''
         self.highest_version = 0
 
@@ -143,15 +143,15 @@
         """
         chosen = self.nodes[node]
         asked_at = self.now
-        if chosen.tenure is None:
+        if chosen.term is None:
             self._campaign(chosen, asked_at, delay_s)
             return
         answer = self.store_state.keep_alive({'ID': chosen.lease}, self.now)
         self._advance_time(delay_s)
         if int(answer['result']['TTL']) > 0:
-            chosen.tenure.renew(asked_at)
+            chosen.term.renew(asked_at)
         else:
-            chosen.tenure = None
+            chosen.term = None
 
     @rule(seconds=st.sampled_from((0.5, 2.0, 6.0, 15.0)))
     def wait(self, seconds: float) -> None:
@@ -182,8 +182,8 @@
         leaders = [
             node.name
             for node in self.nodes
-            if node.tenure is not None
-            and node.tenure.may_send_orders(self.now, checks_fencing=False)
+            if node.term is not None
+            and node.term.may_send_orders(self.now, checks_fencing=False)
         ]
         expect(len(leaders) <= 1, f'several leaders at once: {leaders}')
 
@@ -198,7 +198,7 @@
         done = MemoryStore(self.store_state).commit(campaign)
         self._advance_time(delay_s)
         if done.succeeded:
-            node.tenure = LeaderTerm.start(done.revision, asked_at, self.now)
+            node.term = LeaderTerm.start(done.revision, asked_at, self.now)
 
     def _submit(self, node: NodeModel, base: int, lose: int) -> None:
         self.patch_count += 1
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -100,10 +100,10 @@
             ),
         )
         change_source = ChangeSource(settings.name)
-        self._members = Membership(
+        self._membership = Membership(
             self.state, store, health, change_source, change_source.log, alarms
         )
-        self._members.add_datagram_handler(self._evidence_exchange)
+        self._membership.add_datagram_handler(self._evidence_exchange)
         leadership = Leadership(self.state, store)
         self._stored_holds = StoredHolds(
             self.state, store, quarantine_manager, leadership
@@ -118,7 +118,7 @@
             self.state,
             store,
             health,
-            (self._members, leadership, self._stored_holds),
+            (self._membership, leadership, self._stored_holds),
             change_source,
             change_source.log,
         )
@@ -142,10 +142,10 @@
         """Serve until a termination signal; return the exit code."""
         self._catch_signals()
         await self._listen()
-        await self._members.start()
+        await self._membership.start()
         for run_loop, name in (
             (self._follower.run, 'follow'),
-            (self._members.run, 'membership'),
+            (self._membership.run, 'membership'),
             (self._layer_controller.run, 'commander'),
             (self._loss_prober.run, 'survey'),
             (self._evidence_exchange.run, 'quarantine'),
@@ -168,7 +168,7 @@
             server.close()
         for conn in (*self._connections, *self._page_connections):
             conn.shut_down()
-        self._members.close()
+        self._membership.close()
         self._status_endpoints.usage.log()
         for task in tuple(self._tasks):
             task.cancel()
@@ -254,7 +254,7 @@
         await asyncio.sleep(notice_ends_at - self._loop.time())
         self._close_idle()
         await self._finish_requests(finish_by)
-        await self._revoke_lease(self._members.leave())
+        await self._revoke_lease(self._membership.leave())
         # Finish requests that were read meanwhile. There must be no await
         # between the last check and the end: a request that was read and
         # forwarded in between would get no answer.
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -61,13 +61,13 @@
         self.store = MemoryStore(rules)
         self.sink = _Sink()
         self.worker = StoreWorker(self.store)
-        self.members = _Members(name)
+        self.membership = _Members(name)
         self.writer = ClaimWriter(
             self.worker,
             name,
             '/p/',
             self.sink,
-            cast('Membership', self.members),
+            cast('Membership', self.membership),
             PeerClients(4),
         )
         self.sink.writer = self.writer
@@ -233,7 +233,7 @@
             self.servers.append(server)
             node.address = f'127.0.0.1:{await server.start("127.0.0.1", 0)}'
         for node, other in zip(self.nodes, self.nodes[::-1], strict=True):
-            node.members.peers = {
+            node.membership.peers = {
                 f'other-{index}': Member(f'other-{index}', 'a', other.address)
                 for index in range(MAX_DIRECT_WRITERS + 10)
             }
@@ -241,13 +241,13 @@
             node
             for node in self.nodes
             if choose_aggregator(
-                node.writer.node_id, cast('Membership', node.members)
+                node.writer.node_id, cast('Membership', node.membership)
             )
         )
         self.collector = next(
             node for node in self.nodes if node is not self.sender
         )
-        self.collector.members.peers = {}
+        self.collector.membership.peers = {}
 
     async def asyncTearDown(self) -> None:
         for node in self.nodes:
--- a/samphirerill/tests/test_graceful_shutdown.py
+++ b/samphirerill/tests/test_graceful_shutdown.py
@@ -156,7 +156,7 @@
         The other nodes would wait for the node until that lease expires.
         """
         await self.wait_until(self.list_announced)
-        await self.process._members.leave()  # noqa: SLF001
+        await self.process._membership.leave()  # noqa: SLF001
         await asyncio.sleep(3 * SETTLE_S)
         self.assertEqual(self.list_announced(), [])
 
--- a/samphirerill/tests/test_orders.py
+++ b/samphirerill/tests/test_orders.py
@@ -38,7 +38,7 @@
 
     def setUp(self) -> None:
         """Acquire the key at a known time."""
-        self.tenure = LeaderTerm.start(
+        self.term = LeaderTerm.start(
             7, requested_at=_NOW, acquired_at=_NOW + 0.1
         )
 
@@ -49,27 +49,23 @@
         sends what it had planned: an engine would load an outdated version.
         """
         late = _NOW + LEASE_S - SAFETY_MARGIN_S
-        self.assertFalse(self.tenure.may_send_orders(late, checks_fencing=True))
-        self.tenure.renew(requested_at=_NOW + 5)
-        self.assertTrue(self.tenure.may_send_orders(late, checks_fencing=True))
+        self.assertFalse(self.term.may_send_orders(late, checks_fencing=True))
+        self.term.renew(requested_at=_NOW + 5)
+        self.assertTrue(self.term.may_send_orders(late, checks_fencing=True))
 
     def test_renewal_counts_from_its_request(self) -> None:
         """A slow reply does not extend the term."""
-        self.tenure.renew(requested_at=_NOW - 50)
-        end = self.tenure.valid_until
+        self.term.renew(requested_at=_NOW - 50)
+        end = self.term.valid_until
         self.assertEqual(end, _NOW + LEASE_S - SAFETY_MARGIN_S)
 
     def test_engines_without_fencing_need_a_wait(self) -> None:
         """Orders of the previous leader must have arrived before."""
         soon = _NOW + 1
-        self.assertTrue(self.tenure.may_send_orders(soon, checks_fencing=True))
-        self.assertFalse(
-            self.tenure.may_send_orders(soon, checks_fencing=False)
-        )
+        self.assertTrue(self.term.may_send_orders(soon, checks_fencing=True))
+        self.assertFalse(self.term.may_send_orders(soon, checks_fencing=False))
         later = _NOW + 0.2 + SAFETY_MARGIN_S + ORDER_TIMEOUT_S
-        self.assertTrue(
-            self.tenure.may_send_orders(later, checks_fencing=False)
-        )
+        self.assertTrue(self.term.may_send_orders(later, checks_fencing=False))
 
 
 class TestPlanOrders(unittest.TestCase):
@@ -80,8 +76,8 @@
     ) -> list[str]:
         """Return which engines get an order."""
         endpoints = [_build_endpoint(f'e{index}') for index in range(4)]
-        tenure = LeaderTerm.start(7, _NOW, _NOW)
-        orders = plan_orders(endpoints, statuses, tenure, _NOW + 1, loads)
+        term = LeaderTerm.start(7, _NOW, _NOW)
+        orders = plan_orders(endpoints, statuses, term, _NOW + 1, loads)
         return [order.endpoint for order in orders]
 
     def test_weight_store_load_is_limited(self) -> None:
--- a/samphirerill/tests/test_resynchronization.py
+++ b/samphirerill/tests/test_resynchronization.py
@@ -40,8 +40,8 @@
         worker.try_run = self.try_run
         worker.store.read_prefix = self.read_prefix
         self.entries: list[StoredEntry] = []
-        self.members = Membership(node, worker)
-        self.follower = ConfigurationFollower(node, worker, self.members)
+        self.membership = Membership(node, worker)
+        self.follower = ConfigurationFollower(node, worker, self.membership)
         self.follower.apply_document = MagicMock()  # type: ignore[method-assign]
         self.follower.log = MagicMock()
         self.follower.log.load = lambda: LoadedConfiguration(7, {}, 20, [])
@@ -66,9 +66,9 @@
         although the watch covers the members, too.
         """
         await self.resynchronize('n1', 'n2', 'n3')
-        self.assertEqual(set(self.members.peers), {'n2', 'n3'})
+        self.assertEqual(set(self.membership.peers), {'n2', 'n3'})
         await self.resynchronize('n1', 'n3')
-        missing = self.members.list_missing_keys(self.entries)
+        missing = self.membership.list_missing_keys(self.entries)
         self.assertEqual(missing, [_MEMBER_KEY.format('n2')])
-        removals = self.members._removal_deadlines  # noqa: SLF001
+        removals = self.membership._removal_deadlines  # noqa: SLF001
         self.assertEqual(set(removals), {'n2'})
