--- a/samphirerill/tests/crashing_engines.py
+++ b/samphirerill/tests/crashing_engines.py
@@ -71,18 +71,18 @@
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.world = PlatformHarness(find_ports())
+        self.harness = PlatformHarness(find_ports())
         self.crash_times: list[float] = []
         self.crashed: set[str] = set()
         self.poison_sent_at: list[float] = []
         self.poison_statuses: dict[str, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.addAsyncCleanup(self._stop)
-        await self.world.start()
-        await self.world.store.put('op/config', self.build_configuration())
+        await self.harness.start()
+        await self.harness.store.put('op/config', self.build_configuration())
         for _ in range(_ENGINE_COUNT):
             await self.start_engine()
-        self.nodes = [self.world.require_first_node()]
+        self.nodes = [self.harness.require_first_node()]
         await self.prepare(self.nodes[0])
 
     def build_configuration(self) -> bytes:
@@ -93,39 +93,39 @@
 
     async def start_engine(self) -> None:
         """Start an engine under a new id."""
-        name = f'engine-{len(self.world.replicas)}'
+        name = f'engine-{len(self.harness.replicas)}'
         engine = CrashingReplica(name, POISON, self._record_poison, self._crash)
         engine.layers = self.layers or (0, 0)
         engine.event_interval_s = _GAP_S
         engine.events = self.events
-        await self.world.start_replica(engine)
-        address = self.world.addresses[name]
+        await self.harness.start_replica(engine)
+        address = self.harness.addresses[name]
         entry = build_announcement(
             self.service, address, self.kind, self.layers
         )
-        await self.world.store.put(f'servers/{name}', entry)
+        await self.harness.store.put(f'servers/{name}', entry)
 
     async def announce_leaving(self, name: str) -> None:
         """Let an engine announce that it shuts down."""
         entry = build_announcement(
             self.service,
-            self.world.addresses[name],
+            self.harness.addresses[name],
             self.kind,
             self.layers,
             'draining',
         )
-        await self.world.store.put(f'servers/{name}', entry)
+        await self.harness.store.put(f'servers/{name}', entry)
 
     async def add_node(self) -> EdgeProcess:
         """Start another node."""
-        node = self.world.start_node()
+        node = self.harness.start_node()
         self.nodes.append(node)
         await self.prepare(node)
         return node
 
     async def prepare(self, node: EdgeProcess) -> None:
         """Wait until a node is ready, and raise its retry budget."""
-        await self.world.wait_until_ready(node)
+        await self.harness.wait_until_ready(node)
         async with asyncio.timeout(5):
             while not node.state.view.replicas:
                 await asyncio.sleep(0.01)
@@ -143,7 +143,7 @@
         """Send a request; the status is 0 if the response breaks off."""
         headers = build_headers(request_id, key)
         try:
-            return await self.world.send_request(
+            return await self.harness.send_request(
                 self.target, headers, body, node
             )
         except EndpointError as exc:
@@ -158,7 +158,7 @@
         """Return the ids of poison requests that reached an engine."""
         return {
             (req.get(b'x-samphirerill-request-id') or b'').decode()
-            for engine in self.world.replicas.values()
+            for engine in self.harness.replicas.values()
             for req in engine.received_requests
             if POISON in req.body
         }
@@ -172,7 +172,7 @@
 
     def list_running(self) -> set[str]:
         """Return the engines that have not crashed."""
-        return self.world.replicas.keys() - self.crashed
+        return self.harness.replicas.keys() - self.crashed
 
     def crash_engine(self, name: str) -> None:
         """Crash an engine; a new one starts soon after."""
@@ -186,7 +186,7 @@
         self.crashed.add(name)
         task = asyncio.create_task(self._restart())
         self._tasks.add(task)
-        self.world.crash_replica(name)
+        self.harness.crash_replica(name)
 
     async def _restart(self) -> None:
         await asyncio.sleep(_RESTART_DELAY_S)
@@ -196,4 +196,4 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self.world.stop()
+        await self.harness.stop()
--- a/samphirerill/tests/test_changes_during_requests.py
+++ b/samphirerill/tests/test_changes_during_requests.py
@@ -31,7 +31,7 @@
         document['services'] = document['services'][1:]
         document['tenants'] = [{'name': 'other', 'apiKeys': ['other']}]
         await self.configure(json.encode(document))
-        self.world.replicas[head].close_after_event = 1
+        self.harness.replicas[head].close_after_event = 1
         self.assert_complete(await stream)
         self.assertEqual(len(set(self.list_used_engines())), 2)
 
@@ -42,12 +42,12 @@
             8, trafficSplit=shares, timeoutMs=100, maxAttempts=1
         )
         await self.configure(text)
-        self.world.replicas[head].close_after_event = 1
+        self.harness.replicas[head].close_after_event = 1
         self.assert_complete(await stream)
         self.assertEqual(len(set(self.list_used_engines())), 2)
 
     async def test_changed_settings_interrupt_nothing(self) -> None:
-        plain_replica = self.world.replicas['desk-1']
+        plain_replica = self.harness.replicas['desk-1']
         plain_replica.responding.clear()
         stream, _, _ = await self.start_stream()
         plain_request = self.start_request(b'/pickup/x')
@@ -55,7 +55,7 @@
         self.change_settings(
             retry_ratio=0, retry_slack=0, finish_s=0.1, leaving_ms=1
         )
-        self.world.store.is_unavailable = True
+        self.harness.store.is_unavailable = True
         await asyncio.sleep(SETTLE_S)
         plain_replica.responding.set()
         status, _ = await plain_request
@@ -67,12 +67,12 @@
     """Endpoints that reset a connection while a request is written."""
 
     async def test_reset_is_retried_or_answered_as_bad_gateway(self) -> None:
-        for replica in self.world.replicas.values():
+        for replica in self.harness.replicas.values():
             replica.event_interval_s = GAP_S / EVENTS
         for target in (b'/notes/x', b'/pickup/x'):
             status, _ = await self.request(target)
             self.assertEqual(status, OK)
-        for replica in self.world.replicas.values():
+        for replica in self.harness.replicas.values():
             replica.resets_left = 1
         self.assert_complete(await self.request(b'/notes/x'))
         status, _ = await self.request(b'/pickup/x')
@@ -83,7 +83,7 @@
     ) -> None:
         await self.configure(build_configuration(8, resumable=False))
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].resets_left = 1
+            self.harness.replicas[name].resets_left = 1
         status, _ = await self.request(b'/notes/x')
         self.assertEqual(status, 502)
 
@@ -120,7 +120,7 @@
         document = json.decode(build_configuration(8))
         document['limits']['idleTimeoutMs'] = 100
         await self.configure(json.encode(document))
-        plain_replica = self.world.replicas['desk-1']
+        plain_replica = self.harness.replicas['desk-1']
         answered = 0
         for number in range(12):
             conn = HttpConnection(f'127.0.0.1:{self.process.get_port()}')
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -22,15 +22,15 @@
     """One endpoint to which a node may open two connections."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformHarness()
-        self.addAsyncCleanup(self.world.stop)
-        await self.world.add_replica('desk-1')
+        self.harness = PlatformHarness()
+        self.addAsyncCleanup(self.harness.stop)
+        await self.harness.add_replica('desk-1')
         self.pool = ConnectionPool(Counter())
         self.endpoint = self.find_replica()
 
     def find_replica(self) -> Replica:
         """Return the endpoint as it is announced."""
-        address = self.world.addresses['desk-1']
+        address = self.harness.addresses['desk-1']
         return replace(build_replica('desk-1'), address=address)
 
     async def test_no_more_connections_are_opened_than_allowed(self) -> None:
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -38,17 +38,17 @@
     """Two engines that hold all layers, and a plain service."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformHarness()
-        self.addAsyncCleanup(self.world.stop)
-        await self.world.start()
-        await self.world.store.put('op/config', build_configuration())
+        self.harness = PlatformHarness()
+        self.addAsyncCleanup(self.harness.stop)
+        await self.harness.start()
+        await self.harness.store.put('op/config', build_configuration())
         for name in ('engine-1', 'engine-2'):
-            replica = await self.world.add_replica(name)
+            replica = await self.harness.add_replica(name)
             replica.layers = (0, 80)
             await self.announce(name, layers=(0, 80))
-        await self.world.add_replica('desk-1')
+        await self.harness.add_replica('desk-1')
         await self.announce('desk-1', 'desk', kind='')
-        await self.world.wait_for_replica_count(3)
+        await self.harness.wait_for_replica_count(3)
 
     async def announce(
         self,
@@ -60,17 +60,17 @@
     ) -> None:
         """Write a replica's announcement to the store."""
         entry = build_announcement(
-            service, self.world.addresses[name], kind, layers, state
+            service, self.harness.addresses[name], kind, layers, state
         )
-        await self.world.store.put(f'servers/{name}', entry)
+        await self.harness.store.put(f'servers/{name}', entry)
 
     async def add_third_engine(self) -> EdgeProcess:
         """Add a third engine and enough retries for any test."""
-        process = await self.world.wait_until_ready()
-        await self.world.add_replica('engine-3')
-        self.world.replicas['engine-3'].layers = (0, 80)
+        process = await self.harness.wait_until_ready()
+        await self.harness.add_replica('engine-3')
+        self.harness.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
-        await self.world.wait_for_replica_count(4)
+        await self.harness.wait_for_replica_count(4)
         settings = replace(process.state.settings, retry_slack=80)
         process.state.apply_settings(settings)
         return process
@@ -79,7 +79,7 @@
         self, headers: list[tuple[bytes, bytes]] = _HEADERS
     ) -> bytes:
         """Return the complete body of one stream."""
-        status, body = await self.world.send_request(b'/notes/x', headers)
+        status, body = await self.harness.send_request(b'/notes/x', headers)
         self.assertEqual(status, _OK)
         return body
 
@@ -91,7 +91,7 @@
         """Return the engines that got a stream, once for each request."""
         return [
             name
-            for name, replica in self.world.replicas.items()
+            for name, replica in self.harness.replicas.items()
             for _ in replica.received_requests
             if name.startswith('engine')
         ]
@@ -102,11 +102,11 @@
 
     async def test_streams_and_plain_responses_are_complete(self) -> None:
         self.assertEqual(await self.stream(), self.build_events(5))
-        status, body = await self.world.send_request(
+        status, body = await self.harness.send_request(
             b'/pickup/x', _HEADERS, b'gown'
         )
         self.assertEqual((status, body), (_OK, b'plain gown'))
-        seen = self.world.replicas['desk-1'].received_requests[0]
+        seen = self.harness.replicas['desk-1'].received_requests[0]
         self.assertIsNone(seen.get(b'authorization'))
         self.assertEqual(seen.get(b'x-samphirerill-tenant'), b'suva')
 
@@ -118,12 +118,12 @@
         }
         for target, (headers, status) in expected.items():
             with self.subTest(target):
-                got, _ = await self.world.send_request(target, headers)
+                got, _ = await self.harness.send_request(target, headers)
                 self.assertEqual(got, status)
         self.assertEqual(self.list_used_engines(), [])
 
     async def test_node_without_configuration_is_unavailable(self) -> None:
-        process = await self.world.wait_until_ready()
+        process = await self.harness.wait_until_ready()
         process.state.cfg = None
         conn = HttpConnection(f'127.0.0.1:{process.get_port()}')
         await conn.open()
@@ -135,13 +135,13 @@
 
     async def test_client_disconnect_cancels_the_run(self) -> None:
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].event_interval_s = 1.0
-        conn = await self.world.connect()
+            self.harness.replicas[name].event_interval_s = 1.0
+        conn = await self.harness.connect()
         conn.send(serialize_request(b'POST', b'/notes/x', _HEADERS, b''))
         await asyncio.sleep(0.1)
         conn.close()
         await asyncio.sleep(0.1)
-        stopped = sum(item.cancelled for item in self.world.replicas.values())
+        stopped = sum(item.cancelled for item in self.harness.replicas.values())
         self.assertEqual(stopped, 1)
 
 
@@ -154,15 +154,15 @@
         A partial event was passed on, or the last event id was not kept.
         """
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].close_after_event = 2
+            self.harness.replicas[name].close_after_event = 2
         stream = asyncio.create_task(self.stream())
         while not self.list_used_engines():
             await asyncio.sleep(0.005)
         first = self.list_used_engines()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
-        self.world.replicas[other].close_after_event = 0
+        self.harness.replicas[other].close_after_event = 0
         self.assertEqual(await stream, self.build_events(5))
-        resumed = self.world.replicas[other].received_requests[0]
+        resumed = self.harness.replicas[other].received_requests[0]
         self.assertEqual(resumed.get(b'last-event-id'), b'2')
 
     async def test_break_before_first_event_sends_no_last_event_id(
@@ -173,27 +173,27 @@
         It was resumed after event -1.
         """
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].stall_after_event = 0
-            self.world.replicas[name].cut_after_head = True
+            self.harness.replicas[name].stall_after_event = 0
+            self.harness.replicas[name].cut_after_head = True
         stream = asyncio.create_task(self.stream())
         while not self.list_used_engines():
             await asyncio.sleep(0.005)
         first = self.list_used_engines()[0]
         other = 'engine-2' if first == 'engine-1' else 'engine-1'
-        self.world.replicas[other].cut_after_head = False
+        self.harness.replicas[other].cut_after_head = False
         self.assertEqual(await stream, self.build_events(5))
-        resumed = self.world.replicas[other].received_requests[0]
+        resumed = self.harness.replicas[other].received_requests[0]
         self.assertIsNone(resumed.get(b'last-event-id'))
 
     async def test_stream_that_is_not_resumable_is_aborted(self) -> None:
-        await self.world.store.put(
+        await self.harness.store.put(
             'op/config', build_configuration(8, resumable=False)
         )
-        process = await self.world.wait_until_ready()
+        process = await self.harness.wait_until_ready()
         while process.state.version != 8:
             await asyncio.sleep(0.01)
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].close_after_event = 2
+            self.harness.replicas[name].close_after_event = 2
         with self.assertRaises(BrokenResponseError):
             await self.stream()
         self.assertEqual(len(self.list_used_engines()), 1)
@@ -205,11 +205,11 @@
 
         Replicas that broke off the connection did not count.
         """
-        await self.world.add_replica('engine-3')
+        await self.harness.add_replica('engine-3')
         await self.announce('engine-3', layers=(0, 80))
-        await self.world.wait_for_replica_count(4)
+        await self.harness.wait_for_replica_count(4)
         for name in ('engine-1', 'engine-2', 'engine-3'):
-            self.world.replicas[name].close_after_event = 1
+            self.harness.replicas[name].close_after_event = 1
         with self.assertRaises(BrokenResponseError):
             await self.stream()
         self.assertLessEqual(len(set(self.list_used_engines())), 2)
@@ -223,8 +223,8 @@
         """
         await self.add_third_engine()
         for name in ('engine-1', 'engine-2', 'engine-3'):
-            self.world.replicas[name].close_after_event = 2
-            self.world.replicas[name].max_requests = 1
+            self.harness.replicas[name].close_after_event = 2
+            self.harness.replicas[name].max_requests = 1
         with self.assertRaises(BrokenResponseError):
             await self.stream()
         self.assertEqual(len(set(self.list_used_engines())), 2)
@@ -236,7 +236,7 @@
         """
         process = await self.add_third_engine()
         now = asyncio.get_running_loop().time()
-        for replica in self.world.replicas.values():
+        for replica in self.harness.replicas.values():
             replica.close_after_event = 2
         stream = asyncio.create_task(self.stream())
         while not self.list_used_engines():
@@ -249,7 +249,7 @@
         self.assertLessEqual(len(set(self.list_used_engines())), 2)
 
     async def test_rejection_is_retried_on_another_replica(self) -> None:
-        self.world.replicas['engine-1'].refuses = True
+        self.harness.replicas['engine-1'].refuses = True
         for _ in range(3):
             self.assertEqual(await self.stream(), self.build_events(5))
 
@@ -258,24 +258,24 @@
     """Requests that may be executed only once."""
 
     async def test_server_error_is_passed_on_and_not_retried(self) -> None:
-        await self.world.add_replica('desk-2')
+        await self.harness.add_replica('desk-2')
         await self.announce('desk-2', 'desk', kind='')
-        await self.world.wait_for_replica_count(4)
+        await self.harness.wait_for_replica_count(4)
         for name in ('desk-1', 'desk-2'):
-            self.world.replicas[name].failures_left = 1
-        status, body = await self.world.send_request(
+            self.harness.replicas[name].failures_left = 1
+        status, body = await self.harness.send_request(
             b'/pickup/x', _HEADERS, b'gown'
         )
         self.assertEqual((status, body), (500, b'failed'))
         runs = [
-            len(self.world.replicas[name].received_requests)
+            len(self.harness.replicas[name].received_requests)
             for name in ('desk-1', 'desk-2')
         ]
         self.assertEqual(sum(runs), 1)
 
     async def test_rejection_is_unavailable_with_retry_after(self) -> None:
-        self.world.replicas['desk-1'].refuses = True
-        conn = await self.world.connect()
+        self.harness.replicas['desk-1'].refuses = True
+        conn = await self.harness.connect()
         conn.send(serialize_request(b'POST', b'/pickup/x', _HEADERS, b''))
         head = await conn.read(asyncio.get_running_loop().time() + 2)
         conn.close()
@@ -289,7 +289,7 @@
 
     async def test_draining_replica_gets_no_new_requests(self) -> None:
         await self.announce('engine-1', layers=(0, 80), state='draining')
-        process = await self.world.wait_until_ready()
+        process = await self.harness.wait_until_ready()
         while not process.state.view.is_leaving('engine-1'):
             await asyncio.sleep(0.01)
         for _ in range(4):
@@ -297,18 +297,18 @@
         self.assertEqual(set(self.list_used_engines()), {'engine-2'})
 
     async def test_older_configuration_is_ignored(self) -> None:
-        process = await self.world.wait_until_ready()
-        await self.world.store.put('op/config', build_configuration(9))
-        await self.world.store.put('op/config', build_configuration(8))
+        process = await self.harness.wait_until_ready()
+        await self.harness.store.put('op/config', build_configuration(9))
+        await self.harness.store.put('op/config', build_configuration(8))
         await asyncio.sleep(0.2)
         self.assertEqual(process.state.version, 9)
 
     async def test_state_is_read_again_after_lost_history(self) -> None:
-        process = await self.world.wait_until_ready()
-        self.world.store.withholds_changes = True
-        await self.world.store.put('op/config', build_configuration(9))
-        self.world.store.compact_history()
-        self.world.store.withholds_changes = False
+        process = await self.harness.wait_until_ready()
+        self.harness.store.withholds_changes = True
+        await self.harness.store.put('op/config', build_configuration(9))
+        self.harness.store.compact_history()
+        self.harness.store.withholds_changes = False
         async with asyncio.timeout(4):
             while process.state.version != 9:
                 await asyncio.sleep(0.02)
@@ -319,14 +319,14 @@
         Its entry was removed during a gap of the watch, and kept for seconds
         instead of milliseconds.
         """
-        process = await self.world.wait_until_ready()
-        self.world.store.withholds_changes = True
-        await self.world.store.delete('servers/engine-1')
-        self.world.store.compact_history()
-        self.world.store.is_unavailable = True
+        process = await self.harness.wait_until_ready()
+        self.harness.store.withholds_changes = True
+        await self.harness.store.delete('servers/engine-1')
+        self.harness.store.compact_history()
+        self.harness.store.is_unavailable = True
         await asyncio.sleep(0.5)
-        self.world.store.is_unavailable = False
-        self.world.store.withholds_changes = False
+        self.harness.store.is_unavailable = False
+        self.harness.store.withholds_changes = False
         async with asyncio.timeout(5):
             while 'engine-1' in process.state.view.replicas:
                 await asyncio.sleep(0.05)
@@ -334,13 +334,13 @@
     async def test_requests_are_served_while_the_store_is_unavailable(
         self,
     ) -> None:
-        self.world.store.is_unavailable = True
+        self.harness.store.is_unavailable = True
         await asyncio.sleep(0.3)
         self.assertEqual(await self.stream(), self.build_events(5))
 
     async def test_unreadable_entries_are_ignored(self) -> None:
-        await self.world.store.put('servers/odd', b'{"service": 5')
-        await self.world.store.put('op/config', b'nonsense')
+        await self.harness.store.put('servers/odd', b'{"service": 5')
+        await self.harness.store.put('op/config', b'nonsense')
         await asyncio.sleep(0.1)
         self.assertEqual(await self.stream(), self.build_events(5))
 
@@ -350,11 +350,11 @@
 
     async def test_drain_completes_streams_and_closes_connections(self) -> None:
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].event_interval_s = 0.2
+            self.harness.replicas[name].event_interval_s = 0.2
         stream = asyncio.create_task(self.stream())
         while not self.list_used_engines():
             await asyncio.sleep(0.01)
-        process = await self.world.wait_until_ready()
+        process = await self.harness.wait_until_ready()
         process.start_draining()
         self.assertFalse(process.is_ready())
         self.assertEqual(await stream, self.build_events(5))
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -53,14 +53,14 @@
         Guards against detecting failures only by closed connections: the
         connections of a frozen engine stay open.
         """
-        caller = _CompletionThread(self.callers, 'silent', 80)
-        caller.start()
+        client = _CompletionThread(self.callers, 'silent', 80)
+        client.start()
         busy = self._wait_for_busy_engines('stage0')
         for name in busy:
             address = self.cluster.addresses['engines'][name]
             self.cluster.control(address, frozen=True)
-        caller.join()
-        self.assert_complete(caller.answer.texts, 'silent', 80)
+        client.join()
+        self.assert_complete(client.answer.texts, 'silent', 80)
         state = self.cluster.nodes[0].read_state()
         self.assertGreaterEqual(state['core']['counters']['attempts.silent'], 1)
         for name in busy:
@@ -205,7 +205,7 @@
         desk = self.cluster.addresses['services']['desk']
         self.cluster.control(desk, delay_s=1.5)
         killed_node = self.cluster.nodes[0]
-        caller = threading.Thread(
+        client = threading.Thread(
             target=send_request,
             args=(
                 killed_node.callers,
@@ -215,13 +215,13 @@
             ),
             kwargs={'headers': {'Idempotency-Key': 'doomed'}},
         )
-        caller.start()
+        client.start()
         wait_for(
             lambda: self.cluster.read_stats(desk),
             'the service to execute the request',
         )
         killed_node.stop(signal.SIGKILL)
-        caller.join()
+        client.join()
         self.cluster.control(desk, delay_s=0)
         other = self.cluster.nodes[1].callers
         retry = send_request(
@@ -264,8 +264,8 @@
     def test_leaving_endpoint_gets_no_new_requests(self) -> None:
         """All nodes read from the VM list that an endpoint is leaving."""
         engines = self.cluster.addresses['engines']
-        caller = _CompletionThread(self.callers, 'stays', 60)
-        caller.start()
+        client = _CompletionThread(self.callers, 'stays', 60)
+        client.start()
         time.sleep(0.3)
         vms = self.cluster.addresses['vm_list']
         self.cluster.control(vms, **{'stage0-0': 'leaving'})
@@ -280,8 +280,8 @@
             )
             self.assertEqual(answer.outcome, 'answered')
         self.assertEqual(self._count_sequences(engines['stage0-0']), before)
-        caller.join()
-        self.assert_complete(caller.answer.texts, 'stays', 60)
+        client.join()
+        self.assert_complete(client.answer.texts, 'stays', 60)
 
     def _is_leaving_on_all_nodes(self) -> bool:
         return all(
@@ -302,8 +302,8 @@
     def test_running_requests_finish_before_exit(self) -> None:
         """SIGTERM fails the health check; running requests finish."""
         node = self.cluster.nodes[1]
-        caller = _CompletionThread(node.callers, 'last', 60)
-        caller.start()
+        client = _CompletionThread(node.callers, 'last', 60)
+        client.start()
         time.sleep(0.3)
         node.process.send_signal(signal.SIGTERM)
         wait_for(
@@ -315,24 +315,24 @@
             ),
             'a failing health check',
         )
-        caller.join()
-        self.assert_complete(caller.answer.texts, 'last', 60)
-        self.assertEqual(caller.answer.outcome, 'answered')
+        client.join()
+        self.assert_complete(client.answer.texts, 'last', 60)
+        self.assertEqual(client.answer.outcome, 'answered')
         self.assertEqual(node.process.wait(10), 0)
 
     def test_second_signal_exits_and_reports_cut_requests(self) -> None:
         """A second SIGTERM cuts requests; exit code and log report it."""
         node = self.cluster.add_node()
         self.cluster.wait_node_ready(node)
-        caller = _CompletionThread(node.callers, 'cut', 200)
-        caller.start()
+        client = _CompletionThread(node.callers, 'cut', 200)
+        client.start()
         time.sleep(0.3)
         node.process.send_signal(signal.SIGTERM)
         time.sleep(0.1)
         node.process.send_signal(signal.SIGTERM)
         self.assertEqual(node.process.wait(10), 3)
-        caller.join()
-        self.assertTrue(caller.answer.is_interrupted)
+        client.join()
+        self.assertTrue(client.answer.is_interrupted)
         self.assertIn('"cut": 1', node.log_path.read_text(encoding='utf-8'))
         self.cluster.nodes.remove(node)
 
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -124,15 +124,15 @@
         """Nodes that ignore each other's requests overfill a replica's memory."""
         known = build_states([build_replica('one', 'a', 'large', (0, 40))])
         known += build_states([build_replica('two', 'a', 'large', (40, 80))])
-        book = LoadTracker()
+        load_tracker = LoadTracker()
         request = PathRequest(900)
-        self.assertTrue(choose_path(ENGINE, known, book, request, 0))
-        book.update_peer('other', {'two': ReplicaLoad(4, 3_000)}, 0)
-        self.assertFalse(choose_path(ENGINE, known, book, request, 0))
-        reason = explain_no_path(ENGINE, known, book, request)
+        self.assertTrue(choose_path(ENGINE, known, load_tracker, request, 0))
+        load_tracker.update_peer('other', {'two': ReplicaLoad(4, 3_000)}, 0)
+        self.assertFalse(choose_path(ENGINE, known, load_tracker, request, 0))
+        reason = explain_no_path(ENGINE, known, load_tracker, request)
         self.assertEqual(reason, 'no replica has free memory for layers 40-80')
-        book.expire_peers(PEER_TIMEOUT_S + 1)
-        self.assertTrue(choose_path(ENGINE, known, book, request, 0))
+        load_tracker.expire_peers(PEER_TIMEOUT_S + 1)
+        self.assertTrue(choose_path(ENGINE, known, load_tracker, request, 0))
 
     def test_local_path_is_preferred_to_faster_crossing_path(self) -> None:
         """A crossing costs more than its own transfer: it delays other streams."""
@@ -156,11 +156,11 @@
                 build_replica('far', 'b', 'large', (40, 80)),
             ]
         )
-        pipes = LinkUsage()
-        request = PathRequest(900, links=pipes)
+        links = LinkUsage()
+        request = PathRequest(900, links=links)
         self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 0))
         for _ in range(20):
-            pipes.note_transfer('a', 'b', 34, 0)
+            links.note_transfer('a', 'b', 34, 0)
         self.assertFalse(choose_path(ENGINE, known, LoadTracker(), request, 0))
         self.assertTrue(choose_path(ENGINE, known, LoadTracker(), request, 5))
 
@@ -261,13 +261,13 @@
 
     def test_urgent_backlog_is_limited(self) -> None:
         """Without a limit, streams wait on a link after their clients left."""
-        pipes = LinkUsage()
-        pipes.note_transfer('a', 'b', 400, 0)
-        self.assertFalse(pipes.is_open('a', 'b', 0))
-        self.assertTrue(pipes.is_open('a', 'b', 0, is_urgent=True))
-        pipes.note_transfer('a', 'b', 400, 0)
-        self.assertFalse(pipes.is_open('a', 'b', 0, is_urgent=True))
-        self.assertTrue(pipes.is_open('a', 'b', 0.6, is_urgent=True))
+        links = LinkUsage()
+        links.note_transfer('a', 'b', 400, 0)
+        self.assertFalse(links.is_open('a', 'b', 0))
+        self.assertTrue(links.is_open('a', 'b', 0, is_urgent=True))
+        links.note_transfer('a', 'b', 400, 0)
+        self.assertFalse(links.is_open('a', 'b', 0, is_urgent=True))
+        self.assertTrue(links.is_open('a', 'b', 0.6, is_urgent=True))
 
 
 class TestBudget(TestCase):
--- a/samphirerill/tests/test_graceful_shutdown.py
+++ b/samphirerill/tests/test_graceful_shutdown.py
@@ -30,7 +30,7 @@
         )
         short_notice.start()
         self.addCleanup(short_notice.stop)
-        self.plain_endpoint = self.world.replicas['desk-1']
+        self.plain_endpoint = self.harness.replicas['desk-1']
 
     async def test_request_read_while_lease_is_revoked_is_answered(
         self,
@@ -132,7 +132,7 @@
         waiting, head, other = await self.start_stream()
         now = asyncio.get_running_loop().time()
         self.process.state.view.note_refusal(other, now)
-        self.world.replicas[head].close_after_event = 1
+        self.harness.replicas[head].close_after_event = 1
         counters = self.process.state.counters
         await self.wait_until(lambda: counters['streams.broken'])
         self.process.start_draining()
@@ -162,7 +162,7 @@
 
     def list_announced(self) -> list[str]:
         """Return the keys under which nodes are announced."""
-        keys = self.world.store.keys
+        keys = self.harness.store.keys
         return [key for key in keys if key.startswith(PREFIX)]
 
 
--- a/samphirerill/tests/test_handover.py
+++ b/samphirerill/tests/test_handover.py
@@ -46,37 +46,37 @@
 
     async def test_client_disconnect_cancels_both_runs(self) -> None:
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].prefill_s = _SLOW_START_S
-        self.world.replicas[head].responding.clear()
+        self.harness.replicas[other].prefill_s = _SLOW_START_S
+        self.harness.replicas[head].responding.clear()
         await self.wait_until(
-            lambda: self.world.replicas[other].received_requests
+            lambda: self.harness.replicas[other].received_requests
         )
         stream.cancel()
         await asyncio.sleep(0.2)
-        self.world.replicas[head].responding.set()
-        self.assertEqual(self.world.replicas[head].cancelled, 1)
-        self.assertEqual(self.world.replicas[other].cancelled, 1)
+        self.harness.replicas[head].responding.set()
+        self.assertEqual(self.harness.replicas[head].cancelled, 1)
+        self.assertEqual(self.harness.replicas[other].cancelled, 1)
         self.assert_nothing_reserved()
 
     async def test_completed_run_cancels_the_search(self) -> None:
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].prefill_s = _SLOW_START_S
+        self.harness.replicas[other].prefill_s = _SLOW_START_S
         self.mark_dead(head)
         await self.wait_until(
-            lambda: self.world.replicas[other].received_requests
+            lambda: self.harness.replicas[other].received_requests
         )
-        self.world.replicas[head].event_interval_s = 0.001
+        self.harness.replicas[head].event_interval_s = 0.001
         self.assert_complete(await stream)
         await asyncio.sleep(0.3)
-        self.assertEqual(self.world.replicas[other].cancelled, 1)
+        self.assertEqual(self.harness.replicas[other].cancelled, 1)
         self.assert_nothing_reserved()
 
     async def test_rejected_search_reserves_nothing(self) -> None:
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].refuses = True
+        self.harness.replicas[other].refuses = True
         self.mark_dead(head)
         await self.wait_until(
-            lambda: self.world.replicas[other].received_requests
+            lambda: self.harness.replicas[other].received_requests
         )
         await asyncio.sleep(0.1)
         self.assertEqual(
@@ -92,12 +92,12 @@
         was going on.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].prefill_s = 0.9
-        self.world.replicas[head].responding.clear()
+        self.harness.replicas[other].prefill_s = 0.9
+        self.harness.replicas[head].responding.clear()
         answer = await stream
-        self.world.replicas[head].responding.set()
+        self.harness.replicas[head].responding.set()
         self.assert_complete(answer)
-        self.assertEqual(len(self.world.replicas[other].received_requests), 1)
+        self.assertEqual(len(self.harness.replicas[other].received_requests), 1)
 
     async def test_replacement_counts_from_its_first_event(self) -> None:
         """A stream was aborted although its present run would have gone on.
@@ -105,7 +105,7 @@
         The replacement counted as started with its head, and then broke off.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].cut_after_head = True
+        self.harness.replicas[other].cut_after_head = True
         await self.drop_layers(head)
         self.assert_complete(await stream)
 
@@ -116,9 +116,9 @@
         """
         await self.configure(build_configuration(8, maxAttempts=1))
         stream, head, _ = await self.start_stream()
-        self.world.replicas[head].streaming.clear()
+        self.harness.replicas[head].streaming.clear()
         await asyncio.sleep(1.7)
-        self.world.replicas[head].streaming.set()
+        self.harness.replicas[head].streaming.set()
         self.assert_complete(await stream)
         self.assertEqual(self.find_use().retries, 0)
 
@@ -134,24 +134,24 @@
         A started stream without a path did not wait for one in the queue.
         """
         stream, head, other = await self.start_stream()
-        book = self.process.state.load_tracker
-        book.add_request([other], _ALL_TOKENS)
-        self.world.replicas[head].responding.clear()
+        load_tracker = self.process.state.load_tracker
+        load_tracker.add_request([other], _ALL_TOKENS)
+        self.harness.replicas[head].responding.clear()
         await asyncio.sleep(0.5)
         new_stream = asyncio.create_task(
             self.request_with(b'/notes/x', build_headers('r2'))
         )
         await asyncio.sleep(0.4)
-        book.remove_request([other], _ALL_TOKENS)
+        load_tracker.remove_request([other], _ALL_TOKENS)
         self.process.state.notify_listeners()
         async with asyncio.timeout(0.1):
             await self.wait_until(
-                lambda: self.world.replicas[other].received_requests
+                lambda: self.harness.replicas[other].received_requests
             )
-        self.world.replicas[head].responding.set()
+        self.harness.replicas[head].responding.set()
         self.assert_complete(await stream)
         await new_stream
-        first = self.world.replicas[other].received_requests[0]
+        first = self.harness.replicas[other].received_requests[0]
         self.assertEqual(first.get(b'x-samphirerill-request-id'), b'r1')
 
 
@@ -163,9 +163,9 @@
 
         A replacement run could only start at another head, and there is none.
         """
-        process = await self.world.wait_until_ready()
+        process = await self.harness.wait_until_ready()
         state = process.state
-        await self.world.store.put(
+        await self.harness.store.put(
             'op/config', build_configuration(8, maxAttempts=1)
         )
         await wait_until(lambda: state.version == 8)
@@ -174,8 +174,8 @@
                 state.settings, retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS
             )
         )
-        head = self.world.replicas['head']
-        for replica in self.world.replicas.values():
+        head = self.harness.replicas['head']
+        for replica in self.harness.replicas.values():
             replica.events = EVENTS
         head.stall_after_event = 10
         head.order_status = 409
@@ -183,7 +183,7 @@
         await asyncio.sleep(0.3)
         head.stall_after_event = 0
         tail = min(self.list_used_tails())
-        self.world.replicas[tail].responding.clear()
+        self.harness.replicas[tail].responding.clear()
         now = asyncio.get_running_loop().time()
         state.view.add_silence_report(tail, now + 4, now, votes=2)
         state.notify_listeners()
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -36,28 +36,28 @@
     """A fleet where each path is the only head and one of two tails."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformHarness()
-        self.addAsyncCleanup(self.world.stop)
-        await self.world.start()
-        await self.world.store.put('op/config', build_configuration())
+        self.harness = PlatformHarness()
+        self.addAsyncCleanup(self.harness.stop)
+        await self.harness.start()
+        await self.harness.store.put('op/config', build_configuration())
         for name, layers in (
             ('head', (0, 40)),
             ('tail-1', (40, 80)),
             ('tail-2', (40, 80)),
         ):
-            replica = await self.world.add_replica(name, events=_EVENT_COUNT)
+            replica = await self.harness.add_replica(name, events=_EVENT_COUNT)
             replica.layers = layers
             replica.event_interval_s = _EVENT_GAP_S
             await self.announce(name)
-        await self.world.wait_for_replica_count(3)
+        await self.harness.wait_for_replica_count(3)
 
     async def announce(self, name: str, state: str = 'ready') -> None:
         """Write the announcement of a replica to the store."""
-        layers = self.world.replicas[name].layers
+        layers = self.harness.replicas[name].layers
         entry = build_announcement(
-            'llm', self.world.addresses[name], 'vast', layers, state
+            'llm', self.harness.addresses[name], 'vast', layers, state
         )
-        await self.world.store.put(f'servers/{name}', entry)
+        await self.harness.store.put(f'servers/{name}', entry)
 
     async def stream(self, name: str) -> bytes:
         """Send a streaming request; return the complete body."""
@@ -66,7 +66,7 @@
             b'x-samphirerill-request-id',
             name.encode(),
         )
-        _, body = await self.world.send_request(b'/notes/x', headers)
+        _, body = await self.harness.send_request(b'/notes/x', headers)
         return body
 
     async def start_streams(self, count: int) -> list[asyncio.Task[bytes]]:
@@ -79,7 +79,7 @@
             for number in range(count)
         ]
         async with asyncio.timeout(_START_TIMEOUT_S):
-            while len(self.world.replicas['head'].received_requests) < count:
+            while len(self.harness.replicas['head'].received_requests) < count:
                 await asyncio.sleep(_EVENT_GAP_S)
         await asyncio.sleep(_SETTLE_S)
         return streams
@@ -88,19 +88,19 @@
         """Return the tails in the paths of all streams so far."""
         paths = [
             req.get(b'x-samphirerill-hop-count') or b''
-            for req in self.world.replicas['head'].received_requests
+            for req in self.harness.replicas['head'].received_requests
         ]
         return {
             name
             for name in ('tail-1', 'tail-2')
             if any(
-                self.world.addresses[name].encode() in path for path in paths
+                self.harness.addresses[name].encode() in path for path in paths
             )
         }
 
     def count_reroute_orders(self) -> int:
         """Return how many reroute orders the head has received."""
-        orders = self.world.replicas['head'].orders
+        orders = self.harness.replicas['head'].orders
         return sum(order['operation'] == 'repath' for order in orders)
 
 
@@ -144,7 +144,7 @@
         """
         streams = await self.start_streams(4)
         name = min(self.list_used_tails())
-        self.world.replicas[name].layers = (60, 80)
+        self.harness.replicas[name].layers = (60, 80)
         await self.announce(name)
         await asyncio.sleep(0.5)
         self.assertEqual(self.count_reroute_orders(), 0)
@@ -153,7 +153,7 @@
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
         )
         self.assertEqual(
-            len(self.world.replicas['head'].received_requests), len(streams)
+            len(self.harness.replicas['head'].received_requests), len(streams)
         )
 
     async def test_head_without_entry_keeps_serving(self) -> None:
@@ -164,10 +164,12 @@
         # Right after a node's start, a missing entry may only have expired.
         await asyncio.sleep(LAPSE_GRACE_S)
         streams = await self.start_streams(1)
-        await self.world.store.delete('servers/head')
+        await self.harness.store.delete('servers/head')
         body = await streams[0]
         self.assertEqual(body.count(b'id:'), _EVENT_COUNT)
-        self.assertEqual(len(self.world.replicas['head'].received_requests), 1)
+        self.assertEqual(
+            len(self.harness.replicas['head'].received_requests), 1
+        )
 
 
 class TestLostStages(TestCase):
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -121,10 +121,10 @@
 
     async def test_engine_probed_by_blocked_loop_is_not_dead(self) -> None:
         """A blocked node must not end the streams of a live engine."""
-        world = PlatformHarness()
-        self.addAsyncCleanup(world.stop)
-        await world.start()
-        process = world.require_first_node()
+        harness = PlatformHarness()
+        self.addAsyncCleanup(harness.stop)
+        await harness.start()
+        process = harness.require_first_node()
         probed, control = self.build_engine('asked'), self.build_engine('other')
         process.state.view.apply_announcement(probed, 1)
         process.state.view.apply_announcement(control, 2)
--- a/samphirerill/tests/test_poison_requests.py
+++ b/samphirerill/tests/test_poison_requests.py
@@ -96,7 +96,7 @@
     async def test_a_node_that_was_restarted(self) -> None:
         await self.add_node()
         await self.send_repeatedly(self.nodes, 4)
-        await self.world.stop_node(self.nodes[0])
+        await self.harness.stop_node(self.nodes[0])
         node = await self.add_node()
         await asyncio.sleep(_PROPAGATION_S)
         await self.send_repeatedly([node])
@@ -108,7 +108,7 @@
         await self.send_repeatedly(self.nodes, 4)
         await asyncio.sleep(_PROPAGATION_S)
         for node in self.nodes:
-            await self.world.stop_node(node)
+            await self.harness.stop_node(node)
         crashed = len(self.crash_times)
         started = [await self.add_node(), await self.add_node()]
         await asyncio.sleep(_SETTLING_S)
@@ -118,7 +118,7 @@
 
     async def test_without_the_store(self) -> None:
         await self.add_node()
-        self.world.store.is_unavailable = True
+        self.harness.store.is_unavailable = True
         await self.send_repeatedly(self.nodes)
         self.assert_few_crashes()
 
@@ -164,7 +164,7 @@
     ) -> None:
         """No client account can get requests of another rejected."""
         await self.quarantine_request()
-        for engine in self.world.replicas.values():
+        for engine in self.harness.replicas.values():
             engine.crash_after_events = EVENTS + 1  # type: ignore[attr-defined]
         status, _ = await self.ask(self.nodes[0], 'v1', POISON, OTHER_KEY)
         self.assertEqual(status, _OK)
@@ -211,7 +211,7 @@
 
     async def fetch_head(self) -> ResponseHead:
         """Send the request once more; return the response head."""
-        conn: HttpConnection = await self.world.connect(self.nodes[0])
+        conn: HttpConnection = await self.harness.connect(self.nodes[0])
         try:
             conn.send(
                 serialize_request(
@@ -267,12 +267,12 @@
 
     async def test_engines_that_break_off_responses(self) -> None:
         """Some engines break off responses, but their processes go on."""
-        for engine in self.world.replicas.values():
+        for engine in self.harness.replicas.values():
             engine.close_after_event = 3
         ask = self.ask(self.nodes[0], 'b1', self.body)
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(_PROPAGATION_S)
-        for restored in self.world.replicas.values():
+        for restored in self.harness.replicas.values():
             restored.close_after_event = 0
         status, _ = await waiting
         self.assertEqual(status, _OK)
@@ -303,10 +303,10 @@
         ask = self.ask(self.nodes[0], 's1', self.body)
         waiting = asyncio.create_task(ask)
         await asyncio.sleep(0.1)
-        for engine in self.world.replicas.values():
+        for engine in self.harness.replicas.values():
             engine.responding.clear()
         await asyncio.sleep(_SETTLING_S)
-        for resumed in self.world.replicas.values():
+        for resumed in self.harness.replicas.values():
             resumed.responding.set()
         await waiting
         self.assert_nothing_held()
--- a/samphirerill/tests/test_prober.py
+++ b/samphirerill/tests/test_prober.py
@@ -39,9 +39,9 @@
     """A path of two replicas of which the second one fails."""
 
     async def asyncSetUp(self) -> None:
-        self.world = PlatformHarness()
-        self.addAsyncCleanup(self.world.stop)
-        await self.world.start()
+        self.harness = PlatformHarness()
+        self.addAsyncCleanup(self.harness.stop)
+        await self.harness.start()
         for bound in ('MIN_TIMEOUT_S', '_INITIAL_TIMEOUT_S', 'MAX_TIMEOUT_S'):
             patched = patch(
                 f'samphirerill.relay.health.probe_timeouts.{bound}',
@@ -49,9 +49,9 @@
             )
             patched.start()
             self.addCleanup(patched.stop)
-        process = self.world.require_first_node()
+        process = self.harness.require_first_node()
         self.prober = ReplicaProber(process.state, Alarms(process.state))
-        await self.world.add_replica('head')
+        await self.harness.add_replica('head')
 
     async def test_detection_and_probe_fit_into_the_accepted_pause(
         self,
@@ -97,7 +97,7 @@
         """Guard against each stalled stream probing known failures again."""
         address = await self._listen_silently()
         stages = self._build_path(address)
-        state = self.world.require_first_node().state
+        state = self.harness.require_first_node().state
         state.view.apply_announcement(stages[1].replica, 1)
         now = asyncio.get_running_loop().time()
         state.view.add_silence_report('tail', now + 9, now, votes=2)
@@ -112,7 +112,7 @@
         """
         address = await self._listen_silently()
         stages = self._build_path(address)
-        state = self.world.require_first_node().state
+        state = self.harness.require_first_node().state
         state.view.apply_announcement(stages[0].replica, 1)
         state.view.apply_announcement(stages[1].replica, 1)
         async with asyncio.timeout(_LIMIT_S):
@@ -126,13 +126,13 @@
         self.assertEqual(state.counters['reports.asked'], 2)
 
     async def test_streams_share_one_probe(self) -> None:
-        await self.world.add_replica('tail')
-        stages = self._build_path(self.world.addresses['tail'])
+        await self.harness.add_replica('tail')
+        stages = self._build_path(self.harness.addresses['tail'])
         await asyncio.gather(
             *(self.prober.diagnose_path(stages) for _ in range(5))
         )
         await self.prober.diagnose_path(stages)
-        process = self.world.require_first_node()
+        process = self.harness.require_first_node()
         self.assertEqual(process.state.counters['reports.asked'], 2)
 
     async def _answer_after_losses(
@@ -156,7 +156,9 @@
 
     def _build_path(self, address: str) -> tuple[Stage, ...]:
         return (
-            Stage(_at('head', self.world.addresses['head']), LayerRange(0, 40)),
+            Stage(
+                _at('head', self.harness.addresses['head']), LayerRange(0, 40)
+            ),
             Stage(_at('tail', address), LayerRange(40, 80)),
         )
 
--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -42,11 +42,11 @@
         """Streams that fail during their prefill are not rejected with 502."""
         state = self.nodes[0].state
         state.apply_settings(replace(state.settings, retry_slack=_SLACK))
-        for engine in self.world.replicas.values():
+        for engine in self.harness.replicas.values():
             engine.prefill_s = _PREFILL_S
         await self.stop_engines('first')
         await asyncio.sleep(_FAILURE_INTERVAL_S)
-        for engine in self.world.replicas.values():
+        for engine in self.harness.replicas.values():
             engine.prefill_s = _PREFILL_S
         await self.stop_engines('second')
 
--- a/samphirerill/tests/test_resending.py
+++ b/samphirerill/tests/test_resending.py
@@ -48,8 +48,8 @@
             replica.cut_after_head = True
             replica.event_interval_s = 2 * SETTLE_S
         stream, _, other = await self.start_stream()
-        self.world.replicas[other].cut_after_head = False
-        self.world.replicas[other].event_interval_s = GAP_S
+        self.harness.replicas[other].cut_after_head = False
+        self.harness.replicas[other].event_interval_s = GAP_S
         now = asyncio.get_running_loop().time()
         self.process.state.view.note_refusal(other, now)
         self.assert_complete(await stream)
@@ -62,7 +62,7 @@
         for replica in self.list_engines():
             replica.close_after_event = 10
         stream, _, other = await self.start_stream()
-        replica = self.world.replicas[other]
+        replica = self.harness.replicas[other]
         replica.close_after_event = 0
         replica.refuses = True
         await self.wait_until(lambda: replica.received_requests)
@@ -77,20 +77,20 @@
         """
         for number in range(3, 8):
             name = f'engine-{number}'
-            replica = await self.world.add_replica(name, events=EVENTS)
+            replica = await self.harness.add_replica(name, events=EVENTS)
             replica.layers = (0, 80)
             replica.event_interval_s = GAP_S
             await self.announce(name, layers=(0, 80))
-        await self.world.wait_for_replica_count(8)
+        await self.harness.wait_for_replica_count(8)
         stream, head, _ = await self.start_stream()
         others = [
             replica
-            for name, replica in self.world.replicas.items()
+            for name, replica in self.harness.replicas.items()
             if name not in (head, 'desk-1')
         ]
         for replica in others:
             replica.refuses = True
-        self.world.replicas[head].close_after_event = 1
+        self.harness.replicas[head].close_after_event = 1
         await self.wait_until(
             lambda: any(replica.received_requests for replica in others)
         )
@@ -109,10 +109,10 @@
         document['services'][0]['maxConnections'] = 8
         await self.configure(json.encode(document))
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].event_interval_s = GAP_S / 2
+        self.harness.replicas[other].event_interval_s = GAP_S / 2
         second_stream = self.start_request(b'/notes/x')
         await self.wait_until(
-            lambda: self.world.replicas[other].received_requests
+            lambda: self.harness.replicas[other].received_requests
         )
         await self.drop_layers(head)
         answers = await asyncio.gather(stream, second_stream)
@@ -131,7 +131,7 @@
             replica.event_interval_s = GAP_S / 2
             replica.events = events
         stream, head, other = await self.start_stream()
-        self.world.replicas[head].close_after_event = events // 2
+        self.harness.replicas[head].close_after_event = events // 2
         self.mark_dead(other, 2.1)
         self.assertEqual(await stream, (OK, self.build_events(events)))
 
@@ -144,11 +144,11 @@
         await self.configure(build_configuration(8, maxAttempts=2))
         # Entries that are removed right after the start may only have lapsed.
         await asyncio.sleep(LAPSE_GRACE_S)
-        await self.world.add_replica('engine-3', events=EVENTS)
-        self.world.replicas['engine-3'].layers = (0, 80)
+        await self.harness.add_replica('engine-3', events=EVENTS)
+        self.harness.replicas['engine-3'].layers = (0, 80)
         stream, head, other = await self.start_stream()
-        self.world.replicas[head].close_after_event = 20
-        self.world.replicas[other].close_after_event = 35
+        self.harness.replicas[head].close_after_event = 20
+        self.harness.replicas[other].close_after_event = 35
         await self.withdraw(head)
         await self.withdraw(other)
         await self.announce('engine-3', layers=(0, 80))
@@ -161,32 +161,32 @@
         It reset streams, which were resent to it without a pause.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].resets_left = 100
-        self.world.replicas[head].close_after_event = 10
+        self.harness.replicas[other].resets_left = 100
+        self.harness.replicas[head].close_after_event = 10
         await self.wait_until(
-            lambda: self.world.replicas[other].received_requests
+            lambda: self.harness.replicas[other].received_requests
         )
         await asyncio.sleep(2 * SETTLE_S)
         self.assertLessEqual(
-            len(self.world.replicas[other].received_requests), 2
+            len(self.harness.replicas[other].received_requests), 2
         )
         await asyncio.sleep(2 * SETTLE_S)
-        self.world.replicas[other].resets_left = 0
+        self.harness.replicas[other].resets_left = 0
         self.assert_complete(await stream)
         self.assertLessEqual(
-            len(self.world.replicas[other].received_requests), 5
+            len(self.harness.replicas[other].received_requests), 5
         )
 
     async def withdraw(self, name: str) -> None:
         """Remove the announcement of an engine that has got the stream."""
         await self.wait_until(lambda: name in self.list_used_engines())
-        await self.world.store.delete(f'servers/{name}')
+        await self.harness.store.delete(f'servers/{name}')
         view = self.process.state.view
         await self.wait_until(lambda: name not in view.replicas)
 
     def list_engines(self) -> list[FakeReplica]:
         """Return both engines."""
-        return [self.world.replicas[f'engine-{number}'] for number in (1, 2)]
+        return [self.harness.replicas[f'engine-{number}'] for number in (1, 2)]
 
 
 class TestQueue(IsolatedAsyncioTestCase):
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -110,7 +110,9 @@
         self,
     ) -> None:
         """A replica that only sends response heads is not used at full rate."""
-        engines = [self.world.replicas[f'engine-{number}'] for number in (1, 2)]
+        engines = [
+            self.harness.replicas[f'engine-{number}'] for number in (1, 2)
+        ]
         for engine in engines:
             engine.cut_after_head = True
             engine.event_interval_s = GAP_S
--- a/samphirerill/tests/test_stored_holds.py
+++ b/samphirerill/tests/test_stored_holds.py
@@ -31,7 +31,7 @@
         """Guard against holds that stay in the store forever."""
         await self.quarantine_request()
         self.assertEqual(len(self.list_keys()), 1)
-        await self.world.store.expire_leases()
+        await self.harness.store.expire_leases()
         self.assertEqual(self.list_keys(), [])
 
     async def test_a_hold_that_exceeds_the_longest_lease(self) -> None:
@@ -56,8 +56,8 @@
 
     async def test_malformed_entries_are_ignored(self) -> None:
         """Guard against entries that stop nodes from reading the store."""
-        await self.world.store.put(f'{PREFIX}00', b'\xff not a hold')
-        await self.world.store.put(f'{PREFIX}01', b'{"written_ms": 1}')
+        await self.harness.store.put(f'{PREFIX}00', b'\xff not a hold')
+        await self.harness.store.put(f'{PREFIX}01', b'{"written_ms": 1}')
         node = await self.add_node()
         self.assertEqual(len(node.state.quarantine), 0)
 
@@ -70,5 +70,5 @@
 
     def list_keys(self) -> list[str]:
         """Return the keys of the stored holds."""
-        keys = self.world.store.keys
+        keys = self.harness.store.keys
         return [key for key in keys if key.startswith(PREFIX)]
--- a/samphirerill/tests/test_working_runs.py
+++ b/samphirerill/tests/test_working_runs.py
@@ -35,7 +35,7 @@
         The run was ended at once, and the second replica was full.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].refuses = True
+        self.harness.replicas[other].refuses = True
         self.mark_dead(head)
         self.assert_complete(await stream)
 
@@ -70,7 +70,7 @@
         rejected the stream, and the first is not asked again.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].refuses = True
+        self.harness.replicas[other].refuses = True
         await self.drop_layers(head)
         self.assert_complete(await stream)
 
@@ -88,9 +88,9 @@
         await self.wait_until(lambda: view.is_leaving('engine-2'))
         streams = [self.start_request(b'/notes/x') for _ in range(4)]
         await asyncio.sleep(SETTLE_S)
-        await self.world.add_replica('engine-3', events=EVENTS)
-        self.world.replicas['engine-3'].event_interval_s = GAP_S
-        self.world.replicas['engine-3'].layers = (0, 80)
+        await self.harness.add_replica('engine-3', events=EVENTS)
+        self.harness.replicas['engine-3'].event_interval_s = GAP_S
+        self.harness.replicas['engine-3'].layers = (0, 80)
         await self.announce('engine-3', layers=(0, 80))
         await self.wait_until(lambda: 'engine-3' in view.replicas)
         await self.drop_layers('engine-1')
@@ -103,11 +103,11 @@
         The removal of its announcement was mistaken for the end of the run.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].refuses = True
+        self.harness.replicas[other].refuses = True
         await self.announce(head, layers=(0, 80), state='draining')
         view = self.process.state.view
         await self.wait_until(lambda: view.is_leaving(head))
-        await self.world.store.delete(f'servers/{head}')
+        await self.harness.store.delete(f'servers/{head}')
         self.assert_complete(await stream)
 
     async def test_short_silence_of_non_resumable_stream(
@@ -132,7 +132,7 @@
         full.
         """
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].refuses = True
+        self.harness.replicas[other].refuses = True
         await self.freeze(head)
         self.assert_complete(await stream)
 
@@ -142,12 +142,12 @@
         A path that was silent for long was left before another run had started.
         """
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].event_interval_s = GAP_S / 2
+            self.harness.replicas[name].event_interval_s = GAP_S / 2
         stream, head, other = await self.start_stream()
-        self.world.replicas[other].refuses = True
-        self.world.replicas[head].streaming.clear()
+        self.harness.replicas[other].refuses = True
+        self.harness.replicas[head].streaming.clear()
         await asyncio.sleep(1.7)
-        self.world.replicas[head].streaming.set()
+        self.harness.replicas[head].streaming.set()
         self.assert_complete(await stream)
 
     async def test_head_drops_layers_with_capacity_for_one(
@@ -160,7 +160,7 @@
         """
         events = 115
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].events = events
+            self.harness.replicas[name].events = events
         headers = build_headers('r1')
         headers[_TOKENS_HEADER] = (b'x-samphirerill-token-count', b'20000,80')
         streams = [
@@ -178,7 +178,7 @@
 
     async def freeze(self, name: str) -> None:
         """Freeze an engine for a moment."""
-        replica = self.world.replicas[name]
+        replica = self.harness.replicas[name]
         replica.responding.clear()
         await asyncio.sleep(0.4)
         replica.responding.set()
@@ -193,7 +193,7 @@
         The head rejected the move, and the run was ended before another had
         started; an engine that seemed to have capacity rejected the stream.
         """
-        process = await self.world.wait_until_ready()
+        process = await self.harness.wait_until_ready()
         view = process.state.view
         settings = process.state.settings
         process.state.apply_settings(
@@ -201,17 +201,17 @@
         )
         await self.announce('tail-2', 'draining')
         await wait_until(lambda: view.is_leaving('tail-2'))
-        for replica in self.world.replicas.values():
+        for replica in self.harness.replicas.values():
             replica.events = EVENTS
         stream = asyncio.create_task(self.stream('r1'))
         await asyncio.sleep(SETTLE_S)
-        whole_engine = await self.world.add_replica('whole')
+        whole_engine = await self.harness.add_replica('whole')
         whole_engine.layers = (0, 80)
         whole_engine.refuses = True
         await self.announce('whole')
         await wait_until(lambda: 'whole' in view.replicas)
-        self.world.replicas['head'].order_status = 409
-        self.world.replicas['tail-1'].layers = (60, 80)
+        self.harness.replicas['head'].order_status = 409
+        self.harness.replicas['tail-1'].layers = (60, 80)
         await self.announce('tail-1')
         try:
             body = await stream
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -52,11 +52,11 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.process = await self.world.wait_until_ready()
+        self.process = await self.harness.wait_until_ready()
         self.change_settings(retry_slack=AMPLE_RETRIES, leaving_ms=LEAVING_MS)
         for name in ('engine-1', 'engine-2'):
-            self.world.replicas[name].events = EVENTS
-            self.world.replicas[name].event_interval_s = GAP_S
+            self.harness.replicas[name].events = EVENTS
+            self.harness.replicas[name].event_interval_s = GAP_S
 
     def change_settings(self, **changes: float) -> None:
         """Change settings of the node."""
@@ -65,7 +65,7 @@
 
     async def configure(self, text: bytes) -> None:
         """Write a configuration and wait until it is in force."""
-        await self.world.store.put('op/config', text)
+        await self.harness.store.put('op/config', text)
         version = json.decode(text)['version']
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while self.process.state.version != version:
