--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -88,22 +88,24 @@
         alarms = Alarms(self.state)
         prober = ReplicaProber(self.state, alarms)
         quarantine_manager = QuarantineManager(self.state)
-        self._quarantine_sync = EvidenceExchange(self.state, quarantine_manager)
+        self._evidence_exchange = EvidenceExchange(
+            self.state, quarantine_manager
+        )
         self._dispatcher = RequestDispatcher(
             self.state,
             self._admission,
             prober,
             CrashDetector(
-                self.state, prober, quarantine_manager, self._quarantine_sync
+                self.state, prober, quarantine_manager, self._evidence_exchange
             ),
         )
         change_source = ChangeSource(settings.name)
-        self._members = Membership(
+        self._membership = Membership(
             self.state, store, health, change_source, change_source.log, alarms
         )
-        self._members.add_datagram_handler(self._quarantine_sync)
+        self._membership.add_datagram_handler(self._evidence_exchange)
         leadership = Leadership(self.state, store)
-        self._stored_quarantine = StoredHolds(
+        self._stored_holds = StoredHolds(
             self.state, store, quarantine_manager, leadership
         )
         self._loss_prober = LossProber(
@@ -116,11 +118,11 @@
             self.state,
             store,
             health,
-            (self._members, leadership, self._stored_quarantine),
+            (self._membership, leadership, self._stored_holds),
             change_source,
             change_source.log,
         )
-        self._node_pages = StatusEndpoints(
+        self._status_endpoints = StatusEndpoints(
             self.state,
             self._admission,
             store,
@@ -140,17 +142,17 @@
         """Serve until a termination signal; return the exit code."""
         self._catch_signals()
         await self._listen()
-        await self._members.start()
+        await self._membership.start()
         for run_loop, name in (
             (self._follower.run, 'follow'),
-            (self._members.run, 'membership'),
+            (self._membership.run, 'membership'),
             (self._layer_controller.run, 'commander'),
             (self._loss_prober.run, 'survey'),
-            (self._quarantine_sync.run, 'quarantine'),
-            (self._stored_quarantine.run, 'stored holds'),
+            (self._evidence_exchange.run, 'quarantine'),
+            (self._stored_holds.run, 'stored holds'),
             (self._sweep, 'sweep'),
             (self._reloader.run, 'settings'),
-            (self._node_pages.usage.run, 'usage'),
+            (self._status_endpoints.usage.run, 'usage'),
         ):
             self._start_task(self._keep_running(run_loop, name), name)
         _LOG.info('started', extra={'node': self.state.settings.name})
@@ -166,8 +168,8 @@
             server.close()
         for conn in (*self._connections, *self._page_connections):
             conn.shut_down()
-        self._members.close()
-        self._node_pages.usage.log()
+        self._membership.close()
+        self._status_endpoints.usage.log()
         for task in tuple(self._tasks):
             task.cancel()
 
@@ -199,12 +201,12 @@
                 listen(settings.callers, self._dispatcher, self._connections),
                 listen(
                     settings.readiness,
-                    self._node_pages.build_readiness_handler(),
+                    self._status_endpoints.build_readiness_handler(),
                     self._page_connections,
                 ),
                 listen(
                     metrics_address,
-                    self._node_pages.build_metrics_handler(),
+                    self._status_endpoints.build_metrics_handler(),
                     self._page_connections,
                 ),
             )
@@ -252,7 +254,7 @@
         await asyncio.sleep(notice_ends_at - self._loop.time())
         self._close_idle()
         await self._finish_requests(finish_by)
-        await self._revoke_lease(self._members.leave())
+        await self._revoke_lease(self._membership.leave())
         # Finish requests that were read meanwhile. There must be no await
         # between the last check and the end: a request that was read and
         # forwarded in between would get no answer.
--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -60,7 +60,7 @@
         Replicas and the quarantine.
     prober : ReplicaProber
         Probes whether replicas have terminated.
-    quarantine_manager : QuarantineManager
+    manager : QuarantineManager
         Records the evidence.
     evidence_exchange : EvidenceExchange
         Sends it to the other nodes.
@@ -70,12 +70,12 @@
         self,
         state: EdgeState,
         prober: ReplicaProber,
-        quarantine_manager: QuarantineManager,
+        manager: QuarantineManager,
         evidence_exchange: EvidenceExchange,
     ) -> None:
         self._state = state
         self._prober = prober
-        self._quarantine_manager = quarantine_manager
+        self._manager = manager
         self._evidence_exchange = evidence_exchange
         self._loop = asyncio.get_running_loop()
         # Failed runs of each replica process that is being probed.
@@ -149,7 +149,7 @@
         Parameters
         ----------
         context : RequestContext
-            The request that was run.
+            The task that was run.
         replica : Replica
             The replica that it was sent to.
         run : RunTimes, optional
@@ -187,7 +187,7 @@
             self._note_survival(context)
 
     def _note_survival(self, context: RequestContext) -> None:
-        if self._quarantine_manager.record_survival(context.identity):
+        if self._manager.record_survival(context.identity):
             self._evidence_exchange.broadcast((context.identity,))
 
     async def _investigate(
@@ -216,7 +216,7 @@
         )
         for run in failed_runs:
             crash = Crash(process_name, run.request_id, run.at)
-            self._quarantine_manager.record_crash(run.request, crash)
+            self._manager.record_crash(run.request, crash)
         self._evidence_exchange.broadcast(
             [failed.request for failed in failed_runs]
         )
--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -46,7 +46,7 @@
         The admission queue for streams.
     prober : ReplicaProber
         Probes unresponsive replicas.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Detects requests that crash replicas.
     """
 
@@ -55,9 +55,9 @@
         state: EdgeState,
         admission: AdmissionQueue,
         prober: ReplicaProber,
-        quarantine: CrashDetector,
+        crash_detector: CrashDetector,
     ) -> None:
-        self._quarantine = quarantine
+        self._crash_detector = crash_detector
         self._state = state
         self._admission = admission
         self._prober = prober
@@ -89,13 +89,13 @@
     async def _serve(self, context: RequestContext) -> None:
         engine = context.service.engine
         if engine is None or not engine.layers:
-            if not self._reject_if_shutting_down(
+            if not self._reject_if_ending(
                 self._state.accept_requests_until, context
             ):
                 await PlainExchange(
-                    self._state, context, self._quarantine
+                    self._state, context, self._crash_detector
                 ).run()
-        elif not self._reject_if_shutting_down(
+        elif not self._reject_if_ending(
             self._state.accept_streams_until, context
         ):
             await StreamExchange(
@@ -104,13 +104,11 @@
                 engine,
                 self._admission,
                 self._prober,
-                self._quarantine,
+                self._crash_detector,
             ).run()
 
-    def _reject_if_shutting_down(
-        self, until: float, context: RequestContext
-    ) -> bool:
-        """Reject a request shortly before shutdown; return whether it did."""
+    def _reject_if_ending(self, until: float, context: RequestContext) -> bool:
+        """Reject a request if this node ends soon; return whether it did."""
         if self._loop.time() < until:
             return False
         refusal = Refusal(UNAVAILABLE, 'the node is shutting down')
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -101,7 +101,7 @@
         The progress, which is kept up to date.
     prober : ReplicaProber
         Probes replicas that others report as the cause of a failure.
-    quarantine : CrashDetector
+    crash_detector : CrashDetector
         Knows whether the request is quarantined; informed of runs that break
         off.
     """
@@ -113,7 +113,7 @@
         '_progress',
         '_state',
         '_context',
-        '_quarantine',
+        '_crash_detector',
     )
 
     def __init__(
@@ -123,10 +123,10 @@
         path: StreamPath,
         progress: StreamProgress,
         prober: ReplicaProber,
-        quarantine: CrashDetector,
+        crash_detector: CrashDetector,
     ) -> None:
         self._prober = prober
-        self._quarantine = quarantine
+        self._crash_detector = crash_detector
         self._state = state
         self._context = context
         self._path = path
@@ -152,7 +152,7 @@
         except ConnectError as exc:
             self._record_refusal(replica.replica_id, str(exc))
         else:
-            if not self._quarantine.find_held_until(self._context):
+            if not self._crash_detector.find_held_until(self._context):
                 return conn
             # The request was quarantined while connecting.
             self._state.pool.release(replica, conn)
@@ -188,7 +188,7 @@
             gap_ms=round(self._path.predict_gap_s(stages) * MS_PER_S),
             waited_ms=round(waited_s * MS_PER_S),
         )
-        self._quarantine.record_send(self._context, stages[0].replica)
+        self._crash_detector.record_send(self._context, stages[0].replica)
         conn.send(self._build_call(stages))
         return is_new_head
 
@@ -215,7 +215,7 @@
                 stages[0].replica.replica_id, str(exc)
             )
             if isinstance(exc, BrokenResponseError):
-                self._quarantine.record_failure(
+                self._crash_detector.record_failure(
                     self._context, stages[0].replica
                 )
         finally:
