--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -137,12 +137,12 @@
         except RpcError:
             return Err(PeerError(f'no verdicts from {address}'))
         by_request = {claim.request_id: claim for claim in batch.claims}
-        verdicts = [
+        claim_results = [
             _decode_verdict(note, by_request[note.request])
             for note in reply.verdicts
             if note.request in by_request
         ]
-        return Ok(verdicts)
+        return Ok(claim_results)
 
     async def close(self) -> None:
         """Close all channels."""
@@ -181,8 +181,8 @@
 
     async def Collect(self, request: ClaimGroup, context: Any) -> VerdictGroup:
         """Write claims on behalf of another node."""
-        verdicts = await self._collect(_decode_group(request))
-        return VerdictGroup(verdicts=map(_encode_result, verdicts))
+        claim_results = await self._collect(_decode_group(request))
+        return VerdictGroup(verdicts=map(_encode_result, claim_results))
 
 
 def _encode_group(batch: ClaimBatch) -> ClaimGroup:
@@ -226,12 +226,12 @@
     return Claim(note.key, note.holder, note.request, note.fingerprint)
 
 
-def _encode_result(verdict: ClaimResult) -> VerdictNote:
+def _encode_result(result: ClaimResult) -> VerdictNote:
     return VerdictNote(
-        request=verdict.claim.request_id,
-        state=verdict.state,
-        holder=verdict.holder,
-        answer=json.dumps(verdict.answer).encode(),
+        request=result.claim.request_id,
+        state=result.state,
+        holder=result.holder,
+        answer=json.dumps(result.answer).encode(),
     )
 
 
--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -143,15 +143,15 @@
     """Return the decided claims and those to write again."""
     if committed.succeeded:
         return [ClaimResult(claim, 'won') for claim in claims], []
-    verdicts = []
+    claim_results = []
     unresolved = []
     for claim in claims:
         stored = committed.entries.get(claim.key)
         if stored is None:
             unresolved.append(claim)
         else:
-            verdicts.append(_compare_claim(claim, stored))
-    return verdicts, unresolved
+            claim_results.append(_compare_claim(claim, stored))
+    return claim_results, unresolved
 
 
 def _compare_claim(claim: Claim, stored: StoredEntry) -> ClaimResult:
--- a/samphirerill/properties/simulation.py
+++ b/samphirerill/properties/simulation.py
@@ -326,15 +326,15 @@
         done = self.store.commit(transaction)
         if lose_reply:
             return
-        verdicts, _ = read_results([item.claim], done)
+        claim_results, _ = read_results([item.claim], done)
         self.pending_claims.pop(request_id)
-        for verdict in verdicts:
-            if verdict.state == 'won':
+        for result in claim_results:
+            if result.state == 'won':
                 self.won_claims[request_id] = item.claim
                 self.apply(item.node, events.ClaimAcquired(request_id))
                 continue
-            alive = verdict.holder not in self.killed_processes
-            taken = events.ClaimConflicted(request_id, verdict.state, alive)
+            alive = result.holder not in self.killed_processes
+            taken = events.ClaimConflicted(request_id, result.state, alive)
             self.apply(item.node, taken)
 
     def fail_claim(self, request_id: str) -> None:
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -64,7 +64,7 @@
         The platform's wire format.
     store : PlatformStore
         Client of the platform's key-value store.
-    source : SettingsFile, optional
+    settings_file : SettingsFile, optional
         The settings file, if it is to be reloaded when it changes.
 
     Attributes
@@ -78,7 +78,7 @@
         settings: EdgeSettings,
         adapter: PlatformAdapter,
         store: PlatformStore,
-        source: SettingsFile | None = None,
+        settings_file: SettingsFile | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self.state = EdgeState(settings, adapter)
@@ -129,7 +129,7 @@
             self._count_busy,
             quarantine_manager,
         )
-        self._reloader = SettingsReloader(self.state, store, source)
+        self._reloader = SettingsReloader(self.state, store, settings_file)
         self._connections: set[ClientConnection] = set()
         self._page_connections: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
--- a/samphirerill/relay/settings_reload.py
+++ b/samphirerill/relay/settings_reload.py
@@ -95,7 +95,7 @@
         Holds the current settings.
     store : PlatformStore
         Client of the store, whose address may change.
-    source : SettingsFile, optional
+    settings_file : SettingsFile, optional
         The settings file; without it nothing is reloaded.
     """
 
@@ -103,23 +103,23 @@
         self,
         state: EdgeState,
         store: PlatformStore,
-        source: SettingsFile | None,
+        settings_file: SettingsFile | None,
     ) -> None:
         self._state = state
         self._store = store
-        self._source = source
+        self._settings_file = settings_file
 
     async def run(self) -> None:
         """Poll the file until cancelled."""
         while True:
             await asyncio.sleep(_POLL_INTERVAL_S)
-            if self._source is not None:
-                self._apply(self._source.read_if_changed())
+            if self._settings_file is not None:
+                self._apply(self._settings_file.read_if_changed())
 
     def reload(self) -> None:
         """Read the file now, as a reload signal asks for it."""
-        if self._source is not None:
-            self._apply(self._source.read())
+        if self._settings_file is not None:
+            self._apply(self._settings_file.read())
 
     def _apply(self, loaded: EdgeSettings | None) -> None:
         current = self._state.settings
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -369,7 +369,7 @@
         if not self._progress.has_started:
             self._progress.response_started_at = self._loop.time()
             client.start_response(head.status, filter_headers(head), None)
-        splitter = EventParser()
+        parser = EventParser()
         predicted_s = self._path.predict_gap_s(self._path.stages)
         while not self._ended:
             silence_s = self._times.get_silence_limit_s(predicted_s)
@@ -377,16 +377,16 @@
             if isinstance(part, EndOfResponse):
                 if self._run.events:
                     self._crash_detector.record_completion(self._context)
-                client.write_body(splitter.buffer)
+                client.write_body(parser.buffer)
                 client.finish_response()
                 self._ended = True
             elif isinstance(part, BodyChunk):
-                self._forward_events(splitter, part.body)
+                self._forward_events(parser, part.body)
                 await client.drain()
 
-    def _forward_events(self, splitter: EventParser, body: bytes) -> None:
+    def _forward_events(self, parser: EventParser, body: bytes) -> None:
         new_events = []
-        events = splitter.feed(body)
+        events = parser.feed(body)
         if events:
             if not self._run.events:
                 self._mark_path_working()
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -216,8 +216,8 @@
                     f'{request_id}: got body {response.body!r}'
                 )
             return
-        splitter = EventParser()
-        events = splitter.feed(response.body)
+        parser = EventParser()
+        events = parser.feed(response.body)
         for number, event in enumerate(events, 1):
             expected = f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
             if event.raw != expected:
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -211,8 +211,8 @@
     async def test_evidence_goes_both_ways(self) -> None:
         received: list[bytes] = []
 
-        def answer(word: PeerMessage) -> PeerMessage:
-            received.append(word.evidence)
+        def answer(message: PeerMessage) -> PeerMessage:
+            received.append(message.evidence)
             return PeerMessage('n2', 1, 0.0, evidence=b'answer')
 
         async def collect(batch: ClaimBatch) -> list[ClaimResult]:
@@ -221,8 +221,8 @@
         server = PeerServer(answer, collect)
         port = await server.start('127.0.0.1', 0)
         clients = PeerClients(2)
-        word = PeerMessage('n1', 1, 0.0, evidence=b'question')
-        reply = await clients.exchange(f'127.0.0.1:{port}', word)
+        message = PeerMessage('n1', 1, 0.0, evidence=b'question')
+        reply = await clients.exchange(f'127.0.0.1:{port}', message)
         await clients.close()
         await server.stop()
         self.assertEqual(received, [b'question'])
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -91,11 +91,11 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / 'settings.json'
         self.write({})
-        source = SettingsFile(str(self.path), load_edge_settings)
+        settings_file = SettingsFile(str(self.path), load_edge_settings)
         settings = load_edge_settings(str(self.path))
         self.state = EdgeState(settings, HttpPlatformAdapter())
         self.store = PlatformStore(settings.store)
-        self.reloader = SettingsReloader(self.state, self.store, source)
+        self.reloader = SettingsReloader(self.state, self.store, settings_file)
 
     def write(self, changes: dict[str, Any]) -> None:
         """Write the settings of the rendered template, with changes."""
