--- a/samphirerill/relay/admission.py
+++ b/samphirerill/relay/admission.py
@@ -23,20 +23,21 @@
     from samphirerill.fleet.paths import PathRequest
     from samphirerill.relay.state import EdgeState
 
-# Time from sending a request to its first event: prefill of a usual prompt in
-# all stages, beside other streams.
+# Expected time from sending a request to its first event: prefill of a usual
+# prompt in all stages, beside other streams.
 _FIRST_EVENT_S = 0.15
 # Smoothing factor for the interval between grants to queued requests.
 _INTERVAL_SMOOTHING = 0.2
-# Queues up to this length never cause a rejection.
-_MIN_REJECTING_QUEUE = 4
+# Requests with at most this many ahead of them are queued without comparing the
+# expected wait with their deadline.
+_MAX_UNCHECKED_QUEUE = 4
 # Started streams without a path that are skipped per pass. Bounds the cost of a
 # pass: a path search is slow with many replicas.
 _MAX_SKIPPED = 3
 
 
 @dataclass(slots=True, eq=False)
-class _Ticket:
+class _QueuedRequest:
     """A queued request; lower ranks are served first.
 
     `timely_until` is the latest time at which a path still allows the first
@@ -47,12 +48,12 @@
     timely_until: float
     service: str
     engine: EngineSpec
-    wanted: PathRequest
+    path_request: PathRequest
     granted: asyncio.Future[tuple[Stage, ...]]
 
 
 class NoPathError(Exception):
-    """No path will be free in time; `wait_s` is when to retry."""
+    """No path will be free in time; retry after `wait_s` seconds."""
 
     def __init__(self, wait_s: float, reason: str) -> None:
         super().__init__(f'no path in time: {reason}')
@@ -75,7 +76,7 @@
     def __init__(self, state: EdgeState) -> None:
         self._state = state
         self._loop = asyncio.get_running_loop()
-        self._queue: list[_Ticket] = []
+        self._queue: list[_QueuedRequest] = []
         self._outages: dict[str, Outage] = {}
         self._grant_interval_s = 0.0
         self._last_grant_at = 0.0
@@ -84,7 +85,7 @@
 
     def count_waiting(self) -> int:
         """Return the number of queued requests."""
-        return sum(not ticket.granted.done() for ticket in self._queue)
+        return sum(not queued.granted.done() for queued in self._queue)
 
     def predict_wait_s(self) -> float:
         """Return the expected time until the present queue is empty."""
@@ -94,10 +95,10 @@
         self,
         service: str,
         engine: EngineSpec,
-        wanted: PathRequest,
+        path_request: PathRequest,
         rank: int,
         deadline: float,
-        target: float,
+        first_event_due: float,
     ) -> tuple[Stage, ...]:
         """Wait for a path with free capacity and reserve it.
 
@@ -105,13 +106,13 @@
         ----------
         service, engine : str, EngineSpec
             The service whose replicas may be used, and its engine.
-        wanted : PathRequest
+        path_request : PathRequest
             The requirements on the path.
         rank : int
             The priority; lower values are served first.
         deadline : float
             The latest time to wait until, on the loop's clock.
-        target : float
+        first_event_due : float
             When the first event is due, on the loop's clock.
 
         Raises
@@ -119,23 +120,23 @@
         NoPathError
             No path is expected to be free before the deadline.
         """
-        waiting = self._count_ahead(rank)
-        if not waiting:
-            stages = self._reserve_path(service, engine, wanted)
+        ahead_count = self._count_ahead(rank)
+        if not ahead_count:
+            stages = self._reserve_path(service, engine, path_request)
             if stages:
                 return stages
-        ticket = _Ticket(
+        queued = _QueuedRequest(
             rank,
-            target - _FIRST_EVENT_S,
+            first_event_due - _FIRST_EVENT_S,
             service,
             engine,
-            wanted,
+            path_request,
             self._loop.create_future(),
         )
-        self._reject_if_queue_too_long(waiting, ticket, deadline)
-        if not wanted.is_urgent:
-            self._reject_during_outage(ticket, deadline)
-        return await self._wait_for_grant(ticket, deadline)
+        self._reject_if_queue_too_long(ahead_count, queued, deadline)
+        if not path_request.is_urgent:
+            self._reject_during_outage(queued, deadline)
+        return await self._wait_for_grant(queued, deadline)
 
     def reserve(
         self, engine: EngineSpec, stages: tuple[Stage, ...], tokens: float
@@ -152,31 +153,33 @@
         self._state.notify_listeners()
 
     def find_path(
-        self, service: str, engine: EngineSpec, wanted: PathRequest
+        self, service: str, engine: EngineSpec, path_request: PathRequest
     ) -> tuple[Stage, ...]:
         """Return a path with free capacity, or none, without reserving it."""
         now = self._loop.time()
         state = self._state
-        wanted.links = state.link_usage
-        wanted.data_centre = state.settings.data_centre
-        wanted.policy = state.settings.policy
+        path_request.links = state.link_usage
+        path_request.data_centre = state.settings.data_centre
+        path_request.policy = state.settings.policy
         usable = state.view.list_usable(service, now)
-        return choose_path(engine, usable, state.load_tracker, wanted, now)
+        return choose_path(
+            engine, usable, state.load_tracker, path_request, now
+        )
 
     async def _wait_for_grant(
-        self, ticket: _Ticket, deadline: float
+        self, queued: _QueuedRequest, deadline: float
     ) -> tuple[Stage, ...]:
-        self._queue.append(ticket)
+        self._queue.append(queued)
         try:
             async with asyncio.timeout_at(deadline):
-                return await ticket.granted
+                return await queued.granted
         except TimeoutError as exc:
-            self._abandon(ticket)
+            self._abandon(queued)
             raise NoPathError(
-                self.predict_wait_s(), self._explain_no_path(ticket)
+                self.predict_wait_s(), self._explain_no_path(queued)
             ) from exc
         except asyncio.CancelledError:
-            self._abandon(ticket)
+            self._abandon(queued)
             raise
 
     def _count_ahead(self, rank: int) -> int:
@@ -186,48 +189,50 @@
         started must not be rejected because of a queue of new streams.
         """
         return sum(
-            ticket.rank <= rank and not ticket.granted.done()
-            for ticket in self._queue
+            queued.rank <= rank and not queued.granted.done()
+            for queued in self._queue
         )
 
-    def _abandon(self, ticket: _Ticket) -> None:
+    def _abandon(self, queued: _QueuedRequest) -> None:
         """Release a path that was granted while the request stopped waiting."""
-        granted = ticket.granted
+        granted = queued.granted
         if granted.done() and not granted.cancelled():
-            self.release(granted.result(), ticket.wanted.tokens)
+            self.release(granted.result(), queued.path_request.tokens)
         granted.cancel()
 
     def _reject_if_queue_too_long(
-        self, waiting: int, ticket: _Ticket, deadline: float
+        self, ahead_count: int, queued: _QueuedRequest, deadline: float
     ) -> None:
         """Reject a request whose deadline the queue would exceed."""
         left_s = deadline - self._loop.time()
-        expected_s = self._grant_interval_s * waiting
-        if waiting > _MIN_REJECTING_QUEUE and expected_s > left_s:
-            raise NoPathError(expected_s, self._explain_no_path(ticket))
+        expected_s = self._grant_interval_s * ahead_count
+        if ahead_count > _MAX_UNCHECKED_QUEUE and expected_s > left_s:
+            raise NoPathError(expected_s, self._explain_no_path(queued))
 
-    def _reject_during_outage(self, ticket: _Ticket, deadline: float) -> None:
+    def _reject_during_outage(
+        self, queued: _QueuedRequest, deadline: float
+    ) -> None:
         """Reject a request if missing layers will load too late.
 
         Not used for streams that have started: the client cannot retry those.
         """
-        service, now = ticket.service, self._loop.time()
+        service, now = queued.service, self._loop.time()
         outage = self._outages.get(service)
         if outage is None:
-            outage = Outage(ticket.engine)
+            outage = Outage(queued.engine)
             self._outages[service] = outage
         live = self._state.view.list_live(service, now)
         if not outage.observe(live, now):
             return
         wait_s = outage.predict_wait_s(live, now)
         if now + wait_s > deadline:
-            raise OutageError(wait_s, self._explain_no_path(ticket))
+            raise OutageError(wait_s, self._explain_no_path(queued))
 
-    def _explain_no_path(self, ticket: _Ticket) -> str:
+    def _explain_no_path(self, queued: _QueuedRequest) -> str:
         state = self._state
-        usable = state.view.list_usable(ticket.service, self._loop.time())
+        usable = state.view.list_usable(queued.service, self._loop.time())
         return explain_no_path(
-            ticket.engine, usable, state.load_tracker, ticket.wanted
+            queued.engine, usable, state.load_tracker, queued.path_request
         )
 
     def _schedule_grants(self) -> None:
@@ -249,15 +254,15 @@
         now = self._loop.time()
         self._queue.sort(key=lambda item: (item.rank, item.timely_until < now))
         skipped = 0
-        for ticket in tuple(self._queue):
+        for queued in tuple(self._queue):
             stages = self._reserve_path(
-                ticket.service, ticket.engine, ticket.wanted
+                queued.service, queued.engine, queued.path_request
             )
             if stages:
-                self._queue.remove(ticket)
-                ticket.granted.set_result(stages)
+                self._queue.remove(queued)
+                queued.granted.set_result(stages)
                 self._record_grant()
-            elif not ticket.wanted.is_urgent or skipped >= _MAX_SKIPPED:
+            elif not queued.path_request.is_urgent or skipped >= _MAX_SKIPPED:
                 return
             else:
                 skipped += 1
@@ -271,11 +276,11 @@
         self._last_grant_at = now
 
     def _reserve_path(
-        self, service: str, engine: EngineSpec, wanted: PathRequest
+        self, service: str, engine: EngineSpec, path_request: PathRequest
     ) -> tuple[Stage, ...]:
-        stages = self.find_path(service, engine, wanted)
+        stages = self.find_path(service, engine, path_request)
         if stages:
-            self.reserve(engine, stages, wanted.tokens)
+            self.reserve(engine, stages, path_request.tokens)
         return stages
 
     def _record_transfers(
--- a/samphirerill/relay/attempt_budget.py
+++ b/samphirerill/relay/attempt_budget.py
@@ -35,7 +35,7 @@
     def reserve(
         self, now: float, attempts: int, *, is_urgent: bool = False
     ) -> bool:
-        """Count a first attempt or reserve a retry; return if allowed.
+        """Count a first attempt or reserve a retry.
 
         Parameters
         ----------
@@ -45,13 +45,18 @@
             How many attempts have reached a replica.
         is_urgent : bool
             Whether the response has started, or a run broke off.
+
+        Returns
+        -------
+        bool
+            Whether the attempt is allowed.
         """
         budget = self._state.get_retry_budget(self._context.service.name)
         self._holds_retry = False
         if attempts:
-            nodes = self._state.count_nodes()
+            node_count = self._state.count_nodes()
             self._holds_retry = budget.try_spend(
-                now, nodes, is_urgent=is_urgent
+                now, node_count, is_urgent=is_urgent
             )
             return self._holds_retry
         if not self._is_counted:
--- a/samphirerill/relay/leaving_replicas.py
+++ b/samphirerill/relay/leaving_replicas.py
@@ -16,7 +16,7 @@
     """
     if not path.stages:
         return False
-    return bool(path.list_failed()) or _has_alternative(path)
+    return bool(path.list_failed()) or _has_path_with_other_head(path)
 
 
 def must_resend_to_head(path: StreamPath) -> bool:
@@ -29,13 +29,13 @@
     if (
         not lost_replicas
         or path.head_id in lost_replicas
-        or _has_alternative(path)
+        or _has_path_with_other_head(path)
     ):
         return False
     return bool(path.finder.find_alternative(lost_replicas))
 
 
-def _has_alternative(path: StreamPath) -> bool:
+def _has_path_with_other_head(path: StreamPath) -> bool:
     path_request = path.finder.build_parallel_request(
         path.head_id, path.list_failed()
     )
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -16,7 +16,7 @@
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
 
-# Head replicas to try for an isolated run; bounds the path searches.
+# Head replicas to try for an isolated run. Bounds the path searches.
 _MAX_ISOLATED_CANDIDATES = 3
 # No restriction on the head replica of a path.
 ANY_HEAD: frozenset[str] = frozenset()
@@ -77,9 +77,9 @@
         self, failed_ids: Collection[str]
     ) -> tuple[Stage, ...]:
         """Return a path that avoids failed replicas; empty if there is none."""
-        wanted = self.build_request(is_urgent=True)
-        wanted.excluded = {*self.avoid, *failed_ids}
-        return self.find_path(wanted)
+        path_request = self.build_request(is_urgent=True)
+        path_request.excluded = {*self.avoid, *failed_ids}
+        return self.find_path(path_request)
 
     def find_with_head(
         self,
@@ -98,7 +98,7 @@
         failed_ids : collection of str
             Replicas to exclude.
         """
-        wanted = PathRequest(
+        path_request = PathRequest(
             self.tokens,
             {*self.avoid, *failed_ids},
             frozenset((head.replica.replica_id,)),
@@ -106,7 +106,7 @@
             prefilled_on=cached_ids,
             is_urgent=True,
         )
-        return self.find_path(wanted)
+        return self.find_path(path_request)
 
     def build_request(self, *, is_urgent: bool) -> PathRequest:
         """Return the requirements on a path for the stream."""
@@ -122,16 +122,16 @@
         be sent to the nearest one again and again, even if only the other one
         can serve it.
         """
-        wanted = self.build_request(is_urgent=is_urgent)
-        allowed = wanted.first_replicas
+        path_request = self.build_request(is_urgent=is_urgent)
+        allowed = path_request.first_replicas
         for count in sorted({self.failed_sends[name] for name in allowed}):
-            wanted.first_replicas = frozenset(
+            path_request.first_replicas = frozenset(
                 name for name in allowed if self.failed_sends[name] == count
             )
-            if self.find_path(wanted):
-                return wanted
-        wanted.first_replicas = allowed
-        return wanted
+            if self.find_path(path_request):
+                return path_request
+        path_request.first_replicas = allowed
+        return path_request
 
     def find_isolated_head(
         self, excluded_ids: Collection[str]
@@ -143,11 +143,11 @@
         excluded_ids : collection of str
             Head replicas to exclude.
         """
-        wanted = self.build_request(is_urgent=True)
+        path_request = self.build_request(is_urgent=True)
         for replica_id in self._list_least_loaded_heads(excluded_ids):
-            wanted.first_replicas = frozenset((replica_id,))
-            if self.find_path(wanted):
-                return wanted.first_replicas
+            path_request.first_replicas = frozenset((replica_id,))
+            if self.find_path(path_request):
+                return path_request.first_replicas
         return ANY_HEAD
 
     def build_parallel_request(
@@ -162,14 +162,14 @@
         failed_ids : collection of str
             Other replicas to exclude.
         """
-        wanted = self.build_request(is_urgent=True)
-        wanted.excluded = {*wanted.excluded, *failed_ids, head_id}
-        return wanted
+        path_request = self.build_request(is_urgent=True)
+        path_request.excluded = {*path_request.excluded, *failed_ids, head_id}
+        return path_request
 
-    def find_path(self, wanted: PathRequest) -> tuple[Stage, ...]:
+    def find_path(self, path_request: PathRequest) -> tuple[Stage, ...]:
         """Return a path with free capacity; empty if there is none."""
         return self._admission.find_path(
-            self._context.service.name, self._engine, wanted
+            self._context.service.name, self._engine, path_request
         )
 
     def _list_least_loaded_heads(
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -58,7 +58,7 @@
 # An attempt with a shorter timeout says more about the route's timeout than
 # about the endpoint.
 _MIN_SILENCE_S = 0.5
-# Endpoints to try; a connection that fails costs an endpoint no work.
+# Endpoints to try, including those to which no connection could be opened.
 _MAX_CONNECTS = 4
 _DEFAULT_RETRY_S = 0.3
 # Maximum wait for a connection while all are in use: as long as some responses
@@ -145,6 +145,10 @@
     def _find_endpoint(
         self, may_call: Callable[[str], bool] = bool
     ) -> ReplicaState | None:
+        """Return an endpoint that may be called; none if there is none.
+
+        By default all may be called: `bool` is true for every replica id.
+        """
         return choose_endpoint(
             self._state.view,
             self._state.load_tracker,
@@ -292,8 +296,8 @@
         """
         now = self._loop.time()
         context = self._context
-        last = self._attempts >= context.route.max_attempts
-        if last or not context.is_retryable:
+        is_last_attempt = self._attempts >= context.route.max_attempts
+        if is_last_attempt or not context.is_retryable:
             return context.deadline
         return now + (context.deadline - now) * _ATTEMPT_SHARE
 
