--- a/samphirerill/relay/aggregate_status.py
+++ b/samphirerill/relay/aggregate_status.py
@@ -19,7 +19,7 @@
 
 
 def build_aggregate(
-    state: EdgeState, own: NodeStatus, near: Iterable[NodeStatus]
+    state: EdgeState, own: NodeStatus, others: Iterable[NodeStatus]
 ) -> NodeStatus:
     """Return one status datagram that stands for all nodes of a data centre.
 
@@ -29,10 +29,10 @@
         State of the aggregating node.
     own : NodeStatus
         Its own status.
-    near : iterable of NodeStatus
+    others : iterable of NodeStatus
         The latest status of each other node of the data centre.
     """
-    statuses = [own, *near]
+    statuses = [own, *others]
     suspicions = encode_suspicions(state, own.data_centre)
     return NodeStatus(
         node=name_aggregate(own.data_centre),
@@ -56,9 +56,9 @@
     budget_usage: dict[str, tuple[int, int, int]] = {}
     for status in statuses:
         for service, counts in status.budget_usage.items():
-            before = budget_usage.get(service, (0, 0, 0))
-            requests, repeats, streams = map(add, before, counts)
-            budget_usage[service] = (requests, repeats, streams)
+            total = budget_usage.get(service, (0, 0, 0))
+            requests, retries, streams = map(add, total, counts)
+            budget_usage[service] = (requests, retries, streams)
     return budget_usage
 
 
@@ -66,6 +66,6 @@
     load: dict[int, tuple[int, int]] = {}
     for status in statuses:
         for key, (count, units) in status.load.items():
-            before = load.get(key, (0, 0))
-            load[key] = (before[0] + count, before[1] + units)
+            total = load.get(key, (0, 0))
+            load[key] = (total[0] + count, total[1] + units)
     return load
--- a/samphirerill/relay/change_log.py
+++ b/samphirerill/relay/change_log.py
@@ -20,16 +20,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Covers some minutes; nodes that lack older changes ask the store.
+# Nodes that lack older changes are sent a snapshot or read the store.
 _MAX_CHANGES = 2000
 # Larger texts are forwarded as a delta to the previous one, as sending a
-# configuration to all listeners at once would saturate a slow link.
+# configuration to all polling nodes at once would saturate a slow link.
 _LARGE_BYTES = 4096
-# Larger deltas are left to the store. 17 copies of this size take 55 ms on a 20
-# Mbit/s link, less than the accepted pause of a stream.
+# Larger deltas are left to the store: copies for all polling nodes must not
+# delay streams on the same link.
 _MAX_DELTA_BYTES = 8192
-# A snapshot holds the checksums of some 800 keys and about 50 entries. 16
-# copies take 0.1 s on a 20 Mbit/s link.
+# Larger snapshots are left to the store, for the same reason.
 _MAX_SNAPSHOT_BYTES = 16_384
 # Changes with a large text that are kept, up to 0.5 MB each.
 _MAX_LARGE_CHANGES = 8
@@ -89,7 +88,7 @@
     def build_row(self) -> ChangeRow | None:
         """Return the encoded form; none if it would be too large.
 
-        It is built once for all listeners.
+        It is built once for all polling nodes.
         """
         if self._row is None:
             self._row = self._create_row()
@@ -246,7 +245,7 @@
             text = row.text
             if row.delta is not None:
                 previous = texts.get(row.key, self._get_large_text(row.key))
-                text = _apply_change(row.key, previous, row.delta)
+                text = _apply_row_delta(row.key, previous, row.delta)
             texts[row.key] = text
             yield StoredItem(row.key, row.revision, text, row.lease)
 
@@ -269,7 +268,7 @@
             self._changed = asyncio.Event()
 
 
-def _apply_change(key: str, previous: bytes | None, delta: Delta) -> bytes:
+def _apply_row_delta(key: str, previous: bytes | None, delta: Delta) -> bytes:
     if previous is None:
         raise DeltaError(f'{key}: got a delta, but its base text is not known')
     return apply_delta(previous, delta)
--- a/samphirerill/relay/change_source.py
+++ b/samphirerill/relay/change_source.py
@@ -35,7 +35,7 @@
     from samphirerill.relay.listeners import Page
     from samphirerill.relay.server import ClientConnection, Request
 
-    Form = TypeVar('Form')
+    Message = TypeVar('Message')
 
 _LOG = get_logger('news')
 _OK = 200
@@ -46,7 +46,7 @@
 _NOT_FOUND = 404
 # The number is the version of the response format: while nodes with different
 # formats run side by side, each gets 404 from the others.
-_PATH = b'/changes/2'
+_CHANGES_PATH = b'/changes/2'
 _SNAPSHOT_PATH = b'/present/1'
 # Shorter than a watch of the store, as it costs the store nothing; an
 # unresponsive watcher is detected sooner.
@@ -72,8 +72,9 @@
 # A watcher whose calls the store refused uses another watcher this long, rather
 # than calling the store all the time.
 _STORE_REFUSED_S = 2.0
-# Watchers batch changes for 0.25 s, and so do their listeners. A node that
-# stays behind others for longer than this watches the store itself for a while.
+# Watchers batch changes for 0.25 s, and so do the nodes that poll them. A node
+# that stays behind others for longer than this watches the store itself for a
+# while.
 MAX_LAG_S = 0.7
 _DIRECT_WATCH_S = 3.0
 
@@ -106,7 +107,7 @@
         """Respond with changes, a snapshot or a page."""
         path, _, query = req.target.partition(b'?')
         build_page = self._extra_pages.get(path)
-        if path == _PATH:
+        if path == _CHANGES_PATH:
             status, body = await self._serve_changes(query)
         elif path == _SNAPSHOT_PATH:
             status, body = self._serve_snapshot(query)
@@ -269,7 +270,7 @@
 
     async def _fetch_changes(self, address: str, after: int) -> Changes:
         deadline = self._loop.time() + _LONG_POLL_S + _RESPONSE_MARGIN_S
-        path = b'%b?after=%d' % (_PATH, after)
+        path = b'%b?after=%d' % (_CHANGES_PATH, after)
         status, body = await call_once(address, b'GET', path, b'', deadline)
         if status == _GONE:
             return await self._fetch_snapshot(address, after)
@@ -301,11 +302,11 @@
 def _decode(
     address: str,
     body: bytes,
-    form: type[Form],
-    read: Callable[[Form], Changes],
+    message_type: type[Message],
+    decode_changes: Callable[[Message], Changes],
 ) -> Changes:
     """Return the changes in a watcher's response."""
     try:
-        return read(msgpack.decode(body, type=form))
+        return decode_changes(msgpack.decode(body, type=message_type))
     except (DecodeError, ValidationError, DeltaError) as exc:
         raise BrokenResponseError(f'{address}: {exc}') from exc
--- a/samphirerill/relay/datagram_receiver.py
+++ b/samphirerill/relay/datagram_receiver.py
@@ -41,13 +41,13 @@
     status_sender : StatusSender
         Forwards aggregates of other data centres.
     change_source : ChangeSource
-        Notified of the replica revisions that other nodes have.
+        Notified of the store revisions that other nodes have.
     log : ChangeLog
         Store changes that this node has received.
     peer_sync : PeerSync
         Fetches from other nodes what the store does not deliver.
     alarms : Alarms
-        Handles urgent datagrams.
+        Handles alarm datagrams.
     """
 
     def __init__(
--- a/samphirerill/relay/membership.py
+++ b/samphirerill/relay/membership.py
@@ -56,7 +56,7 @@
     health : StoreHealth
         Tracks whether the store answers; shared by all its users.
     change_source : ChangeSource
-        Notified of the other nodes and of the revisions that they have.
+        Notified of the other nodes and of the store revisions that they have.
     log : ChangeLog
         Store changes that this node serves to others.
     alarms : Alarms
--- a/samphirerill/relay/node_status.py
+++ b/samphirerill/relay/node_status.py
@@ -1,7 +1,6 @@
 """Datagrams that nodes send each other about load and failed replicas.
 
-Replicas are identified by the checksum of their id, which keeps a datagram for
-40 replicas under half a kilobyte.
+Replicas are identified by the checksum of their id, to keep datagrams small.
 """
 
 from __future__ import annotations
@@ -38,7 +37,7 @@
 
     `started` identifies the process run of the sending node, and `sequence`
     increases with each datagram of that run. `version` and `revision` are the
-    sender's configuration version and replica revision.
+    sender's configuration version and the store revision of its replicas.
 
     `load` maps replicas to the sender's running requests there and their
     tokens, in units of 16. `suspected` maps replicas that the sender suspects
@@ -70,21 +69,22 @@
 class ReplicaIdIndex:
     """Looks up replica ids by checksum; rebuilt when replicas change."""
 
-    __slots__ = ('_names', '_version', '_view')
+    __slots__ = ('_ids', '_version', '_view')
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
-        self._names: dict[int, str] = {}
+        self._ids: dict[int, str] = {}
         self._version = -1
 
     def get(self, key: int) -> str | None:
         """Return the id of a replica, or none if it is unknown here."""
         if self._version != self._view.membership_version:
-            self._names = {
-                checksum_name(name): name for name in self._view.replicas
+            self._ids = {
+                checksum_name(replica_id): replica_id
+                for replica_id in self._view.replicas
             }
             self._version = self._view.membership_version
-        return self._names.get(key)
+        return self._ids.get(key)
 
 
 class EncodedSuspicions:
@@ -113,7 +113,7 @@
     """
     now = asyncio.get_running_loop().time()
     encoded = EncodedSuspicions()
-    for name, found in state.view.replicas.items():
+    for replica_id, found in state.view.replicas.items():
         suspicions = [
             suspicion
             for suspicion in found.suspicion.reports.values()
@@ -121,7 +121,7 @@
             and _is_from_data_centre(suspicion, data_centre)
         ]
         if suspicions:
-            key = checksum_name(name)
+            key = checksum_name(replica_id)
             until = max(suspicion.until for suspicion in suspicions)
             votes = sum(suspicion.votes for suspicion in suspicions)
             since = max(suspicion.since for suspicion in suspicions)
@@ -143,11 +143,11 @@
 ) -> NodeStatus:
     """Return the status datagram of this node."""
     load = {
-        checksum_name(name): (
+        checksum_name(replica_id): (
             entry.requests,
             int(entry.tokens) // _TOKENS_PER_UNIT,
         )
-        for name, entry in state.load_tracker.get_own_load().items()
+        for replica_id, entry in state.load_tracker.get_own_load().items()
     }
     suspicions = encode_suspicions(state)
     return NodeStatus(
@@ -182,8 +182,8 @@
 def encode_link_usage(sent: dict[LinkKey, float]) -> list[tuple[str, str, int]]:
     """Return the transfer time over each link between data centres."""
     link_usage = []
-    for pair, sent_ms in sent.items():
-        one, other = sorted(pair)
+    for link, sent_ms in sent.items():
+        one, other = sorted(link)
         link_usage.append((one, other, int(sent_ms)))
     return link_usage
 
@@ -203,21 +203,23 @@
 
 
 def _apply_link_usage(state: EdgeState, status: NodeStatus, now: float) -> None:
-    node = f'{status.node}/{status.started}'
+    node_run = f'{status.node}/{status.started}'
     is_near = status.data_centre == state.settings.data_centre
     for one, other, sent_ms in status.link_usage:
-        pair = frozenset((one, other))
-        state.link_usage.update_peer(node, pair, sent_ms, now, is_near=is_near)
+        link = frozenset((one, other))
+        state.link_usage.update_peer(
+            node_run, link, sent_ms, now, is_near=is_near
+        )
 
 
 def _decode_load(
-    names: ReplicaIdIndex, status: NodeStatus
+    replica_ids: ReplicaIdIndex, status: NodeStatus
 ) -> dict[str, ReplicaLoad]:
     load = {}
     for key, (count, units) in status.load.items():
-        name = names.get(key)
-        if name is not None:
-            load[name] = ReplicaLoad(count, units * _TOKENS_PER_UNIT)
+        replica_id = replica_ids.get(key)
+        if replica_id is not None:
+            load[replica_id] = ReplicaLoad(count, units * _TOKENS_PER_UNIT)
     return load
 
 
--- a/samphirerill/relay/peer_sync.py
+++ b/samphirerill/relay/peer_sync.py
@@ -75,7 +75,7 @@
         address : str
             HTTP address of the node.
         version, revision : int
-            Its configuration version and replica revision.
+            Its configuration version, and the store revision of its replicas.
         """
         if self._task is not None:
             return
@@ -104,17 +104,21 @@
 
     async def _fetch_configuration(self, address: str) -> None:
         own = self._state.version
-        delta = await self._get(
+        update = await self._get(
             address, b'%b?after=%d' % (_CONFIGURATION_PATH, own)
         )
         try:
-            text = self._state.configuration_history.decode_update(delta, own)
+            text = self._state.configuration_history.decode_update(update, own)
         except DeltaError as exc:
             _LOG.info(
                 'cannot apply configuration delta', extra={'error': str(exc)}
             )
-            full = await self._get(address, b'%b?after=0' % _CONFIGURATION_PATH)
-            text = self._state.configuration_history.decode_update(full, 0)
+            full_update = await self._get(
+                address, b'%b?after=0' % _CONFIGURATION_PATH
+            )
+            text = self._state.configuration_history.decode_update(
+                full_update, 0
+            )
         cfg = self._state.adapter.decode_configuration(text)
         if self._state.apply_configuration(cfg, text):
             _LOG.info(
@@ -143,7 +147,7 @@
         return body
 
     def _serve_configuration(self, query: bytes) -> Page:
-        """Return the delta to the version that the peer has, or all."""
+        """Return a delta from the peer's version, or the full text."""
         if not self._state.version:
             return _NOT_FOUND, b''
         after = read_revision(query)
