--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -122,13 +122,13 @@
             if not self.is_open():
                 self.close()
 
-    def send(self, call: bytes) -> None:
+    def send(self, request: bytes) -> None:
         """Send a complete request; its response is read with ``read``."""
         self.requests_sent += 1
         self._awaits_response = True
-        self._is_head_request = call.startswith(b'HEAD ')
+        self._is_head_request = request.startswith(b'HEAD ')
         if self.is_open():
-            self._transport.write(call)
+            self._transport.write(request)
 
     async def read(
         self, deadline: float
@@ -333,7 +333,7 @@
         if (head.get(b'connection') or b'').lower() == b'close':
             self.is_reusable = False
         now = asyncio.get_running_loop().time()
-        self.idle_until = now + _read_idle_s(head) - _IDLE_MARGIN_S
+        self.idle_until = now + _parse_idle_timeout_s(head) - _IDLE_MARGIN_S
 
 
 def serialize_request(
@@ -347,7 +347,7 @@
     return b'\r\n'.join((*lines, b'', body))
 
 
-def _read_idle_s(head: ResponseHead) -> float:
+def _parse_idle_timeout_s(head: ResponseHead) -> float:
     for word in (head.get(b'keep-alive') or b'').split(b','):
         name, _, text = word.strip().partition(b'=')
         if name.lower() == b'timeout' and text.isdigit():
--- a/samphirerill/relay/errors.py
+++ b/samphirerill/relay/errors.py
@@ -1,12 +1,12 @@
-"""Errors of calls to endpoints."""
+"""Errors of calls to endpoints and to other nodes."""
 
 from __future__ import annotations
 
 
 class EndpointError(Exception):
-    """Base class: a call to an endpoint returned no complete response.
+    """Base class: a call returned no complete response.
 
-    `may_have_run` is false only if the endpoint certainly did not get the
+    `may_have_run` is false only if the called process certainly did not get the
     request.
     """
 
@@ -44,8 +44,8 @@
 
 
 class ChangeTooLargeError(EndpointError):
-    """Another node refuses to relay a change of this size."""
+    """A watcher refuses to forward changes of this size."""
 
 
 class WatchLostError(EndpointError):
-    """A node that watches the store for others has lost its watch."""
+    """A watcher is not connected to the store."""
--- a/samphirerill/relay/layer_controller.py
+++ b/samphirerill/relay/layer_controller.py
@@ -42,7 +42,8 @@
 # An assignment not reached within this time is dropped and planned again. It
 # allows for streams to drain from the layers that a replica unloads.
 _ASSIGNMENT_TIMEOUT_S = 12.0
-# Loading layers takes seconds, and each status request uses a connection.
+# Between attempts to send an order to a replica. Each attempt first fetches its
+# report, which uses a connection.
 _ORDER_RETRY_S = 0.5
 
 
@@ -86,7 +87,7 @@
     leadership : Leadership
         Leader election by a lease in the store.
     health : StoreHealth
-        Returns whether announcements may be missing because their leases
+        Tells whether announcements may be missing because their leases
         expired during a store outage.
     loss_prober : LossProber
         Probes replicas that have sent nothing since a failure began.
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -44,9 +44,8 @@
     Attributes
     ----------
     fencing_token : int
-        Fencing token: the store revision at which this node last became the
-        leader. Sent with each layer order, so that engines can reject those
-        of a former leader.
+        The store revision at which this node last became the leader. Sent with
+        each layer order, so that engines can reject those of a former leader.
     """
 
     prefix = LEADER_KEY
--- a/samphirerill/relay/listeners.py
+++ b/samphirerill/relay/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and a handler for static GET pages such as metrics."""
+"""Listening sockets, and a handler for pages such as metrics."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PageHandler:
-    """Answers GET requests from a table of pages.
+    """Responds with a page that is chosen by the path alone.
 
     Parameters
     ----------
