--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -28,8 +28,8 @@
 
 # Factor on the silence limit after each inconclusive probe.
 _SILENCE_BACKOFF = 1.6
-# Interval of checks while other streams prove that all stages work: the proof
-# may be slightly too old.
+# Interval of checks while events of other streams confirm that all stages work,
+# as a stage may have failed just after such an event.
 _RECHECK_S = 0.015
 # A path is left after a silence of this length even without a known reason;
 # clients give up after two seconds.
@@ -70,7 +70,7 @@
         self._start_handover = start_handover
         self._loop = asyncio.get_running_loop()
         self._conn: HttpConnection | None = None
-        self._move_task: asyncio.Task[None] | None = None
+        self._reroute_task: asyncio.Task[None] | None = None
         self._departure_timer: asyncio.TimerHandle | None = None
 
     def start(self, conn: HttpConnection) -> None:
@@ -78,13 +78,13 @@
         self._conn = conn
 
     def stop(self) -> None:
-        """Stop watching and cancel a pending move."""
+        """Stop watching and cancel a pending reroute."""
         self._conn = None
-        if self._move_task is not None:
-            self._move_task.cancel()
+        if self._reroute_task is not None:
+            self._reroute_task.cancel()
             # A task that is cancelled before its first step does not run its
-            # `finally`; without this, no further move would ever start.
-            self._move_task = None
+            # `finally`; without this, no further reroute would ever start.
+            self._reroute_task = None
         if self._departure_timer is not None:
             self._departure_timer.cancel()
             self._departure_timer = None
@@ -92,16 +92,16 @@
     def check_path(self) -> None:
         """React to changed replica states without waiting for a silence.
 
-        Failed replicas are left at once, draining ones at a scheduled time.
+        Failed replicas are left at once, leaving ones at a scheduled time.
         """
         conn = self._conn
         if conn is None or not self._context.is_retryable:
             return
-        lost = self._path.list_failed()
-        if self._path.head_id in lost:
+        failed = self._path.list_failed()
+        if self._path.head_id in failed:
             self._leave_failed_head(conn)
-        elif lost:
-            self._start_move(conn)
+        elif failed:
+            self._start_reroute(conn)
         else:
             self._schedule_departure(conn)
 
@@ -127,7 +127,7 @@
                 silence_s = await self._diagnose_silence(since, silence_s)
 
     def _schedule_departure(self, conn: HttpConnection) -> None:
-        """Schedule the departure from draining replicas."""
+        """Schedule the departure from replicas that are leaving or drop layers."""
         if self._departure_timer is not None:
             return
         at = self._path.choose_departure_time()
@@ -141,7 +141,7 @@
         if self._path.list_failed():
             self.check_path()
         else:
-            self._start_move(conn)
+            self._start_reroute(conn)
 
     def _leave_failed_head(self, conn: HttpConnection) -> None:
         """Leave a head replica that is gone or drops its layers."""
@@ -156,24 +156,26 @@
     def _can_resend(self) -> bool:
         return self._may_retry() and self._path.has_alternative()
 
-    def _start_move(self, conn: HttpConnection) -> None:
-        if self._move_task is None:
-            self._move_task = self._loop.create_task(self._move_or_resend(conn))
+    def _start_reroute(self, conn: HttpConnection) -> None:
+        if self._reroute_task is None:
+            self._reroute_task = self._loop.create_task(
+                self._reroute_or_resend(conn)
+            )
 
-    async def _move_or_resend(self, conn: HttpConnection) -> None:
+    async def _reroute_or_resend(self, conn: HttpConnection) -> None:
         """Replace the later stages, or continue over another path.
 
         A replica that drops layers loads others only once no stream uses them.
         Until its deadline, a stream without an alternative stays.
         """
         try:
-            outcome = await self._path.replace_later_stages()
+            result = await self._path.replace_later_stages()
         finally:
-            if self._move_task is asyncio.current_task():
-                self._move_task = None
-        if outcome is MoveResult.MOVED or self._conn is not conn:
+            if self._reroute_task is asyncio.current_task():
+                self._reroute_task = None
+        if result is MoveResult.MOVED or self._conn is not conn:
             return
-        must_leave = outcome is MoveResult.RESEND or bool(
+        must_leave = result is MoveResult.RESEND or bool(
             self._path.list_failed()
         )
         if not must_leave or not self._can_resend():
@@ -183,14 +185,14 @@
 
     async def _diagnose_silence(self, since: float, silence_s: float) -> float:
         """Find out why the path is silent; return the next silence limit."""
-        unproven = self._path.list_unconfirmed()
-        if not unproven and self._loop.time() - since < _MAX_SILENCE_S:
+        unconfirmed = self._path.list_unconfirmed()
+        if not unconfirmed and self._loop.time() - since < _MAX_SILENCE_S:
             return _RECHECK_S
-        await self._probe_path(since, unproven)
+        await self._probe_path(since, unconfirmed)
         return silence_s * _SILENCE_BACKOFF
 
     async def _probe_path(
-        self, since: float, unproven: tuple[Stage, ...]
+        self, since: float, unconfirmed: tuple[Stage, ...]
     ) -> None:
         """Probe the path and leave it if it cannot continue.
 
@@ -200,11 +202,11 @@
         ----------
         since : float
             When the silence began.
-        unproven : tuple of Stage
-            The stages that may be dead.
+        unconfirmed : tuple of Stage
+            The stages without recent proof that they work.
         """
         head_id = self._path.head_id
-        diagnosis = await self._prober.diagnose_path(unproven)
+        diagnosis = await self._prober.diagnose_path(unconfirmed)
         if head_id in diagnosis.dead:
             self._leave_path(f'{head_id} is unresponsive')
             return
@@ -222,10 +224,10 @@
             self._leave_path(f'path is stalled by {stalled_id}')
 
     async def _replace_later_stages(self) -> bool:
-        """Replace the later stages, or wait for a move in progress."""
-        if self._move_task is None:
+        """Replace the later stages, or wait for a reroute in progress."""
+        if self._reroute_task is None:
             return await self._path.replace_later_stages() is MoveResult.MOVED
-        await asyncio.wait((self._move_task,))
+        await asyncio.wait((self._reroute_task,))
         return not self._path.list_failed()
 
     def _leave_stalled_path(self, since: float) -> None:
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptDenial:
-    """Why an attempt is denied; `wait_s` is when to retry, 0 if unknown."""
+    """Why an attempt is denied; `wait_s` is when one may succeed, 0 if unknown."""
 
     reason: str
     wait_s: float = 0.0
@@ -109,7 +109,7 @@
     def may_retry(self) -> bool:
         """Return whether the budget has a retry for this stream.
 
-        A path that may recover is kept rather than left without an alternative.
+        Without one, a path that may recover is kept.
         """
         budget = self._state.get_retry_budget(self._context.service.name)
         return budget.has_remaining(
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -26,30 +26,29 @@
     from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('streams')
-# Share of the time left on a draining replica before a stream may move. Most
-# streams finish within it, and the replacement has loaded the layers by then.
-# The end of that time is reserved for the move itself.
+# Share of the time left on a leaving replica before a stream may be rerouted.
+# Most streams finish within it, and the replacement has loaded the layers by
+# then. The end of that time is reserved for the reroute itself.
 _MIN_STAY_SHARE = 0.4
-_MOVE_MARGIN_S = 0.15
-# Delay before leaving, and before a retry, without the policy
-# `unhurried_leaving`.
+_REROUTE_MARGIN_S = 0.15
+# Delay before a stream is rerouted off such a replica if the policy
+# `unhurried_leaving` is off.
 _UNSPREAD_DELAY_S = 0.05
 # How long an event of another stream proves that its path works. It may arrive
-# most of an event interval after a replica that it passed has failed, so longer
-# is no proof.
+# most of an event interval after a replica that it passed has failed, so an
+# older one is no proof.
 _LIVENESS_PROOF_S = 0.015
-
 # Interval between searches for a replica without another suspect.
 _ISOLATION_POLL_S = 0.1
-# Upper bound on that search: longer than it takes to clear or convict another
-# suspect, short enough for a waiting client.
+# Upper bound on that search, in which the run of another suspect shows whether
+# it crashes its replica.
 _MAX_ISOLATION_WAIT_S = 0.7
-# Streams that leave at spread times overlap with one in this many others.
+# Streams that are rerouted at random times overlap with one in this many others.
 _SPREAD_FACTOR = 4
 
 
 class MoveResult(enum.Enum):
-    """Result of moving a stream off a replica."""
+    """Result of rerouting a stream off a replica."""
 
     MOVED = 'moved'
     RESEND = 'send again'
@@ -69,6 +68,21 @@
         Performance figures of the service's engine.
     admission : AdmissionQueue
         Grants paths with free capacity.
+
+    Attributes
+    ----------
+    engine : EngineSpec
+        As given.
+    stages : tuple of Stage
+        The stages of the path; empty if none is reserved.
+    finder : PathFinder
+        Searches paths for the stream.
+    tokens : float
+        The KV-cache size that the stream is expected to need, in tokens.
+    avoid : set of str
+        Replicas that failed the stream; shared with `finder`.
+    used_heads : set of str
+        Head replicas that the stream was sent to; shared with `finder`.
     """
 
     def __init__(
@@ -117,9 +131,9 @@
         heads : frozenset of str
             The head replicas that are allowed; empty for any.
         """
-        wanted = self.finder.build_retry_request(is_urgent=is_urgent)
-        wanted.first_replicas = wanted.first_replicas or heads
-        self.stages = await self._admit(wanted, rank, deadline)
+        path_request = self.finder.build_retry_request(is_urgent=is_urgent)
+        path_request.first_replicas = path_request.first_replicas or heads
+        self.stages = await self._admit(path_request, rank, deadline)
 
     async def find_isolated_head(
         self, crash_detector: CrashDetector, until: float
@@ -150,10 +164,10 @@
         Its head differs, so that no replica runs the same stream twice at a
         time. Raises ``NoPathError`` if no path is found.
         """
-        wanted = self.finder.build_parallel_request(
+        path_request = self.finder.build_parallel_request(
             self.head_id, self.list_failed()
         )
-        return await self._admit(wanted, rank, deadline)
+        return await self._admit(path_request, rank, deadline)
 
     def release(self) -> None:
         """Release the capacity of the path."""
@@ -181,9 +195,9 @@
     def choose_departure_time(self) -> float:
         """Return when to leave replicas that end; 0 if none does or too late.
 
-        The replacement rebuilds the KV caches of moved streams one after
-        another, so the streams of a draining replica leave at random times
-        within the time left instead of all at once. Layers that are being
+        The replacement rebuilds the KV caches of rerouted streams one after
+        another, so the streams of a leaving replica are rerouted at random
+        times within the time left instead of all at once. Layers that are being
         dropped are lost at its end.
         """
         now = self._loop.time()
@@ -193,11 +207,11 @@
         if not self._state.settings.policy.unhurried_leaving:
             return now + _UNSPREAD_DELAY_S
         until = min(ends.values())
-        latest = until - _MOVE_MARGIN_S
+        latest = until - _REROUTE_MARGIN_S
         if latest > now and set(ends) != {self.head_id}:
             since = now + (latest - now) * _MIN_STAY_SHARE
             return self._state.random.uniform(since, latest)
-        expires_at = until + _MOVE_MARGIN_S
+        expires_at = until + _REROUTE_MARGIN_S
         return expires_at if expires_at > now else 0.0
 
     def list_unconfirmed(self) -> tuple[Stage, ...]:
@@ -230,9 +244,9 @@
         """Return the replica that the path waits for; empty if unknown."""
         address = diagnosis.stalled.get(request_id, '')
         for stage in self.stages:
-            name = stage.replica.replica_id
-            if stage.replica.address == address or name in diagnosis.dead:
-                return name
+            replica_id = stage.replica.replica_id
+            if stage.replica.address == address or replica_id in diagnosis.dead:
+                return replica_id
         return next(iter(self.list_failed()), '')
 
     def predict_gap_s(self, stages: tuple[Stage, ...]) -> float:
@@ -247,38 +261,39 @@
         return gap_ms / MS_PER_S
 
     async def _admit(
-        self, wanted: PathRequest, rank: int, deadline: float
+        self, path_request: PathRequest, rank: int, deadline: float
     ) -> tuple[Stage, ...]:
         context = self._context
         return await self._admission.admit(
             context.service.name,
             self.engine,
-            wanted,
+            path_request,
             rank,
             deadline,
             context.req.arrived_at + context.route.target_s,
         )
 
     def _list_end_times(self, now: float) -> dict[str, float]:
-        """Return until when replicas that drain or drop layers serve.
+        """Return until when replicas that are leaving or drop layers serve.
 
-        A draining head is left out: it finishes the streams that it runs, and a
-        stream cannot be moved off its head, only resent.
+        A leaving head is left out: it finishes the streams that it runs, and a
+        stream cannot be rerouted off its head, only resent.
         """
         view = self._state.view
         ends = {}
         for stage in self.stages:
-            name = stage.replica.replica_id
+            replica_id = stage.replica.replica_id
             end = find_stage_end(view, stage, now)
-            is_draining_head = (
-                name == self.head_id and name in view.leaving_deadlines
+            is_leaving_head = (
+                replica_id == self.head_id
+                and replica_id in view.leaving_deadlines
             )
-            if 0 < end < float('inf') and not is_draining_head:
-                ends[name] = end
+            if 0 < end < float('inf') and not is_leaving_head:
+                ends[replica_id] = end
         return ends
 
     def _list_ending_ids(self) -> set[str]:
-        """Return the replicas that have failed, drain or drop layers."""
+        """Return the replicas that have failed, are leaving or drop layers."""
         return self.list_failed() | set(self._list_end_times(self._loop.time()))
 
     def _is_resend_faster(
@@ -287,26 +302,27 @@
         cached_ids: frozenset[str],
         ending: set[str],
     ) -> bool:
-        """Return whether resending to another path is faster than moving.
+        """Return whether resending to another path is faster than rerouting.
 
-        All streams of a failed stage move at the same time. Those of a draining
-        replica are spread out, but still overlap on the network link.
+        All streams of a failed stage are rerouted at the same time. Those of a
+        leaving replica are spread out, but still overlap on the link.
         """
         if not ending or not self._state.settings.policy.cheaper_way:
             return False
         other = self.finder.find_alternative(ending)
         concurrent = max(
-            self._state.load_tracker.count_requests(name) for name in ending
+            self._state.load_tracker.count_requests(replica_id)
+            for replica_id in ending
         )
         if not self.list_failed():
             concurrent = concurrent // _SPREAD_FACTOR + 1
-        move_ms = predict_reroute_pause_ms(
+        reroute_ms = predict_reroute_pause_ms(
             self.engine, stages, cached_ids, self.tokens, concurrent
         )
         resend_ms = predict_reroute_pause_ms(
             self.engine, other, (), self.tokens, concurrent
         )
-        return bool(other) and resend_ms < move_ms
+        return bool(other) and resend_ms < reroute_ms
 
     async def _reroute(self, stages: tuple[Stage, ...]) -> bool:
         """Instruct the head to use new stages; keep one of the two reserved."""
--- a/samphirerill/relay/stream_request.py
+++ b/samphirerill/relay/stream_request.py
@@ -68,5 +68,5 @@
 
 
 def parse_event_id(text: bytes) -> int:
-    """Return the event number that a client names; -1 for none."""
+    """Return the number of the event that a stream resumes after; -1 for none."""
     return int(text) if text.isdigit() else -1
