--- a/samphirerill/relay/responses.py
+++ b/samphirerill/relay/responses.py
@@ -50,10 +50,10 @@
             raise BrokenResponseError(
                 'expected a response head, got body bytes'
             )
-        facts = adapter.parse_response(head)
-        if not _is_stale(facts, request_id):
-            check_success(head, facts)
-            return head, facts
+        metadata = adapter.parse_response(head)
+        if not _is_stale(metadata, request_id):
+            check_success(head, metadata)
+            return head, metadata
         conn.is_reusable = False
         await skip_body(conn, deadline)
         conn.await_next_response()
@@ -76,13 +76,13 @@
             chunks.append(part.body)
 
 
-def check_success(head: ResponseHead, facts: ResponseMetadata) -> None:
+def check_success(head: ResponseHead, metadata: ResponseMetadata) -> None:
     """Reject a success without a signature or with an encoded body."""
     if head.status not in _SUCCESS_STATUSES:
         return
-    if not facts.is_signed:
+    if not metadata.is_signed:
         raise BrokenResponseError('successful response has no signature')
-    if facts.is_encoded:
+    if metadata.is_encoded:
         raise BrokenResponseError('response body has a content encoding')
 
 
@@ -96,9 +96,9 @@
     return [pair for pair in head.headers if pair[0] not in _HOP_BY_HOP_HEADERS]
 
 
-def _is_stale(facts: ResponseMetadata, request_id: bytes) -> bool:
-    if facts.request_id:
-        return facts.request_id != request_id
+def _is_stale(metadata: ResponseMetadata, request_id: bytes) -> bool:
+    if metadata.request_id:
+        return metadata.request_id != request_id
     # Only a rejection may lack a request id; any other response without one
     # belongs to another request.
-    return not facts.is_not_run
+    return not metadata.is_not_run
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -33,7 +33,7 @@
     from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('streams')
-# Also the status when a path waits for a stage in vain.
+# Status of a rejection; also given if a later stage does not respond.
 _UNAVAILABLE = 503
 
 
@@ -43,8 +43,9 @@
     `last_id` is the last event passed on to the client, `response_started_at`
     when the client got the response head, `attempts` how often the stream was
     sent, `fruitless_attempts` how many of the latest attempts returned no
-    event, `has_broken_run` whether a replica broke off a run, `reason` why the
-    last attempt failed.
+    event, `may_have_run` whether an engine may have executed the stream,
+    `has_broken_run` whether a replica broke off a run, `reason` why the last
+    attempt failed.
     """
 
     __slots__ = (
@@ -78,7 +79,7 @@
         return self.last_id > self._recorded_id
 
     def record_attempt_end(self) -> int:
-        """Record the end of an attempt; return the failures in a row."""
+        """Record the end of an attempt; return `fruitless_attempts`."""
         self.fruitless_attempts = (
             0 if self.has_advanced() else self.fruitless_attempts + 1
         )
@@ -272,10 +273,10 @@
         """
         head_id = stages[0].replica.replica_id
         is_new_head = self.send(conn, stages, 'stream sent in parallel')
-        head, facts = await self.read_head(conn, deadline)
-        if facts.is_not_run:
+        head, metadata = await self.read_head(conn, deadline)
+        if metadata.is_not_run:
             self.handle_rejection(
-                head_id, head, facts.failed_address, is_new_head=is_new_head
+                head_id, head, metadata.failed_address, is_new_head=is_new_head
             )
             return None
         if not is_success(head.status):
@@ -305,7 +306,7 @@
         )
 
     def _record_refusal(self, replica_id: str, reason: str) -> None:
-        """Record that a replica refused; it is not asked again at once."""
+        """Record that a replica refused, so that it is not tried again at once."""
         self._exclude_for_now(replica_id, reason)
         self._state.view.note_refusal(replica_id, self._loop.time())
         self._state.counters['streams.refused'] += 1
@@ -323,5 +324,5 @@
         if not self._progress.has_started:
             self._path.avoid.add(replica_id)
 
-    def _log(self, event: str, **facts: object) -> None:
-        _LOG.info(event, extra={'request': self._context.request_id, **facts})
+    def _log(self, event: str, **fields: object) -> None:
+        _LOG.info(event, extra={'request': self._context.request_id, **fields})
--- a/samphirerill/relay/stream_times.py
+++ b/samphirerill/relay/stream_times.py
@@ -12,9 +12,9 @@
     from samphirerill.fleet.policy import Policy
     from samphirerill.node.metrics import Metrics
 
+# Events after which the silence limit follows the stream's own gaps.
 _MIN_EVENTS = 5
-# Deviations above the mean gap that count as a silence; fewer would be exceeded
-# by ordinary gaps.
+# A gap this many deviations above the mean counts as a silence.
 _SILENCE_DEVIATIONS = 6
 # Multiple of the predicted gap that counts as a silence until the stream has
 # enough events of its own.
@@ -89,8 +89,8 @@
         '_gaps',
         '_min_silence_s',
         '_metrics',
-        '_max_gap_at',
-        '_max_gap_s',
+        '_longest_gap_at',
+        '_longest_gap_s',
         '_policy',
         'last_at',
     )
@@ -109,18 +109,18 @@
         self._arrived_at = arrived_at
         self._events = 0
         self._first_at = 0.0
-        self._max_gap_s = 0.0
-        self._max_gap_at = 0.0
+        self._longest_gap_s = 0.0
+        self._longest_gap_at = 0.0
         self._gaps = SmoothedDuration()
 
     def record_event(self, now: float) -> None:
-        """Record events that are being passed on."""
+        """Record that one or more events are being passed on."""
         self._events += 1
         if self.last_at:
             gap_s = now - self.last_at
-            if gap_s > self._max_gap_s:
-                self._max_gap_s = gap_s
-                self._max_gap_at = now
+            if gap_s > self._longest_gap_s:
+                self._longest_gap_s = gap_s
+                self._longest_gap_at = now
             self._gaps.add_sample(gap_s)
             self._metrics.record('token_gap', 'stream', gap_s)
         else:
@@ -132,9 +132,8 @@
     def get_silence_limit_s(self, predicted_s: float) -> float:
         """Return after which time without an event the path is checked.
 
-        The limit is the mean gap plus some deviations, and not a multiple of
-        the mean: gaps vary little, and every silence adds to the time that a
-        stream of a dead replica stands still.
+        The limit is the mean gap plus some deviations, as gaps vary little and
+        a stream of a dead replica stands still until the limit is reached.
 
         Parameters
         ----------
@@ -161,6 +160,6 @@
             'events': self._events,
             'first_ms': round((self._first_at - self._arrived_at) * MS_PER_S),
             'gap_ms': round(spent_s * MS_PER_S / max(1, self._events - 1)),
-            'most_gap_ms': round(self._max_gap_s * MS_PER_S),
-            'most_gap_ago_ms': round((now - self._max_gap_at) * MS_PER_S),
+            'most_gap_ms': round(self._longest_gap_s * MS_PER_S),
+            'most_gap_ago_ms': round((now - self._longest_gap_at) * MS_PER_S),
         }
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -57,10 +57,10 @@
 _LOG = get_logger('streams')
 # Admission rank of started streams: ahead of all new ones.
 _STARTED_RANK = -1
-# Silence limit for the response head; prefill in all stages takes up to half a
-# second under load.
+# Silence limit for the response head. A longer prefill, as under load, only
+# causes the path to be probed.
 _HEAD_SILENCE_S = 0.22
-# Least time for a replacement run to start, which includes the prefill.
+# Least time that a replacement run is given to start, including the prefill.
 _MIN_HANDOVER_S = 0.7
 # Retry-After when nothing better is known.
 _DEFAULT_RETRY_S = 0.3
@@ -248,7 +248,7 @@
             return
         is_new_head = self._sender.send(conn, stages, 'stream sent')
         await self._read_run(
-            conn, self._read_answer(conn, is_new_head=is_new_head)
+            conn, self._read_response(conn, is_new_head=is_new_head)
         )
 
     async def _follow_handovers(self) -> None:
@@ -335,18 +335,18 @@
         run.conn.close()
         self._admission.release(run.stages, self._path.tokens)
 
-    async def _read_answer(
+    async def _read_response(
         self, conn: HttpConnection, *, is_new_head: bool
     ) -> None:
-        head, facts = await self._guard.read(
+        head, metadata = await self._guard.read(
             conn, _HEAD_SILENCE_S, self._sender.read_head
         )
-        if facts.is_not_run:
+        if metadata.is_not_run:
             await read_body(conn, self._context.deadline)
             self._sender.handle_rejection(
                 self._path.head_id,
                 head,
-                facts.failed_address,
+                metadata.failed_address,
                 is_new_head=is_new_head,
             )
             return
@@ -369,7 +369,7 @@
         if not self._progress.has_started:
             self._progress.response_started_at = self._loop.time()
             client.start_response(head.status, filter_headers(head), None)
-        splitter = EventParser()
+        event_parser = EventParser()
         predicted_s = self._path.predict_gap_s(self._path.stages)
         while not self._ended:
             silence_s = self._times.get_silence_limit_s(predicted_s)
@@ -377,16 +377,16 @@
             if isinstance(part, EndOfResponse):
                 if self._run.events:
                     self._crash_detector.record_completion(self._context)
-                client.write_body(splitter.buffer)
+                client.write_body(event_parser.buffer)
                 client.finish_response()
                 self._ended = True
             elif isinstance(part, BodyChunk):
-                self._forward_events(splitter, part.body)
+                self._forward_events(event_parser, part.body)
                 await client.drain()
 
-    def _forward_events(self, splitter: EventParser, body: bytes) -> None:
+    def _forward_events(self, event_parser: EventParser, body: bytes) -> None:
         new_events = []
-        events = splitter.feed(body)
+        events = event_parser.feed(body)
         if events:
             if not self._run.events:
                 self._mark_path_working()
@@ -480,11 +480,11 @@
         self._state.get_retry_budget(
             self._context.service.name
         ).active_streams -= 1
-        facts = self._times.describe(self._loop.time())
-        self._log('stream ended', sends=self._progress.attempts, **facts)
+        fields = self._times.describe(self._loop.time())
+        self._log('stream ended', sends=self._progress.attempts, **fields)
 
-    def _log(self, event: str, **facts: object) -> None:
-        _LOG.info(event, extra={'request': self._context.request_id, **facts})
+    def _log(self, event: str, **fields: object) -> None:
+        _LOG.info(event, extra={'request': self._context.request_id, **fields})
 
 
 async def _read_part(
