--- a/samphirerill/relay/platform_adapter.py
+++ b/samphirerill/relay/platform_adapter.py
@@ -125,7 +125,7 @@
     time_factor : float
         Factor on its nominal processing times; 1 is nominal.
     stalled : dict
-        For each request that waits for another replica, that one's address.
+        For each request id, the address of the replica that it waits for.
     started_ms : int
         When the engine started, in Unix milliseconds; 0 if unknown.
     """
@@ -139,7 +139,7 @@
 
 
 class PlatformAdapter(Protocol):
-    """The platform's wire format towards callers, endpoints and the store.
+    """The platform's wire format towards clients, endpoints and the store.
 
     Attributes
     ----------
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -34,8 +34,8 @@
         self._counters = counters
         self._idle: defaultdict[str, list[HttpConnection]] = defaultdict(list)
         self._open: Counter[str] = Counter()
-        # Start time of the process that the idle connections of a replica lead
-        # to.
+        # When the process started that the idle connections of a replica are
+        # connected to.
         self._start_times: dict[str, int] = {}
 
     def has_available(self, replica_id: str, max_open: int) -> bool:
@@ -62,9 +62,9 @@
         replica : Replica
             The replica to connect to.
         fresh : bool
-            Open a new connection. If the endpoint closes an idle connection
-            just as it is reused, the request seems lost although it was not
-            executed, and one that is not retryable could not be sent again.
+            Open a new connection, as for a request that is not retryable: if
+            the endpoint closed an idle connection just as it is reused, the
+            request might have been executed and could not be sent again.
         max_open : int
             The limit of this node's connections to the replica; 0 for none. An
             endpoint resets connections beyond its limit over all nodes.
@@ -121,11 +121,11 @@
         That process may have ended behind a network partition without closing
         them; requests on such a connection would time out.
         """
-        name = replica.replica_id
-        if replica.is_different_process(self._start_times.get(name, 0)):
-            for conn in self._idle.pop(name, ()):
+        replica_id = replica.replica_id
+        if replica.is_different_process(self._start_times.get(replica_id, 0)):
+            for conn in self._idle.pop(replica_id, ()):
                 conn.close()
-        self._start_times[name] = replica.started_ms
+        self._start_times[replica_id] = replica.started_ms
 
     def _evict_idle(self, replica_id: str, max_open: int) -> None:
         """Close an idle connection if the limit is reached."""
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -43,13 +43,13 @@
 _READINESS_NOTICE_S = 3.2
 _DRAIN_POLL_S = 0.05
 _LOOP_RESTART_DELAY_S = 0.5
-# Kept of the time before SIGKILL for the process to exit.
+# Reserved before SIGKILL for the process to exit.
 _EXIT_MARGIN_S = 0.6
 _REVOKE_TIMEOUT_S = 0.15
 # The expected duration of a stream. One that arrives when less time is left is
-# left to another node, which can finish it.
+# rejected, so that the client retries it at a node that can finish it.
 _EXPECTED_STREAM_S = 4.5
-# The same for a plain request: the longest that endpoints take.
+# The longest that an endpoint takes for a plain request; used in the same way.
 _MAX_REQUEST_S = 1.2
 
 
@@ -174,7 +174,7 @@
             task.cancel()
 
     def get_port(self) -> int:
-        """Return the port for callers, which the system may have assigned."""
+        """Return the port for clients, which the system may have assigned."""
         return int(self._servers[0].sockets[0].getsockname()[1])
 
     def get_metrics_port(self) -> int:
@@ -241,7 +241,7 @@
     async def _drain(self) -> None:
         """Fail the readiness check, finish every request, then end.
 
-        The port for callers stays open to the end: when too few nodes of a
+        The port for clients stays open to the end: when too few nodes of a
         data centre are ready, the load balancer sends connections to all of
         them, and clients would see a refused connection as an error.
         """
--- a/samphirerill/relay/refusals.py
+++ b/samphirerill/relay/refusals.py
@@ -30,7 +30,7 @@
     """An error response of this node.
 
     Status 503 guarantees that the request was not executed; 502 and 504 do not.
-    `retry_s` is when a retry makes sense.
+    `retry_s` is the time after which the client should retry.
     """
 
     status: int
--- a/samphirerill/relay/replica_handler.py
+++ b/samphirerill/relay/replica_handler.py
@@ -29,7 +29,7 @@
     state : EdgeState
         Holds the view of the fleet.
     health : StoreHealth
-        Returns whether a missing entry may only have expired during an outage.
+        Tells until when a missing entry may come back after an outage.
 
     Attributes
     ----------
@@ -65,10 +65,13 @@
             for replica_id, present in view.replicas.items()
             if replica_id in invalid
         )
-        present = {replica.replica_id for replica, _ in known}
-        missing = sorted(set(view.replicas) - present)
+        known_ids = {replica.replica_id for replica, _ in known}
+        missing = sorted(set(view.replicas) - known_ids)
         view.apply_snapshot(
-            known, revision, self._get_grace(), self._find_leaves_at()
+            known,
+            revision,
+            self._compute_grace_deadline(),
+            self._compute_leaving_deadline(),
         )
         _LOG.info(
             'replicas listed from the store',
@@ -90,7 +93,7 @@
                 None if previous is None else previous.replica.layers
             )
             self.state.view.apply_announcement(
-                replica, item.revision, self._find_leaves_at()
+                replica, item.revision, self._compute_leaving_deadline()
             )
             if replica.layers != previous_layers:
                 _LOG.info(
@@ -107,9 +110,12 @@
     def apply_deletion(self, gone: DeletedKey) -> None:
         """Apply a deletion, which after an outage may be an expired lease."""
         replica_id = self._get_replica_id(gone.key)
-        grace_until = self._get_grace()
+        grace_until = self._compute_grace_deadline()
         self.state.view.remove_announcement(
-            replica_id, gone.revision, grace_until, self._find_leaves_at()
+            replica_id,
+            gone.revision,
+            grace_until,
+            self._compute_leaving_deadline(),
         )
         _LOG.info(
             'replica announcement removed',
@@ -140,12 +146,12 @@
     def _get_replica_id(self, key: str) -> str:
         return key.removeprefix(self.prefix)
 
-    def _get_grace(self) -> float:
+    def _compute_grace_deadline(self) -> float:
         """Return until when a missing entry may come back; 0 for never."""
         now = self._loop.time()
         return self._health.compute_grace_deadline(
-            now, self._find_leaves_at() - now
+            now, self._compute_leaving_deadline() - now
         )
 
-    def _find_leaves_at(self) -> float:
+    def _compute_leaving_deadline(self) -> float:
         return self.state.compute_leaving_deadline(self._loop.time())
--- a/samphirerill/relay/request_context.py
+++ b/samphirerill/relay/request_context.py
@@ -20,8 +20,8 @@
 
     `deadline` is the earlier of the client's deadline and the route's timeout,
     `client_deadline` the client's own; both are on the loop's clock.
-    `strips_api_key` is whether clients authenticate with API keys, which
-    endpoints must not see.
+    `strips_api_key` is whether to remove the API key from forwarded headers, as
+    endpoints must not see the keys that clients authenticate with.
     """
 
     req: Request
@@ -37,7 +37,7 @@
 
     @property
     def identity(self) -> bytes:
-        """Return a digest that all attempts of the same request share."""
+        """Return a digest that stays the same if a client sends a request again."""
         if not self._identity:
             self._identity = digest_request(
                 self.account_name, self.req.target, self.req.body
@@ -46,12 +46,12 @@
 
     @property
     def request_id(self) -> str:
-        """Return the request id that the client chose for this attempt."""
+        """Return the client's id of the request."""
         return self.facts.request_id.decode('latin-1')
 
     @property
     def account_name(self) -> str:
-        """Return the client account; empty on a public route."""
+        """Return the name of the client account; empty if there is none."""
         return '' if self.account is None else self.account.name
 
     @property
--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -120,7 +120,7 @@
     ) -> RequestContext | Refusal:
         state = self._state
         if state.cfg is None or state.routes is None:
-            # Without a configuration, 404 would be unfounded.
+            # Not 404: the route may exist in a configuration not received yet.
             return Refusal(
                 UNAVAILABLE, 'this node has no configuration yet', 1.0
             )
--- a/samphirerill/relay/server.py
+++ b/samphirerill/relay/server.py
@@ -47,7 +47,12 @@
 
 @dataclass(slots=True)
 class Request:
-    """One parsed request; header names are in lower case."""
+    """One parsed request; header names are in lower case.
+
+    `arrived_at` is when the request was complete, on the loop's clock;
+    `keeps_alive` is whether its connection stays open after the response;
+    `chunks` are the parts of the body that were read so far.
+    """
 
     method: bytes
     target: bytes
@@ -87,6 +92,13 @@
         Serves the requests.
     connections : set
         All open connections; this one adds and removes itself.
+
+    Attributes
+    ----------
+    is_busy : bool
+        Whether a request is in progress.
+    response_started : bool
+        Whether the response to the current request has started.
     """
 
     def __init__(
--- a/samphirerill/relay/server_sent_events.py
+++ b/samphirerill/relay/server_sent_events.py
@@ -10,7 +10,7 @@
 
 _EVENT_END = b'\n\n'
 _ID_FIELD = b'id:'
-# Longer data is not buffered but forwarded as it arrives.
+# An incomplete event that is longer is passed on as if it were complete.
 _MAX_EVENT_BYTES = 1_048_576
 
 
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -28,8 +28,8 @@
     from samphirerill.relay.streaming import StreamExchange
 
 _LOG = get_logger('state')
-# Assumed number of nodes until the others are known, so that a node that has
-# just started takes only a small share of fleet-wide limits.
+# Least number of nodes that is assumed, so that a node that does not know the
+# others yet takes only a small share of fleet-wide limits.
 _MIN_ASSUMED_NODES = 8
 _INCARNATION_RANGE = 2_000_000_000
 # Margin for the delay with which a node learns that a replica is leaving.
@@ -164,7 +164,7 @@
         """Apply a configuration if it is newer than the current one.
 
         An older one may come from a delayed read and must not undo a newer
-        one whose effect callers have already seen.
+        one whose effect clients have already seen.
 
         Parameters
         ----------
@@ -196,7 +196,7 @@
         return True
 
     def compute_leaving_deadline(self, now: float) -> float:
-        """Return until when a replica still serves that leaves as of now."""
+        """Return until when a replica that starts leaving now still serves."""
         return now + self.settings.leaving_ms / MS_PER_S - _LEAVING_MARGIN_S
 
     def get_client_limits(self) -> ClientLimits:
--- a/samphirerill/relay/store_follower.py
+++ b/samphirerill/relay/store_follower.py
@@ -76,7 +76,7 @@
     store : PlatformStore
         Client of the key-value store.
     health : StoreHealth
-        Whether the store is reachable; shared by all its users.
+        Tracks whether the store is reachable.
     handlers : sequence of ChangeHandler
         Handlers of the changes, each for one key prefix.
     change_source : ChangeSource
@@ -206,7 +206,7 @@
         """Raise ``StoreBackoffError`` while backing off after a store failure."""
         if self.revision and not self._change_source.may_call_store():
             raise StoreBackoffError(
-                'backing off; the watcher nodes poll the store'
+                'backing off from the store; the watcher nodes watch it'
             )
 
     def _next_batch_delay(self) -> float:
@@ -285,7 +285,7 @@
     store : PlatformStore
         Client of the key-value store.
     health : StoreHealth
-        Whether the store is reachable.
+        Tracks whether the store is reachable.
     handlers : sequence of ChangeHandler
         Handlers of further keys.
     change_source : ChangeSource
