--- a/samphirerill/core/commands.py
+++ b/samphirerill/core/commands.py
@@ -11,7 +11,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended, as reported to the caller."""
+    """How a request ended, as reported to the client."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not-run'
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class DeliverToken:
-    """Send one token to the caller."""
+    """Send one token to the client."""
 
     request_id: str
     index: int
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class DeliverServiceResponse:
-    """Send a plain service's complete answer to the caller."""
+    """Send a plain service's complete answer to the client."""
 
     request_id: str
     attempt_id: str
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class FinishAnswer:
-    """Report to the caller that the answer is complete."""
+    """Report to the client that the answer is complete."""
 
     request_id: str
 
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class WriteClaim:
-    """Claim an idempotency key in the platform's key-value service."""
+    """Claim an idempotency key in the platform's key-value store."""
 
     request_id: str
     account: str
--- a/samphirerill/core/events.py
+++ b/samphirerill/core/events.py
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True)
 class ConfigurationAccepted:
-    """The key-value service holds this version; put it in force."""
+    """The key-value store holds this version; put it in force."""
 
     configuration: Configuration
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A caller's request passed the checks of the HTTP server.
+    """A client's request passed the checks of the HTTP server.
 
-    `key` is the caller's idempotency key or ''. `fingerprint` differs between
+    `key` is the client's idempotency key or ''. `fingerprint` differs between
     different bodies sent under one key. `tokens` estimates the tokens to
     generate. `prefixes` are digests of the prompt's prefixes, the longest
     last. `identity` is equal for repeats of a request under other ids, so that
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The caller disconnected before its answer was complete."""
+    """The client disconnected before its answer was complete."""
 
     request_id: str
 
--- a/samphirerill/core/on_attempts.py
+++ b/samphirerill/core/on_attempts.py
@@ -77,8 +77,8 @@
     """Deliver a token if it is the next one of the current attempt.
 
     Late, repeated or misdirected tokens belong to an attempt that has ended,
-    or to another epoch or index. Delivering one would show the caller a token
-    twice or another caller's token, so they are dropped; except for repeated
+    or to another epoch or index. Delivering one would show the client a token
+    twice or another client's token, so they are dropped; except for repeated
     ones, their attempt is ended too.
     """
     attempt = state.attempts.get(event.attempt_id)
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -52,7 +52,7 @@
 
 
 @handle.register(ClaimConflicted)
-def on_claim_taken(
+def on_claim_conflicted(
     event: ClaimConflicted, state: CoreState, now: float
 ) -> None:
     """Answer a retry with the outcome of the first request with its key."""
--- a/samphirerill/core/on_deadlines.py
+++ b/samphirerill/core/on_deadlines.py
@@ -26,7 +26,7 @@
 
 
 @handle.register(TimerFired)
-def on_time_passed(event: TimerFired, state: CoreState, now: float) -> None:
+def on_timer_fired(event: TimerFired, state: CoreState, now: float) -> None:
     """Act on every deadline that has passed."""
     if event.lag_s > _MIN_LAG_S:
         _extend_attempts(state, now + min(event.lag_s, _MAX_EXTENSION_S))
@@ -81,7 +81,7 @@
     """Fail an attempt that has shown no progress.
 
     A connection may go silent without an error; without the progress deadline,
-    the caller would wait until its own timeout.
+    the client would wait until its own timeout.
     """
     attempt = state.attempts.get(name)
     if attempt is None:
--- a/samphirerill/core/on_fleet.py
+++ b/samphirerill/core/on_fleet.py
@@ -31,7 +31,7 @@
 ) -> None:
     """Put a newer version in force; ignore an older or equal one.
 
-    Versions from the key-value service and from peers may arrive late and out
+    Versions from the key-value store and from peers may arrive late and out
     of order. Accepting only higher numbers keeps the configuration from
     reverting.
     """
@@ -95,7 +95,7 @@
 
 @handle.register(LoadReported)
 def on_load_reported(event: LoadReported, state: CoreState, now: float) -> None:
-    """Record an endpoint's load and this node's part of it."""
+    """Record an endpoint's load and what this node had in flight."""
     replica = state.endpoints.get(event.endpoint)
     if replica is None:
         return
@@ -108,7 +108,7 @@
 
 
 @handle.register(ProbeFinished)
-def on_probe_answered(
+def on_probe_finished(
     event: ProbeFinished, state: CoreState, now: float
 ) -> None:
     """Use an endpoint again, or keep it suspect and probe again later."""
@@ -125,7 +125,7 @@
 
 
 @handle.register(NodeCountReported)
-def on_nodes_seen(
+def on_node_count_reported(
     event: NodeCountReported, state: CoreState, now: float
 ) -> None:
     """Record the number of nodes that share limits and endpoints."""
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -69,7 +69,7 @@
 ) -> None:
     """Stop the request, unless a retry may ask for its answer.
 
-    A request with a claimed key runs on: its caller may return with the same
+    A request with a claimed key runs on: its client may return with the same
     key and must get the first answer, and stopping would leave its outcome
     unknown.
     """
@@ -94,7 +94,7 @@
 
 
 @handle.register(ServingSuspended)
-def on_serving_forbidden(
+def on_serving_suspended(
     event: ServingSuspended, state: CoreState, now: float
 ) -> None:
     """Accept no new requests while the configuration is unconfirmed."""
@@ -102,7 +102,7 @@
 
 
 @handle.register(ServingResumed)
-def on_serving_allowed(
+def on_serving_resumed(
     event: ServingResumed, state: CoreState, now: float
 ) -> None:
     """Accept new requests again."""
@@ -158,7 +158,7 @@
 ) -> Problem | None:
     """Refuse a request that could not start before its queue deadline.
 
-    The caller then learns of the overload now instead of at the deadline.
+    The client then learns of the overload now instead of at the deadline.
     """
     queue = get_queue(state, route.model or f'route {route.name}')
     length = queue.size()
--- a/samphirerill/core/queries.py
+++ b/samphirerill/core/queries.py
@@ -24,7 +24,7 @@
         'nodes': state.node_count,
         'requests': _count_phases(state),
         'attempts': len(state.attempts),
-        'waiting': {name: pool.size() for name, pool in state.queues.items()},
+        'waiting': {name: queue.size() for name, queue in state.queues.items()},
         'endpoints': _describe_endpoints(state, now),
         'retry_budgets': {
             name: round(budget.balance, 1)
