--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -1,8 +1,8 @@
 """Claims on idempotency keys, so that a request runs at most once fleet-wide.
 
-A claim is written to the platform's key-value service before the first byte of
+A claim is written to the platform's key-value store before the first byte of
 the request is sent. All claims and outcomes of a batch share one transaction.
-Only the service decides which request holds a key; nodes do not cache claims.
+Only the store decides which request holds a key; nodes do not cache claims.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class ClaimResult:
-    """The result of one claim, as decided by the service.
+    """The result of one claim, as decided by the store.
 
     `state` is ``won``, ``running``, ``answered``, ``may-have-run`` or
     ``mismatch``.
@@ -143,15 +143,15 @@
     """Return the decided claims and those to write again."""
     if committed.succeeded:
         return [ClaimResult(claim, 'won') for claim in claims], []
-    verdicts = []
+    decided = []
     unresolved = []
     for claim in claims:
         stored = committed.entries.get(claim.key)
         if stored is None:
             unresolved.append(claim)
         else:
-            verdicts.append(_compare_claim(claim, stored))
-    return verdicts, unresolved
+            decided.append(_compare_claim(claim, stored))
+    return decided, unresolved
 
 
 def _compare_claim(claim: Claim, stored: StoredEntry) -> ClaimResult:
--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -1,4 +1,4 @@
-"""The operators' configuration in the platform's key-value service.
+"""The operators' configuration in the platform's key-value store.
 
 Layout below the prefix::
 
@@ -58,7 +58,7 @@
 
 
 class UnknownResultError(ConfigurationError):
-    """The service did not answer; the write may have taken effect."""
+    """The store did not answer; the write may have taken effect."""
 
     def __init__(self, version: int) -> None:
         super().__init__(
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class LoadedConfiguration:
-    """A complete configuration read from the service."""
+    """A complete configuration read from the store."""
 
     version: int
     document: dict[str, Any]
@@ -99,7 +99,7 @@
 
 
 class ConfigurationLog:
-    """Reads and extends the configuration in the service.
+    """Reads and extends the configuration in the store.
 
     All methods block; call them from a worker thread.
     """
@@ -185,9 +185,9 @@
         InvalidPatchError
             The result would be invalid; nothing was written.
         UnknownResultError
-            The service did not answer the write; it may have taken effect.
+            The store did not answer the write; it may have taken effect.
         StoreError
-            The service could not be reached; nothing was written.
+            The store could not be reached; nothing was written.
         """
         loaded = self.load()
         if loaded.version != base:
--- a/samphirerill/control/configuration_view.py
+++ b/samphirerill/control/configuration_view.py
@@ -45,7 +45,7 @@
     def apply_change(self, change: Change) -> bool:
         """Apply a change when its turn comes; return whether the version rose.
 
-        Changes may arrive late, twice or out of order, from the service or
+        Changes may arrive late, twice or out of order, from the store or
         from peers. One that is ahead waits for those before it; one that is
         not newer is ignored. Applying either at once would restore an old
         configuration or produce one that was never accepted.
--- a/samphirerill/control/errors.py
+++ b/samphirerill/control/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration in the key-value service."""
+"""Errors of the configuration in the key-value store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConfigurationError(Exception):
-    """Base of the errors of the configuration in the service."""
+    """Base of the errors of the configuration in the store."""
 
 
 class InvalidPatchError(ConfigurationError):
--- a/samphirerill/control/freshness.py
+++ b/samphirerill/control/freshness.py
@@ -1,14 +1,14 @@
 """Decide whether this node's configuration may still be taken as in force.
 
-A node that reaches neither the key-value service nor any peer that does cannot
-distinguish an outage of the service, in which no change can be accepted, from a
+A node that reaches neither the key-value store nor any peer that does cannot
+distinguish an outage of the store, in which no change can be accepted, from a
 network partition, in which others may accept changes. It decides by what it
 receives:
 
-1. Its own read of the service succeeded recently: in force.
+1. Its own read of the store succeeded recently: in force.
 2. A peer's read succeeded recently and this node has at least that peer's
    version: in force.
-3. No peer whose messages it receives reaches the service, and it receives
+3. No peer whose messages it receives reaches the store, and it receives
    messages from at least half of the known nodes, itself included: an outage.
    It keeps serving.
 4. Otherwise it is considered partitioned. After a grace period it accepts no
@@ -34,7 +34,7 @@
 
 
 class ConfigurationFreshness:
-    """Tracks recent reads of the service, own and reported by peers."""
+    """Tracks recent reads of the store, own and reported by peers."""
 
     __slots__ = ('_own_read_at', '_peers', '_started_at', '_unconfirmed_since')
 
@@ -55,7 +55,7 @@
         self._peers[peer] = PeerReport(now, now - read_age_s, version)
 
     def get_read_age_s(self, now: float) -> float:
-        """Return the age of this node's last read of the service."""
+        """Return the age of this node's last read of the store."""
         return now - self._own_read_at
 
     def find_suspension_reason(
--- a/samphirerill/control/orders.py
+++ b/samphirerill/control/orders.py
@@ -1,7 +1,7 @@
 """Orders to engines: what to load, and when sending one is safe.
 
 One node at a time is the leader that sends orders: the one that holds the
-leader key in the platform's key-value service, under a lease. The revision
+leader key in the platform's key-value store, under a lease. The revision
 that wrote the key is the fencing token, which increases with each leader.
 Engines that check it refuse orders of an earlier leader. For engines that do
 not, safety depends on time: a leader stops well before its lease can expire,
--- a/samphirerill/control/parts.py
+++ b/samphirerill/control/parts.py
@@ -16,7 +16,7 @@
 class PartStore:
     """Writes and reads texts of any length; all methods block.
 
-    The service accepts values of up to a megabyte. A part stays below that
+    The store accepts values of up to a megabyte. A part stays below that
     even with four bytes for each character.
     """
 
--- a/samphirerill/edges/client_api.py
+++ b/samphirerill/edges/client_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API for callers: completions, chat and plain services.
+"""The HTTP API for clients: completions, chat and plain services.
 
 Each server thread reads and validates one request at a time and hands it,
 with its connection, to the event loop. Authentication, routing and the choice
@@ -52,7 +52,7 @@
 
 
 class ClientApi:
-    """CherryPy handler for all paths of the caller API.
+    """CherryPy handler for all paths of the client API.
 
     Parameters
     ----------
--- a/samphirerill/edges/handoff.py
+++ b/samphirerill/edges/handoff.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable
 
 _LOG = get_logger('http')
-SOCKET_HANDLERS = 'samphirerill.takers'
+SOCKET_HANDLERS = 'samphirerill.socket_handlers'
 _MAX_KEEP_ALIVE_CONNECTIONS = 1000
 # Bounds the CPU time spent on requests with many small headers.
 _MAX_HEADERS = 100
@@ -53,8 +53,8 @@
     """Rejects ambiguous headers, to prevent request smuggling.
 
     With two lengths, or a length and a transfer coding, a proxy and this
-    server may disagree on where a request ends; bytes of one caller could
-    then be taken for the start of another caller's request.
+    server may disagree on where a request ends; bytes of one client could
+    then be taken for the start of another client's request.
     """
 
     def __call__(
@@ -123,9 +123,9 @@
 
 
 def _discard_unread_input(sock: socket.socket) -> None:
-    """Discard what a caller still sends after its final response.
+    """Discard what a client still sends after its final response.
 
-    Closing a socket with unread input resets the connection, and the caller
+    Closing a socket with unread input resets the connection, and the client
     may then lose the response.
     """
     sock.shutdown(socket.SHUT_WR)
@@ -192,7 +192,7 @@
 
 
 class HandoffServer(Server):
-    """The HTTP server of the caller and operator APIs."""
+    """The HTTP server of the client and operator APIs."""
 
     ConnectionClass = StrictConnection
     keep_alive_conn_limit = _MAX_KEEP_ALIVE_CONNECTIONS
--- a/samphirerill/edges/operator_api.py
+++ b/samphirerill/edges/operator_api.py
@@ -1,7 +1,7 @@
 """The HTTP API for operators: configuration, state, metrics and drain.
 
 Handlers run in server threads, so they may block on the platform's key-value
-service. Operations that need the node's state query it on the event loop.
+store. Operations that need the node's state query it on the event loop.
 """
 
 from __future__ import annotations
--- a/samphirerill/edges/request_validation.py
+++ b/samphirerill/edges/request_validation.py
@@ -43,7 +43,7 @@
     """Parse and validate the body of a completion or chat request.
 
     Unknown members are kept. The token limit is returned in ``max_tokens``,
-    whichever of its two names the caller used.
+    whichever of its two names the client used.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
 
     Raises
     ------
-    BadBodyError
+    InvalidRequestError
         The body is not UTF-8 or not JSON, or one of its members is missing,
         not allowed or of the wrong type.
     """
@@ -95,7 +95,7 @@
 
     Raises
     ------
-    BadBodyError
+    InvalidRequestError
         The header is not a positive, finite number.
     """
     if not header:
--- a/samphirerill/settings/model.py
+++ b/samphirerill/settings/model.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerSettings:
-    """Address and limits of the caller API."""
+    """Address and limits of the client API."""
 
     host: str = '127.0.0.1'
     port: int = 0
@@ -33,8 +33,8 @@
 class PeerSettings:
     """Address for connections from other nodes.
 
-    `seeds` are the peers to contact while no other member is known, as when
-    the key-value service is unavailable at start.
+    `seeds` are the peers to contact while no other node is known, as when the
+    key-value store is unavailable at start.
     """
 
     host: str = '127.0.0.1'
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreSettings:
-    """Connection to the platform's key-value service."""
+    """Connection to the platform's key-value store."""
 
     addresses: tuple[str, ...] = ()
     prefix: str = '/samphirerill/'
