--- a/samphirerill/__init__.py
+++ b/samphirerill/__init__.py
@@ -1,7 +1,7 @@
 """A router for language-model pipelines over mixed accelerators.
 
-The command line runs nodes. The parts below can be embedded: the decision core,
-and what agrees through a key-value service without a consensus group of its own.
+The command line runs nodes. The names below can be used by other programs: the
+decision core, and the configuration and leader election over a key-value store.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     'LeaderTerm',
     'build_configuration',
 )
-_HOMES = {
+_MODULES = {
     'Configuration': 'core.configuration',
     'ConfigurationLog': 'control.configuration_log',
     'ConfigurationView': 'control.configuration_view',
@@ -41,12 +41,12 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load a public part when it is first asked for.
+    """Import a public name on first access.
 
-    Loaded with the package, they took 0.1 s of the start of every node, also
-    of one on the platform, which uses none of them.
+    Importing all of them with the package would delay the start of platform
+    nodes, which use none of them.
     """
-    home = _HOMES.get(name)
-    if home is None:
+    module = _MODULES.get(name)
+    if module is None:
         raise AttributeError(f'got {name!r}, expected one of {__all__}')
-    return getattr(import_module(f'{__name__}.{home}'), name)
+    return getattr(import_module(f'{__name__}.{module}'), name)
--- a/samphirerill/__main__.py
+++ b/samphirerill/__main__.py
@@ -6,9 +6,9 @@
 
 
 def run() -> None:
-    """Run the command line and exit with its code; the binary starts here."""
-    # A node on the platform starts again within the time that its clients
-    # wait; the other commands' parts would take 0.15 s of that.
+    """Run the command line and exit with its code; the binary calls this."""
+    # Imported lazily: a platform node must restart while its clients wait, and
+    # the modules of the other commands would delay that.
     if sys.argv[1:] == ['edge']:
         from samphirerill.platform.start import run_edge
 
--- a/samphirerill/reports/explain.py
+++ b/samphirerill/reports/explain.py
@@ -152,8 +152,8 @@
 ) -> bool:
     """Return whether a record says why the request is quarantined.
 
-    Such a record names requests with the same content: this one, or the first
-    of them, whose id then ends the reason for which this one was rejected.
+    Such a record names this request, or else the first request with the same
+    content; the reason why this one was rejected then ends with that id.
     """
     if record.event not in _QUARANTINE_EVENTS:
         return False
--- a/samphirerill/reports/late_streams.py
+++ b/samphirerill/reports/late_streams.py
@@ -23,12 +23,12 @@
 _SENT = 'stream sent'
 _SENT_IN_PARALLEL = 'stream sent in parallel'
 _MOVED = 'stream moved'
-_LEAVES = 'stream handover started'
-_BROKE = 'stream run failed'
-_REFUSED = 'engine rejected the stream'
+_HANDOVER_STARTED = 'stream handover started'
+_RUN_FAILED = 'stream run failed'
+_REJECTED = 'engine rejected the stream'
 _ENDED = 'stream ended'
 _DISPATCH_EVENTS = frozenset((_SENT, _SENT_IN_PARALLEL, _MOVED))
-# Parts of reasons that say that a replica did not respond.
+# Substrings of logged reasons that mean that a replica did not respond.
 _UNRESPONSIVE_REASONS = ('is stalled by', 'no event for', 'is unresponsive')
 
 
@@ -165,18 +165,20 @@
 
 def _find_cause(records: Sequence[LogRecord]) -> Cause:
     departures = [
-        record for record in records if record.event in {_BROKE, _LEAVES}
+        record
+        for record in records
+        if record.event in {_RUN_FAILED, _HANDOVER_STARTED}
     ]
     if departures:
         reason = str(departures[-1].fields.get('reason', ''))
         if any(text in reason for text in _UNRESPONSIVE_REASONS):
             return Cause.REPLICA_UNRESPONSIVE
     events = {record.event for record in records}
-    if _BROKE in events:
+    if _RUN_FAILED in events:
         return Cause.CONNECTION_BROKEN
-    if events & {_MOVED, _LEAVES}:
+    if events & {_MOVED, _HANDOVER_STARTED}:
         return Cause.MOVED
-    if any(record.event == _REFUSED for record in records):
+    if any(record.event == _REJECTED for record in records):
         return Cause.REJECTED
     return Cause.OVERLOAD
 
