--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -55,7 +55,7 @@
     def test_gap_discards_earlier_entries(self) -> None:
         """Evictions among the missed events are unknown.
 
-        Guards against sending an account's requests to an engine that has
+        Guard against sending an account's requests to an engine that has
         evicted their prefix.
         """
         self.index.apply_events('e1', CacheEvents(9, 9, ('c',)))
--- a/samphirerill/tests/test_prober.py
+++ b/samphirerill/tests/test_prober.py
@@ -35,7 +35,7 @@
     writer.close()
 
 
-class TestExaminer(IsolatedAsyncioTestCase):
+class TestReplicaProber(IsolatedAsyncioTestCase):
     """A path of two replicas of which the second one fails."""
 
     async def asyncSetUp(self) -> None:
@@ -66,12 +66,12 @@
         connections at once.
         """
         address = await self._find_closed_port()
-        dead = await self._examine(self._build_path(address))
+        dead = await self._diagnose(self._build_path(address))
         self.assertEqual(dead, {'tail'})
 
     async def test_an_unresponsive_replica_is_dead(self) -> None:
         address = await self._listen_silently()
-        dead = await self._examine(self._build_path(address))
+        dead = await self._diagnose(self._build_path(address))
         self.assertEqual(dead, {'tail'})
 
     async def test_lost_packets_do_not_make_a_replica_dead(self) -> None:
@@ -81,17 +81,17 @@
             self._answer_after_losses, '127.0.0.1', 0
         )
         self.addCleanup(server.close)
-        dead = await self._examine(self._build_path(_get_address(server)))
+        dead = await self._diagnose(self._build_path(_get_address(server)))
         self.assertEqual(dead, set())
 
     async def test_no_replica_is_dead_if_none_answers(self) -> None:
         """Guard against a node that is cut off reporting the fleet as dead."""
         address = await self._listen_silently()
         stages = (
-            Stage(_at('head', address), LayerRange(0, 40)),
-            Stage(_at('tail', address), LayerRange(40, 80)),
+            Stage(_build_replica_at('head', address), LayerRange(0, 40)),
+            Stage(_build_replica_at('tail', address), LayerRange(40, 80)),
         )
-        self.assertEqual(await self._examine(stages), set())
+        self.assertEqual(await self._diagnose(stages), set())
 
     async def test_a_dead_replica_is_not_probed_again(self) -> None:
         """Guard against each stalled stream probing known failures again."""
@@ -101,7 +101,7 @@
         state.view.apply_announcement(stages[1].replica, 1)
         now = asyncio.get_running_loop().time()
         state.view.add_silence_report('tail', now + 9, now, votes=2)
-        self.assertEqual(await self._examine(stages), {'tail'})
+        self.assertEqual(await self._diagnose(stages), {'tail'})
         self.assertEqual(state.counters['reports.asked'], 0)
 
     async def test_a_replica_reported_as_faulty_is_probed_once(self) -> None:
@@ -116,7 +116,7 @@
         state.view.apply_announcement(stages[0].replica, 1)
         state.view.apply_announcement(stages[1].replica, 1)
         async with asyncio.timeout(_LIMIT_S):
-            await self._examine(stages[:1])
+            await self._diagnose(stages[:1])
             for _ in range(5):
                 self.prober.probe_in_background(stages[1].replica)
             while not state.view.replicas['tail'].suspicion.suspected_until:
@@ -149,7 +149,7 @@
         await reader.read()
         writer.close()
 
-    async def _examine(self, stages: tuple[Stage, ...]) -> set[str]:
+    async def _diagnose(self, stages: tuple[Stage, ...]) -> set[str]:
         async with asyncio.timeout(_LIMIT_S):
             diagnosis = await self.prober.diagnose_path(stages)
         return diagnosis.dead
@@ -157,9 +157,10 @@
     def _build_path(self, address: str) -> tuple[Stage, ...]:
         return (
             Stage(
-                _at('head', self.harness.addresses['head']), LayerRange(0, 40)
+                _build_replica_at('head', self.harness.addresses['head']),
+                LayerRange(0, 40),
             ),
-            Stage(_at('tail', address), LayerRange(40, 80)),
+            Stage(_build_replica_at('tail', address), LayerRange(40, 80)),
         )
 
     async def _listen_silently(self) -> str:
@@ -180,5 +181,5 @@
     return f'{host}:{port}'
 
 
-def _at(name: str, address: str) -> Replica:
+def _build_replica_at(name: str, address: str) -> Replica:
     return replace(build_replica(name), address=address)
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -15,7 +15,7 @@
     from collections.abc import Coroutine
 
 _POISON_REQUEST = digest_request('suva', b'/notes/x', b'ends them')
-_CRASHED = ('r1', 'r2', 'r3')
+_CRASHED_REPLICAS = ('r1', 'r2', 'r3')
 # Settling time of 0.1 s and delay of the broadcast.
 _PROPAGATION_S = 0.25
 # Time in which gossip reaches nodes that missed a broadcast.
@@ -128,14 +128,16 @@
 
     async def _check_broadcast(self, count: int) -> None:
         fleet = _Fleet(count)
-        fleet.record_crashes(fleet.nodes[0], _POISON_REQUEST, *_CRASHED)
+        fleet.record_crashes(
+            fleet.nodes[0], _POISON_REQUEST, *_CRASHED_REPLICAS
+        )
         await asyncio.sleep(_PROPAGATION_S)
         self.assertEqual(fleet.count_holding_nodes(), count)
         fleet.stop()
 
     async def _check_combined(self) -> None:
         fleet = _Fleet(24)
-        for node, name in zip(fleet.nodes, _CRASHED, strict=False):
+        for node, name in zip(fleet.nodes, _CRASHED_REPLICAS, strict=False):
             fleet.record_crashes(node, _POISON_REQUEST, name)
             await asyncio.sleep(1)
         await asyncio.sleep(_PROPAGATION_S)
@@ -145,7 +147,9 @@
     async def _check_cut_off(self) -> None:
         fleet = _Fleet(24)
         fleet.cut_off.update(node.host for node in fleet.nodes[12:])
-        fleet.record_crashes(fleet.nodes[0], _POISON_REQUEST, *_CRASHED)
+        fleet.record_crashes(
+            fleet.nodes[0], _POISON_REQUEST, *_CRASHED_REPLICAS
+        )
         await asyncio.sleep(_RECOVERY_S)
         self.assertEqual(fleet.count_holding_nodes(), 12)
         fleet.cut_off.clear()
@@ -155,13 +159,15 @@
 
     async def _check_late_start(self) -> None:
         fleet = _Fleet(24)
-        fleet.record_crashes(fleet.nodes[0], _POISON_REQUEST, *_CRASHED)
+        fleet.record_crashes(
+            fleet.nodes[0], _POISON_REQUEST, *_CRASHED_REPLICAS
+        )
         await asyncio.sleep(_PROPAGATION_S)
-        newcomer = fleet.add(24)
+        new_node = fleet.add(24)
         for node in fleet.nodes:
             node.add_peers(fleet.nodes)
         await asyncio.sleep(_RECOVERY_S)
-        self.assertEqual(fleet.count_holding_nodes(), 25, newcomer.name)
+        self.assertEqual(fleet.count_holding_nodes(), 25, new_node.name)
         fleet.stop()
 
     async def _check_malformed(self) -> None:
@@ -184,7 +190,9 @@
 
     async def _check_many(self) -> None:
         fleet = _Fleet(_LARGE_FLEET)
-        fleet.record_crashes(fleet.nodes[0], _POISON_REQUEST, *_CRASHED)
+        fleet.record_crashes(
+            fleet.nodes[0], _POISON_REQUEST, *_CRASHED_REPLICAS
+        )
         for number in range(_STREAMS):
             node = fleet.nodes[2 * number]
             request = digest_request('viti', b'/notes/x', b'%d' % number)
--- a/samphirerill/tests/test_refused_connects.py
+++ b/samphirerill/tests/test_refused_connects.py
@@ -12,7 +12,7 @@
 _STREAMS = 24
 _EVENTS = 60
 _STOPPED_ENGINES = 4
-# Eight nodes are assumed; this one has an eighth of the slack.
+# A node assumes at least eight nodes, so it may use an eighth of the slack.
 _SLACK = 400
 _STOP_AFTER_S = 0.3
 # Prefill time: no stream has an event when the engines stop.
@@ -23,8 +23,8 @@
 class TestRefusedConnects(CrashingEnginesCase):
     """Engines fail together, twice within the window of the retry budget.
 
-    Connections that dead engines refused used up retries, and streams of the
-    second failure were aborted for lack of them.
+    Guards against refused connections that use up the retries, so that streams
+    of the second failure are aborted.
     """
 
     events = _EVENTS
--- a/samphirerill/tests/test_replica_restarts.py
+++ b/samphirerill/tests/test_replica_restarts.py
@@ -103,12 +103,12 @@
         pool = ConnectionPool(Counter())
         conn = await pool.acquire(first_process)
         pool.release(first_process, conn)
-        again = await pool.acquire(
+        new_conn = await pool.acquire(
             replace(first_process, started_ms=_SECOND_START_MS)
         )
-        self.assertIsNot(again, conn)
+        self.assertIsNot(new_conn, conn)
         self.assertFalse(conn.is_open())
-        again.close()
+        new_conn.close()
 
 
 class TestForeignEntries(TestCase):
@@ -141,9 +141,9 @@
             'layers': 'all',
             'born': 'today',
         }
-        for name, bad in invalid.items():
+        for name, invalid_value in invalid.items():
             with self.subTest(name), self.assertRaises(DocumentError):
-                text = json.encode({**self.entry, name: bad})
+                text = json.encode({**self.entry, name: invalid_value})
                 self.adapter.decode_replica('one', text)
 
     def test_entry_of_unknown_service_does_not_replace_replica(self) -> None:
--- a/samphirerill/tests/test_resending.py
+++ b/samphirerill/tests/test_resending.py
@@ -1,4 +1,4 @@
-"""Tests that a broken stream is resumed as soon as a replica accepts it."""
+"""Tests that a stream whose run failed resumes once a replica accepts it."""
 
 from __future__ import annotations
 
@@ -40,9 +40,10 @@
     """Streams that are resent use capacity that becomes free in time."""
 
     async def test_break_after_the_head_waits_for_capacity(self) -> None:
-        """A stream was aborted when its run broke off before the first event.
+        """Guard against aborting a stream whose run fails before any event.
 
-        The time to wait for a path was counted from an event that had not come.
+        The time to wait for a path must not count from the previous event, as
+        there is none.
         """
         for replica in self.list_engines():
             replica.cut_after_head = True
@@ -55,10 +56,7 @@
         self.assert_complete(await stream)
 
     async def test_replica_that_rejected_briefly_is_asked_again(self) -> None:
-        """A stream was aborted though its second replica had capacity again.
-
-        A replica that had rejected a stream once was never asked again.
-        """
+        """Guard against never asking a replica again after one rejection."""
         for replica in self.list_engines():
             replica.close_after_event = 10
         stream, _, other = await self.start_stream()
@@ -71,9 +69,9 @@
         self.assert_complete(await stream)
 
     async def test_rejections_do_not_count_as_attempts(self) -> None:
-        """A stream was aborted after several replicas rejected it in a row.
+        """Guard against aborting a stream that many replicas reject in a row.
 
-        Rejections counted as attempts, of which a stream has six.
+        A stream has six attempts.
         """
         for number in range(3, 8):
             name = f'engine-{number}'
@@ -100,10 +98,10 @@
         self.assert_complete(await stream)
 
     async def test_free_connection_is_waited_for(self) -> None:
-        """Streams were aborted while all connections were in use.
+        """Guard against aborting streams while all connections are in use.
 
-        The run was ended before a connection was available, and the engine
-        without one was excluded permanently.
+        The run must not end before a connection is available, and an engine
+        without a free one must not be excluded permanently.
         """
         document = json.decode(build_configuration(8))
         document['services'][0]['maxConnections'] = 8
@@ -120,10 +118,9 @@
             self.assert_complete(answer)
 
     async def test_stream_waits_as_long_as_its_client(self) -> None:
-        """Streams were aborted although their clients would have waited longer.
+        """Guard against aborting streams whose clients would wait longer.
 
-        The time to wait for a path did not follow the route's latency
-        objective.
+        The time to wait for a path follows the route's latency objective.
         """
         await self.configure(build_configuration(8, sloMs=1500))
         events = 20
@@ -135,10 +132,10 @@
         self.mark_dead(other, 2.1)
         self.assertEqual(await stream, (OK, self.build_events(events)))
 
-    async def test_ended_heads_do_not_count_as_used(self) -> None:
-        """Streams were aborted after a rollout with capacity to spare.
+    async def test_removed_heads_do_not_count_as_used(self) -> None:
+        """Guard against aborting streams after a rollout.
 
-        Replicas that were no longer announced still counted towards the number
+        Replicas that are no longer announced must not count towards the number
         that the route allows.
         """
         await self.configure(build_configuration(8, maxAttempts=2))
@@ -156,9 +153,9 @@
         self.assertEqual(self.list_used_engines(), [head, other, 'engine-3'])
 
     async def test_retries_on_resetting_replica_back_off(self) -> None:
-        """The retries of all nodes were used up by one replica.
+        """Guard against one replica using up the retries of all nodes.
 
-        It reset streams, which were resent to it without a pause.
+        Streams that it resets must not be resent to it without a pause.
         """
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].resets_left = 100
@@ -193,9 +190,9 @@
     """A queued stream without a path does not block the others."""
 
     async def test_streams_with_a_path_overtake_one_without(self) -> None:
-        """Started streams were aborted although there was capacity for them.
+        """Guard against a queue that stops at the first stream without a path.
 
-        The queue stopped at the first stream without a path.
+        Started streams were then aborted although there was capacity for them.
         """
         settings = EdgeSettings('n', 'a', 'h', 'c', 'r', 'p', 's', 1, 2)
         state = EdgeState(settings, HttpPlatformAdapter())
@@ -209,10 +206,15 @@
 
         async def admit(avoid: set[str]) -> bool:
             now = asyncio.get_running_loop().time()
-            wanted = PathRequest(100, avoid, is_urgent=True)
+            path_request = PathRequest(100, avoid, is_urgent=True)
             try:
                 await admission.admit(
-                    'llm', ENGINE, wanted, _STARTED_RANK, now + 0.4, now + 0.2
+                    'llm',
+                    ENGINE,
+                    path_request,
+                    _STARTED_RANK,
+                    now + 0.4,
+                    now + 0.2,
                 )
             except NoPathError:
                 return False
@@ -245,7 +247,7 @@
 
 
 class _RetryableContext:
-    """A retryable task."""
+    """The context of a retryable request."""
 
     is_retryable = True
 
@@ -254,10 +256,9 @@
     """A cancelled move does not prevent the next one."""
 
     async def test_cancelled_move_can_be_repeated(self) -> None:
-        """A stream stayed on a failed stage until its replica broke off.
+        """Guard against counting a cancelled move as still in progress.
 
-        A move that was cancelled before its first step still counted as in
-        progress.
+        The stream would then stay on a failed stage until its run fails.
         """
         path = _PathStub()
         guard = StreamGuard(
--- a/samphirerill/tests/test_resynchronization.py
+++ b/samphirerill/tests/test_resynchronization.py
@@ -62,7 +62,7 @@
     async def test_missed_joins_and_departures_are_applied(self) -> None:
         """Nodes that joined or left while the watch was silent are found.
 
-        Guards against advancing the watch after reading the configuration only,
+        Guard against advancing the watch after reading the configuration only,
         although the watch covers the members, too.
         """
         await self.resynchronize('n1', 'n2', 'n3')
--- a/samphirerill/tests/test_retry_choice.py
+++ b/samphirerill/tests/test_retry_choice.py
@@ -1,4 +1,4 @@
-"""Tests of where a stream is resent when replicas break it off."""
+"""Tests of where a stream is resent after failed runs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _FactsStub:
-    """A request without size hints."""
+    """A request whose answer size is unknown."""
 
     request_id = b'r1'
     max_answer_tokens = 0
@@ -79,7 +79,7 @@
         self.path.avoid.update(('one', 'two'))
 
     async def test_head_with_fewest_failures_is_chosen(self) -> None:
-        """A stream was resent repeatedly to the replica that broke it off."""
+        """Guard against resending a stream repeatedly to a failing replica."""
         self.path.finder.failed_sends.update(one=2, two=1)
         self.assertEqual(await self.choose(), 'two')
         self.path.finder.failed_sends.update(two=2)
--- a/samphirerill/tests/test_stall_detection.py
+++ b/samphirerill/tests/test_stall_detection.py
@@ -99,5 +99,5 @@
 
 
 def _build_stream(stages: tuple[Stage, ...], last_at: float) -> StreamExchange:
-    found = SimpleNamespace(stages=stages, last_event_at=last_at)
-    return cast('StreamExchange', found)
+    stream = SimpleNamespace(stages=stages, last_event_at=last_at)
+    return cast('StreamExchange', stream)
--- a/samphirerill/tests/test_status_exchange.py
+++ b/samphirerill/tests/test_status_exchange.py
@@ -115,7 +115,7 @@
         cancellation of the sending task.
         """
         network = Network()
-        nodes = [Node(network, f'n-{at}', 'a') for at in range(2)]
+        nodes = [Node(network, f'n-{number}', 'a') for number in range(2)]
         nodes[0].add_peers(nodes)
         transport = Mock(spec=asyncio.DatagramTransport)
         transport.is_closing.return_value = True
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -118,10 +118,10 @@
     """A node whose calls the store refuses, while the watchers work."""
 
     async def test_changes_still_arrive_from_watchers(self) -> None:
-        """One failure of a watcher must not leave the node to the store alone.
+        """Guard against depending on the store alone after one watcher fails.
 
-        After a failed call to the store, a full listing was required, which
-        only the store provides, so the node kept an old configuration.
+        A node that required a full listing, which only the store provides,
+        would keep an old configuration.
         """
         handler = _RecordingHandler()
         follower = _build_follower(
@@ -154,7 +154,7 @@
     """All nodes of a fleet starting at the same time."""
 
     def test_starting_node_batches_changes_for_longer(self) -> None:
-        """A burst of announcements must not cost one store call for each.
+        """Guard against one store call for each announcement of a burst.
 
         While a fleet starts, every node watches the store itself, as it does
         not know the others yet.
--- a/samphirerill/tests/test_store_health.py
+++ b/samphirerill/tests/test_store_health.py
@@ -22,9 +22,9 @@
         self.assertEqual(health.compute_grace_deadline(17.8, 1.7), 0)
 
     def test_node_that_knew_the_fleet_plans_after_outage(self) -> None:
-        """A node that still counts expired entries as present need not wait.
+        """Guard against a delayed repair of pipelines.
 
-        Waiting in any case delayed the repair of pipelines.
+        A node that still counts expired entries as present need not wait.
         """
         health = StoreHealth(0)
         health.record_success(1)
--- a/samphirerill/tests/test_stream_distribution.py
+++ b/samphirerill/tests/test_stream_distribution.py
@@ -121,7 +121,7 @@
         stages = choose_path(
             _ENGINE, self.known, load_tracker, request, _START_S
         )
-        concurrent = self.find_max_streams(load_tracker)
+        stream_count = self.find_max_streams(load_tracker)
         return predict_reroute_pause_ms(
-            _ENGINE, stages, (), _TOKENS, concurrent
+            _ENGINE, stages, (), _TOKENS, stream_count
         )
--- a/samphirerill/tests/test_upgrade_requests.py
+++ b/samphirerill/tests/test_upgrade_requests.py
@@ -56,7 +56,7 @@
         return responses
 
     async def test_body_is_not_parsed_as_request(self) -> None:
-        """Guards against request smuggling in the body of an upgrade request.
+        """Guard against request smuggling in the body of an upgrade request.
 
         The HTTP parser stops before such a body, which was then parsed as the
         next request.
--- a/samphirerill/tests/test_working_runs.py
+++ b/samphirerill/tests/test_working_runs.py
@@ -21,19 +21,16 @@
     wait_until,
 )
 
-# Eight nodes are assumed, so that this one has a single retry.
+# A node assumes at least eight nodes, so it has a single retry.
 _SLACK_FOR_ONE_RETRY = 8
 _TOKENS_HEADER = 3
 
 
 class TestWorkingRuns(TwoEnginesCase):
-    """Runs that this node itself might end too early."""
+    """Guards against a node that ends working runs too early."""
 
     async def test_working_head_considered_dead(self) -> None:
-        """A stream was aborted when its working replica was considered dead.
-
-        The run was ended at once, and the second replica was full.
-        """
+        """The run must not end at once, as the second replica is full."""
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].refuses = True
         self.mark_dead(head)
@@ -42,20 +39,14 @@
     async def test_working_head_considered_dead_with_one_attempt(
         self,
     ) -> None:
-        """A stream that may use one replica was aborted when that seemed dead.
-
-        It left the replica although it could go nowhere else.
-        """
+        """A stream that may use one replica only must stay on it."""
         await self.configure(build_configuration(8, maxAttempts=1))
         stream, head, _ = await self.start_stream()
         self.mark_dead(head, 4.0)
         self.assert_complete(await stream)
 
     async def test_working_head_considered_dead_without_retries(self) -> None:
-        """Streams were aborted when their working replica seemed dead.
-
-        The run was ended without checking that a retry was left.
-        """
+        """The run must not end unless a retry is left."""
         self.change_settings(retry_slack=0, retry_ratio=0)
         stream, head, _ = await self.start_stream()
         self.mark_dead(head)
@@ -64,10 +55,9 @@
     async def test_head_drops_layers_while_other_engine_is_full(
         self,
     ) -> None:
-        """Streams of a replica that drops layers were aborted.
+        """The run must not end before another has started.
 
-        The run was ended before another had started; the second replica
-        rejected the stream, and the first is not asked again.
+        The second replica rejects the stream, and the first is not asked again.
         """
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].refuses = True
@@ -77,10 +67,9 @@
     async def test_head_drops_layers_with_one_retry_left(
         self,
     ) -> None:
-        """Most streams of a replica that drops layers were aborted.
+        """Each stream must reserve a retry before its run ends.
 
-        All of them saw the last retry, but did not reserve it before their runs
-        were ended.
+        Otherwise, all of them see the last retry, and most are aborted.
         """
         self.change_settings(retry_slack=_SLACK_FOR_ONE_RETRY, retry_ratio=0)
         await self.announce('engine-2', layers=(0, 80), state='draining')
@@ -98,10 +87,7 @@
             self.assert_complete(answer)
 
     async def test_announcement_of_draining_head_is_removed(self) -> None:
-        """Streams of a draining replica were aborted during a rollout.
-
-        The removal of its announcement was mistaken for the end of the run.
-        """
+        """The removal of an announcement must not be taken for a failed run."""
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].refuses = True
         await self.announce(head, layers=(0, 80), state='draining')
@@ -113,11 +99,7 @@
     async def test_short_silence_of_non_resumable_stream(
         self,
     ) -> None:
-        """A stream that is not resumable was aborted after a short silence.
-
-        A replica that did not answer a probe was left although none could
-        replace it.
-        """
+        """A stream that is not resumable must not leave a silent replica."""
         await self.configure(build_configuration(8, resumable=False))
         stream, head, _ = await self.start_stream()
         await self.freeze(head)
@@ -126,10 +108,9 @@
     async def test_short_silence_while_other_engine_is_full(
         self,
     ) -> None:
-        """A stream was aborted after a short silence of its engine.
+        """The run must not end before another has started.
 
-        The run was ended before another had started, and the second engine was
-        full.
+        The second engine is full.
         """
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].refuses = True
@@ -137,9 +118,9 @@
         self.assert_complete(await stream)
 
     async def test_long_silence_while_other_engine_is_full(self) -> None:
-        """A preempted stream was aborted although its replica worked.
+        """A preempted stream must not leave its path before another run starts.
 
-        A path that was silent for long was left before another run had started.
+        The replica works, though it is silent for long.
         """
         for name in ('engine-1', 'engine-2'):
             self.harness.replicas[name].event_interval_s = GAP_S / 2
@@ -153,10 +134,9 @@
     async def test_head_drops_layers_with_capacity_for_one(
         self,
     ) -> None:
-        """Streams of a replica that drops layers were aborted.
+        """Each stream must reserve capacity before its run ends.
 
-        All of them saw the same free capacity, but did not reserve it before
-        their runs were ended.
+        Otherwise, all of them see the same free capacity, and most are aborted.
         """
         events = 115
         for name in ('engine-1', 'engine-2'):
@@ -188,10 +168,10 @@
     """Later stages of a path."""
 
     async def test_later_stage_drops_layers_while_engine_is_full(self) -> None:
-        """Streams were aborted when a later stage dropped its layers.
+        """The run must not end before another has started.
 
-        The head rejected the move, and the run was ended before another had
-        started; an engine that seemed to have capacity rejected the stream.
+        The head rejects the move, and an engine that seems to have capacity
+        rejects the stream.
         """
         process = await self.harness.wait_until_ready()
         view = process.state.view
--- a/samphirerill/tests/two_engines.py
+++ b/samphirerill/tests/two_engines.py
@@ -85,8 +85,8 @@
         try:
             await conn.open()
             conn.send(serialize_request(b'POST', target, headers, b''))
-            until = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
-            return await read_response(conn, until)
+            deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
+            return await read_response(conn, deadline)
         except EndpointError as exc:
             return _NO_RESPONSE, str(exc).encode()
         finally:
@@ -100,19 +100,19 @@
         self,
     ) -> tuple[asyncio.Task[tuple[int, bytes]], str, str]:
         """Send a stream; return its task, its engine and the other engine."""
-        waiting = self.start_request(b'/notes/x')
+        stream = self.start_request(b'/notes/x')
         await self.wait_until(self.list_used_engines)
         head = self.list_used_engines()[0]
         other = 'engine-2' if head == 'engine-1' else 'engine-1'
         await asyncio.sleep(SETTLE_S)
-        return waiting, head, other
+        return stream, head, other
 
     async def wait_until(self, condition: Callable[[], object]) -> None:
         """Wait until a condition holds."""
         await wait_until(condition)
 
     def mark_dead(self, name: str, for_s: float = 0.3) -> None:
-        """Mark a replica as dead for a while, as after a silence."""
+        """Mark a replica as dead for a while, as after a silence report."""
         now = asyncio.get_running_loop().time()
         self.process.state.view.add_silence_report(name, now + for_s, now)
         self.process.state.notify_listeners()
