--- a/samphirerill/quarantine/decision.py
+++ b/samphirerill/quarantine/decision.py
@@ -24,7 +24,7 @@
 
     from samphirerill.quarantine.records import Crash
 
-# A run that has sent events for this long has survived: harmful requests crash
+# A run that has sent events for this long has survived: poison requests crash
 # endpoints with their first tokens.
 SURVIVAL_S = 0.5
 # One crash is no evidence against any of the interrupted requests.
@@ -216,11 +216,11 @@
             for crash in record.crashes
             if until - _RECENT_S <= crash.at <= until
         }
-        unseen = len(recent_endpoints - own_endpoints)
+        other_endpoint_count = len(recent_endpoints - own_endpoints)
         return (
             1
-            + (unseen > _FEW_OTHER_ENDPOINTS)
-            + (unseen > _SEVERAL_OTHER_ENDPOINTS)
+            + (other_endpoint_count > _FEW_OTHER_ENDPOINTS)
+            + (other_endpoint_count > _SEVERAL_OTHER_ENDPOINTS)
         )
 
     def _list_changes(
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -22,7 +22,7 @@
 _MAX_NAME_CHARS = 80
 # Names of endpoints and attempts are truncated to this; real ones are shorter.
 _SENT_NAME_CHARS = 40
-_MAX_RECORDS_PER_MESSAGE = 64
+_MAX_MESSAGES = 64
 _MAX_AGE_MS = 14_400_000
 _NEVER_SURVIVED = -1
 
@@ -85,12 +85,12 @@
 
 def check_messages(messages: list[EvidenceMessage]) -> None:
     """Raise ``InvalidEvidenceError`` if messages exceed the limits."""
-    if len(messages) > _MAX_RECORDS_PER_MESSAGE or not all(
-        map(_is_valid_record, messages)
+    if len(messages) > _MAX_MESSAGES or not all(
+        map(_is_valid_message, messages)
     ):
         raise InvalidEvidenceError(
             f'got {len(messages)} records, expected at most '
-            f'{_MAX_RECORDS_PER_MESSAGE}, each within its limits'
+            f'{_MAX_MESSAGES}, each within its limits'
         )
 
 
@@ -111,10 +111,10 @@
 ) -> list[bytes]:
     """Apply messages of another node; return the requests that changed."""
     changed = []
-    for record in messages:
+    for message in messages:
         changes = [
             quarantine.note_crash(
-                record.request,
+                message.request,
                 Crash(
                     crash.endpoint,
                     crash.request_id,
@@ -122,17 +122,17 @@
                 ),
                 now,
             )
-            for crash in record.deaths
+            for crash in message.deaths
         ]
-        if record.survived_ms != _NEVER_SURVIVED:
-            at = now - record.survived_ms / _MS_PER_S
-            changes.append(quarantine.note_survival(record.request, at))
+        if message.survived_ms != _NEVER_SURVIVED:
+            at = now - message.survived_ms / _MS_PER_S
+            changes.append(quarantine.note_survival(message.request, at))
         if any(changes):
-            changed.append(record.request)
+            changed.append(message.request)
     return changed
 
 
-def _is_valid_record(message: EvidenceMessage) -> bool:
+def _is_valid_message(message: EvidenceMessage) -> bool:
     has_digest_size = len(message.request) == DIGEST_BYTES
     has_few_crashes = len(message.deaths) <= MAX_CRASHES
     is_recent = _NEVER_SURVIVED <= message.survived_ms <= _MAX_AGE_MS
--- a/samphirerill/quarantine/records.py
+++ b/samphirerill/quarantine/records.py
@@ -69,9 +69,9 @@
     def note_survival(self, at: float) -> bool:
         """Drop crashes up to a survived run; return whether there were any."""
         self.survived_at = max(self.survived_at, at)
-        latest = len(self.crashes)
+        previous_count = len(self.crashes)
         self.crashes = [crash for crash in self.crashes if crash.at > at]
-        return len(self.crashes) < latest
+        return len(self.crashes) < previous_count
 
     def list_distinct_crashes(self) -> list[Crash]:
         """Return the crashes, one for each group with a common cause."""
@@ -82,13 +82,17 @@
         return distinct
 
     def was_suspect(self, crash: Crash, min_crashes: int) -> bool:
-        """Return whether the request was at a crash after enough earlier ones."""
+        """Return whether the request was a suspect at a crash.
+
+        It was one if it was just starting at that crash and at no fewer than
+        `min_crashes` earlier ones.
+        """
         if len(self.crashes) <= min_crashes:
             return False
         if not any(map(crash.is_same_crash, self.crashes)):
             return False
-        latest = crash.at - _SAME_CAUSE_S
-        earlier = [known.at < latest for known in self.list_distinct_crashes()]
+        cutoff = crash.at - _SAME_CAUSE_S
+        earlier = [known.at < cutoff for known in self.list_distinct_crashes()]
         return sum(earlier) >= min_crashes
 
 
