--- a/samphirerill/fleet/chains.py
+++ b/samphirerill/fleet/chains.py
@@ -157,8 +157,8 @@
     cost += predict_stage_ms(engine, accelerator, layers.count, 1)
     if data_centre and data_centre != replica.data_centre:
         cost += crossing_ms
-    found = _Step(cost, step, Stage(replica, layers), None)
-    _relax(best, layers.end, replica.data_centre, found)
+    extended = _Step(cost, step, Stage(replica, layers), None)
+    _relax(best, layers.end, replica.data_centre, extended)
 
 
 def _relax(
--- a/samphirerill/fleet/data_centre_rebuild.py
+++ b/samphirerill/fleet/data_centre_rebuild.py
@@ -82,9 +82,9 @@
         return
     if all(chain.gaps for chain in chains):
         best = chains[0]
-        held = {stage.replica.replica_id for stage in best.stages}
+        used = {stage.replica.replica_id for stage in best.stages}
         free = [
-            replica for replica in replicas if replica.replica_id not in held
+            replica for replica in replicas if replica.replica_id not in used
         ]
         unserved[0].moves.update(fill_gaps(engine, best, free) or {})
     _reserve_spares(data_centres, chains)
@@ -101,7 +101,9 @@
         for stage in chain.stages
     }
     used.update(
-        name for data_centre in data_centres for name in data_centre.moves
+        replica_id
+        for data_centre in data_centres
+        for replica_id in data_centre.moves
     )
     for data_centre in data_centres:
         data_centre.spares = [
--- a/samphirerill/fleet/data_centre_state.py
+++ b/samphirerill/fleet/data_centre_state.py
@@ -74,7 +74,7 @@
 
 
 def list_used_ids(data_centre: DataCentreState) -> set[str]:
-    """Return the replicas that complete or incomplete pipelines need."""
+    """Return the ids of replicas that any pipeline needs, complete or not."""
     used = {
         replica.replica_id
         for pipeline in data_centre.complete
@@ -82,8 +82,8 @@
     }
     used.update(
         stage.replica.replica_id
-        for other in data_centre.incomplete
-        for stage in other.stages
+        for chain in data_centre.incomplete
+        for stage in chain.stages
     )
     return used
 
--- a/samphirerill/fleet/deltas.py
+++ b/samphirerill/fleet/deltas.py
@@ -20,7 +20,7 @@
     """A difference does not apply to the given text, or is corrupt."""
 
 
-class Run(Struct, array_like=True):
+class PieceRange(Struct, array_like=True):
     """Consecutive pieces of the old text."""
 
     first: int
@@ -31,13 +31,13 @@
     """Instructions that rebuild a new text from an old one.
 
     `base` and `target` are the checksums of the two texts. `parts` are
-    concatenated to the new text: runs of pieces of the old one, and literal
-    bytes.
+    concatenated to the new text: ranges of pieces of the old one, and
+    literal bytes.
     """
 
     base: bytes
     target: bytes
-    parts: list[Run | bytes]
+    parts: list[PieceRange | bytes]
 
 
 def build_delta(old: bytes, new: bytes) -> Delta:
@@ -47,14 +47,16 @@
         piece: position
         for position, piece in reversed(list(enumerate(old_pieces)))
     }
-    parts: list[Run | bytes] = []
+    parts: list[PieceRange | bytes] = []
     for piece in _split(new):
         last = parts[-1] if parts else b''
-        if isinstance(last, Run) and _extends_run(old_pieces, last, piece):
+        if isinstance(last, PieceRange) and _extends_range(
+            old_pieces, last, piece
+        ):
             last.count += 1
         else:
             position = positions.get(piece)
-            parts.append(piece if position is None else Run(position, 1))
+            parts.append(piece if position is None else PieceRange(position, 1))
     return Delta(_checksum(old), _checksum(new), parts)
 
 
@@ -79,8 +81,10 @@
     return new
 
 
-def _extends_run(old_pieces: list[bytes], run: Run, piece: bytes) -> bool:
-    next_piece = run.first + run.count
+def _extends_range(
+    old_pieces: list[bytes], pieces: PieceRange, piece: bytes
+) -> bool:
+    next_piece = pieces.first + pieces.count
     return next_piece < len(old_pieces) and old_pieces[next_piece] == piece
 
 
--- a/samphirerill/fleet/endpoints.py
+++ b/samphirerill/fleet/endpoints.py
@@ -35,21 +35,21 @@
     returns whether an endpoint, given by id, would accept a call now.
     """
     candidates = [
-        found
-        for found in view.list_service(service)
-        if found.replica.replica_id not in tried
-        and may_call(found.replica.replica_id)
+        state
+        for state in view.list_service(service)
+        if state.replica.replica_id not in tried
+        and may_call(state.replica.replica_id)
     ]
     trusted = [
-        found for found in candidates if found.suspicion.suspected_until <= now
+        state for state in candidates if state.suspicion.suspected_until <= now
     ]
     pool = trusted or candidates
     if not pool:
         return None
-    return min(pool, key=lambda found: _predict_wait(found, load_tracker))
+    return min(pool, key=lambda state: _predict_wait(state, load_tracker))
 
 
-def _predict_wait(found: ReplicaState, load_tracker: LoadTracker) -> float:
-    in_flight = 1 + load_tracker.count_requests(found.replica.replica_id)
-    latency_s = max(_MIN_LATENCY_S, found.latency_s)
-    return in_flight * latency_s * (1 + _FAILURE_WEIGHT * found.failures)
+def _predict_wait(state: ReplicaState, load_tracker: LoadTracker) -> float:
+    in_flight = 1 + load_tracker.count_requests(state.replica.replica_id)
+    latency_s = max(_MIN_LATENCY_S, state.latency_s)
+    return in_flight * latency_s * (1 + _FAILURE_WEIGHT * state.failures)
--- a/samphirerill/fleet/explain.py
+++ b/samphirerill/fleet/explain.py
@@ -25,17 +25,17 @@
 ) -> str:
     """Return what is missing: a holder of layers, memory, or a connection."""
     candidates = [
-        found
-        for found in usable
-        if found.replica.replica_id not in request.excluded
+        state
+        for state in usable
+        if state.replica.replica_id not in request.excluded
     ]
     gap = find_gap(engine, list_ranges(candidates))
     if gap is not None:
         return f'no replica holds layers {format_layers(gap)}'
     with_memory = [
-        found
-        for found in candidates
-        if has_memory(engine, found, load_tracker, request)
+        state
+        for state in candidates
+        if has_memory(engine, state, load_tracker, request)
     ]
     gap = find_gap(engine, list_ranges(with_memory))
     if gap is not None:
--- a/samphirerill/fleet/failure_detection.py
+++ b/samphirerill/fleet/failure_detection.py
@@ -24,8 +24,8 @@
 
 # Two nodes have to agree that a replica is dead.
 PROBERS_PER_REPLICA = 2
-# Positions of each node on the hash ring: more make shares more even, at 1 us
-# each when a failure begins.
+# Positions of each node on the hash ring: more make shares more even, but
+# take longer to set up when a failure begins.
 _VIRTUAL_NODES = 8
 _HASH_BYTES = 8
 # A failure is considered complete if no further loss is found for this long;
@@ -34,12 +34,12 @@
 # Callers wait meanwhile, so planning is not delayed longer than this.
 _MAX_WAIT_S = 0.4
 # Losses found later than this belong to another failure.
-_EVENT_WINDOW_S = 1.0
+_FAILURE_WINDOW_S = 1.0
 # Reports on two replicas within this time belong to one failure: streams notice
 # silence up to this much apart.
 _CORRELATION_WINDOW_S = 0.3
 # A failure that continues triggers another round of probes, which takes 0.25 s.
-_RESURVEY_INTERVAL_S = 0.5
+_REPROBE_INTERVAL_S = 0.5
 
 
 class ProberAssignment:
@@ -86,10 +86,12 @@
         """
         start = PROBERS_PER_REPLICA * tier
         return [
-            name
-            for name in replica_ids
+            replica_id
+            for replica_id in replica_ids
             if node
-            in self.choose_probers(name, start + PROBERS_PER_REPLICA)[start:]
+            in self.choose_probers(replica_id, start + PROBERS_PER_REPLICA)[
+                start:
+            ]
         ]
 
     def choose_probers(
@@ -159,17 +161,17 @@
     ) -> None:
         """Record that a replica was newly reported silent or confirmed dead."""
         self.unconfirmed = {
-            name: at
-            for name, at in self.unconfirmed.items()
+            reported_id: at
+            for reported_id, at in self.unconfirmed.items()
             if at + _CORRELATION_WINDOW_S > now
         }
         self.unconfirmed[replica_id] = now
         if not is_confirmed and len(self.unconfirmed) == 1:
             return
-        if now > self._last_at + _EVENT_WINDOW_S:
+        if now > self._last_at + _FAILURE_WINDOW_S:
             self._first_at = now
         self._last_at = now
-        if now > self.last_extended_at + _RESURVEY_INTERVAL_S:
+        if now > self.last_extended_at + _REPROBE_INTERVAL_S:
             self.last_extended_at = now
             self.last_alive.clear()
 
@@ -187,8 +189,8 @@
         return now < until
 
     def is_recent(self, now: float) -> bool:
-        """Return whether replicas silent since then may be lost too."""
-        return now < self.last_extended_at + _EVENT_WINDOW_S
+        """Return whether replicas silent since the failure may be lost too."""
+        return now < self.last_extended_at + _FAILURE_WINDOW_S
 
     def is_known_alive(self, replica_id: str) -> bool:
         """Return whether a replica has worked since the failure began."""
--- a/samphirerill/fleet/gap_filling.py
+++ b/samphirerill/fleet/gap_filling.py
@@ -81,12 +81,16 @@
         counts = [count_max_layers(engine, item, requests) for item in replicas]
         if sum(counts) >= engine.layers:
             moves = _assign_layers(engine, replicas, counts)
-            held = {item.replica_id: item for item in replicas}
+            by_id = {item.replica_id: item for item in replicas}
             pipeline = Pipeline(
-                [(held[name], layers.count) for name, layers in moves.items()]
+                [
+                    (by_id[replica_id], layers.count)
+                    for replica_id, layers in moves.items()
+                ]
             )
             changed = sum(
-                held[name].layers != layers for name, layers in moves.items()
+                by_id[replica_id].layers != layers
+                for replica_id, layers in moves.items()
             )
             rate = predict_rate(engine, pipeline, pause_ms)
             return rate * (1 - _MOVE_PENALTY * changed), moves
@@ -124,9 +128,12 @@
         for stage in chain.stages
     }
     ranges.update(
-        {name: (replicas[name], layers) for name, layers in moves.items()}
+        {
+            replica_id: (replicas[replica_id], layers)
+            for replica_id, layers in moves.items()
+        }
     )
-    parts = sorted(ranges.values(), key=_first_layer)
+    parts = sorted(ranges.values(), key=_get_first_layer)
     return Pipeline([(replica, layers.count) for replica, layers in parts])
 
 
@@ -206,5 +213,5 @@
     return moves
 
 
-def _first_layer(part: tuple[Replica, LayerRange]) -> int:
+def _get_first_layer(part: tuple[Replica, LayerRange]) -> int:
     return part[1].first
--- a/samphirerill/fleet/goodput.py
+++ b/samphirerill/fleet/goodput.py
@@ -115,9 +115,9 @@
         for pipeline in pipelines
     ]
     exposed = 0.0
-    for at, own in enumerate(held):
+    for index, own in enumerate(held):
         others = list(backups)
-        for other in (*held[:at], *held[at + 1 :]):
+        for other in (*held[:index], *held[index + 1 :]):
             others.extend(other)
         for layers in own:
             is_covered = not list_uncovered(layers, others)
--- a/samphirerill/fleet/link_usage.py
+++ b/samphirerill/fleet/link_usage.py
@@ -63,7 +63,7 @@
         self.own_sent[pair] = self.own_sent.get(pair, 0.0) + transfer_ms
         self.own_version += 1
         self._add(pair, transfer_ms, now)
-        self._add_near(pair, transfer_ms)
+        self._add_to_data_centre(pair, transfer_ms)
 
     def update_peer(
         self,
@@ -95,9 +95,9 @@
         if sent_ms > previous:
             self._add(pair, sent_ms - previous, now)
             if is_near:
-                self._add_near(pair, sent_ms - previous)
+                self._add_to_data_centre(pair, sent_ms - previous)
 
-    def _add_near(self, pair: LinkKey, transfer_ms: float) -> None:
+    def _add_to_data_centre(self, pair: LinkKey, transfer_ms: float) -> None:
         self.data_centre_sent[pair] = (
             self.data_centre_sent.get(pair, 0.0) + transfer_ms
         )
--- a/samphirerill/fleet/load_aggregation.py
+++ b/samphirerill/fleet/load_aggregation.py
@@ -1,9 +1,9 @@
 """Aggregation of load reports between data centres.
 
 Within a data centre every node reports to every other. In large fleets one node
-of each data centre, the aggregator, sends the sum to a few nodes of each other
-data centre, and these forward it locally. A full mesh of reports would use most
-of the bandwidth between data centres and delay them.
+of each data centre, the aggregator, sends an aggregate to a few nodes of each
+other data centre, and these forward it locally. A full mesh of reports would
+use most of the bandwidth between data centres and delay them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 # Up to this many other nodes all report to each other directly, which is
 # faster.
 MAX_DIRECT_PEERS = 15
-# More than one, so that a sum arrives although a receiver is down.
+# More than one, so that an aggregate arrives although a receiver is down.
 _RECEIVERS_PER_DATA_CENTRE = 2
 
 
@@ -32,7 +32,7 @@
 
 
 def list_receivers(names: Iterable[str]) -> list[str]:
-    """Return the nodes of another data centre that a sum is sent to."""
+    """Return the nodes of another data centre that an aggregate is sent to."""
     return sorted(names, key=_rank)[:_RECEIVERS_PER_DATA_CENTRE]
 
 
--- a/samphirerill/fleet/outage.py
+++ b/samphirerill/fleet/outage.py
@@ -65,12 +65,12 @@
         )
 
 
-def list_ranges(known: Iterable[ReplicaState]) -> list[LayerRange]:
+def list_ranges(states: Iterable[ReplicaState]) -> list[LayerRange]:
     """Return the layer ranges that replicas hold."""
     return [
-        found.replica.layers
-        for found in known
-        if found.replica.layers is not None
+        state.replica.layers
+        for state in states
+        if state.replica.layers is not None
     ]
 
 
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -101,12 +101,12 @@
     """Return the stages of the cheapest feasible path, or an empty tuple."""
     candidates = [
         _Candidate(
-            found.replica,
-            _score_layer(engine, found, load_tracker, request, now),
+            state.replica,
+            _score_layer(engine, state, load_tracker, request, now),
         )
-        for found in usable
-        if found.replica.replica_id not in request.excluded
-        and has_memory(engine, found, load_tracker, request)
+        for state in usable
+        if state.replica.replica_id not in request.excluded
+        and has_memory(engine, state, load_tracker, request)
     ]
     return _PathSearch(engine, candidates, load_tracker, request, now).find()
 
@@ -303,7 +303,7 @@
 
 def predict_event_interval_ms(
     engine: EngineSpec,
-    known: dict[str, ReplicaState],
+    states: dict[str, ReplicaState],
     stages: tuple[Stage, ...],
     load_tracker: LoadTracker,
     now: float,
@@ -311,18 +311,18 @@
     """Return the predicted time between two events on a path."""
     total = 0.0
     for stage in stages:
-        found = known.get(stage.replica.replica_id)
-        if found is not None:
-            layer_ms = _predict_layer_ms(engine, found, load_tracker, now)
+        state = states.get(stage.replica.replica_id)
+        if state is not None:
+            layer_ms = _predict_layer_ms(engine, state, load_tracker, now)
             total += layer_ms * stage.layers.count
     return total
 
 
 def count_token_capacity(
-    engine: EngineSpec, found: ReplicaState, layers: LayerRange
+    engine: EngineSpec, state: ReplicaState, layers: LayerRange
 ) -> float:
     """Return how many tokens fit in a replica's memory beside its layers."""
-    accelerator = engine.accelerators.get(found.replica.accelerator)
+    accelerator = engine.accelerators.get(state.replica.accelerator)
     if accelerator is None:
         return 0.0
     return count_tokens(engine, accelerator, layers.count)
@@ -330,18 +330,18 @@
 
 def has_memory(
     engine: EngineSpec,
-    found: ReplicaState,
+    state: ReplicaState,
     load_tracker: LoadTracker,
     request: PathRequest,
 ) -> bool:
     """Return whether a replica holds layers and has memory for a request."""
-    replica = found.replica
+    replica = state.replica
     if replica.layers is None:
         return False
     if replica.replica_id in request.prefilled_on:
         return True
     max_use = MAX_URGENT_MEMORY_USE if request.is_urgent else MAX_MEMORY_USE
-    capacity = count_token_capacity(engine, found, replica.layers) * max_use
+    capacity = count_token_capacity(engine, state, replica.layers) * max_use
     return (
         load_tracker.count_tokens(replica.replica_id) + request.tokens
         <= capacity
@@ -350,43 +350,45 @@
 
 def _predict_layer_ms(
     engine: EngineSpec,
-    found: ReplicaState,
+    state: ReplicaState,
     load_tracker: LoadTracker,
     now: float,
 ) -> float:
     """Return what one layer adds to the time between two events."""
-    replica = found.replica
+    replica = state.replica
     accelerator = engine.accelerators.get(replica.accelerator)
     if accelerator is None:
         return float('inf')
     running = load_tracker.count_requests(replica.replica_id) + 1
-    slowness = found.slowness if found.slow_until > now else 1.0
+    slowness = state.slowness if state.slow_until > now else 1.0
     return predict_stage_ms(engine, accelerator, 1, running, slowness)
 
 
 def _score_layer(
     engine: EngineSpec,
-    found: ReplicaState,
+    state: ReplicaState,
     load_tracker: LoadTracker,
     request: PathRequest,
     now: float,
 ) -> float:
     """Return the cost of one layer, including the penalty for co-location."""
-    layer_ms = _predict_layer_ms(engine, found, load_tracker, now)
-    accelerator = engine.accelerators.get(found.replica.accelerator)
+    layer_ms = _predict_layer_ms(engine, state, load_tracker, now)
+    accelerator = engine.accelerators.get(state.replica.accelerator)
     if accelerator is None or not request.policy.spread:
         return layer_ms
-    stream_count = load_tracker.count_requests(found.replica.replica_id)
+    stream_count = load_tracker.count_requests(state.replica.replica_id)
     prefill_ms = predict_prefill_ms(engine, accelerator, 1, engine.usual_prompt)
     return layer_ms + COLOCATION_WEIGHT * stream_count * prefill_ms
 
 
 def _build_stages(ends: dict[str, _PartialPath]) -> tuple[Stage, ...]:
-    step: _PartialPath | None = min(ends.values(), key=_get_cost, default=None)
+    partial: _PartialPath | None = min(
+        ends.values(), key=_get_cost, default=None
+    )
     stages: list[Stage] = []
-    while step is not None:
-        stages.append(Stage(step.replica, step.layers))
-        step = step.previous
+    while partial is not None:
+        stages.append(Stage(partial.replica, partial.layers))
+        partial = partial.previous
     return tuple(reversed(stages))
 
 
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -164,10 +164,10 @@
     engine: EngineSpec, data_centre: DataCentreState, chain: Chain
 ) -> Moves | None:
     """Fill gaps with the stages of slower incomplete pipelines."""
-    at = data_centre.incomplete.index(chain)
+    index = data_centre.incomplete.index(chain)
     slower = [
         stage.replica
-        for other in data_centre.incomplete[at + 1 :]
+        for other in data_centre.incomplete[index + 1 :]
         for stage in other.stages
     ]
     if not slower:
@@ -327,15 +327,21 @@
     return {}
 
 
-def _merge_moves(steps: Iterable[Moves]) -> Moves:
-    return {name: layers for step in steps for name, layers in step.items()}
+def _merge_moves(parts: Iterable[Moves]) -> Moves:
+    return {
+        replica_id: layers
+        for part in parts
+        for replica_id, layers in part.items()
+    }
 
 
 def _drop_unchanged(moves: Moves, present: Sequence[Replica]) -> Moves:
     """Omit moves whose replica already holds the layers."""
     held = {item.replica_id: item.layers for item in present}
     return {
-        name: layers for name, layers in moves.items() if held[name] != layers
+        replica_id: layers
+        for replica_id, layers in moves.items()
+        if held[replica_id] != layers
     }
 
 
--- a/samphirerill/fleet/routes.py
+++ b/samphirerill/fleet/routes.py
@@ -43,9 +43,9 @@
         path = target.partition('?')[0]
         end = path.rfind('/')
         while end >= 0:
-            found = prefixes.get(path[: end + 1])
-            if found is not None:
-                return found
+            matching_route = prefixes.get(path[: end + 1])
+            if matching_route is not None:
+                return matching_route
             end = path.rfind('/', 0, end)
         return None
 
--- a/samphirerill/fleet/smoothing.py
+++ b/samphirerill/fleet/smoothing.py
@@ -15,13 +15,13 @@
     mean_s: float = 0.0
     deviation_s: float = 0.0
 
-    def add_sample(self, took_s: float) -> None:
+    def add_sample(self, duration_s: float) -> None:
         """Add a sample."""
         if not self.mean_s:
-            self.mean_s = took_s
-            self.deviation_s = took_s / 2
+            self.mean_s = duration_s
+            self.deviation_s = duration_s / 2
             return
-        error_s = took_s - self.mean_s
+        error_s = duration_s - self.mean_s
         self.mean_s += _MEAN_WEIGHT * error_s
         self.deviation_s += _DEVIATION_WEIGHT * (
             abs(error_s) - self.deviation_s
--- a/samphirerill/fleet/stage_lifetime.py
+++ b/samphirerill/fleet/stage_lifetime.py
@@ -35,16 +35,16 @@
         end is known.
     """
     replica_id = stage.replica.replica_id
-    found = view.replicas.get(replica_id)
-    if found is None:
+    state = view.replicas.get(replica_id)
+    if state is None:
         return view.leaving_deadlines.get(replica_id, 0.0)
-    if found.replica.is_different_process(stage.replica.started_ms):
+    if state.replica.is_different_process(stage.replica.started_ms):
         return 0.0
-    if found.suspicion.suspected_until > now:
+    if state.suspicion.suspected_until > now:
         return 0.0
     end = view.leaving_deadlines.get(replica_id, float('inf'))
-    if releases_layers(stage.layers, found.replica.layers):
-        return min(end, found.release_until)
+    if releases_layers(stage.layers, state.replica.layers):
+        return min(end, state.release_until)
     return end
 
 
--- a/samphirerill/fleet/stream_rerouting.py
+++ b/samphirerill/fleet/stream_rerouting.py
@@ -49,8 +49,8 @@
         *_list_prefill_ms(engine, stages, held, tokens),
         *_list_transfers_ms(engine, stages, held, tokens),
     ]
-    previous = max(0, concurrent - 1) / 2
-    return sum(durations_ms) + previous * max(durations_ms, default=0.0)
+    earlier_streams = max(0, concurrent - 1) / 2
+    return sum(durations_ms) + earlier_streams * max(durations_ms, default=0.0)
 
 
 def _list_prefill_ms(
--- a/samphirerill/fleet/timing.py
+++ b/samphirerill/fleet/timing.py
@@ -44,7 +44,8 @@
         self._ids = ids
         self._changed_at = now
         self._first_seen = {
-            name: self._first_seen.get(name, since) for name in ids
+            replica_id: self._first_seen.get(replica_id, since)
+            for replica_id in ids
         }
 
     def note_complete(self, counts: dict[str, int]) -> None:
@@ -71,8 +72,8 @@
         should wait for that one's layers instead of loading others.
         """
         return frozenset(
-            name
-            for name, since in self._first_seen.items()
+            replica_id
+            for replica_id, since in self._first_seen.items()
             if since + _NEWCOMER_PERIOD_S <= now
         )
 
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -107,24 +107,24 @@
         replica_id = replica.replica_id
         if revision <= self._tombstones.get(replica_id, -1):
             return False
-        found = self.replicas.get(replica_id)
-        if found is not None and revision <= found.revision:
-            found.lapsed_until = 0.0
+        state = self.replicas.get(replica_id)
+        if state is not None and revision <= state.revision:
+            state.lapsed_until = 0.0
             return False
-        is_new = found is None or replica.is_different_process(
-            found.replica.started_ms
+        is_new = state is None or replica.is_different_process(
+            state.replica.started_ms
         )
         if is_new and not replica.is_leaving:
             self.leaving_deadlines.pop(replica_id, None)
-        if found is None or is_new:
+        if state is None or is_new:
             self._register(replica, revision)
         else:
-            if releases_layers(found.replica.layers, replica.layers):
+            if releases_layers(state.replica.layers, replica.layers):
                 self.loss_count += 1
-                found.release_until = leaving_deadline
-            found.replica = replica
-            found.revision = revision
-            found.lapsed_until = 0.0
+                state.release_until = leaving_deadline
+            state.replica = replica
+            state.revision = revision
+            state.lapsed_until = 0.0
         if replica.is_leaving and replica_id not in self.leaving_deadlines:
             self.leaving_deadlines[replica_id] = leaving_deadline
             self.loss_count += 1
@@ -153,15 +153,15 @@
             announcing it; one that was suspected dead, or has announced that it
             drains, serves nothing any more.
         """
-        found = self.replicas.get(replica_id)
-        if found is None or revision < found.revision:
+        state = self.replicas.get(replica_id)
+        if state is None or revision < state.revision:
             return
         if grace_until and replica_id not in self.leaving_deadlines:
-            found.lapsed_until = found.lapsed_until or grace_until
+            state.lapsed_until = state.lapsed_until or grace_until
             return
         may_serve = (
             replica_id not in self.leaving_deadlines
-            and not found.suspicion.suspected_until
+            and not state.suspicion.suspected_until
         )
         self._remove(replica_id, revision)
         if may_serve and leaving_deadline:
@@ -195,8 +195,8 @@
         """Remove replicas whose announcements did not return in time."""
         removed = [
             replica_id
-            for replica_id, found in self.replicas.items()
-            if found.lapsed_until and found.lapsed_until < now
+            for replica_id, state in self.replicas.items()
+            if state.lapsed_until and state.lapsed_until < now
         ]
         for replica_id in removed:
             self._remove(replica_id, self.replicas[replica_id].revision)
@@ -237,21 +237,21 @@
         data_centre : str
             The data centre of the reporting node; empty if not known.
         """
-        found = self.replicas.get(replica_id)
-        if found is None:
+        state = self.replicas.get(replica_id)
+        if state is None:
             return False
         silent_since = now if since is None else since
         report = SilenceReport(
             silent_since, until, votes, reporter, data_centre
         )
-        votes_before = found.suspicion.count_votes(now)
-        is_newly_suspected = found.suspicion.add_report(report, now)
+        votes_before = state.suspicion.count_votes(now)
+        is_newly_suspected = state.suspicion.add_report(report, now)
         self.loss_count += is_newly_suspected
-        votes_after = found.suspicion.count_votes(now)
+        votes_after = state.suspicion.count_votes(now)
         is_first_report = not votes_before and votes_after > 0
         # No path uses a draining replica for new work, nor one without layers.
         is_serving = (
-            found.replica.layers is not None
+            state.replica.layers is not None
             and replica_id not in self.leaving_deadlines
         )
         if is_serving and (is_first_report or is_newly_suspected):
@@ -265,10 +265,10 @@
 
     def has_stopped(self, replica_id: str) -> bool:
         """Return whether a replica is gone for sure, not only silent."""
-        found = self.replicas.get(replica_id)
-        if found is None:
+        state = self.replicas.get(replica_id)
+        if state is None:
             return replica_id not in self.leaving_deadlines
-        return found.suspicion.has_stopped
+        return state.suspicion.has_stopped
 
     def note_refusal(self, replica_id: str, now: float) -> None:
         """Record that a replica refused a stage, and back off.
@@ -277,26 +277,26 @@
         consumes the retry budget of all nodes. The replica is not suspected
         dead, since it also refuses while it changes its layers.
         """
-        found = self.replicas.get(replica_id)
-        if found is None:
+        state = self.replicas.get(replica_id)
+        if state is None:
             return
-        if now - found.refused_at > _REFUSAL_WINDOW_S:
-            found.refusals = 0
-        found.refusals += 1
-        found.refused_at = now
+        if now - state.refused_at > _REFUSAL_WINDOW_S:
+            state.refusals = 0
+        state.refusals += 1
+        state.refused_at = now
         pause_s = _REFUSAL_BACKOFF_S * 2 ** min(
-            found.refusals - 1, _MAX_BACKOFF_EXPONENT
+            state.refusals - 1, _MAX_BACKOFF_EXPONENT
         )
-        found.backoff_until = max(found.backoff_until, now + pause_s)
+        state.backoff_until = max(state.backoff_until, now + pause_s)
 
     def note_slowness(
         self, replica_id: str, slowness: float, now: float
     ) -> None:
         """Record a replica's own report of its slowness."""
-        found = self.replicas.get(replica_id)
-        if found is not None:
-            found.slowness = max(1.0, slowness)
-            found.slow_until = now + _SLOWNESS_TTL_S
+        state = self.replicas.get(replica_id)
+        if state is not None:
+            state.slowness = max(1.0, slowness)
+            state.slow_until = now + _SLOWNESS_TTL_S
 
     def note_alive(self, replica_id: str, at: float | None = None) -> None:
         """Record that a replica has worked, and discard suspicions.
@@ -309,15 +309,15 @@
             When it worked, on the loop's clock; later evidence is kept. By
             default all evidence and refusals are discarded.
         """
-        found = self.replicas.get(replica_id)
-        if found is None:
+        state = self.replicas.get(replica_id)
+        if state is None:
             return
         if at is not None:
-            self.false_suspicions += found.suspicion.note_alive(at)
+            self.false_suspicions += state.suspicion.note_alive(at)
             return
-        found.refusals = 0
-        self.false_suspicions += bool(found.suspicion.suspected_until)
-        found.suspicion.clear()
+        state.refusals = 0
+        self.false_suspicions += bool(state.suspicion.suspected_until)
+        state.suspicion.clear()
 
     def is_leaving(self, replica_id: str) -> bool:
         """Return whether a replica drains."""
@@ -326,44 +326,44 @@
     def list_service(self, service: str) -> list[ReplicaState]:
         """Return the replicas of a service that are not draining."""
         return [
-            found
-            for found in self.replicas.values()
-            if found.replica.service == service
-            and found.replica.replica_id not in self.leaving_deadlines
+            state
+            for state in self.replicas.values()
+            if state.replica.service == service
+            and state.replica.replica_id not in self.leaving_deadlines
         ]
 
     def list_unconfirmed(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service whose death is not confirmed."""
         return [
-            found
-            for found in self.list_service(service)
-            if found.suspicion.confirmed_until <= now
+            state
+            for state in self.list_service(service)
+            if state.suspicion.confirmed_until <= now
         ]
 
     def list_live(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service that are not suspected dead."""
         return [
-            found
-            for found in self.list_service(service)
-            if found.suspicion.suspected_until <= now
+            state
+            for state in self.list_service(service)
+            if state.suspicion.suspected_until <= now
         ]
 
     def list_usable(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service that may get new work now."""
         return [
-            found
-            for found in self.list_live(service, now)
-            if found.backoff_until <= now
+            state
+            for state in self.list_live(service, now)
+            if state.backoff_until <= now
         ]
 
     def find_by_address(self, address: str) -> ReplicaState | None:
         """Return the replica that announced an address last."""
         best: ReplicaState | None = None
-        for found in self.replicas.values():
-            if found.replica.address != address:
+        for state in self.replicas.values():
+            if state.replica.address != address:
                 continue
-            if best is None or found.revision > best.revision:
-                best = found
+            if best is None or state.revision > best.revision:
+                best = state
         return best
 
     def _register(self, replica: Replica, revision: int) -> None:
@@ -376,14 +376,14 @@
         """
         is_configured = replica.service in self.services or not self.services
         removed = [
-            name
-            for name, found in self.replicas.items()
-            if found.replica.address == replica.address
-            and found.revision < revision
+            replica_id
+            for replica_id, state in self.replicas.items()
+            if state.replica.address == replica.address
+            and state.revision < revision
             and is_configured
         ]
-        for name in removed:
-            self._remove(name, self.replicas[name].revision)
+        for replica_id in removed:
+            self._remove(replica_id, self.replicas[replica_id].revision)
         self.loss_count += replica.replica_id in self.replicas
         self.replicas[replica.replica_id] = ReplicaState(replica, revision)
         self.membership_version += 1
