--- a/samphirerill/tests/crashing_engines.py
+++ b/samphirerill/tests/crashing_engines.py
@@ -29,7 +29,7 @@
 FAILED = 0
 EVENTS = 20
 OTHER_KEY = 'viti-key'
-_GAP_S = 0.02
+_EVENT_INTERVAL_S = 0.02
 _ENGINE_COUNT = 6
 _RESTART_DELAY_S = 0.4
 
@@ -37,12 +37,12 @@
 def find_ports() -> tuple[int, int]:
     """Return a free port for datagrams and one for calls."""
     with (
-        socket.socket(type=socket.SOCK_DGRAM) as exchange,
-        socket.socket() as peers,
+        socket.socket(type=socket.SOCK_DGRAM) as datagrams,
+        socket.socket() as calls,
     ):
-        for sock in (exchange, peers):
+        for sock in (datagrams, calls):
             sock.bind(('127.0.0.1', 0))
-        return exchange.getsockname()[1], peers.getsockname()[1]
+        return datagrams.getsockname()[1], calls.getsockname()[1]
 
 
 def build_headers(request_id: str, key: str = API_KEY) -> Headers:
@@ -96,7 +96,7 @@
         name = f'engine-{len(self.harness.replicas)}'
         engine = CrashingReplica(name, POISON, self._record_poison, self._crash)
         engine.layers = self.layers or (0, 0)
-        engine.event_interval_s = _GAP_S
+        engine.event_interval_s = _EVENT_INTERVAL_S
         engine.events = self.events
         await self.harness.start_replica(engine)
         address = self.harness.addresses[name]
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -109,7 +109,7 @@
         for other in others:
             if other is not self:
                 address = f'{other.host}:{PORT}'
-                found = NodeAnnouncement(
+                announcement = NodeAnnouncement(
                     address, f'{other.host}:3', other.data_centre
                 )
-                self.peers.add_announcement(other.name, found)
+                self.peers.add_announcement(other.name, announcement)
--- a/samphirerill/tests/test_alarms.py
+++ b/samphirerill/tests/test_alarms.py
@@ -79,8 +79,8 @@
         self.assertTrue(self.deliver(8, suspected=(0, 2000, 2)).suspected_until)
 
     async def test_the_duration_is_bounded(self) -> None:
-        found = self.deliver(5, suspected=(10, 10**9, 2))
-        self.assertLess(found.suspected_until, self.now + 9)
+        suspicion = self.deliver(5, suspected=(10, 10**9, 2))
+        self.assertLess(suspicion.suspected_until, self.now + 9)
 
     async def test_malformed_alarms_are_ignored(self) -> None:
         self.node.alarms.handle_datagram(
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -56,9 +56,9 @@
 class _Node:
     """One node's claim writer over a shared store."""
 
-    def __init__(self, name: str, rules: EtcdState) -> None:
+    def __init__(self, name: str, etcd_state: EtcdState) -> None:
         self.address = ''
-        self.store = MemoryStore(rules)
+        self.store = MemoryStore(etcd_state)
         self.sink = _Sink()
         self.worker = StoreWorker(self.store)
         self.membership = _Members(name)
@@ -94,12 +94,12 @@
 
 
 class TestClaims(unittest.IsolatedAsyncioTestCase):
-    """Two nodes and one unreliable key-value service."""
+    """Two nodes and one unreliable store."""
 
     async def asyncSetUp(self) -> None:
-        self.rules = EtcdState()
-        self.one = _Node('n1', self.rules)
-        self.two = _Node('n2', self.rules)
+        self.etcd_state = EtcdState()
+        self.one = _Node('n1', self.etcd_state)
+        self.two = _Node('n2', self.etcd_state)
 
     async def asyncTearDown(self) -> None:
         for node in (self.one, self.two):
@@ -152,7 +152,7 @@
         self.assertEqual(await self.one.claim('r1', 'k'), ClaimAcquired('r1'))
 
     async def test_claim_given_up_in_an_outage_is_released(self) -> None:
-        """A claim given up is removed once the service is back.
+        """A claim given up is removed once the store is back.
 
         Guards against a claim that took effect although its reply was lost:
         retries would be told that the request may have run.
@@ -169,8 +169,8 @@
                 self.one.store.down = True
 
         self.one.store.commit = lose_then_fail  # type: ignore[method-assign]
-        verdict = await self.one.claim('r1', 'k')
-        self.assertEqual(verdict, ClaimFailed('r1'))
+        event = await self.one.claim('r1', 'k')
+        self.assertEqual(event, ClaimFailed('r1'))
         self.assertEqual(
             await self.two.claim('r2', 'k'),
             ClaimConflicted('r2', 'running', True),
@@ -188,12 +188,12 @@
                 WriteClaim(f'r{number}', 'viti', 'notices', f'{number}', 'b')
             )
         await asyncio.sleep(0.3)
-        won = [
+        acquired = [
             event
             for event in self.one.sink.events
             if isinstance(event, ClaimAcquired)
         ]
-        self.assertEqual(len(won), 41)
+        self.assertEqual(len(acquired), 41)
         self.assertLessEqual(self.one.store.calls - before, 3)
 
     async def test_conflict_does_not_delay_other_claims(self) -> None:
@@ -204,12 +204,12 @@
                 WriteClaim(f'two-{key}', 'viti', 'notices', key, 'b')
             )
         await asyncio.sleep(0.4)
-        won = {
+        acquired = {
             event.request_id
             for event in self.two.sink.events
             if isinstance(event, ClaimAcquired)
         }
-        self.assertEqual(won, {'two-a', 'two-b'})
+        self.assertEqual(acquired, {'two-a', 'two-b'})
 
     async def test_equal_keys_of_two_accounts_do_not_conflict(self) -> None:
         await self.one.claim('r1', 'k')
@@ -220,16 +220,18 @@
         self.assertEqual(self.two.sink.events, [ClaimAcquired('r2')])
 
 
-class TestCollectedClaims(unittest.IsolatedAsyncioTestCase):
-    """In a large fleet, collector nodes write the claims of others."""
+class TestAggregatedClaims(unittest.IsolatedAsyncioTestCase):
+    """In a large fleet, aggregators write the claims of others."""
 
     async def asyncSetUp(self) -> None:
         """Start two writers that know a large fleet, and peer servers."""
-        self.rules = EtcdState()
-        self.nodes = [_Node(f'n{index}', self.rules) for index in range(2)]
+        self.etcd_state = EtcdState()
+        self.nodes = [_Node(f'n{index}', self.etcd_state) for index in range(2)]
         self.servers = []
         for node in self.nodes:
-            server = PeerServer(lambda word: word, node.writer.write_for_peer)
+            server = PeerServer(
+                lambda message: message, node.writer.write_for_peer
+            )
             self.servers.append(server)
             node.address = f'127.0.0.1:{await server.start("127.0.0.1", 0)}'
         for node, other in zip(self.nodes, self.nodes[::-1], strict=True):
@@ -244,10 +246,10 @@
                 node.writer.node_id, cast('Membership', node.membership)
             )
         )
-        self.collector = next(
+        self.aggregator = next(
             node for node in self.nodes if node is not self.sender
         )
-        self.collector.membership.peers = {}
+        self.aggregator.membership.peers = {}
 
     async def asyncTearDown(self) -> None:
         for node in self.nodes:
@@ -256,8 +258,8 @@
         for server in self.servers:
             await server.stop()
 
-    async def test_claims_and_outcomes_go_through_the_collector(self) -> None:
-        """The sender itself does not call the service."""
+    async def test_claims_and_outcomes_go_through_the_aggregator(self) -> None:
+        """The sender itself does not call the store."""
         self.assertEqual(
             await self.sender.claim('r1', 'k'), ClaimAcquired('r1')
         )
@@ -268,9 +270,9 @@
         self.assertEqual(self.sender.sink.answers['r2'], {'text': 'done'})
         self.assertEqual(self.sender.store.calls, 0)
 
-    async def test_outage_at_the_collector_fails_the_claim(self) -> None:
+    async def test_outage_at_the_aggregator_fails_the_claim(self) -> None:
         """Nothing is sent to an endpoint without a claim."""
-        self.collector.store.down = True
+        self.aggregator.store.down = True
         self.assertEqual(await self.sender.claim('r1', 'k'), ClaimFailed('r1'))
 
 
@@ -278,7 +280,7 @@
     """A sender's timeout does not affect other claims."""
 
     async def test_writer_survives_a_cancelled_call(self) -> None:
-        """The collector continues to write claims.
+        """The aggregator continues to write claims.
 
         Guards against setting a result on a cancelled future, which ended the
         task that writes claims, so that the node refused all requests with
--- a/samphirerill/tests/test_client_input.py
+++ b/samphirerill/tests/test_client_input.py
@@ -54,11 +54,11 @@
             conn.abort()
         await asyncio.sleep(0)
 
-    async def exchange(self, raw: bytes, *, ends: bool = False) -> bytes:
+    async def exchange(self, raw: bytes, *, sends_eof: bool = False) -> bytes:
         """Send bytes; return everything received until the close."""
         reader, writer = await asyncio.open_connection('127.0.0.1', self.port)
         writer.write(raw)
-        if ends:
+        if sends_eof:
             writer.write_eof()
         try:
             async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
@@ -73,7 +73,7 @@
     """Malformed requests and attempts at request smuggling."""
 
     async def test_malformed_requests_are_rejected(self) -> None:
-        heads = {
+        cases = {
             'not HTTP': (b'hello\r\n\r\n', 400),
             'no host': (b'GET / HTTP/1.1\r\n\r\n', 400),
             'two hosts': (b'GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n', 400),
@@ -114,7 +114,7 @@
                 400,
             ),
         }
-        for name, (raw, status) in heads.items():
+        for name, (raw, status) in cases.items():
             with self.subTest(name):
                 answer = await self.exchange(raw)
                 self.assertTrue(
@@ -140,7 +140,7 @@
         random = Random(7)
         inputs = [_corrupt(random) for _ in range(150)]
         answers = await asyncio.gather(
-            *(self.exchange(raw, ends=True) for raw in inputs)
+            *(self.exchange(raw, sends_eof=True) for raw in inputs)
         )
         for raw, answer in zip(inputs, answers, strict=True):
             with self.subTest(raw):
--- a/samphirerill/tests/test_configuration.py
+++ b/samphirerill/tests/test_configuration.py
@@ -44,10 +44,10 @@
 
     def setUp(self) -> None:
         """Accept a first configuration."""
-        self.rules = EtcdState()
-        self.store = MemoryStore(self.rules)
+        self.etcd_state = EtcdState()
+        self.store = MemoryStore(self.etcd_state)
         self.log = ConfigurationLog(self.store, '/p/')
-        self.other = ConfigurationLog(MemoryStore(self.rules), '/p/')
+        self.other = ConfigurationLog(MemoryStore(self.etcd_state), '/p/')
         self.log.submit(_replace_all(_build_valid()), 0, 'first')
 
 
@@ -81,7 +81,7 @@
                     log.submit(_SET_WEIGHT, 1, 'winner')
                 return super().commit(transaction)
 
-        racing = ConfigurationLog(RacingStore(self.rules), '/p/')
+        racing = ConfigurationLog(RacingStore(self.etcd_state), '/p/')
         with self.assertRaises(StaleBaseError):
             racing.submit(_SET_WEIGHT, 1, 'loser')
         history = self.log.read_changes(after=0)
@@ -99,13 +99,13 @@
         self.assertEqual(change.version, 2)
         self.assertEqual(len(self.log.read_changes(after=0)), 2)
 
-    def test_service_without_reply_gives_unknown_result(self) -> None:
+    def test_store_without_reply_gives_unknown_result(self) -> None:
         """The write may or may not have taken effect."""
         self._lose_next_commit(then_down=True)
         with self.assertRaises(UnknownResultError):
             self.log.submit(_SET_WEIGHT, 1, 'first')
 
-    def test_unreachable_service_applies_nothing(self) -> None:
+    def test_unreachable_store_applies_nothing(self) -> None:
         self.store.down = True
         with self.assertRaises(StoreUnreachableError) as caught:
             self.log.submit(_SET_WEIGHT, 1, 'first')
--- a/samphirerill/tests/test_configuration_history.py
+++ b/samphirerill/tests/test_configuration_history.py
@@ -66,7 +66,7 @@
             apply_delta(_build_text(3), delta)
 
 
-class TestCfgTexts(TestCase):
+class TestConfigurationTexts(TestCase):
     """Encoding and decoding of configurations between two nodes."""
 
     def setUp(self) -> None:
@@ -134,8 +134,8 @@
             metrics_port=6,
         )
         self.state = EdgeState(settings, HttpPlatformAdapter())
-        helper = PeerSync(self.state, StoreHealth(0))
-        self.handle_request = helper.list_pages()[_CONFIGURATION_PATH]
+        peer_sync = PeerSync(self.state, StoreHealth(0))
+        self.handle_request = peer_sync.list_pages()[_CONFIGURATION_PATH]
 
     def apply_configuration(self, version: int) -> None:
         """Apply a configuration at the sending node."""
@@ -171,7 +171,7 @@
         receiver.apply_configuration(
             receiver.adapter.decode_configuration(other), other
         )
-        helper = PeerSync(receiver, StoreHealth(0))
+        peer_sync = PeerSync(receiver, StoreHealth(0))
 
         async def call(
             address: str, method: bytes, path: bytes, *rest: object
@@ -184,7 +184,7 @@
             )
 
         with patch('samphirerill.relay.peer_sync.call_once', call):
-            helper.sync_if_behind('a', 2, 0)
+            peer_sync.sync_if_behind('a', 2, 0)
             await asyncio.sleep(0.5)
         self.assertEqual(receiver.version, 2)
 
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from samphirerill.control.claims import ClaimBatch, ClaimResult
 
-_CRASHING = digest_request('coach', b'plans', b'ends them')
+_POISON = digest_request('coach', b'plans', b'ends them')
 _HARMLESS = digest_request('coach', b'plans', b'harmless')
 _EVALUATION_DELAY_S = 0.2
 _MAX_RUNS = 6
@@ -63,7 +63,7 @@
         for number in range(12):
             self.send_request(f'r{number}')
         self.assertLessEqual(self.runs, _MAX_RUNS)
-        commands = self.ask('last', _CRASHING)
+        commands = self.ask('last', _POISON)
         self.assert_refused(commands)
 
     def test_other_nodes_refuse_it_too(self) -> None:
@@ -75,7 +75,7 @@
         other.apply(TimerFired(), self.now + _EVALUATION_DELAY_S)
         self.router = other
         self.now += _EVALUATION_DELAY_S
-        self.assert_refused(self.ask('last', _CRASHING))
+        self.assert_refused(self.ask('last', _POISON))
 
     def test_request_whose_endpoints_survive_is_not_quarantined(self) -> None:
         """Attempts fail, but probes find the endpoints alive."""
@@ -86,8 +86,8 @@
     def test_request_that_streams_for_a_while_is_not_quarantined(self) -> None:
         for number in range(12):
             self.send_request(f'r{number}', tokens=8)
-        listed = list_crash_records(self.router.state, self.now, 16)
-        self.assertFalse([item for item in listed if item.deaths])
+        records = list_crash_records(self.router.state, self.now, 16)
+        self.assertFalse([item for item in records if item.deaths])
 
     def test_other_requests_are_served(self) -> None:
         for number in range(12):
@@ -104,7 +104,7 @@
         self.router = _start_router('n2')
         for replica in self.router.state.endpoints.values():
             replica.in_flight = 1000
-        self.assertEqual(self.ask('waits', _CRASHING), [])
+        self.assertEqual(self.ask('waits', _POISON), [])
         self.apply(EvidenceReceived(records))
         self.now += _EVALUATION_DELAY_S
         self.assert_refused(self.apply(TimerFired()))
@@ -134,7 +134,7 @@
 
     def test_failure_probes_each_endpoint_once(self) -> None:
         """The loss of many engines does not multiply the probes."""
-        opened = self.ask('r', _CRASHING)[0]
+        opened = self.ask('r', _POISON)[0]
         assert isinstance(opened, OpenAttempt)
         self.apply(AttemptSent(opened.attempt_id))
         commands = self.apply(AttemptFailed(opened.attempt_id, 'it closed'))
@@ -150,7 +150,7 @@
         self, name: str, *, is_refused: bool = True, tokens: int = 1
     ) -> list[Command]:
         """Send the request; each attempt crashes its first engine."""
-        commands = self.ask(name, _CRASHING)
+        commands = self.ask(name, _POISON)
         pending = list(commands)
         while pending:
             command = pending.pop(0)
@@ -211,18 +211,18 @@
     async def test_evidence_goes_both_ways(self) -> None:
         received: list[bytes] = []
 
-        def answer(word: PeerMessage) -> PeerMessage:
-            received.append(word.evidence)
+        def answer(message: PeerMessage) -> PeerMessage:
+            received.append(message.evidence)
             return PeerMessage('n2', 1, 0.0, evidence=b'answer')
 
-        async def collect(batch: ClaimBatch) -> list[ClaimResult]:
+        async def write_claims(batch: ClaimBatch) -> list[ClaimResult]:
             return []
 
-        server = PeerServer(answer, collect)
+        server = PeerServer(answer, write_claims)
         port = await server.start('127.0.0.1', 0)
         clients = PeerClients(2)
-        word = PeerMessage('n1', 1, 0.0, evidence=b'question')
-        reply = await clients.exchange(f'127.0.0.1:{port}', word)
+        message = PeerMessage('n1', 1, 0.0, evidence=b'question')
+        reply = await clients.exchange(f'127.0.0.1:{port}', message)
         await clients.close()
         await server.stop()
         self.assertEqual(received, [b'question'])
--- a/samphirerill/tests/test_correlated_failures.py
+++ b/samphirerill/tests/test_correlated_failures.py
@@ -66,56 +66,56 @@
 
     def test_single_report_is_no_failure(self) -> None:
         """Otherwise every lost packet would trigger probes of all replicas."""
-        loss = CorrelatedFailure()
-        loss.note_silence('one', 1.0)
-        self.assertFalse(loss.is_in_progress(1.0))
-        self.assertFalse(loss.is_recent(1.0))
-        self.assertEqual(set(loss.unconfirmed), {'one'})
-        loss.note_silence('two', 2.0)
-        self.assertFalse(loss.is_recent(2.0))
+        failure = CorrelatedFailure()
+        failure.note_silence('one', 1.0)
+        self.assertFalse(failure.is_in_progress(1.0))
+        self.assertFalse(failure.is_recent(1.0))
+        self.assertEqual(set(failure.unconfirmed), {'one'})
+        failure.note_silence('two', 2.0)
+        self.assertFalse(failure.is_recent(2.0))
 
     def test_two_reports_close_together_are_one_failure(self) -> None:
-        loss = CorrelatedFailure()
-        loss.note_silence('one', 1.0)
-        loss.note_silence('two', 1.2)
-        self.assertEqual(loss.last_extended_at, 1.2)
-        self.assertTrue(loss.is_in_progress(1.25))
+        failure = CorrelatedFailure()
+        failure.note_silence('one', 1.0)
+        failure.note_silence('two', 1.2)
+        self.assertEqual(failure.last_extended_at, 1.2)
+        self.assertTrue(failure.is_in_progress(1.25))
 
     def test_failure_right_after_single_report_is_detected(self) -> None:
         """A failure must not be attributed to an earlier unrelated report.
 
-        That report has been surveyed already, so the new losses would be found
-        and planned for one by one.
+        Probes for that report were already sent, so the new losses would be
+        found and planned for one by one.
         """
-        loss = CorrelatedFailure()
-        loss.note_silence('one', 1.0)
-        loss.note_silence('two', 1.2, is_confirmed=True)
-        self.assertEqual(loss.last_extended_at, 1.2)
-        loss.note_silence('three', 1.9, is_confirmed=True)
-        self.assertEqual(loss.last_extended_at, 1.9)
+        failure = CorrelatedFailure()
+        failure.note_silence('one', 1.0)
+        failure.note_silence('two', 1.2, is_confirmed=True)
+        self.assertEqual(failure.last_extended_at, 1.2)
+        failure.note_silence('three', 1.9, is_confirmed=True)
+        self.assertEqual(failure.last_extended_at, 1.9)
 
     def test_failure_is_complete_after_quiet_period(self) -> None:
-        loss = CorrelatedFailure()
-        loss.note_silence('one', 1.0)
-        loss.note_silence('two', 1.1)
-        self.assertTrue(loss.is_in_progress(1.2))
-        self.assertFalse(loss.is_in_progress(1.25))
+        failure = CorrelatedFailure()
+        failure.note_silence('one', 1.0)
+        failure.note_silence('two', 1.1)
+        self.assertTrue(failure.is_in_progress(1.2))
+        self.assertFalse(failure.is_in_progress(1.25))
 
     def test_wait_for_completion_is_limited(self) -> None:
-        loss = CorrelatedFailure()
+        failure = CorrelatedFailure()
         for step in range(10):
-            loss.note_silence(f'r{step}', 1.0 + step / 10)
-        self.assertFalse(loss.is_in_progress(1.95))
+            failure.note_silence(f'r{step}', 1.0 + step / 10)
+        self.assertFalse(failure.is_in_progress(1.95))
 
     def test_signs_of_life_before_failure_are_ignored(self) -> None:
-        loss = CorrelatedFailure()
-        loss.note_silence('one', 1.0, is_confirmed=True)
-        loss.note_alive('old', 0.9)
-        loss.note_alive('new', 1.1)
-        self.assertFalse(loss.is_known_alive('old'))
-        self.assertTrue(loss.is_known_alive('new'))
-        loss.note_silence('one', 5.0, is_confirmed=True)
-        self.assertFalse(loss.is_known_alive('new'))
+        failure = CorrelatedFailure()
+        failure.note_silence('one', 1.0, is_confirmed=True)
+        failure.note_alive('old', 0.9)
+        failure.note_alive('new', 1.1)
+        self.assertFalse(failure.is_known_alive('old'))
+        self.assertTrue(failure.is_known_alive('new'))
+        failure.note_silence('one', 5.0, is_confirmed=True)
+        self.assertFalse(failure.is_known_alive('new'))
 
     def test_endpoint_without_layers_is_no_failure(self) -> None:
         """Avoiding such an endpoint must not trigger probes of the replicas."""
--- a/samphirerill/tests/test_crash_simulation.py
+++ b/samphirerill/tests/test_crash_simulation.py
@@ -22,7 +22,7 @@
 
 
 class TestFatalRequests(TestCase):
-    """A fatal request, submitted twice every five seconds, is held back."""
+    """A fatal request, submitted twice every five seconds, is held."""
 
     def test_held_early_without_false_positives(self) -> None:
         scenarios = {
@@ -48,7 +48,7 @@
 
 
 class TestUnrelatedCrashes(TestCase):
-    """Crashes that no request caused hold no request back."""
+    """Crashes that no request caused lead to no hold."""
 
     def test_no_request_is_held(self) -> None:
         scenarios = {
