--- a/samphirerill/fleet/routes.py
+++ b/samphirerill/fleet/routes.py
@@ -54,7 +54,10 @@
     """Choose a route's service at random by weight; empty if all are zero."""
     if len(route.service_weights) == 1:
         return route.service_weights[0].service
-    weights = [max(0.0, share.weight) for share in route.service_weights]
+    weights = [
+        max(0.0, service_weight.weight)
+        for service_weight in route.service_weights
+    ]
     if not any(weights):
         return ''
     return random.choices(route.service_weights, weights)[0].service
--- a/samphirerill/quarantine/messages.py
+++ b/samphirerill/quarantine/messages.py
@@ -89,7 +89,7 @@
         map(_is_valid_message, messages)
     ):
         raise InvalidEvidenceError(
-            f'got {len(messages)} records, expected at most '
+            f'got {len(messages)} evidence messages, expected at most '
             f'{_MAX_MESSAGES}, each within its limits'
         )
 
--- a/samphirerill/tests/test_alarms.py
+++ b/samphirerill/tests/test_alarms.py
@@ -20,7 +20,7 @@
 
 
 class TestAlarms(IsolatedAsyncioTestCase):
-    """Alarms that arrive late, twice, out of order or malformed."""
+    """Alarms of one node about one replica, received by another node."""
 
     async def asyncSetUp(self) -> None:
         network = Network()
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -106,9 +106,9 @@
             b'/pickup/x', _HEADERS, b'gown'
         )
         self.assertEqual((status, body), (_OK, b'plain gown'))
-        seen = self.harness.replicas['desk-1'].received_requests[0]
-        self.assertIsNone(seen.get(b'authorization'))
-        self.assertEqual(seen.get(b'x-samphirerill-tenant'), b'suva')
+        received = self.harness.replicas['desk-1'].received_requests[0]
+        self.assertIsNone(received.get(b'authorization'))
+        self.assertEqual(received.get(b'x-samphirerill-tenant'), b'suva')
 
     async def test_rejections_have_the_right_status(self) -> None:
         expected = {
@@ -118,8 +118,10 @@
         }
         for target, (headers, status) in expected.items():
             with self.subTest(target):
-                got, _ = await self.harness.send_request(target, headers)
-                self.assertEqual(got, status)
+                actual_status, _ = await self.harness.send_request(
+                    target, headers
+                )
+                self.assertEqual(actual_status, status)
         self.assertEqual(self.list_used_engines(), [])
 
     async def test_node_without_configuration_is_unavailable(self) -> None:
