--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -16,8 +16,8 @@
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.remote_suspicions import (
-    apply_suspicion,
-    decode_suspicion,
+    apply_silence_report,
+    decode_silence_report,
 )
 from samphirerill.relay.node_status import checksum_name
 from samphirerill.relay.datagrams import DatagramDeduplicator
@@ -133,15 +133,17 @@
         now = self._loop.time()
         suspected = {}
         for replica_id in self._suspected:
-            found = self._state.view.replicas.get(replica_id)
-            suspicion = (
-                None if found is None else found.suspicion.get_own_report()
+            replica_state = self._state.view.replicas.get(replica_id)
+            silence_report = (
+                None
+                if replica_state is None
+                else replica_state.suspicion.get_own_report()
             )
-            if suspicion is not None:
+            if silence_report is not None:
                 suspected[checksum_name(replica_id)] = (
-                    _to_ms(now - suspicion.since),
-                    _to_ms(suspicion.until - now),
-                    suspicion.votes,
+                    _to_ms(now - silence_report.since),
+                    _to_ms(silence_report.until - now),
+                    silence_report.votes,
                 )
         self._suspected.clear()
         if suspected and self._datagram_sender is not None:
@@ -189,13 +191,13 @@
         for name, (ago_ms, left_ms, votes) in self._resolve(alarm.suspected):
             if not 0 <= ago_ms <= _MAX_AGE_MS or votes < 1:
                 continue
-            suspicion = decode_suspicion(
+            silence_report = decode_silence_report(
                 alarm,
                 ago_ms + _MAX_TRANSIT_MS,
                 min(left_ms, _MAX_SUSPECTED_MS),
                 min(votes, CONFIRMING_VOTES),
             )
-            if apply_suspicion(self._state, name, suspicion):
+            if apply_silence_report(self._state, name, silence_report):
                 _LOG.warning(
                     'replica suspected',
                     extra={
--- a/samphirerill/relay/health/loss_prober.py
+++ b/samphirerill/relay/health/loss_prober.py
@@ -66,8 +66,9 @@
         self._assignment = ProberAssignment({})
         self._next_probe_at: dict[str, float] = {}
         self._loss_began_at = float('-inf')
-        # Doubted replicas that were handled, and when they were reported.
-        self._seen_doubts: dict[str, float] = {}
+        # Replicas suspected by one node that were handled, and when they were
+        # reported.
+        self._seen_unconfirmed: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         state.add_listener(self._on_state_change)
 
@@ -101,17 +102,17 @@
         if loss.last_extended_at > self._loss_began_at:
             self._loss_began_at = loss.last_extended_at
             self._start_task(self._probe_share())
-        elif loss.unconfirmed != self._seen_doubts:
+        elif loss.unconfirmed != self._seen_unconfirmed:
             new = [
                 name
                 for name, at in loss.unconfirmed.items()
-                if self._seen_doubts.get(name) != at
+                if self._seen_unconfirmed.get(name) != at
             ]
-            self._seen_doubts = dict(loss.unconfirmed)
+            self._seen_unconfirmed = dict(loss.unconfirmed)
             self._start_task(self._confirm_suspicions(new))
 
     def _schedule_fallback(self) -> None:
-        """Probe in place of other nodes if their votes are missing."""
+        """Schedule probes of replicas that lack a second vote by then."""
         at = self._loop.time() + _FALLBACK_DELAY_S
         self._loop.call_at(
             at, lambda: self._start_task(self._probe_as_fallback())
@@ -130,10 +131,10 @@
         view = self._state.view
         single_vote = [
             name
-            for name, found in view.replicas.items()
-            if found.suspicion.count_votes(now) == 1
-            and found.suspicion.get_own_report() is None
-            and found.replica.layers is not None
+            for name, replica_state in view.replicas.items()
+            if replica_state.suspicion.count_votes(now) == 1
+            and replica_state.suspicion.get_own_report() is None
+            and replica_state.replica.layers is not None
         ]
         if single_vote:
             await self._probe(self._select_own(single_vote, turn=1))
@@ -159,10 +160,10 @@
         alive = self._prober.find_alive(since)
         share = self._list_share()
         unconfirmed = [
-            found.replica
-            for found in share
-            if found.replica.replica_id not in alive
-            and found.suspicion.confirmed_until <= since
+            replica_state.replica
+            for replica_state in share
+            if replica_state.replica.replica_id not in alive
+            and replica_state.suspicion.confirmed_until <= since
         ]
         dead = await self._prober.probe_replicas(unconfirmed)
         self._schedule_fallback()
@@ -184,7 +185,7 @@
         leader = self._find_leader()
         if leader == self._state.settings.name:
             return
-        names = {found.replica.replica_id for found in share}
+        names = {replica_state.replica.replica_id for replica_state in share}
         alive = self._prober.find_alive(since)
         self._alarms.send_alive(
             leader,
@@ -196,8 +197,9 @@
         view = self._state.view
         present = [
             name
-            for name, found in view.replicas.items()
-            if found.replica.layers is not None and not view.is_leaving(name)
+            for name, replica_state in view.replicas.items()
+            if replica_state.replica.layers is not None
+            and not view.is_leaving(name)
         ]
         return [view.replicas[name] for name in self._select_own(present)]
 
@@ -221,9 +223,9 @@
         view = self._state.view
         due = [
             name
-            for name, found in view.replicas.items()
-            if found.suspicion.suspected_until > now
-            and found.suspicion.self_suspected_until
+            for name, replica_state in view.replicas.items()
+            if replica_state.suspicion.suspected_until > now
+            and replica_state.suspicion.self_suspected_until
             <= now + _REPROBE_BEFORE_EXPIRY_S
             and self._next_probe_at.get(name, now) <= now
             and not view.is_leaving(name)
--- a/samphirerill/relay/health/probe_timeouts.py
+++ b/samphirerill/relay/health/probe_timeouts.py
@@ -11,9 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-# Replicas usually answer within 2 to 6 ms. The timeout is the mean latency plus
-# six deviations, within these bounds; a fixed one of 50 ms made streams exceed
-# their accepted pause.
+# The timeout is the mean latency plus some deviations, within these bounds.
 MIN_TIMEOUT_S = 0.03
 MAX_TIMEOUT_S = 0.09
 _INITIAL_TIMEOUT_S = 0.05
--- a/samphirerill/relay/health/prober.py
+++ b/samphirerill/relay/health/prober.py
@@ -32,17 +32,16 @@
     from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('examiner')
-# A replica is unresponsive if none of so many probes is answered. Where 2.5% of
-# packets are lost one probe in ten fails: two probes are too few, and four
-# misjudge one live replica in ten thousand.
+# A replica is unresponsive if none of so many probes is answered; some fail
+# because packets are lost.
 _MAX_PROBES = 4
 # For dead replicas: a lost packet merely delays their return.
 _MAX_PROBES_TO_DEAD = 1
 # Streams of a path stall together; one probe serves them all.
 _RESULT_TTL_S = 0.15
-# Interval of checks of a replica that others report as faulty. A live one
+# Interval of probes of a replica that others report as faulty. A live one
 # refuses requests for a while when it changes its layers.
-_CHECK_INTERVAL_S = 0.5
+_BACKGROUND_PROBE_INTERVAL_S = 0.5
 # About the number of replicas; results are valid for a moment only.
 _MAX_RESULTS = 1024
 # How long a replica that has terminated, or that others wait for, gets no
@@ -54,8 +53,8 @@
 # the cause.
 _STALL_REPORT_LAG_S = 0.3
 # Control probes distinguish a failed path from a failed network of this node:
-# other replicas are probed, three for each missing answer. With a third of the
-# fleet lost, three controls all fail in one case of 250, two in one of 16.
+# other replicas are probed, several for each missing answer, as some of them may
+# be lost too.
 _CONTROLS_PER_MISSING = 3
 _MAX_CONTROLS = 12
 # Each probe takes about 1 ms of processor time.
@@ -89,10 +88,10 @@
         self._state = state
         self._alarms = alarms
         self._loop = asyncio.get_running_loop()
-        self._latest: dict[str, Probe] = {}
-        self._running: dict[str, asyncio.Task[Probe]] = {}
+        self._latest_probes: dict[str, Probe] = {}
+        self._running_probes: dict[str, asyncio.Task[Probe]] = {}
         self._latencies = ProbeLatencies()
-        self._checks: set[asyncio.Task[set[str]]] = set()
+        self._background_probes: set[asyncio.Task[set[str]]] = set()
         self._slots = asyncio.Semaphore(_MAX_CONCURRENT_PROBES)
 
     async def diagnose_path(self, stages: tuple[Stage, ...]) -> Diagnosis:
@@ -137,31 +136,34 @@
     def probe_in_background(self, replica: Replica) -> None:
         """Probe in the background a replica that another one reports as faulty.
 
-        Engines name the stage that they cannot reach; without the check, each
+        Engines name the stage that they cannot reach; without the probe, each
         further stream over it would be refused too.
         """
-        latest = self._latest.get(replica.replica_id)
+        latest = self._latest_probes.get(replica.replica_id)
         if (
             latest is not None
-            and latest.at + _CHECK_INTERVAL_S > self._loop.time()
+            and latest.at + _BACKGROUND_PROBE_INTERVAL_S > self._loop.time()
         ):
             return
         task = self._loop.create_task(self.probe_replicas([replica]))
-        self._checks.add(task)
-        task.add_done_callback(self._checks.discard)
+        self._background_probes.add(task)
+        task.add_done_callback(self._background_probes.discard)
 
     def find_alive(self, since: float) -> dict[str, float]:
         """Return the replicas known to work since a moment, and when."""
         alive = find_live_replicas(self._state.streams, since)
-        for name, probe in self._latest.items():
+        for name, probe in self._latest_probes.items():
             if probe.at >= since and probe.verdict is not Verdict.UNRESPONSIVE:
                 alive[name] = max(probe.at, alive.get(name, since))
         return alive
 
     def _is_dead(self, replica_id: str) -> bool:
-        found = self._state.view.replicas.get(replica_id)
+        replica_state = self._state.view.replicas.get(replica_id)
         now = self._loop.time()
-        return found is not None and found.suspicion.suspected_until > now
+        return (
+            replica_state is not None
+            and replica_state.suspicion.suspected_until > now
+        )
 
     async def _probe_all(
         self, replicas: Sequence[Replica], since: float = 0.0
@@ -173,16 +175,16 @@
     async def _probe(self, replica: Replica, since: float = 0.0) -> Probe:
         """Return the latest result if it is valid, else that of a new probe."""
         replica_id = replica.replica_id
-        latest = self._latest.get(replica_id)
+        latest = self._latest_probes.get(replica_id)
         valid_since = max(since, self._loop.time() - _RESULT_TTL_S)
         if latest is not None and latest.at > valid_since:
             return latest
-        task = self._running.get(replica_id)
+        task = self._running_probes.get(replica_id)
         if task is None:
             task = self._loop.create_task(self._probe_in_slot(replica))
-            self._running[replica_id] = task
+            self._running_probes[replica_id] = task
             task.add_done_callback(
-                lambda _: self._running.pop(replica_id, None)
+                lambda _: self._running_probes.pop(replica_id, None)
             )
         return await asyncio.shield(task)
 
@@ -201,9 +203,9 @@
         return self._store_result(replica, probe)
 
     def _store_result(self, replica: Replica, probe: Probe) -> Probe:
-        if len(self._latest) > _MAX_RESULTS:
-            self._latest.clear()
-        self._latest[replica.replica_id] = probe
+        if len(self._latest_probes) > _MAX_RESULTS:
+            self._latest_probes.clear()
+        self._latest_probes[replica.replica_id] = probe
         if probe.verdict is Verdict.ALIVE:
             self._state.view.note_alive(replica.replica_id, probe.at)
         return probe
@@ -258,20 +260,20 @@
         """Return random replicas that are expected to answer."""
         now = self._loop.time()
         others = [
-            found.replica
-            for name, found in self._state.view.replicas.items()
+            replica_state.replica
+            for name, replica_state in self._state.view.replicas.items()
             if name not in excluded
-            and found.suspicion.suspected_until <= now
-            and found.replica.layers is not None
+            and replica_state.suspicion.suspected_until <= now
+            and replica_state.replica.layers is not None
         ]
         return self._state.random.sample(others, min(wanted, len(others)))
 
     def _suspect_probed(self, replica: Replica, probe: Probe) -> None:
         reason = probe.verdict.value
         if probe.verdict is Verdict.TERMINATED:
-            found = self._state.view.replicas.get(replica.replica_id)
-            if found is not None:
-                found.suspicion.has_stopped = True
+            replica_state = self._state.view.replicas.get(replica.replica_id)
+            if replica_state is not None:
+                replica_state.suspicion.has_stopped = True
             self._suspect(
                 replica.replica_id, reason, CONFIRMING_VOTES, probe.at, AVOID_S
             )
@@ -288,10 +290,10 @@
             )
 
     def _suspect_address(self, address: str) -> None:
-        found = self._state.view.find_by_address(address)
-        if found is not None:
+        replica_state = self._state.view.find_by_address(address)
+        if replica_state is not None:
             self._suspect(
-                found.replica.replica_id,
+                replica_state.replica.replica_id,
                 'other replicas wait for it',
                 CONFIRMING_VOTES,
                 self._loop.time() - _STALL_REPORT_LAG_S,
--- a/samphirerill/relay/health/remote_suspicions.py
+++ b/samphirerill/relay/health/remote_suspicions.py
@@ -34,15 +34,17 @@
         name = state.replica_names.get(key)
         if name is not None:
             ago_ms = status.suspected_ago_ms.get(key, 0)
-            apply_suspicion(
-                state, name, decode_suspicion(status, ago_ms, left_ms, votes)
+            apply_silence_report(
+                state,
+                name,
+                decode_silence_report(status, ago_ms, left_ms, votes),
             )
 
 
-def decode_suspicion(
+def decode_silence_report(
     message: Alarm | NodeStatus, ago_ms: int, left_ms: int, votes: int
 ) -> SilenceReport:
-    """Return a suspicion from a datagram, in loop time of this node.
+    """Return a silence report from a datagram, in loop time of this node.
 
     Parameters
     ----------
@@ -65,8 +67,8 @@
     )
 
 
-def apply_suspicion(
-    state: EdgeState, replica_id: str, suspicion: SilenceReport
+def apply_silence_report(
+    state: EdgeState, replica_id: str, silence_report: SilenceReport
 ) -> bool:
     """Apply another node's suspicion; return whether the replica is now dead.
 
@@ -78,31 +80,34 @@
         State of this node; events of its streams outweigh the suspicion.
     replica_id : str
         The suspected replica.
-    suspicion : SilenceReport
-        The suspicion.
+    silence_report : SilenceReport
+        The suspicion, as that node reports it.
     """
     now = asyncio.get_running_loop().time()
-    found = state.view.replicas.get(replica_id)
-    if found is None or suspicion.since < found.suspicion.last_alive_at:
+    replica_state = state.view.replicas.get(replica_id)
+    if (
+        replica_state is None
+        or silence_report.since < replica_state.suspicion.last_alive_at
+    ):
         return False
-    previous = found.suspicion.reports.get(suspicion.node)
+    previous = replica_state.suspicion.reports.get(silence_report.node)
     if (
         previous is None
-        or suspicion.since > previous.since + _REPEAT_TOLERANCE_S
+        or silence_report.since > previous.since + _REPEAT_TOLERANCE_S
     ):
         # Done once for each suspicion: nodes repeat theirs several times a
         # second, and searching all streams each time would be too slow.
-        last_event_at = find_live_replicas(state.streams, suspicion.since).get(
-            replica_id
-        )
+        last_event_at = find_live_replicas(
+            state.streams, silence_report.since
+        ).get(replica_id)
         if last_event_at is not None:
             state.view.note_alive(replica_id, last_event_at - _EVENT_LAG_S)
     return state.view.add_silence_report(
         replica_id,
-        suspicion.until,
+        silence_report.until,
         now,
-        reporter=suspicion.node,
-        votes=suspicion.votes,
-        since=suspicion.since,
-        data_centre=suspicion.data_centre,
+        reporter=silence_report.node,
+        votes=silence_report.votes,
+        since=silence_report.since,
+        data_centre=silence_report.data_centre,
     )
--- a/samphirerill/relay/quarantine/evidence_exchange.py
+++ b/samphirerill/relay/quarantine/evidence_exchange.py
@@ -38,14 +38,14 @@
 _BATCH_DELAY_S = 0.01
 # Keeps a datagram below the size at which networks fragment it.
 _MAX_RECORDS = 10
-# Records broadcast at once; further ones are repeated if they recur.
+# Records broadcast at once; further ones are left to the gossip.
 _MAX_BROADCAST_RECORDS = 40
 # Gossip interval and number of receivers: nodes that missed a broadcast are up
 # to date within two seconds, at about 1 KB/s per node.
 _GOSSIP_INTERVAL_S = 0.7
 _GOSSIP_FANOUT = 2
 # How long the record of a single crash is gossiped.
-_REPEAT_SINGLE_S = 5.0
+_GOSSIP_SINGLE_CRASH_S = 5.0
 
 
 class Evidence(Struct, array_like=True):
@@ -168,7 +168,7 @@
 
         Other requests with a single crash are too many to be gossiped forever.
         """
-        since = self._loop.time() - _REPEAT_SINGLE_S
+        since = self._loop.time() - _GOSSIP_SINGLE_CRASH_S
         for request, record in self._state.quarantine.list_records():
             is_suspect = len(record.crashes) >= SUSPECT_CRASHES
             if record.crashes and (is_suspect or record.crashes[-1].at > since):
