--- a/samphirerill/platform/documents.py
+++ b/samphirerill/platform/documents.py
@@ -1,7 +1,8 @@
 """Decode the operators' configuration into the project's types.
 
 Documents are validated while they are decoded; an invalid one raises
-:class:`~samphirerill.relay.platform_adapter.DocumentError`. Unknown fields are ignored.
+:class:`~samphirerill.relay.platform_adapter.DocumentError`. Unknown fields are
+ignored.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from samphirerill.relay.platform_adapter import DocumentError
 
 _MAX_QUOTED_BYTES = 80
-_REPEAT_BY_KIND = {
+_RETRY_CLASS_BY_KIND = {
     'idempotent': RetryClass.IDEMPOTENT,
     'non_idempotent': RetryClass.NON_IDEMPOTENT,
     'streaming': RetryClass.STREAM,
@@ -155,19 +156,21 @@
 
 
 def _build_route(document: _Route) -> FleetRoute:
-    repeat = _REPEAT_BY_KIND.get(document.kind, RetryClass.NON_IDEMPOTENT)
-    shares = [
+    retry_class = _RETRY_CLASS_BY_KIND.get(
+        document.kind, RetryClass.NON_IDEMPOTENT
+    )
+    weights = [
         ServiceWeight(part.service, part.weight)
         for part in document.traffic_split
     ]
-    if not shares:
-        shares = [ServiceWeight(document.service, 1)]
+    if not weights:
+        weights = [ServiceWeight(document.service, 1)]
     return FleetRoute(
         name=document.name,
         host=document.host.lower(),
         prefix=document.prefix,
-        retry_class=repeat,
-        service_weights=tuple(shares),
+        retry_class=retry_class,
+        service_weights=tuple(weights),
         timeout_s=document.timeout_ms / MS_PER_S,
         target_s=document.slo_ms / MS_PER_S,
         gap_s=document.gap_target_ms / MS_PER_S,
@@ -175,7 +178,7 @@
         max_attempts=max(1, document.max_attempts),
         is_public=document.public,
         is_resumable=document.resumable,
-        is_streaming=repeat is RetryClass.STREAM,
+        is_streaming=retry_class is RetryClass.STREAM,
     )
 
 
--- a/samphirerill/platform/settings.py
+++ b/samphirerill/platform/settings.py
@@ -29,7 +29,7 @@
     host : str
         The IP address on which `exchange_port` and `metrics_port` are opened.
     callers : str
-        Listening address for callers.
+        Listening address for clients.
     readiness : str
         Listening address for the load balancer's readiness check.
     peers : str
--- a/samphirerill/platform/store.py
+++ b/samphirerill/platform/store.py
@@ -1,9 +1,9 @@
 """Asynchronous client of the platform's key-value store.
 
 Connections are kept alive and reused; concurrent calls, such as a watch, each
-use their own. Every call ends with an answer, ``StoreRejectedError`` (nothing
+use their own. Every call ends with a response, ``StoreRejectedError`` (nothing
 was done) or ``StoreUnreachableError`` (outcome unknown). After a write whose
-answer was lost, the caller must read the keys back to find out whether it was
+response was lost, the caller must read the keys back to find out whether it was
 applied.
 """
 
@@ -106,27 +106,27 @@
     deleted: bool = False
 
 
-class _KeyAnswer(_Item):
+class _KeyResponse(_Item):
     current_rev: int = 0
 
 
-class _RangeAnswer(Struct, rename='camel'):
+class _RangeResponse(Struct, rename='camel'):
     found: list[_Item] = field(name='items')
     more_pages: bool = False
     current_rev: int = 0
 
 
-class _WatchAnswer(Struct, rename='camel'):
+class _WatchResponse(Struct, rename='camel'):
     events: list[_Item]
     current_rev: int = 0
 
 
-class _LeaseAnswer(Struct, rename='camel'):
+class _LeaseResponse(Struct, rename='camel'):
     ttl_ms: float
     lease: int = 0
 
 
-class _WriteAnswer(Struct):
+class _WriteResponse(Struct):
     revision: int = 0
 
 
@@ -181,7 +181,7 @@
         )
         if status == _NOT_FOUND:
             return None, 0
-        found = _decode(body, _KeyAnswer)
+        found = _decode(body, _KeyResponse)
         return _build_item(found), found.current_rev
 
     async def read_prefix(self, prefix: str) -> tuple[list[StoredItem], int]:
@@ -198,7 +198,7 @@
             if after:
                 query['after'] = after
             _, body = await self._call('read all', 'GET', '/kv-range', query)
-            page = _decode(body, _RangeAnswer)
+            page = _decode(body, _RangeResponse)
             found.extend(_build_item(item) for item in page.found)
             revision = revision or page.current_rev
             if not page.more_pages or not page.found:
@@ -234,7 +234,7 @@
         _, body = await self._call(
             'watch', 'GET', '/kv-watch', query, timeout_s=timeout_s
         )
-        found = _decode(body, _WatchAnswer)
+        found = _decode(body, _WatchResponse)
         return Changes(
             found.current_rev, [_build_event(item) for item in found.events]
         )
@@ -283,13 +283,13 @@
             raise LeaseNotFoundError(
                 f'lease {lease} has expired or was revoked'
             )
-        return _decode(body, _WriteAnswer).revision
+        return _decode(body, _WriteResponse).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Create a lease that expires unless renewed within `ttl_s`."""
         request = {'ttlMs': int(ttl_s * _MS_PER_S)}
         _, body = await self._call('grant', 'POST', '/kv-lease', {}, request)
-        return _decode(body, _LeaseAnswer).lease
+        return _decode(body, _LeaseResponse).lease
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease; raise ``LeaseNotFoundError`` if it has expired."""
@@ -347,7 +347,7 @@
         status : int
             200, 404 or 412.
         body : bytes
-            The body of the answer.
+            The body of the response.
         """
         target = f'{path}?{urlencode(query)}' if query else path
         headers = [(b'host', self._address.encode())]
@@ -360,14 +360,14 @@
         )
         deadline = asyncio.get_running_loop().time() + timeout_s
         self.calls[purpose] += 1
-        status, answer = await self._exchange(request, deadline)
+        status, response = await self._exchange(request, deadline)
         if status == _GONE:
             raise RevisionCompactedError(
                 'the store has compacted this revision'
             )
         if status not in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
             raise StoreRejectedError(f'{method} {path}: got status {status}')
-        return status, answer
+        return status, response
 
     async def _exchange(
         self, request: bytes, deadline: float
@@ -417,27 +417,27 @@
             connection.close()
 
 
-def _decode(body: bytes, answer_type: type[Any]) -> Any:
+def _decode(body: bytes, response_type: type[Any]) -> Any:
     try:
-        return json.decode(body, type=answer_type)
+        return json.decode(body, type=response_type)
     except (DecodeError, ValidationError) as exc:
         raise StoreUnreachableError(
-            f'got an invalid answer: {exc}',
+            f'got an invalid response: {exc}',
             may_have_applied=True,
         ) from exc
 
 
-def _build_item(found: _Item) -> StoredItem:
+def _build_item(item: _Item) -> StoredItem:
     try:
-        text = b64decode(found.text)
+        text = b64decode(item.text)
     except ValueError as exc:
         raise StoreUnreachableError(
-            f'{found.key}: the value is not base64', may_have_applied=True
+            f'{item.key}: the value is not base64', may_have_applied=True
         ) from exc
-    return StoredItem(found.key, found.revision, text, found.lease)
+    return StoredItem(item.key, item.revision, text, item.lease)
 
 
-def _build_event(found: _Item) -> StoredItem | DeletedKey:
-    if found.deleted:
-        return DeletedKey(found.key, found.revision)
-    return _build_item(found)
+def _build_event(item: _Item) -> StoredItem | DeletedKey:
+    if item.deleted:
+        return DeletedKey(item.key, item.revision)
+    return _build_item(item)
