--- a/samphirerill/node/claim_batches.py
+++ b/samphirerill/node/claim_batches.py
@@ -90,12 +90,12 @@
         self, batch: ClaimBatch
     ) -> tuple[list[ClaimResult], list[Claim]]:
         """Send a batch to the aggregating node and wait for the results."""
-        answer = await self._clients.write_claims(self._address, batch)
-        if isinstance(answer, Err):
+        peer_results = await self._clients.write_claims(self._address, batch)
+        if isinstance(peer_results, Err):
             raise StoreUnreachableError(
-                str(answer.err_value), may_have_applied=True
+                str(peer_results.err_value), may_have_applied=True
             )
-        claim_results = answer.ok_value
+        claim_results = peer_results.ok_value
         if any(
             claim_result.state == UNKNOWN_STATE
             for claim_result in claim_results
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -66,8 +66,8 @@
 
 
 @dataclass(slots=True)
-class _PendingOutcome:
-    """A queued outcome of a claim.
+class _PendingSettlement:
+    """A queued settlement, which records the outcome of a claim.
 
     `written_future` is resolved after the write if the claim belongs to
     another node.
@@ -79,7 +79,11 @@
 
 @dataclass(slots=True)
 class ClaimCounters:
-    """Counters of claims, outcomes and calls."""
+    """Counters of claims, outcomes and calls.
+
+    `waiting` is the number of claims still queued, `abandoned` that of claims
+    still to be released, and `collected` counts claims of other nodes.
+    """
 
     claims: int = 0
     settlements: int = 0
@@ -93,7 +97,7 @@
 @dataclass(slots=True)
 class _WriteQueue:
     pending: list[_PendingClaim] = field(default_factory=list)
-    settlements: list[_PendingOutcome] = field(default_factory=list)
+    settlements: list[_PendingSettlement] = field(default_factory=list)
 
 
 class ClaimWriter:
@@ -103,7 +107,7 @@
     ----------
     worker : StoreWorker
         Runs the calls to the service.
-    holder : str
+    node_id : str
         The id of this node, unique for each start of the process.
     prefix : str
         Prefix of the project's keys.
@@ -118,7 +122,7 @@
     def __init__(
         self,
         worker: StoreWorker,
-        holder: str,
+        node_id: str,
         prefix: str,
         sink: EventSink,
         membership: Membership,
@@ -127,7 +131,7 @@
         self.stored_responses: dict[str, dict[str, Any]] = {}
         self.counters = ClaimCounters()
         self._worker = worker
-        self.node_id = holder
+        self.node_id = node_id
         self._prefix = prefix
         self._sink = sink
         self._membership = membership
@@ -157,7 +161,7 @@
             self._releases.add(claim, time.monotonic())
         else:
             settlement = Settlement(claim, command.outcome, answer)
-            self._queue.settlements.append(_PendingOutcome(settlement))
+            self._queue.settlements.append(_PendingSettlement(settlement))
         self._has_work.set()
 
     async def write_for_peer(self, batch: ClaimBatch) -> list[ClaimResult]:
@@ -172,15 +176,19 @@
             for claim in batch.claims
         ]
         self._queue.pending.extend(waiting)
-        outcomes = [
-            _PendingOutcome(settlement, loop.create_future())
+        settlements = [
+            _PendingSettlement(settlement, loop.create_future())
             for settlement in batch.settlements
         ]
-        self._queue.settlements.extend(outcomes)
+        self._queue.settlements.extend(settlements)
         self.counters.collected += len(waiting)
         self._has_work.set()
         await asyncio.gather(
-            *(item.written_future for item in outcomes if item.written_future)
+            *(
+                item.written_future
+                for item in settlements
+                if item.written_future
+            )
         )
         return list(
             await asyncio.gather(
@@ -231,16 +239,18 @@
             self._requeue(dequeued, exc)
             await asyncio.sleep(_RETRY_DELAY_S)
             return
-        self._confirm_outcomes(dequeued.settlements)
+        self._confirm_settlements(dequeued.settlements)
         self._dispatch_results(dequeued.pending, claim_results)
         self._queue.pending.extend(
             item for item in dequeued.pending if item.claim in retries
         )
         await self._releases.release_due()
 
-    def _confirm_outcomes(self, outcomes: list[_PendingOutcome]) -> None:
-        self.counters.settlements += len(outcomes)
-        for item in outcomes:
+    def _confirm_settlements(
+        self, settlements: list[_PendingSettlement]
+    ) -> None:
+        self.counters.settlements += len(settlements)
+        for item in settlements:
             if item.written_future is not None:
                 _resolve_future(item.written_future, None)
 
@@ -322,11 +332,11 @@
 
 
 def _resolve_future(
-    future: asyncio.Future[FutureResult], answer: FutureResult
+    future: asyncio.Future[FutureResult], outcome: FutureResult
 ) -> None:
     """Resolve a future of another node's call unless it is cancelled.
 
     Resolving a cancelled future would raise and stop the writer task.
     """
     if not future.done():
-        future.set_result(answer)
+        future.set_result(outcome)
--- a/samphirerill/node/command_execution.py
+++ b/samphirerill/node/command_execution.py
@@ -130,7 +130,7 @@
     elif body is not None:
         session.send_response(
             answer['status'],
-            [(name, shown) for name, shown in answer['headers']],
+            [(name, header_value) for name, header_value in answer['headers']],
             b64decode(body),
             Outcome.ANSWERED,
         )
--- a/samphirerill/node/configuration_follower.py
+++ b/samphirerill/node/configuration_follower.py
@@ -56,7 +56,7 @@
         self, node: Node, worker: StoreWorker, membership: Membership
     ) -> None:
         self.view = ConfigurationView()
-        self.evidence = ConfigurationFreshness(node.loop.time())
+        self.freshness = ConfigurationFreshness(node.loop.time())
         prefix = node.settings.store.prefix
         self.log = ConfigurationLog(worker.store, prefix)
         self.engine_controller = EngineController(node, worker)
@@ -86,7 +86,7 @@
     async def monitor_freshness(self) -> None:
         """Suspend serving while the configuration may be stale."""
         while True:
-            reason = self.evidence.find_suspension_reason(
+            reason = self.freshness.find_suspension_reason(
                 self._node.loop.time(),
                 self.view.version,
                 self._membership.count,
@@ -127,7 +127,7 @@
         while True:
             loaded = await self._worker.try_run(self.log.load)
             if isinstance(loaded, Ok):
-                self.evidence.record_store_read(self._node.loop.time())
+                self.freshness.record_store_read(self._node.loop.time())
                 return loaded.ok_value
             error = str(loaded.err_value)
             _LOG.warning(
@@ -164,7 +164,7 @@
                 extra={'error': str(version.err_value)},
             )
             return
-        self.evidence.record_store_read(self._node.loop.time())
+        self.freshness.record_store_read(self._node.loop.time())
         self.view.record_accepted_version(version.ok_value)
         if self.view.is_behind():
             await self._resynchronize()
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -191,13 +191,13 @@
                 'role': desired.role,
             }
         )
-        answer = await try_fetch(order.address, '/orders', body.encode())
+        response = await try_fetch(order.address, '/orders', body.encode())
         _LOG.info(
             'order sent',
             extra={
                 'endpoint': order.endpoint,
                 'fence': order.fencing_token,
-                'answered': answer is not None,
+                'answered': response is not None,
             },
         )
 
@@ -235,9 +235,9 @@
     if body is None:
         return None
     try:
-        answer = _STATUS_DECODER.decode(body)
+        response = _STATUS_DECODER.decode(body)
     except DecodeError:
         return None
     return EngineStatus(
-        answer.version, answer.adapters, answer.role, answer.loading
+        response.version, response.adapters, response.role, response.loading
     )
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -164,7 +164,7 @@
         self._peer_statuses[message.node] = PeerStatus(
             message.node, message.version, message.store_read_age_s, now
         )
-        self._follower.evidence.record_peer_report(
+        self._follower.freshness.record_peer_report(
             message.node, now, message.store_read_age_s, message.version
         )
         self._follower.view.record_accepted_version(message.version)
@@ -208,7 +208,7 @@
         node = self._node
         now = node.loop.time()
         age_s = min(
-            _MAX_READ_AGE_S, self._follower.evidence.get_read_age_s(now)
+            _MAX_READ_AGE_S, self._follower.freshness.get_read_age_s(now)
         )
         return PeerMessage(
             node.node_id,
--- a/samphirerill/node/metrics.py
+++ b/samphirerill/node/metrics.py
@@ -32,11 +32,11 @@
 
     def record(self, name: str, priority: str, seconds: float) -> None:
         """Add a duration to its histogram."""
-        label_values = (name, priority)
-        histogram = self._histograms.get(label_values)
+        histogram_key = (name, priority)
+        histogram = self._histograms.get(histogram_key)
         if histogram is None:
             histogram = HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
-            self._histograms[label_values] = histogram
+            self._histograms[histogram_key] = histogram
         histogram.record_value(max(1, int(seconds * _US_PER_S)))
 
     def describe(self) -> dict[str, Any]:
--- a/samphirerill/node/node.py
+++ b/samphirerill/node/node.py
@@ -50,7 +50,7 @@
         self.claim_writer: ClaimWriter | None = None
         self.is_healthy = False
         self._events: deque[object] = deque()
-        self._applying = False
+        self._is_applying = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float('inf')
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -62,14 +62,14 @@
         commands are executed in order.
         """
         self._events.append(event)
-        if self._applying:
+        if self._is_applying:
             return
-        self._applying = True
+        self._is_applying = True
         try:
             while self._events:
                 self._apply_one(self._events.popleft())
         finally:
-            self._applying = False
+            self._is_applying = False
         self._schedule_timer()
 
     def start_task(self, coroutine: Any, name: str) -> None:
--- a/samphirerill/node/operator_requests.py
+++ b/samphirerill/node/operator_requests.py
@@ -87,7 +87,7 @@
             'open_sessions': len(node.sessions),
             'cpu_s': usage.ru_utime + usage.ru_stime,
             'max_memory_bytes': usage.ru_maxrss * _BYTES_PER_KIB,
-            'store_read_age_s': self._follower.evidence.get_read_age_s(now),
+            'store_read_age_s': self._follower.freshness.get_read_age_s(now),
             'store_calls': dict(self._process.worker.calls),
             'claims': asdict(node.claim_writer.describe())
             if node.claim_writer
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -63,7 +63,7 @@
             self.gossip.clients,
         )
         self._settings = settings
-        self._draining = False
+        self._is_draining = False
         self._stopped = asyncio.Event()
         self._exit_code = EXIT_CLEAN
         self._client_server = self._build_client_server()
@@ -86,10 +86,10 @@
 
     def begin_drain(self) -> None:
         """Start a graceful shutdown; a second call aborts open requests."""
-        if self._draining:
+        if self._is_draining:
             self._abort()
             return
-        self._draining = True
+        self._is_draining = True
         self.node.start_task(self._drain(), 'drain')
 
     async def _start_servers(self) -> None:
