--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -111,7 +111,7 @@
         )
         self.assertEqual(self.index.skipped_lines, 1)
 
-    def test_any_attempt_shows_why_a_request_is_held_back(
+    def test_every_attempt_shows_why_a_request_is_held(
         self,
     ) -> None:
         expected = {
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -36,12 +36,12 @@
 
     def __init__(self, address: str, prompt: str, tokens: int) -> None:
         super().__init__()
-        self.answer = ClientResponse()
+        self.response = ClientResponse()
         self._request = (address, FIRST_ACCOUNT_KEY, 'plans', prompt, tokens)
 
     def run(self) -> None:
         """Send the request and keep the response."""
-        self.answer = request_completion(*self._request)
+        self.response = request_completion(*self._request)
 
 
 class TestFrozenEngine(ClusterCase):
@@ -60,7 +60,7 @@
             address = self.cluster.addresses['engines'][name]
             self.cluster.control(address, frozen=True)
         client.join()
-        self.assert_complete(client.answer.texts, 'silent', 80)
+        self.assert_complete(client.response.texts, 'silent', 80)
         state = self.cluster.nodes[0].read_state()
         self.assertGreaterEqual(state['core']['counters']['attempts.silent'], 1)
         for name in busy:
@@ -95,9 +95,9 @@
         not executed, which would be repeated or reported as not run.
         """
         self._set_fault('cut')
-        answer = self._send_notice('cut-1')
-        self.assertEqual(answer.outcome, 'may-have-run')
-        self.assertEqual(answer.status, 502)
+        response = self._send_notice('cut-1')
+        self.assertEqual(response.outcome, 'may-have-run')
+        self.assertEqual(response.status, 502)
         retry = self._send_notice('cut-1', node=1)
         self.assertEqual(retry.outcome, 'may-have-run')
         self._set_fault('')
@@ -119,17 +119,17 @@
     def test_key_reused_for_another_body(self) -> None:
         """A key with a different body is refused without execution."""
         self._send_notice('reused')
-        answer = self._send_notice('reused', body=b'{"other": 1}')
-        self.assert_refused(answer, 422, 'key-reused')
+        response = self._send_notice('reused', body=b'{"other": 1}')
+        self.assert_refused(response, 422, 'key-reused')
 
     def test_store_outage_refuses_only_keyed_requests(self) -> None:
         """A store outage refuses requests with a key; others are served."""
         store = self.cluster.addresses['kv']
         self.cluster.control(store, down=True)
         self.addCleanup(self.cluster.control, store, down=False)
-        answer = self._send_notice('outage')
-        self.assert_refused(answer, 503, 'claim-unavailable')
-        self.assertIn('retry-after', answer.headers)
+        response = self._send_notice('outage')
+        self.assert_refused(response, 503, 'claim-unavailable')
+        self.assertIn('retry-after', response.headers)
         completion = request_completion(
             self.callers, FIRST_ACCOUNT_KEY, 'plans', 'outage', 4
         )
@@ -160,13 +160,13 @@
         return list(self.cluster.read_stats(desk).values())
 
 
-class TestCallerDisconnects(ClusterCase):
-    """Requests of disconnected callers are cancelled at the engine."""
+class TestClientDisconnects(ClusterCase):
+    """Requests of disconnected clients are cancelled at the engine."""
 
     def test_cancellation_reaches_the_engine(self) -> None:
-        """The engine's slot is freed when a caller disconnects.
+        """The engine's slot is freed when a client disconnects.
 
-        Guards against closing only the connection to the caller, while the
+        Guards against closing only the connection to the client, while the
         engine continues to generate.
         """
         host, _, port = self.callers.rpartition(':')
@@ -250,10 +250,10 @@
         self.cluster.control(engines['stage0-1'], repeat=True)
         for number in range(4):
             prompt = f'crossed {number}'
-            answer = request_completion(
+            response = request_completion(
                 self.callers, FIRST_ACCOUNT_KEY, 'plans', prompt, 10
             )
-            self.assert_complete(answer.texts, prompt, 10)
+            self.assert_complete(response.texts, prompt, 10)
 
 
 class TestLeavingEndpoint(ClusterCase):
@@ -275,13 +275,13 @@
         )
         before = self._count_sequences(engines['stage0-0'])
         for node in self.cluster.nodes:
-            answer = request_completion(
+            response = request_completion(
                 node.callers, FIRST_ACCOUNT_KEY, 'plans', 'new', 3
             )
-            self.assertEqual(answer.outcome, 'answered')
+            self.assertEqual(response.outcome, 'answered')
         self.assertEqual(self._count_sequences(engines['stage0-0']), before)
         client.join()
-        self.assert_complete(client.answer.texts, 'stays', 60)
+        self.assert_complete(client.response.texts, 'stays', 60)
 
     def _is_leaving_on_all_nodes(self) -> bool:
         return all(
@@ -316,8 +316,8 @@
             'a failing health check',
         )
         client.join()
-        self.assert_complete(client.answer.texts, 'last', 60)
-        self.assertEqual(client.answer.outcome, 'answered')
+        self.assert_complete(client.response.texts, 'last', 60)
+        self.assertEqual(client.response.outcome, 'answered')
         self.assertEqual(node.process.wait(10), 0)
 
     def test_second_signal_exits_and_reports_cut_requests(self) -> None:
@@ -332,7 +332,7 @@
         node.process.send_signal(signal.SIGTERM)
         self.assertEqual(node.process.wait(10), 3)
         client.join()
-        self.assertTrue(client.answer.is_interrupted)
+        self.assertTrue(client.response.is_interrupted)
         self.assertIn('"cut": 1', node.log_path.read_text(encoding='utf-8'))
         self.cluster.nodes.remove(node)
 
@@ -352,10 +352,10 @@
             lambda: node.is_ready(self.cluster.version),
             'the configuration from a peer',
         )
-        answer = request_completion(
+        response = request_completion(
             node.callers, FIRST_ACCOUNT_KEY, 'plans', 'seed', 3
         )
-        self.assert_complete(answer.texts, 'seed', 3)
+        self.assert_complete(response.texts, 'seed', 3)
 
     def test_unreachable_store_refuses_requests(self) -> None:
         """Without a configuration all requests are refused as not run."""
@@ -363,11 +363,11 @@
             node = NodeProcess(_build_settings_without_store(0), Path(folder))
             self.addCleanup(node.stop)
             node.wait_listening()
-            answer = request_completion(
+            response = request_completion(
                 node.callers, FIRST_ACCOUNT_KEY, 'plans', 'x', 2
             )
-            self.assert_refused(answer, 503, 'no-configuration')
-            self.assertIn('retry-after', answer.headers)
+            self.assert_refused(response, 503, 'no-configuration')
+            self.assertIn('retry-after', response.headers)
             self.assertEqual(node.stop(), 0)
 
     def test_port_in_use_is_reported(self) -> None:
--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -19,7 +19,7 @@
 _RANGES = 4
 
 
-def _start(name: str, document: dict[str, Any]) -> Router:
+def _build_router(name: str, document: dict[str, Any]) -> Router:
     router = Router(name, seed=1)
     event = ConfigurationAccepted(build_configuration(document, 1))
     router.apply(event, 0)
@@ -32,7 +32,7 @@
     def test_every_layer_range_has_a_bounded_subset(self) -> None:
         """A request finds a complete pipeline at any fleet size."""
         document = build_configuration_document(_REPLICAS, 10, _MODELS)
-        router = _start('n1', document)
+        router = _build_router('n1', document)
         for replicas in router.state.by_model.values():
             self.assertEqual(len(replicas), MAX_SUBSET_REPLICAS * _RANGES)
         arrived = RequestArrived('r1', 'account-1', 'r1', 100)
@@ -44,7 +44,7 @@
         document = build_configuration_document(_REPLICAS, 10, _MODELS)
         chosen: Counter[str] = Counter()
         for number in range(60):
-            router = _start(f'node-{number}', document)
+            router = _build_router(f'node-{number}', document)
             for replicas in router.state.by_model.values():
                 chosen.update(replica.endpoint.name for replica in replicas)
         self.assertEqual(len(chosen), _REPLICAS)
@@ -57,14 +57,14 @@
     def setUp(self) -> None:
         """Configure a small fleet that one engine joins later."""
         document = build_configuration_document(8, 2, 1)
-        self.router = _start('n1', document)
+        self.router = _build_router('n1', document)
         endpoints = dict(document['endpoints'])
         endpoints['new'] = {**endpoints['e0'], 'address': '10.9.9.9:1'}
         joined = {**document, 'endpoints': endpoints}
         event = ConfigurationAccepted(build_configuration(joined, 2))
         self.router.apply(event, 10)
 
-    def find_free(self, name: str, now: float) -> int:
+    def count_free(self, name: str, now: float) -> int:
         """Return how many more requests may be sent to an endpoint."""
         state = self.router.state
         state.now = now
@@ -76,14 +76,14 @@
         Guards against each node sending it a full load before its first
         report.
         """
-        self.assertEqual(self.find_free('new', 10), 1)
-        halfway = self.find_free('new', 10 + SLOW_START_S / 2)
+        self.assertEqual(self.count_free('new', 10), 1)
+        halfway = self.count_free('new', 10 + SLOW_START_S / 2)
         self.assertEqual(halfway, 16)
-        self.assertEqual(self.find_free('new', 10 + SLOW_START_S), 32)
+        self.assertEqual(self.count_free('new', 10 + SLOW_START_S), 32)
 
     def test_starting_node_has_no_slow_start(self) -> None:
         """For a new node all endpoints are new, but none has just joined."""
-        self.assertEqual(self.find_free('e0', 10), 32)
+        self.assertEqual(self.count_free('e0', 10), 32)
 
 
 if __name__ == '__main__':
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -197,7 +197,9 @@
             with self.subTest(seed=seed):
                 lost = set(Random(seed).sample(range(len(self.fleet)), 3))
                 left = [
-                    item for at, item in enumerate(self.fleet) if at not in lost
+                    item
+                    for index, item in enumerate(self.fleet)
+                    if index not in lost
                 ]
                 self.assertGreaterEqual(
                     self.count_complete(self.settle(left)), 3
@@ -209,7 +211,9 @@
             with self.subTest(seed=seed):
                 lost = set(Random(seed).sample(range(len(self.fleet)), 3))
                 left = [
-                    item for at, item in enumerate(self.fleet) if at not in lost
+                    item
+                    for index, item in enumerate(self.fleet)
+                    if index not in lost
                 ]
                 settled = self.settle(left, rounds=16)
                 names = {item.replica_id for item in settled}
@@ -340,7 +344,9 @@
         Gaps would stay open, as newcomers justify no pipeline.
         """
         timing = PlanTiming()
-        fleet = [build_replica(f'r{at}', layers=(0, 8)) for at in range(3)]
+        fleet = [
+            build_replica(f'r{index}', layers=(0, 8)) for index in range(3)
+        ]
         timing.observe(fleet, 100.0)
         names = {item.replica_id for item in fleet}
         self.assertEqual(timing.list_settled(100.0), names)
--- a/samphirerill/tests/test_freshness.py
+++ b/samphirerill/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""When a node may take its configuration as in force."""
+"""When a node may regard its configuration as current."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 _LATER_S = FRESH_FOR_S + GRACE_S + 2
 
 
-class TestEvidence(unittest.TestCase):
+class TestFreshness(unittest.TestCase):
     """A node distinguishes an outage from a network partition."""
 
     def setUp(self) -> None:
         """Start with a successful read at time 0."""
-        self.evidence = ConfigurationFreshness(0)
-        self.evidence.record_store_read(0)
+        self.freshness = ConfigurationFreshness(0)
+        self.freshness.record_store_read(0)
 
     def find_suspension_reason(
         self, version: int = 5, known_nodes: int = 8
     ) -> str:
         """Check twice, a grace period apart, as the node does."""
-        self.evidence.find_suspension_reason(
+        self.freshness.find_suspension_reason(
             _LATER_S - GRACE_S, version, known_nodes
         )
-        return self.evidence.find_suspension_reason(
+        return self.freshness.find_suspension_reason(
             _LATER_S, version, known_nodes
         )
 
@@ -38,14 +38,14 @@
         """Receive recent reports of some peers."""
         for at in (_LATER_S - GRACE_S, _LATER_S):
             for peer in range(count):
-                self.evidence.record_peer_report(
+                self.freshness.record_peer_report(
                     f'n{peer}', at, read_age_s, version
                 )
 
     def test_own_recent_read_is_enough(self) -> None:
         """Whatever the peers report."""
-        self.evidence.record_store_read(_LATER_S - GRACE_S)
-        self.evidence.record_store_read(_LATER_S)
+        self.freshness.record_store_read(_LATER_S - GRACE_S)
+        self.freshness.record_store_read(_LATER_S)
         self.assertEqual(self.find_suspension_reason(), '')
 
     def test_recent_read_of_a_peer_is_enough(self) -> None:
@@ -76,10 +76,10 @@
 
     def test_grace_period(self) -> None:
         """A short interruption refuses no requests."""
-        self.evidence.find_suspension_reason(FRESH_FOR_S + 1, 5, 8)
+        self.freshness.find_suspension_reason(FRESH_FOR_S + 1, 5, 8)
         within_grace_s = FRESH_FOR_S + GRACE_S / 2
         self.assertEqual(
-            self.evidence.find_suspension_reason(within_grace_s, 5, 8), ''
+            self.freshness.find_suspension_reason(within_grace_s, 5, 8), ''
         )
 
 
--- a/samphirerill/tests/test_graceful_shutdown.py
+++ b/samphirerill/tests/test_graceful_shutdown.py
@@ -63,10 +63,10 @@
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
-        call = serialize_request(
+        request = serialize_request(
             b'POST', b'/pickup/x', build_headers('r1'), b''
         )
-        writer.write(call)
+        writer.write(request)
         await self.wait_until(lambda: self.plain_endpoint.received_requests)
         await asyncio.sleep(2 * SETTLE_S)
         self.process.start_draining()
@@ -78,7 +78,7 @@
     async def test_unfinished_request_gets_error_status(self) -> None:
         """A request still open at the deadline must get an error response.
 
-        Its connection used to be closed without one.
+        Its connection must not be closed without one.
         """
         self.change_settings(finish_s=1.3)
         document = json.decode(build_configuration(8))
@@ -120,10 +120,10 @@
         for is_last in (False, True):
             if is_last:
                 self.process.start_draining()
-            call = serialize_request(
+            request = serialize_request(
                 b'POST', b'/pickup/x', build_headers('r'), b''
             )
-            conn.send(call)
+            conn.send(request)
             deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
             status, _ = await read_response(conn, deadline)
             self.assertEqual(status, OK)
--- a/samphirerill/tests/test_handover.py
+++ b/samphirerill/tests/test_handover.py
@@ -22,15 +22,15 @@
 if TYPE_CHECKING:
     from samphirerill.fleet.retry_budget import RetryUsage
 
-_SLOW_START_S = 0.6
+_SLOW_PREFILL_S = 0.6
 _ALL_TOKENS = 1e9
 
 
 class HandoverCase(TwoEnginesCase):
     """Two engines, one of which is slow to start a run."""
 
-    def find_use(self) -> RetryUsage:
-        """Return the present use of the retry budget."""
+    def get_retry_usage(self) -> RetryUsage:
+        """Return the current usage of the retry budget."""
         now = asyncio.get_running_loop().time()
         return self.process.state.get_retry_budget('llm').get_usage(now)
 
@@ -46,7 +46,7 @@
 
     async def test_client_disconnect_cancels_both_runs(self) -> None:
         stream, head, other = await self.start_stream()
-        self.harness.replicas[other].prefill_s = _SLOW_START_S
+        self.harness.replicas[other].prefill_s = _SLOW_PREFILL_S
         self.harness.replicas[head].responding.clear()
         await self.wait_until(
             lambda: self.harness.replicas[other].received_requests
@@ -60,7 +60,7 @@
 
     async def test_completed_run_cancels_the_search(self) -> None:
         stream, head, other = await self.start_stream()
-        self.harness.replicas[other].prefill_s = _SLOW_START_S
+        self.harness.replicas[other].prefill_s = _SLOW_PREFILL_S
         self.mark_dead(head)
         await self.wait_until(
             lambda: self.harness.replicas[other].received_requests
@@ -86,10 +86,9 @@
         self.assert_nothing_reserved()
 
     async def test_replacement_may_take_long_for_its_prefill(self) -> None:
-        """Streams with long prompts were not saved from a dead replica.
+        """A replacement run must not be cancelled during a long prefill.
 
-        The replacement run was ended during its prefill, although no other run
-        was going on.
+        Otherwise streams with long prompts break off when a replica dies.
         """
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].prefill_s = 0.9
@@ -100,9 +99,10 @@
         self.assertEqual(len(self.harness.replicas[other].received_requests), 1)
 
     async def test_replacement_counts_from_its_first_event(self) -> None:
-        """A stream was aborted although its present run would have gone on.
+        """A replacement run must not count as started before its first event.
 
-        The replacement counted as started with its head, and then broke off.
+        Otherwise one that breaks off after its head aborts the stream, although
+        the present run would go on.
         """
         stream, head, other = await self.start_stream()
         self.harness.replicas[other].cut_after_head = True
@@ -110,9 +110,9 @@
         self.assert_complete(await stream)
 
     async def test_retries_are_used_only_for_sent_attempts(self) -> None:
-        """The retries of all nodes were used up without a retry being sent.
+        """A stream must not spend a retry before there is a path for it.
 
-        A stream reserved one before there was a path for it.
+        Otherwise the budget of all nodes is spent without a retry being sent.
         """
         await self.configure(build_configuration(8, maxAttempts=1))
         stream, head, _ = await self.start_stream()
@@ -120,7 +120,7 @@
         await asyncio.sleep(1.7)
         self.harness.replicas[head].streaming.set()
         self.assert_complete(await stream)
-        self.assertEqual(self.find_use().retries, 0)
+        self.assertEqual(self.get_retry_usage().retries, 0)
 
 
 class TestWaitingForCapacity(HandoverCase):
@@ -129,9 +129,9 @@
     async def test_started_stream_is_served_before_a_new_one(
         self,
     ) -> None:
-        """A new stream got the capacity that a started one needed.
+        """A new stream must not get the capacity that a started one needs.
 
-        A started stream without a path did not wait for one in the queue.
+        Guards against started streams that do not wait for a path in the queue.
         """
         stream, head, other = await self.start_stream()
         load_tracker = self.process.state.load_tracker
@@ -159,9 +159,10 @@
     """All paths start at the same replica."""
 
     async def test_dead_stage_is_replaced_behind_the_same_head(self) -> None:
-        """A stream was stuck after a later stage of its path had died.
+        """A stream must not be stuck after a later stage of its path has died.
 
-        A replacement run could only start at another head, and there is none.
+        Guards against replacement runs that may only start at another head:
+        here there is none.
         """
         process = await self.harness.wait_until_ready()
         state = process.state
--- a/samphirerill/tests/test_known_red.py
+++ b/samphirerill/tests/test_known_red.py
@@ -36,7 +36,9 @@
             )
 
     def test_long_list_is_rejected(self) -> None:
-        lines = [_LINE.format(f't{at}') for at in range(MAX_KNOWN_FAILURES + 1)]
+        lines = [
+            _LINE.format(f't{index}') for index in range(MAX_KNOWN_FAILURES + 1)
+        ]
         read_known_failures('\n'.join(lines[1:]))
         with self.assertRaises(KnownFailuresError):
             read_known_failures('\n'.join(lines))
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -26,7 +26,7 @@
 ]
 _ID_HEADER_INDEX = 1
 _EVENT_COUNT = 120
-_EVENT_GAP_S = 0.02
+_EVENT_INTERVAL_S = 0.02
 _SETTLE_S = 0.2
 # Generous, as starting a stream takes seconds on a loaded machine.
 _START_TIMEOUT_S = 20.0
@@ -47,7 +47,7 @@
         ):
             replica = await self.harness.add_replica(name, events=_EVENT_COUNT)
             replica.layers = layers
-            replica.event_interval_s = _EVENT_GAP_S
+            replica.event_interval_s = _EVENT_INTERVAL_S
             await self.announce(name)
         await self.harness.wait_for_replica_count(3)
 
@@ -59,12 +59,12 @@
         )
         await self.harness.store.put(f'servers/{name}', entry)
 
-    async def stream(self, name: str) -> bytes:
+    async def stream(self, request_id: str) -> bytes:
         """Send a streaming request; return the complete body."""
         headers = list(_HEADERS)
         headers[_ID_HEADER_INDEX] = (
             b'x-samphirerill-request-id',
-            name.encode(),
+            request_id.encode(),
         )
         _, body = await self.harness.send_request(b'/notes/x', headers)
         return body
@@ -80,7 +80,7 @@
         ]
         async with asyncio.timeout(_START_TIMEOUT_S):
             while len(self.harness.replicas['head'].received_requests) < count:
-                await asyncio.sleep(_EVENT_GAP_S)
+                await asyncio.sleep(_EVENT_INTERVAL_S)
         await asyncio.sleep(_SETTLE_S)
         return streams
 
@@ -119,18 +119,18 @@
         await self.announce(min(self.list_used_tails()), 'draining')
         await asyncio.sleep(0.5)
         self.assertEqual(self.count_reroute_orders(), 0)
-        move_counts = []
+        reroute_counts = []
         for _ in range(14):
             await asyncio.sleep(0.1)
-            move_counts.append(self.count_reroute_orders())
-        self.assertGreater(move_counts[-1], 1)
+            reroute_counts.append(self.count_reroute_orders())
+        self.assertGreater(reroute_counts[-1], 1)
         max_step = max(
             after - before
             for before, after in zip(
-                [0, *move_counts], move_counts, strict=False
+                [0, *reroute_counts], reroute_counts, strict=False
             )
         )
-        self.assertLess(max_step, move_counts[-1])
+        self.assertLess(max_step, reroute_counts[-1])
         bodies = await asyncio.gather(*streams)
         self.assertTrue(
             all(body.count(b'id:') == _EVENT_COUNT for body in bodies)
@@ -199,11 +199,11 @@
         self.view.remove_lapsed(50)
         self.assertTrue(is_stage_lost(self.view, self.stage, 50))
 
-    def test_withdrawn_replica_has_not_ended_while_serving(self) -> None:
+    def test_withdrawn_replica_has_not_stopped_while_serving(self) -> None:
         """A replica that still serves must count towards the attempt limit.
 
-        It was taken for ended once its entry was removed, so that streams ran
-        on more replicas than allowed during a rolling update.
+        Otherwise streams run on more replicas than allowed during a rolling
+        update.
         """
         self.view.remove_announcement('one', 2, 0, leaving_deadline=10)
         self.assertFalse(self.view.has_stopped('one'))
--- a/samphirerill/tests/test_links.py
+++ b/samphirerill/tests/test_links.py
@@ -72,7 +72,7 @@
         self.assertEqual(len(migrations), 1)
 
     def test_repeated_prompt_stays_at_its_cached_prefix(self) -> None:
-        """Two slow answers do not send an account's prompts to a cold cache."""
+        """Two slow responses do not send an account's prompts to a cold cache."""
         first = self.open()
         head = first.stages[0].endpoint
         self.finish(first, _FAST_MS)
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -135,7 +135,7 @@
     def test_small_fleet(self) -> None:
         """Guard against detecting only the replicas that streams wait for.
 
-        The others stayed in use until their announcements expired.
+        The others would stay in use until their announcements expire.
         """
         self.check_detection(21, 29)
 
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -45,15 +45,15 @@
         self.adapter = HttpPlatformAdapter()
 
     def test_configuration_is_decoded_completely(self) -> None:
-        cfg = self.adapter.decode_configuration(CONFIGURATION)
-        streaming_route, plain_route = cfg.routes
+        configuration = self.adapter.decode_configuration(CONFIGURATION)
+        streaming_route, plain_route = configuration.routes
         self.assertIs(streaming_route.retry_class, RetryClass.STREAM)
         self.assertTrue(streaming_route.is_resumable)
         self.assertEqual(streaming_route.gap_s, 0.2)
         self.assertEqual(len(streaming_route.service_weights), 2)
         self.assertIs(plain_route.retry_class, RetryClass.NON_IDEMPOTENT)
-        self.assertEqual(cfg.accounts[API_KEY].name, 'suva')
-        engine = cfg.services['llm'].engine
+        self.assertEqual(configuration.accounts[API_KEY].name, 'suva')
+        engine = configuration.services['llm'].engine
         assert engine is not None
         self.assertEqual(engine.layers, 80)
         self.assertEqual(engine.accelerators['small'].prefill_factor, 8.2)
@@ -69,8 +69,10 @@
 
     def test_route_of_unknown_kind_is_not_retried(self) -> None:
         text = CONFIGURATION.replace(b'"streaming"', b'"new_kind"')
-        cfg = self.adapter.decode_configuration(text)
-        self.assertIs(cfg.routes[0].retry_class, RetryClass.NON_IDEMPOTENT)
+        configuration = self.adapter.decode_configuration(text)
+        self.assertIs(
+            configuration.routes[0].retry_class, RetryClass.NON_IDEMPOTENT
+        )
 
 
 class TestHeaders(TestCase):
@@ -130,10 +132,10 @@
             ],
             0,
         )
-        facts = self.adapter.parse_request(req)
-        self.assertEqual(facts.deadline_s, 0)
-        self.assertEqual(facts.prompt_tokens, 0)
-        self.assertEqual(facts.api_key, '')
+        metadata = self.adapter.parse_request(req)
+        self.assertEqual(metadata.deadline_s, 0)
+        self.assertEqual(metadata.prompt_tokens, 0)
+        self.assertEqual(metadata.api_key, '')
 
     def test_api_key_is_removed_on_public_routes(self) -> None:
         key = [(b'authorization', b'Bearer secret')]
@@ -152,8 +154,8 @@
         req = Request(b'POST', b'/', headers, 0)
         stages = (Stage(self.replica, LayerRange(0, 80)),)
         attempt = Attempt(self.replica, account, 1.5, strips_api_key, stages)
-        facts = self.adapter.parse_request(req)
-        return self.adapter.build_headers(req, facts, attempt)
+        metadata = self.adapter.parse_request(req)
+        return self.adapter.build_headers(req, metadata, attempt)
 
 
 class TestBoundary(TestCase):
@@ -172,8 +174,8 @@
     """The client of the key-value store, with failures of the store."""
 
     async def asyncSetUp(self) -> None:
-        self.service = FakePlatformStore()
-        self.server = await listen('127.0.0.1:0', self.service, set())
+        self.fake_store = FakePlatformStore()
+        self.server = await listen('127.0.0.1:0', self.fake_store, set())
         port = self.server.sockets[0].getsockname()[1]
         self.store = PlatformStore(f'127.0.0.1:{port}')
 
@@ -192,9 +194,9 @@
         self.assertIsNone(missing)
 
     async def test_prefix_is_read_over_several_pages(self) -> None:
-        self.service.page_size = 3
+        self.fake_store.page_size = 3
         for number in range(10):
-            await self.service.put(f'k{number}', b'x')
+            await self.fake_store.put(f'k{number}', b'x')
         entries, revision = await self.store.read_prefix('k')
         self.assertEqual(len(entries), 10)
         self.assertEqual(revision, 10)
@@ -208,29 +210,29 @@
         self.assertEqual(item.text, b'1')
 
     async def test_watch_returns_deletions(self) -> None:
-        await self.service.put('a', b'1')
+        await self.fake_store.put('a', b'1')
         waiting = asyncio.create_task(self.store.watch('', 1))
         await asyncio.sleep(0.05)
-        await self.service.delete('a')
+        await self.fake_store.delete('a')
         changes = await waiting
         self.assertEqual(changes.events, [DeletedKey('a', 2)])
         self.assertEqual(changes.revision, 2)
 
     async def test_compacted_revision_raises_error(self) -> None:
-        await self.service.put('a', b'1')
-        await self.service.put('a', b'2')
-        self.service.compact_history()
+        await self.fake_store.put('a', b'1')
+        await self.fake_store.put('a', b'2')
+        self.fake_store.compact_history()
         with self.assertRaises(RevisionCompactedError):
             await self.store.watch('', 1)
 
     async def test_refused_write_is_not_applied(self) -> None:
-        self.service.is_unavailable = True
+        self.fake_store.is_unavailable = True
         with self.assertRaises(StoreRejectedError):
             await self.store.write({'a': b'1'}, {})
-        self.assertEqual(self.service.keys, {})
+        self.assertEqual(self.fake_store.keys, {})
 
-    async def test_write_with_lost_answer_may_have_applied(self) -> None:
-        self.service.responses_to_lose = 1
+    async def test_write_with_lost_response_may_have_applied(self) -> None:
+        self.fake_store.responses_to_lose = 1
         with self.assertRaises(StoreUnreachableError) as caught:
             await self.store.write({'a': b'1'}, {})
         self.assertTrue(caught.exception.may_have_applied)
@@ -242,7 +244,7 @@
         await self.store.write({'a': b'1'}, {}, lease)
         await self.store.renew_lease(lease)
         await self.store.revoke_lease(lease)
-        self.assertEqual(self.service.keys, {})
+        self.assertEqual(self.fake_store.keys, {})
         with self.assertRaises(LeaseNotFoundError):
             await self.store.renew_lease(lease)
 
--- a/samphirerill/tests/test_poison_requests.py
+++ b/samphirerill/tests/test_poison_requests.py
@@ -140,9 +140,9 @@
 
 
 class TestResponses(RepeatedPoisonCase):
-    """Responses to callers and operators."""
+    """Responses to clients and operators."""
 
-    async def test_it_is_rejected_at_once_with_a_retry_time(
+    async def test_held_request_is_rejected_at_once_with_retry_after(
         self,
     ) -> None:
         await self.quarantine_request()
@@ -205,7 +205,7 @@
         self.assertNotIn(POISON, text)
 
     def assert_long_retry_after(self, head: ResponseHead) -> None:
-        """Assert that the caller may retry after the hold only."""
+        """Assert that the client may retry only after the hold."""
         retry_s = float(head.get(b'retry-after') or b'0')
         self.assertGreater(retry_s, _MIN_RETRY_AFTER_S)
 
