--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -217,7 +217,9 @@
         for run in failed_runs:
             crash = Crash(process_name, run.request_id, run.at)
             self._manager.record_crash(run.request, crash)
-        self._evidence_exchange.broadcast([run.request for run in failed_runs])
+        self._evidence_exchange.broadcast(
+            [failed_run.request for failed_run in failed_runs]
+        )
 
     async def _has_terminated(self, replica: Replica, since: float) -> bool:
         """Return whether the process has terminated; silence is no proof."""
--- a/samphirerill/relay/quarantine/manager.py
+++ b/samphirerill/relay/quarantine/manager.py
@@ -94,7 +94,7 @@
         changes = self._state.quarantine.update_holds(self._loop.time())
         for change in changes:
             self._log_change(change)
-        if any(change.until for change in changes):
+        if any(hold_change.until for hold_change in changes):
             for stream in tuple(self._state.streams):
                 stream.check_quarantine()
 
