--- a/samphirerill/relay/health/prober.py
+++ b/samphirerill/relay/health/prober.py
@@ -41,7 +41,7 @@
 _RESULT_TTL_S = 0.15
 # Interval of probes of a replica that others report as faulty. A live one
 # refuses requests for a while when it changes its layers.
-_BACKGROUND_PROBE_INTERVAL_S = 0.5
+_CHECK_INTERVAL_S = 0.5
 # About the number of replicas; results are valid for a moment only.
 _MAX_RESULTS = 1024
 # How long a replica that has terminated, or that others wait for, gets no
@@ -142,7 +142,7 @@
         latest = self._latest_probes.get(replica.replica_id)
         if (
             latest is not None
-            and latest.at + _BACKGROUND_PROBE_INTERVAL_S > self._loop.time()
+            and latest.at + _CHECK_INTERVAL_S > self._loop.time()
         ):
             return
         task = self._loop.create_task(self.probe_replicas([replica]))
