--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -149,7 +149,7 @@
         Parameters
         ----------
         context : RequestContext
-            The task that was run.
+            The request that was run.
         replica : Replica
             The replica that it was sent to.
         run : RunTimes, optional
@@ -218,7 +218,7 @@
             crash = Crash(process_name, run.request_id, run.at)
             self._manager.record_crash(run.request, crash)
         self._evidence_exchange.broadcast(
-            [failed.request for failed in failed_runs]
+            [failed_run.request for failed_run in failed_runs]
         )
 
     async def _has_terminated(self, replica: Replica, since: float) -> bool:
