--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -139,8 +139,8 @@
 
     def _open(self, path: str, payload: Json, *, stream: bool) -> Any:
         pool = self._pools[0]
-        connect_timeout_s = self._settings.call_timeout_s
-        read_timeout_s = _WATCH_READ_TIMEOUT_S if stream else connect_timeout_s
+        call_timeout_s = self._settings.call_timeout_s
+        read_timeout_s = _WATCH_READ_TIMEOUT_S if stream else call_timeout_s
         try:
             response = pool.request(
                 'POST',
@@ -149,7 +149,7 @@
                 preload_content=not stream,
                 retries=False,
                 redirect=False,
-                timeout=Timeout(connect=connect_timeout_s, read=read_timeout_s),
+                timeout=Timeout(connect=call_timeout_s, read=read_timeout_s),
             )
         except (NewConnectionError, ConnectTimeoutError) as exc:
             self._pools.append(self._pools.pop(0))
@@ -184,7 +184,7 @@
 
 
 @_compare.register(RevisionEquals)
-def _compare_unchanged(condition: RevisionEquals) -> Json:
+def _compare_revision(condition: RevisionEquals) -> Json:
     return {
         'key': _encode(condition.key),
         'target': 'MOD',
@@ -194,7 +194,7 @@
 
 
 @_compare.register(ValueEquals)
-def _compare_holds(condition: ValueEquals) -> Json:
+def _compare_value(condition: ValueEquals) -> Json:
     return {
         'key': _encode(condition.key),
         'target': 'VALUE',
--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -79,10 +79,10 @@
 
     def __init__(
         self,
-        reply: Callable[[PeerMessage], PeerMessage],
-        collect: ClaimBatchHandler,
+        build_reply: Callable[[PeerMessage], PeerMessage],
+        write_claims: ClaimBatchHandler,
     ) -> None:
-        self._servicer = _Servicer(reply, collect)
+        self._servicer = _Servicer(build_reply, write_claims)
         self._server: Any = None
 
     async def start(self, host: str, port: int) -> int:
@@ -132,17 +132,17 @@
         stub = PeersStub(await self._get_channel(address))
         try:
             reply = await stub.Collect(
-                _encode_group(batch), timeout=CLAIM_WRITE_TIMEOUT_S
+                _encode_batch(batch), timeout=CLAIM_WRITE_TIMEOUT_S
             )
         except RpcError:
-            return Err(PeerError(f'no verdicts from {address}'))
+            return Err(PeerError(f'no claim results from {address}'))
         by_request = {claim.request_id: claim for claim in batch.claims}
-        verdicts = [
-            _decode_verdict(note, by_request[note.request])
+        claim_results = [
+            _decode_result(note, by_request[note.request])
             for note in reply.verdicts
             if note.request in by_request
         ]
-        return Ok(verdicts)
+        return Ok(claim_results)
 
     async def close(self) -> None:
         """Close all channels."""
@@ -169,11 +169,11 @@
 
     def __init__(
         self,
-        reply: Callable[[PeerMessage], PeerMessage],
-        collect: ClaimBatchHandler,
+        build_reply: Callable[[PeerMessage], PeerMessage],
+        write_claims: ClaimBatchHandler,
     ) -> None:
-        self._build_reply = reply
-        self._collect = collect
+        self._build_reply = build_reply
+        self._write_claims = write_claims
 
     async def Exchange(self, request: WireMessage, context: Any) -> WireMessage:
         """Reply to a message of a peer."""
@@ -181,11 +181,11 @@
 
     async def Collect(self, request: ClaimGroup, context: Any) -> VerdictGroup:
         """Write claims on behalf of another node."""
-        verdicts = await self._collect(_decode_group(request))
-        return VerdictGroup(verdicts=map(_encode_result, verdicts))
+        claim_results = await self._write_claims(_decode_batch(request))
+        return VerdictGroup(verdicts=map(_encode_result, claim_results))
 
 
-def _encode_group(batch: ClaimBatch) -> ClaimGroup:
+def _encode_batch(batch: ClaimBatch) -> ClaimGroup:
     return ClaimGroup(
         claims=map(_encode_claim, batch.claims),
         settled=map(_encode_settlement, batch.settlements),
@@ -208,7 +208,7 @@
     return note
 
 
-def _decode_group(group: ClaimGroup) -> ClaimBatch:
+def _decode_batch(group: ClaimGroup) -> ClaimBatch:
     return ClaimBatch(
         [_decode_claim(note) for note in group.claims],
         [
@@ -226,16 +226,16 @@
     return Claim(note.key, note.holder, note.request, note.fingerprint)
 
 
-def _encode_result(verdict: ClaimResult) -> VerdictNote:
+def _encode_result(claim_result: ClaimResult) -> VerdictNote:
     return VerdictNote(
-        request=verdict.claim.request_id,
-        state=verdict.state,
-        holder=verdict.holder,
-        answer=json.dumps(verdict.answer).encode(),
+        request=claim_result.claim.request_id,
+        state=claim_result.state,
+        holder=claim_result.holder,
+        answer=json.dumps(claim_result.answer).encode(),
     )
 
 
-def _decode_verdict(note: VerdictNote, claim: Claim) -> ClaimResult:
+def _decode_result(note: VerdictNote, claim: Claim) -> ClaimResult:
     answer = json.loads(note.answer)
     return ClaimResult(claim, note.state, note.holder, answer)
 
--- a/samphirerill/backends/store.py
+++ b/samphirerill/backends/store.py
@@ -20,9 +20,9 @@
 
 
 class StoreUnreachableError(StoreError):
-    """The service did not respond.
+    """The service could not be reached, or gave no usable response.
 
-    `may_have_applied` is false only if the call was certainly not sent. A
+    `may_have_applied` is false only if the call certainly changed nothing. A
     write whose response was lost may have been applied, so it must be neither
     repeated blindly nor reported as failed.
     """
@@ -84,8 +84,8 @@
 class Transaction:
     """Writes that are applied atomically if all conditions hold.
 
-    Otherwise `else_puts` is written and the keys in `else_reads` are read. Either
-    way it is one call.
+    Otherwise `else_puts` are written and the keys in `else_reads` are read.
+    Either way it is one call.
     """
 
     conditions: list[Condition] = field(default_factory=list)
