--- a/samphirerill/testing/clients.py
+++ b/samphirerill/testing/clients.py
@@ -1,4 +1,4 @@
-"""HTTP clients of callers and operators, for demo, benchmarks and tests."""
+"""HTTP calls of clients and operators, for demo, benchmarks and tests."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 _DATA_PREFIX = b'data: '
 _FIRST_ERROR_STATUS = 400
+# For each stage of a token: the address, and the first and last layer it ran.
 StageExecutions = list[list[Any]]
 
 
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True)
 class ClientResponse:
-    """A caller's response; `is_interrupted` if the connection ended early."""
+    """Response to a client; `is_interrupted` if the connection ended early."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
--- a/samphirerill/testing/crash_simulation.py
+++ b/samphirerill/testing/crash_simulation.py
@@ -31,10 +31,12 @@
 _CRASH_DELAY_RANGE_S = (0.02, 0.12)
 _SUSPECT_RETRY_RANGE_S = (0.1, 0.4)
 _RETRY_DELAY_S = 0.02
-_CALLER_RETRY_DELAY_S = 0.4
+_CLIENT_RETRY_DELAY_S = 0.4
 _RESTART_S = 3.0
 _QUEUE_RETRY_S = 0.2
+# How long no other suspect is sent to the replica of a suspect.
 _ISOLATION_S = 0.6
+# Just after the quarantine may decide about a crash.
 _DECISION_DELAY_S = SETTLE_S + 0.005
 
 
@@ -111,7 +113,7 @@
         for number in range(self._scenario.fatal_requests):
             self._schedule(3.0 + number, partial(self._submit_fatal, number))
         if self._scenario.loss_interval_s:
-            self._schedule(self._scenario.loss_interval_s, self._crash_some)
+            self._schedule(self._scenario.loss_interval_s, self._crash_share)
         while self._queue and self._now < self._scenario.duration_s:
             event = heapq.heappop(self._queue)
             self._now = event[0]
@@ -138,14 +140,14 @@
         self._schedule(
             self._scenario.fatal_interval_s, partial(self._submit_fatal, number)
         )
-        for delay_s in (0.0, _CALLER_RETRY_DELAY_S):
+        for delay_s in (0.0, _CLIENT_RETRY_DELAY_S):
             stream = _Stream(
                 b'fatal %d' % number, is_fatal=True, remaining_s=9.0
             )
             self._schedule(delay_s, partial(self._send, stream))
 
-    def _crash_some(self) -> None:
-        self._schedule(self._scenario.loss_interval_s, self._crash_some)
+    def _crash_share(self) -> None:
+        self._schedule(self._scenario.loss_interval_s, self._crash_share)
         crash_count = round(self._scenario.loss_share * len(self._running))
         for name in self._random.sample(sorted(self._running), crash_count):
             self._crash(name)
@@ -167,7 +169,7 @@
         self._schedule_end(stream)
 
     def _list_candidates(self, stream: _Stream) -> list[str]:
-        """Return replicas for a stream; for a suspect, those without another."""
+        """Return replicas for a stream; for a suspect, those not isolated."""
         candidates = sorted(self._running)
         if not self._is_suspect(stream):
             return candidates
@@ -188,7 +190,7 @@
             ends_at = stream.started_at + self._random.uniform(
                 *_CRASH_DELAY_RANGE_S
             )
-            action = self._crash_by
+            action = self._crash_replica_of
         else:
             ends_at = stream.started_at + stream.remaining_s
             action = self._finish
@@ -206,7 +208,7 @@
                 ),
             )
 
-    def _crash_by(self, stream: _Stream) -> None:
+    def _crash_replica_of(self, stream: _Stream) -> None:
         if stream in self._running.get(stream.replica, ()):
             self._crash(stream.replica)
 
--- a/samphirerill/testing/demo.py
+++ b/samphirerill/testing/demo.py
@@ -61,12 +61,14 @@
         _print_line(_describe_group(group, names))
     expected = [make_token(_PROMPT, index) for index in range(_TOKEN_COUNT)]
     is_complete = answer.texts == expected
-    was_moved = len(_group_layers(answer.layers)) > 1
+    was_handed_over = len(_group_layers(answer.layers)) > 1
     _print_line(
         f'Outcome: {answer.outcome}. Every token once, in order: {is_complete}.'
     )
     return (
-        0 if is_complete and was_moved and answer.outcome == 'answered' else 1
+        0
+        if is_complete and was_handed_over and answer.outcome == 'answered'
+        else 1
     )
 
 
--- a/samphirerill/testing/engine.py
+++ b/samphirerill/testing/engine.py
@@ -146,8 +146,8 @@
         """Start listening and return the address; port 0 picks a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._connect, host, port)
-        name = self._server.sockets[0].getsockname()
-        self.address = f'{name[0]}:{name[1]}'
+        bound = self._server.sockets[0].getsockname()
+        self.address = f'{bound[0]}:{bound[1]}'
         return self.address
 
     def crash(self) -> None:
@@ -313,8 +313,8 @@
         return b'data: %b\n\n' % json.dumps(chunk).encode()
 
     def _report_stage_failure(self, group: list[Sequence], stage: int) -> None:
-        refusal = {'error': {'code': 'stage_failed', 'stage': stage}}
-        body = b'data: %b\n\n' % json.dumps(refusal).encode()
+        failure = {'error': {'code': 'stage_failed', 'stage': stage}}
+        body = b'data: %b\n\n' % json.dumps(failure).encode()
         for sequence in tuple(group):
             sequence.connection.on_close = None
             sequence.connection.send_chunk(body)
@@ -363,25 +363,25 @@
 
 def _read_sequence(request: Request) -> Sequence:
     body = request.read_json()
-    plan = body['samphirerill']
+    extension = body['samphirerill']
     is_chat = 'messages' in body
     prompt = body.get('prompt', '')
     if is_chat:
         prompt = '\n'.join(turn['content'] for turn in body['messages'])
     pipeline = tuple(
         (stage['address'], stage['first'], stage['last'])
-        for stage in plan['stages']
+        for stage in extension['stages']
     )
     return Sequence(
-        attempt=plan['attempt'],
-        epoch=plan['epoch'],
+        attempt=extension['attempt'],
+        epoch=extension['epoch'],
         prompt=prompt,
         account=body.get('cache_salt', ''),
-        index=plan['resume_at'],
+        index=extension['resume_at'],
         end=int(body.get('max_tokens', 16)),
         priority=int(body.get('priority', 0)),
         pipeline=pipeline,
         is_chat=is_chat,
-        trace=bool(plan.get('trace')),
+        trace=bool(extension.get('trace')),
         connection=request.connection,
     )
--- a/samphirerill/testing/etcd_state.py
+++ b/samphirerill/testing/etcd_state.py
@@ -100,26 +100,26 @@
     def grant(self, call: Json, now: float) -> Json:
         """Grant a lease."""
         self._next_lease += 1
-        name = str(self._next_lease)
+        lease = str(self._next_lease)
         ttl_s = float(call['TTL'])
-        self.leases[name] = (now + ttl_s, ttl_s)
-        return {'ID': name, 'TTL': str(int(ttl_s))}
+        self.leases[lease] = (now + ttl_s, ttl_s)
+        return {'ID': lease, 'TTL': str(int(ttl_s))}
 
     def keep_alive(self, call: Json, now: float) -> Json:
         """Renew a lease; a TTL of 0 in the response means that it expired."""
-        name = str(call['ID'])
-        if name not in self.leases:
-            return {'result': {'ID': name, 'TTL': '0'}}
-        ttl_s = self.leases[name][1]
-        self.leases[name] = (now + ttl_s, ttl_s)
-        return {'result': {'ID': name, 'TTL': str(int(ttl_s))}}
+        lease = str(call['ID'])
+        if lease not in self.leases:
+            return {'result': {'ID': lease, 'TTL': '0'}}
+        ttl_s = self.leases[lease][1]
+        self.leases[lease] = (now + ttl_s, ttl_s)
+        return {'result': {'ID': lease, 'TTL': str(int(ttl_s))}}
 
     def revoke(self, call: Json) -> Json:
         """Revoke a lease and delete its keys."""
-        name = str(call['ID'])
-        self.leases.pop(name, None)
+        lease = str(call['ID'])
+        self.leases.pop(lease, None)
         for key, entry in tuple(self.entries.items()):
-            if entry.lease == name:
+            if entry.lease == lease:
                 self.revision += 1
                 self.entries.pop(key)
                 self._log_change(key, None)
@@ -127,9 +127,9 @@
 
     def expire(self, now: float) -> None:
         """Revoke all leases whose deadline has passed."""
-        for name, (deadline, _) in tuple(self.leases.items()):
+        for lease, (deadline, _) in tuple(self.leases.items()):
             if deadline <= now:
-                self.revoke({'ID': name})
+                self.revoke({'ID': lease})
 
     def list_changes(self, call: Json) -> list[Json]:
         """Return the watch events of a range from a start revision."""
--- a/samphirerill/testing/httpd.py
+++ b/samphirerill/testing/httpd.py
@@ -1,6 +1,6 @@
 """A small HTTP/1.1 server for fakes, on asyncio and httptools.
 
-Nodes do not use it; their own HTTP server is CherryPy.
+Nodes do not use it.
 """
 
 from __future__ import annotations
--- a/samphirerill/testing/key_value_service.py
+++ b/samphirerill/testing/key_value_service.py
@@ -38,7 +38,7 @@
     """The key-value service on one port."""
 
     def __init__(self) -> None:
-        self.rules = EtcdState()
+        self.state = EtcdState()
         self.calls: Counter[str] = Counter()
         self.calls_by_second: dict[int, Counter[str]] = defaultdict(Counter)
         self.down = False
@@ -89,21 +89,21 @@
             self.lose_replies -= 1
             request.connection.abort()
             return
-        document['header'] = {'revision': str(self.rules.revision)}
+        document['header'] = {'revision': str(self.state.revision)}
         request.connection.answer_json(document)
 
     def _run(self, path: str, call: dict[str, Any]) -> dict[str, Any]:
         now = time.monotonic()
         if path == '/v3/lease/grant':
-            return self.rules.grant(call, now)
+            return self.state.grant(call, now)
         if path == '/v3/lease/keepalive':
-            return self.rules.keep_alive(call, now)
+            return self.state.keep_alive(call, now)
         handlers = {
-            '/v3/kv/range': self.rules.find_range,
-            '/v3/kv/put': self.rules.put,
-            '/v3/kv/txn': self.rules.run_txn,
-            '/v3/kv/deleterange': self.rules.delete,
-            '/v3/lease/revoke': self.rules.revoke,
+            '/v3/kv/range': self.state.find_range,
+            '/v3/kv/put': self.state.put,
+            '/v3/kv/txn': self.state.run_txn,
+            '/v3/kv/deleterange': self.state.delete,
+            '/v3/lease/revoke': self.state.revoke,
         }
         if path not in handlers:
             raise InvalidCallError(f'unknown path {path}')
@@ -112,16 +112,16 @@
     async def _watch(self, request: Request) -> None:
         call = request.read_json()['create_request']
         connection = request.connection
-        start = int(call.get('start_revision', 0)) or self.rules.revision + 1
+        start = int(call.get('start_revision', 0)) or self.state.revision + 1
         connection.start_chunks({'Content-Type': 'application/json'})
         self._send_watch(connection, {'created': True})
         while not connection.closed and not self.down:
             changed = self._changed
             if not self.silent:
-                found = self.rules.list_changes(
+                found = self.state.list_changes(
                     {**call, 'start_revision': start}
                 )
-                start = self.rules.revision + 1
+                start = self.state.revision + 1
                 if found:
                     self._send_watch(connection, {'events': found})
             await self._wait_for_change(changed)
@@ -134,7 +134,7 @@
     def _send_watch(
         self, connection: Connection, document: dict[str, Any]
     ) -> None:
-        header = {'revision': str(self.rules.revision)}
+        header = {'revision': str(self.state.revision)}
         body = {'result': {'header': header, **document}}
         connection.send_chunk(json.dumps(body).encode() + b'\n')
 
@@ -174,13 +174,13 @@
             'most_reads_in_a_second': max(
                 (second['reads'] for second in seconds), default=0
             ),
-            'keys': len(self.rules.entries),
+            'keys': len(self.state.entries),
         }
 
     async def _expire_leases(self) -> None:
         while True:
             await asyncio.sleep(_EXPIRY_INTERVAL_S)
-            before = self.rules.revision
-            self.rules.expire(time.monotonic())
-            if self.rules.revision != before:
+            before = self.state.revision
+            self.state.expire(time.monotonic())
+            if self.state.revision != before:
                 self._notify_watches()
--- a/samphirerill/testing/memory_store.py
+++ b/samphirerill/testing/memory_store.py
@@ -27,13 +27,13 @@
 
     Parameters
     ----------
-    rules : EtcdState, optional
+    state : EtcdState, optional
         State of the service, to be shared by several clients.
     """
 
-    def __init__(self, rules: EtcdState | None = None) -> None:
+    def __init__(self, state: EtcdState | None = None) -> None:
         super().__init__(StoreSettings())
-        self.rules = rules or EtcdState()
+        self.state = state or EtcdState()
         self.down = False
         self.lose_replies = 0
         self.calls = 0
@@ -44,31 +44,31 @@
             'watch is not supported', may_have_applied=False
         )
 
-    def _call(self, path: str, call: dict[str, Any]) -> dict[str, Any]:
+    def _call(self, path: str, payload: dict[str, Any]) -> dict[str, Any]:
         self.calls += 1
         if self.down:
             raise StoreUnreachableError('store is down', may_have_applied=False)
         try:
-            answer = self._run(path, call)
+            answer = self._run(path, payload)
         except InvalidCallError as exc:
             raise StoreRejectedError(str(exc)) from exc
         if self.lose_replies:
             self.lose_replies -= 1
             raise StoreUnreachableError('reply lost', may_have_applied=True)
-        answer['header'] = {'revision': str(self.rules.revision)}
+        answer['header'] = {'revision': str(self.state.revision)}
         return answer
 
-    def _run(self, path: str, call: dict[str, Any]) -> dict[str, Any]:
+    def _run(self, path: str, payload: dict[str, Any]) -> dict[str, Any]:
         now = time.monotonic()
         name = path.rpartition('/')[2]
         if name in {'grant', 'keepalive'}:
-            handler = self.rules.grant if name == 'grant' else None
-            handler = handler or self.rules.keep_alive
-            return handler(call, now)
+            handler = self.state.grant if name == 'grant' else None
+            handler = handler or self.state.keep_alive
+            return handler(payload, now)
         return {
-            'range': self.rules.find_range,
-            'put': self.rules.put,
-            'txn': self.rules.run_txn,
-            'deleterange': self.rules.delete,
-            'revoke': self.rules.revoke,
-        }[name](call)
+            'range': self.state.find_range,
+            'put': self.state.put,
+            'txn': self.state.run_txn,
+            'deleterange': self.state.delete,
+            'revoke': self.state.revoke,
+        }[name](payload)
--- a/samphirerill/testing/platform_replicas.py
+++ b/samphirerill/testing/platform_replicas.py
@@ -99,7 +99,7 @@
             conn.respond(_OK, [], json.encode(self._report()))
             return
         if req.target == b'/order':
-            self._take_order(json.decode(req.body))
+            self._apply_order(json.decode(req.body))
             conn.respond(self.order_status, [], b'')
             return
         self.received_requests.append(req)
@@ -174,7 +174,7 @@
         await self.responding.wait()
         await self.streaming.wait()
 
-    def _take_order(self, order: dict[str, Any]) -> None:
+    def _apply_order(self, order: dict[str, Any]) -> None:
         self.orders.append(order)
         if order['operation'] == 'place':
             self.layers = (order['from'], order['to'])
--- a/samphirerill/testing/prefix_cache.py
+++ b/samphirerill/testing/prefix_cache.py
@@ -33,9 +33,12 @@
         self._events: deque[_Event] = deque(maxlen=_MAX_EVENTS)
         self._last_number = 0
 
-    def use(self, plan: dict[str, Any]) -> bool:
-        """Store a request's prefixes; return whether the longest was cached."""
-        prefixes: list[str] = plan.get('prefixes') or []
+    def use(self, extension: dict[str, Any]) -> bool:
+        """Store a request's prefixes; return whether the longest was cached.
+
+        `extension` is the ``samphirerill`` object of the request's body.
+        """
+        prefixes: list[str] = extension.get('prefixes') or []
         hit = bool(prefixes) and prefixes[-1] in self._cached
         for digest in prefixes:
             if digest not in self._cached:
--- a/samphirerill/testing/run_tests.py
+++ b/samphirerill/testing/run_tests.py
@@ -34,7 +34,7 @@
 
     Raises
     ------
-    KnownRedError
+    KnownFailuresError
         A line lacks a field, or the list is too long.
     """
     lines = map(str.strip, text.splitlines())
@@ -67,7 +67,7 @@
 
     Raises
     ------
-    KnownRedError
+    KnownFailuresError
         A listed test does not exist.
     """
     unmatched = set(known)
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -151,7 +151,7 @@
                 conn, response, self._loop.time() + _REQUEST_TIMEOUT_S
             )
         except EndpointError:
-            # The caller checks how much of the response arrived.
+            # `_check_response` checks how much of the response arrived.
             self._close_connection()
         else:
             if not conn.is_usable(self._loop.time()):
@@ -216,8 +216,8 @@
                     f'{request_id}: got body {response.body!r}'
                 )
             return
-        splitter = EventParser()
-        events = splitter.feed(response.body)
+        parser = EventParser()
+        events = parser.feed(response.body)
         for number, event in enumerate(events, 1):
             expected = f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
             if event.raw != expected:
@@ -310,7 +310,7 @@
 async def _read_response(
     conn: HttpConnection, response: _Response, deadline: float
 ) -> None:
-    """Read a response into `answer`, keeping what arrived on an error."""
+    """Read a response into `response`, keeping what arrived on an error."""
     head = await conn.read(deadline)
     if not isinstance(head, ResponseHead):
         raise TypeError(f'got {head!r}, expected a response head')
--- a/samphirerill/testing/soak/replicas.py
+++ b/samphirerill/testing/soak/replicas.py
@@ -149,7 +149,7 @@
         if req.target == b'/report':
             conn.respond(_OK, [], json.encode(self._report()))
         elif req.target == b'/order':
-            conn.respond(self._take_order(json.decode(req.body)), [], b'')
+            conn.respond(self._apply_order(json.decode(req.body)), [], b'')
         else:
             await self._serve(req, conn)
 
@@ -225,7 +225,7 @@
                 return address
         return ''
 
-    def _take_order(self, order: dict[str, Any]) -> int:
+    def _apply_order(self, order: dict[str, Any]) -> int:
         if order['operation'] == 'repath':
             return self._change_pipeline(order)
         expected = order.get('expect')
--- a/samphirerill/testing/stages.py
+++ b/samphirerill/testing/stages.py
@@ -21,6 +21,7 @@
 
 _FRAME_TIMEOUT_S = 0.3
 Pipeline = tuple[tuple[str, int, int], ...]
+# Address of an engine, and the first and last layer that it ran.
 StageExecution = list[Any]
 
 
