--- a/samphirerill/emulator/client_traffic.py
+++ b/samphirerill/emulator/client_traffic.py
@@ -47,8 +47,10 @@
 class StreamMetrics:
     """Counts of streams, and histograms of times in microseconds.
 
-    `first` is the time to the first event, `gap` the time between two events,
-    and `longest` the longest gap of each completed stream.
+    `in_time` and `late` streams were completed; `refused` ones found no path,
+    and `cut` ones lost theirs and found no other in time. `moved` counts the
+    changes of path. `first` is the time to the first event, `gap` the time
+    between two events, and `longest` the longest gap of each completed stream.
     """
 
     asked: int = 0
--- a/samphirerill/emulator/engine.py
+++ b/samphirerill/emulator/engine.py
@@ -124,10 +124,10 @@
     def _predict_decode_ms(self, decodes: list[StageTask]) -> float:
         if not decodes:
             return 0.0
-        layer_share = max(task.layers.count for task in decodes)
+        layer_count = max(task.layers.count for task in decodes)
         step_ms = predict_step_ms(self._engine, len(decodes))
         step_ms *= (
-            self._accelerator.step_factor * layer_share / self._engine.layers
+            self._accelerator.step_factor * layer_count / self._engine.layers
         )
         return self._engine.stride * step_ms
 
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -87,7 +87,7 @@
         self.engines[name].crash()
         self._target_layers.pop(name, None)
         self._event_loop.call_later(
-            _DETECTION_DELAY_S, partial(self._mark_dead, name)
+            _DETECTION_DELAY_S, partial(self._report_silence, name)
         )
         if for_s:
             self._event_loop.call_later(for_s, partial(self._restart, name))
@@ -122,7 +122,7 @@
     def _set_layers(self, name: str, layers: LayerRange | None) -> None:
         self._announce(replace(self._replicas[name], layers=layers))
 
-    def _mark_dead(self, name: str) -> None:
+    def _report_silence(self, name: str) -> None:
         now = self._event_loop.now
         self.view.add_silence_report(
             name, now + _SUSPICION_S, now, votes=CONFIRMING_VOTES
--- a/samphirerill/emulator/lab.py
+++ b/samphirerill/emulator/lab.py
@@ -43,13 +43,13 @@
             subcommand.add_argument(f'scenario_{name.lower()}', metavar=name)
         subcommand.add_argument('--seed', type=int, default=0)
         subcommand.add_argument('--json', action='store_true')
-    ablate = subcommands.add_parser(
+    ablation = subcommands.add_parser(
         'ablate', help='measure the effect of disabling each mechanism'
     )
-    ablate.add_argument('scenario_s', metavar='S')
-    ablate.add_argument('--seeds', type=int, default=4, metavar='N')
-    ablate.add_argument('--json', action='store_true')
-    ablate.set_defaults(command=_ablate)
+    ablation.add_argument('scenario_s', metavar='S')
+    ablation.add_argument('--seeds', type=int, default=4, metavar='N')
+    ablation.add_argument('--json', action='store_true')
+    ablation.set_defaults(command=_ablate)
     run.set_defaults(command=_run)
     compare.set_defaults(command=_compare)
     plan.set_defaults(command=_plan)
--- a/samphirerill/properties/coordination.py
+++ b/samphirerill/properties/coordination.py
@@ -37,17 +37,17 @@
 class FaultyStore(MemoryStore):
     """A store that loses the replies to a given number of commits."""
 
-    def __init__(self, rules: EtcdState) -> None:
-        super().__init__(rules)
+    def __init__(self, state: EtcdState) -> None:
+        super().__init__(state)
         self.replies_to_lose = 0
         self.before_commit: Callable[[], None] | None = None
 
     def commit(self, transaction: Transaction) -> Any:
         """Run the concurrent write, then commit; the reply may be lost."""
-        rival_write = self.before_commit
+        concurrent_write = self.before_commit
         self.before_commit = None
-        if rival_write is not None:
-            rival_write()
+        if concurrent_write is not None:
+            concurrent_write()
         if self.replies_to_lose:
             self.replies_to_lose -= 1
             self.lose_replies = 1
@@ -57,9 +57,9 @@
 class NodeModel:
     """A node's store client, configuration view and leadership term."""
 
-    def __init__(self, name: str, rules: EtcdState) -> None:
+    def __init__(self, name: str, state: EtcdState) -> None:
         self.name = name
-        self.store = FaultyStore(rules)
+        self.store = FaultyStore(state)
         self.log = ConfigurationLog(self.store, _PREFIX, retry_pause_s=0)
         self.view = ConfigurationView()
         self.term: LeaderTerm | None = None
@@ -82,7 +82,7 @@
 
     @rule(node=_NODES, lose=st.integers(0, 2), rival=st.booleans())
     def submit(self, node: int, lose: int, rival: bool) -> None:
-        """Submit a patch based on a node's view, maybe after a rival patch."""
+        """Submit a patch based on a node's view, maybe after a concurrent one."""
         chosen = self.nodes[node]
         base = chosen.view.version
         if rival:
@@ -195,10 +195,10 @@
             conditions=[KeyAbsent(_LEADER_KEY)],
             puts=[Put(_LEADER_KEY, node.name, node.lease)],
         )
-        done = MemoryStore(self.store_state).commit(campaign)
+        result = MemoryStore(self.store_state).commit(campaign)
         self._advance_time(delay_s)
-        if done.succeeded:
-            node.term = LeaderTerm.start(done.revision, asked_at, self.now)
+        if result.succeeded:
+            node.term = LeaderTerm.start(result.revision, asked_at, self.now)
 
     def _submit(self, node: NodeModel, base: int, lose: int) -> None:
         self.patch_count += 1
@@ -243,8 +243,8 @@
     def _read_accepted(self) -> dict[int, str]:
         """Return the patch names in the log by version.
 
-        Also checks that no patch is lost whose acceptance was
-        confirmed to an operator.
+        Also checks that no patch is lost whose acceptance was confirmed to an
+        operator.
         """
         patch_names = {}
         for change in self._read_log():
--- a/samphirerill/properties/long_run.py
+++ b/samphirerill/properties/long_run.py
@@ -57,7 +57,7 @@
 def run_long() -> int:
     """Run all examples; a violation fails with a minimal example."""
     examples = int(os.environ.get('EXAMPLES', _EXAMPLE_COUNT))
-    number = int(os.environ.get('SEED', '0'))
+    seed_number = int(os.environ.get('SEED', '0'))
     run_settings = settings(
         max_examples=examples,
         stateful_step_count=_STEP_COUNT,
@@ -68,10 +68,12 @@
     )
     for machine in (_CountingRouter, _CountingCoordination):
         started = time.monotonic()
-        run_state_machine_as_test(seed(number)(machine), settings=run_settings)
+        run_state_machine_as_test(
+            seed(seed_number)(machine), settings=run_settings
+        )
         spent_s = time.monotonic() - started
         sys.stdout.write(
-            f'{machine.__name__}, seed {number}: {examples} examples, '
+            f'{machine.__name__}, seed {seed_number}: {examples} examples, '
             f'{spent_s:.0f} s, 0 violations, {dict(machine.counts)}\n'
         )
     return 0
--- a/samphirerill/properties/oracle.py
+++ b/samphirerill/properties/oracle.py
@@ -1,6 +1,6 @@
 """Test oracle: checks the router's guarantees against the simulation.
 
-The oracle compares what callers were told with what was executed, independently
+The oracle compares what clients were told with what was executed, independently
 of the decision core's implementation. It also checks the core's internal
 counters, because a wrong counter affects requests only much later.
 """
@@ -53,11 +53,11 @@
             request.has_left or not is_overdue,
             f'no outcome by the deadline: {request}',
         )
-    for key, runs in simulation.executions.items():
+    for key, count in simulation.executions.items():
         is_non_idempotent = key.split('/')[1] in _NON_IDEMPOTENT_ROUTES
         expect(
-            not is_non_idempotent or runs <= 1,
-            f'{key} was executed {runs} times',
+            not is_non_idempotent or count <= 1,
+            f'{key} was executed {count} times',
         )
     for request_id in simulation.won_claims:
         node = simulation.requests[request_id].node
@@ -96,7 +96,7 @@
         running == state.running_by_account,
         f'counted as running: {state.running_by_account}, actual: {running}',
     )
-    waiting = sum(pool.size() for pool in state.queues.values())
+    waiting = sum(queue.size() for queue in state.queues.values())
     queued = len(state.requests) - running.total()
     expect(
         waiting == queued,
--- a/samphirerill/properties/router_machine.py
+++ b/samphirerill/properties/router_machine.py
@@ -103,8 +103,8 @@
             return
         if attempt.sent and ran:
             self.simulation.run(attempt_id)
-        broke = events.AttemptFailed(attempt_id, 'died', stage, attempt.sent)
-        self.simulation.apply(attempt.node, broke)
+        failed = events.AttemptFailed(attempt_id, 'died', stage, attempt.sent)
+        self.simulation.apply(attempt.node, failed)
 
     @precondition(lambda self: self.simulation.list_sent())
     @rule(pick=_PICKS, index=st.integers(0, TOKENS), epoch=st.integers(0, 2))
@@ -145,7 +145,7 @@
     @precondition(lambda self: self.simulation.list_waiting())
     @rule(pick=_PICKS)
     def caller_leaves(self, pick: int) -> None:
-        """Close a caller's connection."""
+        """Close a client's connection."""
         found = self.simulation.list_waiting()
         request_id = found[pick % len(found)]
         request = self.simulation.requests[request_id]
--- a/samphirerill/properties/simulation.py
+++ b/samphirerill/properties/simulation.py
@@ -2,7 +2,7 @@
 
 The simulation executes the core's commands in place of engines, services and
 the key-value store, with timing and faults chosen by the test. It keeps the
-ground truth of what was executed, which the oracle compares with what callers
+ground truth of what was executed, which the oracle compares with what clients
 were told.
 """
 
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """A caller's request and what the caller received for it."""
+    """A client's request and what the client received for it."""
 
     node: int
     route: str
@@ -170,7 +170,7 @@
     def submit_request(
         self, node: int, route: str, account: str, key: str, wait_s: float
     ) -> str:
-        """Submit a caller's request to a node; return the request id."""
+        """Submit a client's request to a node; return the request id."""
         self.request_count += 1
         request_id = f'r{self.request_count}'
         deadline = self.now + wait_s
@@ -211,7 +211,7 @@
     def restart(self, node: int) -> None:
         """Kill a node and start a new process in its place.
 
-        Its callers' connections break, requests that it sent may have been
+        The connections of its clients break, requests that it sent may have been
         executed, and its state is lost.
         """
         self.killed_processes.add(self.get_process_id(node))
@@ -294,7 +294,7 @@
         ]
 
     def list_waiting(self) -> list[str]:
-        """Return the requests whose callers are still waiting."""
+        """Return the requests whose clients are still waiting."""
         return [
             request_id
             for request_id, request in self.requests.items()
@@ -317,25 +317,27 @@
             self.apply(node, events.ProbeFinished(endpoint, alive))
 
     def commit_claim(self, request_id: str, *, lose_reply: bool) -> None:
-        """Commit a pending claim and deliver the verdict to its node.
+        """Commit a pending claim and deliver the result to its node.
 
-        With `lose_reply` the claim is committed, but no verdict delivered.
+        With `lose_reply` the claim is committed, but no result delivered.
         """
         item = self.pending_claims[request_id]
         transaction = build_transaction(ClaimBatch([item.claim]), '')
         done = self.store.commit(transaction)
         if lose_reply:
             return
-        verdicts, _ = read_results([item.claim], done)
+        claim_results, _ = read_results([item.claim], done)
         self.pending_claims.pop(request_id)
-        for verdict in verdicts:
-            if verdict.state == 'won':
+        for claim_result in claim_results:
+            if claim_result.state == 'won':
                 self.won_claims[request_id] = item.claim
                 self.apply(item.node, events.ClaimAcquired(request_id))
                 continue
-            alive = verdict.holder not in self.killed_processes
-            taken = events.ClaimConflicted(request_id, verdict.state, alive)
-            self.apply(item.node, taken)
+            alive = claim_result.holder not in self.killed_processes
+            conflict = events.ClaimConflicted(
+                request_id, claim_result.state, alive
+            )
+            self.apply(item.node, conflict)
 
     def fail_claim(self, request_id: str) -> None:
         """Fail a pending claim without sending it to the store."""
