--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -60,14 +60,14 @@
 
     def format(self) -> str:
         """Return a row of the Markdown table, marked if it is over budget."""
-        verdict = ''
+        budget_note = ''
         if self.budget:
             over = self.figure > self.budget
-            verdict = f'**over** {self.budget:g}' if over else 'fits'
-            verdict = verdict if over else f'fits {self.budget:g}'
+            budget_note = f'**over** {self.budget:g}' if over else 'fits'
+            budget_note = budget_note if over else f'fits {self.budget:g}'
         return (
             f'| `{self.key}` | {self.figure:.4g} | {self.unit} | {self.how} '
-            f'| {verdict} |'
+            f'| {budget_note} |'
         )
 
 
--- a/samphirerill/bench/cost_measurements.py
+++ b/samphirerill/bench/cost_measurements.py
@@ -210,8 +210,8 @@
     while any(item.follower.view.version < 2 for item in gossips):
         rounds += 1
         for gossip in gossips:
-            for partner in rng.sample(gossips, FANOUT):
-                total_bytes += gossip.exchange_with(partner)
+            for peer in rng.sample(gossips, FANOUT):
+                total_bytes += gossip.exchange_with(peer)
     spent_us = (time.process_time_ns() - started) / 1000
     return {
         'rounds': rounds,
@@ -321,8 +321,8 @@
         self.bytes_sent = 0
         self.calls = 0
 
-    def _call(self, path: str, call: dict[str, Any]) -> dict[str, Any]:
-        self.bytes_sent += len(json.dumps(call))
+    def _call(self, path: str, payload: dict[str, Any]) -> dict[str, Any]:
+        self.bytes_sent += len(json.dumps(payload))
         self.calls += 1
         return {'succeeded': True, 'header': {'revision': '1'}}
 
@@ -339,9 +339,9 @@
     def exchange_with(self, other: _LocalGossip) -> int:
         """Exchange messages with another node; return the bytes of both."""
         message = self._build_message()
-        answer = other._build_reply(message)  # noqa: SLF001
-        self._handle_message(answer)
-        return measure_message(message) + measure_message(answer)
+        reply = other._build_reply(message)  # noqa: SLF001
+        self._handle_message(reply)
+        return measure_message(message) + measure_message(reply)
 
 
 def _build_gossip(number: int) -> _LocalGossip:
--- a/samphirerill/bench/http_client.py
+++ b/samphirerill/bench/http_client.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request to send at the time `due_at`, independent of other answers.
+    """A request to send at the time `due_at`, whether or not others have ended.
 
     `extra` is added to the body, for requests sent to an engine directly.
     """
--- a/samphirerill/bench/load_generator.py
+++ b/samphirerill/bench/load_generator.py
@@ -80,15 +80,15 @@
     A node that refuses the connection is skipped, as nothing was sent to it.
     """
 
-    def __init__(self, addresses: Callable[[], list[str]]) -> None:
-        self._addresses = addresses
-        self._healthy: list[str] = addresses()
+    def __init__(self, list_addresses: Callable[[], list[str]]) -> None:
+        self._list_addresses = list_addresses
+        self._healthy: list[str] = list_addresses()
         self._next_index = 0
 
     async def check_health(self) -> None:
         """Check the health of the nodes periodically, until cancelled."""
         while True:
-            addresses = self._addresses()
+            addresses = self._list_addresses()
             statuses = await asyncio.gather(*map(_is_healthy, addresses))
             self._healthy = [
                 address
@@ -110,7 +110,7 @@
         return result
 
     def _list_candidates(self) -> list[str]:
-        nodes = self._healthy or self._addresses()
+        nodes = self._healthy or self._list_addresses()
         self._next_index += 1
         start = self._next_index % len(nodes)
         return nodes[start:] + nodes[:start]
@@ -140,7 +140,7 @@
 
 
 async def run_load(
-    addresses: Callable[[], list[str]],
+    list_addresses: Callable[[], list[str]],
     plan: LoadPlan,
     inject_fault: Callable[[], None] | None = None,
     fault_at_s: float = 0,
@@ -149,15 +149,15 @@
 
     Parameters
     ----------
-    addresses : callable
+    list_addresses : callable
         Returns the current addresses of the nodes.
-    plan : Plan
+    plan : LoadPlan
         Rate, duration and composition of the load.
     inject_fault : callable, optional
         Called in a thread `fault_at_s` after the start.
     """
     loop = asyncio.get_running_loop()
-    balancer = LoadBalancer(addresses)
+    balancer = LoadBalancer(list_addresses)
     health_checks = asyncio.ensure_future(balancer.check_health())
     run = LoadRun(time.monotonic())
     tasks = [
--- a/samphirerill/bench/route_benchmarks.py
+++ b/samphirerill/bench/route_benchmarks.py
@@ -274,6 +274,7 @@
     inject_fault: Callable[[], None] | None = None,
     fault_at_s: float = 0,
 ) -> LoadRun:
+    """Run a load against a target; `inject_fault` is called `fault_at_s` in."""
     return asyncio.run(
         run_load(target.list_addresses, plan, inject_fault, fault_at_s)
     )
