--- a/samphirerill/backends/etcd.py
+++ b/samphirerill/backends/etcd.py
@@ -21,15 +21,15 @@
 from samphirerill.backends.store import (
     NO_LEASE,
     KeyAbsent,
-    TransactionResult,
-    ValueEquals,
     Put,
     RangeResult,
+    RevisionEquals,
     StoredEntry,
     StoreRejectedError,
     StoreUnreachableError,
     Transaction,
-    RevisionEquals,
+    TransactionResult,
+    ValueEquals,
     WatchBatch,
 )
 
--- a/samphirerill/backends/peers.py
+++ b/samphirerill/backends/peers.py
@@ -29,10 +29,10 @@
     add_PeersServicer_to_server,
 )
 from samphirerill.control.claims import (
-    ClaimBatch,
     Claim,
-    Settlement,
+    ClaimBatch,
     ClaimResult,
+    Settlement,
 )
 from samphirerill.core.commands import Outcome
 
--- a/samphirerill/bench/capacity.py
+++ b/samphirerill/bench/capacity.py
@@ -22,8 +22,8 @@
     MIN_POLL_INTERVAL_S,
 )
 from samphirerill.node.gossip import EXCHANGE_INTERVAL_S, FANOUT
-from samphirerill.node.membership import RENEWALS_PER_LEASE
 from samphirerill.node.health_checks import LOAD_POLLS_PER_S
+from samphirerill.node.membership import RENEWALS_PER_LEASE
 from samphirerill.node.vm_reader import FLEET_READS_PER_INTERVAL
 from samphirerill.settings.model import StoreSettings
 
--- a/samphirerill/bench/cost_measurements.py
+++ b/samphirerill/bench/cost_measurements.py
@@ -34,6 +34,7 @@
 from samphirerill.control.freshness import ConfigurationFreshness
 from samphirerill.control.patches import apply_patch
 from samphirerill.core.commands import OpenAttempt, Outcome, WriteClaim
+from samphirerill.core.configuration import build_configuration
 from samphirerill.core.events import (
     AttemptSent,
     ConfigurationAccepted,
@@ -41,11 +42,10 @@
     RequestArrived,
     TokenArrived,
 )
-from samphirerill.core.configuration import build_configuration
 from samphirerill.core.router import Router
-from samphirerill.node.key_index import KeyIndex
 from samphirerill.node.gossip import FANOUT, Gossip
 from samphirerill.node.health_checks import build_fetch_request
+from samphirerill.node.key_index import KeyIndex
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.cluster import Cluster
 from samphirerill.testing.engine import FakeEngine
--- a/samphirerill/bench/route_benchmarks.py
+++ b/samphirerill/bench/route_benchmarks.py
@@ -22,8 +22,8 @@
 from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.edges.operator_api import hash_api_key
 from samphirerill.testing.layout import (
-    SECOND_ACCOUNT_KEY,
     FIRST_ACCOUNT_KEY,
+    SECOND_ACCOUNT_KEY,
     Layout,
     build_three_stages,
 )
--- a/samphirerill/bench/state_benchmarks.py
+++ b/samphirerill/bench/state_benchmarks.py
@@ -24,8 +24,8 @@
 from samphirerill.bench.targets import Target, list_executed_prompts
 from samphirerill.settings.model import StoreSettings
 from samphirerill.testing.clients import (
-    ClientResponse,
     CallError,
+    ClientResponse,
     call_json,
     send_request,
 )
--- a/samphirerill/control/claims.py
+++ b/samphirerill/control/claims.py
@@ -14,13 +14,13 @@
 
 from samphirerill.backends.store import (
     KeyAbsent,
-    ValueEquals,
     Put,
     Transaction,
+    ValueEquals,
 )
 
 if TYPE_CHECKING:
-    from samphirerill.backends.store import TransactionResult, StoredEntry
+    from samphirerill.backends.store import StoredEntry, TransactionResult
     from samphirerill.core.commands import Outcome, WriteClaim
 
 CLAIMS_PREFIX = 'claims/'
--- a/samphirerill/control/configuration_log.py
+++ b/samphirerill/control/configuration_log.py
@@ -23,10 +23,10 @@
 
 from samphirerill.backends.store import (
     Put,
+    RevisionEquals,
     StoredEntry,
     StoreUnreachableError,
     Transaction,
-    RevisionEquals,
 )
 from samphirerill.control.errors import ConfigurationError, InvalidPatchError
 from samphirerill.control.parts import PART_CHARS, PartStore
@@ -34,7 +34,7 @@
 from samphirerill.settings.checks import check_configuration
 
 if TYPE_CHECKING:
-    from samphirerill.backends.store import TransactionResult, KeyValueStore
+    from samphirerill.backends.store import KeyValueStore, TransactionResult
 
 HEAD_KEY = 'shared/config/head'
 LOG_PREFIX = 'shared/config/log/'
--- a/samphirerill/core/on_claims.py
+++ b/samphirerill/core/on_claims.py
@@ -17,7 +17,7 @@
     refuse_request,
     remove_request,
 )
-from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
+from samphirerill.core.events import ClaimAcquired, ClaimConflicted, ClaimFailed
 from samphirerill.core.handling import handle
 from samphirerill.core.scheduling import (
     dispatch_queue,
--- a/samphirerill/core/on_crashes.py
+++ b/samphirerill/core/on_crashes.py
@@ -22,7 +22,7 @@
 from samphirerill.core.handling import handle
 from samphirerill.core.scheduling import dispatch_queue
 from samphirerill.quarantine import Crash
-from samphirerill.quarantine.decision import SURVIVAL_S, SETTLE_S
+from samphirerill.quarantine.decision import SETTLE_S, SURVIVAL_S
 from samphirerill.quarantine.messages import apply_messages
 
 if TYPE_CHECKING:
--- a/samphirerill/core/on_requests.py
+++ b/samphirerill/core/on_requests.py
@@ -12,6 +12,7 @@
     get_queue_name,
     remove_request,
 )
+from samphirerill.core.configuration import choose_priority
 from samphirerill.core.events import (
     ClientDisconnected,
     DrainRequested,
@@ -20,7 +21,6 @@
     ServingSuspended,
 )
 from samphirerill.core.handling import handle
-from samphirerill.core.configuration import choose_priority
 from samphirerill.core.on_crashes import find_quarantine_problem
 from samphirerill.core.scheduling import (
     deposit_retry,
--- a/samphirerill/core/router.py
+++ b/samphirerill/core/router.py
@@ -8,9 +8,9 @@
     on_attempts,
     on_claims,
     on_crashes,
+    on_deadlines,
     on_fleet,
     on_requests,
-    on_deadlines,
 )
 from samphirerill.core.handling import handle
 from samphirerill.core.state import CoreState
--- a/samphirerill/core/state.py
+++ b/samphirerill/core/state.py
@@ -16,8 +16,8 @@
 from samphirerill.core.admission import FairQueue
 from samphirerill.core.budget import RetryBudget
 from samphirerill.core.commands import Command, Stage
-from samphirerill.core.links import LinkLatencies
 from samphirerill.core.configuration import Configuration, Endpoint
+from samphirerill.core.links import LinkLatencies
 from samphirerill.core.prefixes import PrefixIndex
 from samphirerill.quarantine import Quarantine
 
--- a/samphirerill/edges/client_api.py
+++ b/samphirerill/edges/client_api.py
@@ -15,16 +15,16 @@
 from samphirerill.backends.service_call import drop_hop_by_hop
 from samphirerill.core.commands import Outcome, Problem
 from samphirerill.edges.handoff import SOCKET_HANDLERS
-from samphirerill.edges.request_validation import (
-    InvalidRequestError,
-    parse_completion_body,
-    parse_request_timeout,
-)
 from samphirerill.edges.http_server import (
     read_bearer_token,
     render_json,
     render_problem,
 )
+from samphirerill.edges.request_validation import (
+    InvalidRequestError,
+    parse_completion_body,
+    parse_request_timeout,
+)
 from samphirerill.node.responses import ClientRequest
 
 if TYPE_CHECKING:
--- a/samphirerill/edges/handoff.py
+++ b/samphirerill/edges/handoff.py
@@ -18,8 +18,8 @@
 from cheroot.wsgi import Gateway_10, Server
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.node.responses import OUTCOME_HEADER, build_problem_document
 from samphirerill.node.logs import get_logger
+from samphirerill.node.responses import OUTCOME_HEADER, build_problem_document
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/samphirerill/emulator/client_traffic.py
+++ b/samphirerill/emulator/client_traffic.py
@@ -10,12 +10,12 @@
 
 from samphirerill.emulator.engine import StageTask
 from samphirerill.emulator.fleet import SERVICE
-from samphirerill.fleet.stage_lifetime import is_stage_lost
+from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.load import LoadTracker, list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.prediction import predict_transfer_ms
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 
 if TYPE_CHECKING:
     from random import Random
--- a/samphirerill/emulator/fleet.py
+++ b/samphirerill/emulator/fleet.py
@@ -17,8 +17,8 @@
     from collections.abc import Mapping
 
     from samphirerill.emulator.event_loop import EventLoop
-    from samphirerill.fleet.model import EngineSpec
     from samphirerill.fleet.goodput import PlanTargets
+    from samphirerill.fleet.model import EngineSpec
 
 SERVICE = 'llm'
 # As often as the leader among the nodes runs the planner.
--- a/samphirerill/emulator/lab.py
+++ b/samphirerill/emulator/lab.py
@@ -10,13 +10,13 @@
 
 from samphirerill.emulator.ablation import ablate
 from samphirerill.emulator.event_loop import EventLoop
-from samphirerill.emulator.simulation import build_fleet, run_scenario
 from samphirerill.emulator.scenario import load_scenario
+from samphirerill.emulator.simulation import build_fleet, run_scenario
 from samphirerill.fleet.chains import extract_chains
-from samphirerill.fleet.redundancy import list_uncovered
-from samphirerill.fleet.rebalancing import build_pipeline
 from samphirerill.fleet.planner import group_by_data_centre
 from samphirerill.fleet.rates import predict_event_ms, predict_rate
+from samphirerill.fleet.rebalancing import build_pipeline
+from samphirerill.fleet.redundancy import list_uncovered
 
 if TYPE_CHECKING:
     import argparse
--- a/samphirerill/emulator/scenario.py
+++ b/samphirerill/emulator/scenario.py
@@ -4,9 +4,9 @@
 
 from msgspec import Struct, ValidationError, convert
 
+from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.fleet.model import Accelerator, EngineSpec, LayerRange
 from samphirerill.fleet.policy import Policy
-from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.settings.errors import Finding, InvalidDocumentError
 from samphirerill.settings.jsonc import read_jsonc
 
--- a/samphirerill/emulator/simulation.py
+++ b/samphirerill/emulator/simulation.py
@@ -6,9 +6,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from samphirerill.emulator.client_traffic import TrafficGenerator
 from samphirerill.emulator.event_loop import EventLoop
 from samphirerill.emulator.fleet import EmulatedFleet
-from samphirerill.emulator.client_traffic import TrafficGenerator
 
 if TYPE_CHECKING:
     from samphirerill.emulator.scenario import Scenario
--- a/samphirerill/fleet/chains.py
+++ b/samphirerill/fleet/chains.py
@@ -13,8 +13,8 @@
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.prediction import (
     STAGE_OVERHEAD_MS,
-    predict_transfer_ms,
     predict_stage_ms,
+    predict_transfer_ms,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/fleet/data_centre_rebuild.py
+++ b/samphirerill/fleet/data_centre_rebuild.py
@@ -10,16 +10,16 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.chains import extract_chains
+from samphirerill.fleet.data_centre_state import list_used_ids
 from samphirerill.fleet.gap_filling import fill_gaps
-from samphirerill.fleet.rebalancing import assign_stages
 from samphirerill.fleet.planner import plan_data_centre
-from samphirerill.fleet.data_centre_state import list_used_ids
+from samphirerill.fleet.rebalancing import assign_stages
 
 if TYPE_CHECKING:
     from samphirerill.fleet.chains import Chain
-    from samphirerill.fleet.model import EngineSpec
-    from samphirerill.fleet.goodput import PlanTargets
     from samphirerill.fleet.data_centre_state import DataCentreState
+    from samphirerill.fleet.goodput import PlanTargets
+    from samphirerill.fleet.model import EngineSpec
 
 
 def rebuild_data_centre(
--- a/samphirerill/fleet/data_centre_state.py
+++ b/samphirerill/fleet/data_centre_state.py
@@ -6,19 +6,19 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.chains import extract_chains
-from samphirerill.fleet.rebalancing import build_pipeline
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.planner import plan_data_centre
 from samphirerill.fleet.prediction import predict_stage_ms
 from samphirerill.fleet.rates import get_accelerator
+from samphirerill.fleet.rebalancing import build_pipeline
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
 
     from samphirerill.fleet.chains import Chain
+    from samphirerill.fleet.goodput import PlanTargets
     from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.rates import Pipeline
-    from samphirerill.fleet.goodput import PlanTargets
 
 Moves = dict[str, LayerRange]
 
--- a/samphirerill/fleet/goodput.py
+++ b/samphirerill/fleet/goodput.py
@@ -10,11 +10,6 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.redundancy import (
-    list_rated_stages,
-    list_uncovered,
-    predict_repair_loss,
-)
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.prediction import count_events
@@ -24,6 +19,11 @@
     predict_event_ms,
     predict_total_rate,
 )
+from samphirerill.fleet.redundancy import (
+    list_rated_stages,
+    list_uncovered,
+    predict_repair_loss,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/samphirerill/fleet/paths.py
+++ b/samphirerill/fleet/paths.py
@@ -18,16 +18,16 @@
 from samphirerill.fleet.prediction import (
     STAGE_OVERHEAD_MS,
     predict_prefill_ms,
-    predict_transfer_ms,
     predict_stage_ms,
+    predict_transfer_ms,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
 
+    from samphirerill.fleet.link_usage import LinkUsage
     from samphirerill.fleet.load import LoadTracker
     from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.link_usage import LinkUsage
     from samphirerill.fleet.view import ReplicaState
 
 # Load reports of other nodes lag, and answers may be longer than announced. The
--- a/samphirerill/fleet/planner.py
+++ b/samphirerill/fleet/planner.py
@@ -17,7 +17,7 @@
 from itertools import chain
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.redundancy import assign_backups, list_rated_stages
+from samphirerill.fleet.goodput import predict_goodput
 from samphirerill.fleet.model import MB, LayerRange, count_tokens
 from samphirerill.fleet.rates import (
     TARGET_REQUESTS,
@@ -25,13 +25,13 @@
     get_accelerator,
     predict_total_rate,
 )
-from samphirerill.fleet.goodput import predict_goodput
+from samphirerill.fleet.redundancy import assign_backups, list_rated_stages
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
     from samphirerill.fleet.goodput import PlanTargets
+    from samphirerill.fleet.model import Accelerator, EngineSpec, Replica
 
 # A pipeline with memory for fewer usual requests is not worth building.
 _MIN_REQUESTS = 8
--- a/samphirerill/fleet/rates.py
+++ b/samphirerill/fleet/rates.py
@@ -21,8 +21,8 @@
     STAGE_OVERHEAD_MS,
     count_events,
     predict_prefill_ms,
-    predict_transfer_ms,
     predict_stage_ms,
+    predict_transfer_ms,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/fleet/rebalancing.py
+++ b/samphirerill/fleet/rebalancing.py
@@ -10,17 +10,17 @@
 
 from typing import TYPE_CHECKING
 
+from samphirerill.fleet.goodput import predict_goodput
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.planner import plan_data_centre
 from samphirerill.fleet.rates import Pipeline
-from samphirerill.fleet.goodput import predict_goodput
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from samphirerill.fleet.chains import Chain
-    from samphirerill.fleet.model import EngineSpec, Replica
     from samphirerill.fleet.goodput import PlanTargets
+    from samphirerill.fleet.model import EngineSpec, Replica
 
 # A change takes a pipeline out of service for some seconds.
 _MIN_GAIN = 1.6
--- a/samphirerill/fleet/repair.py
+++ b/samphirerill/fleet/repair.py
@@ -12,41 +12,41 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.fleet.chains import extract_chains
-from samphirerill.fleet.redundancy import (
-    assign_backups,
-    list_rated_stages,
-    predict_repair_loss,
+from samphirerill.fleet.data_centre_rebuild import (
+    rebuild_data_centre,
+    repair_across_data_centres,
+)
+from samphirerill.fleet.data_centre_state import (
+    analyze_data_centre,
+    index_replicas,
+    list_held_ranges,
+    list_used_ids,
 )
 from samphirerill.fleet.gap_filling import (
-    fill_gaps,
     build_repaired_pipeline,
+    fill_gaps,
     repartition,
 )
-from samphirerill.fleet.rebalancing import plan_rebalance
 from samphirerill.fleet.model import NO_LAYERS, LayerRange
 from samphirerill.fleet.planner import group_by_data_centre, plan_layers
 from samphirerill.fleet.rates import (
     count_max_layers,
     predict_rate,
 )
-from samphirerill.fleet.data_centre_rebuild import (
-    rebuild_data_centre,
-    repair_across_data_centres,
-)
-from samphirerill.fleet.data_centre_state import (
-    index_replicas,
-    list_held_ranges,
-    list_used_ids,
-    analyze_data_centre,
+from samphirerill.fleet.rebalancing import plan_rebalance
+from samphirerill.fleet.redundancy import (
+    assign_backups,
+    list_rated_stages,
+    predict_repair_loss,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable, Mapping, Sequence
 
     from samphirerill.fleet.chains import Chain
-    from samphirerill.fleet.model import EngineSpec, Replica
-    from samphirerill.fleet.goodput import PlanTargets
     from samphirerill.fleet.data_centre_state import DataCentreState
+    from samphirerill.fleet.goodput import PlanTargets
+    from samphirerill.fleet.model import EngineSpec, Replica
 
 # A slower pipeline is dismantled for a faster one only above this ratio of
 # rates.
--- a/samphirerill/fleet/view.py
+++ b/samphirerill/fleet/view.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.stage_lifetime import releases_layers
 from samphirerill.fleet.failure_detection import CorrelatedFailure
+from samphirerill.fleet.stage_lifetime import releases_layers
 from samphirerill.fleet.suspicion import (
     CONFIRMING_VOTES,
-    Suspicion,
     SilenceReport,
+    Suspicion,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/node/claim_batches.py
+++ b/samphirerill/node/claim_batches.py
@@ -16,8 +16,8 @@
 
 from samphirerill.backends.store import StoreUnreachableError
 from samphirerill.control.claims import (
-    ClaimBatch,
     Claim,
+    ClaimBatch,
     ClaimResult,
     build_transaction,
     read_results,
--- a/samphirerill/node/claim_writer.py
+++ b/samphirerill/node/claim_writer.py
@@ -14,17 +14,17 @@
 
 from samphirerill.backends.store import StoreError
 from samphirerill.control.claims import (
-    ClaimBatch,
     Claim,
-    Settlement,
+    ClaimBatch,
     ClaimResult,
+    Settlement,
     build_claim,
 )
 from samphirerill.core.commands import Outcome
-from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
+from samphirerill.core.events import ClaimAcquired, ClaimConflicted, ClaimFailed
 from samphirerill.node.claim_batches import (
-    MAX_DIRECT_WRITERS,
     AGGREGATOR_COUNT,
+    MAX_DIRECT_WRITERS,
     UNKNOWN_STATE,
     BatchWriter,
     DirectBatchWriter,
--- a/samphirerill/node/command_execution.py
+++ b/samphirerill/node/command_execution.py
@@ -26,9 +26,9 @@
     SettleClaim,
     WriteClaim,
 )
-from samphirerill.node.responses import StoredResponse
-from samphirerill.node.metrics import FIRST_TOKEN, RESPONSE_TIME, TOKEN_INTERVAL
 from samphirerill.node.health_checks import probe_endpoint
+from samphirerill.node.metrics import FIRST_TOKEN, RESPONSE_TIME, TOKEN_INTERVAL
+from samphirerill.node.responses import StoredResponse
 
 if TYPE_CHECKING:
     from samphirerill.backends.endpoint_call import EndpointCall
--- a/samphirerill/node/configuration_follower.py
+++ b/samphirerill/node/configuration_follower.py
@@ -24,12 +24,12 @@
 from samphirerill.control.configuration_view import ConfigurationView
 from samphirerill.control.errors import ConfigurationError
 from samphirerill.control.freshness import ConfigurationFreshness
+from samphirerill.core.configuration import build_configuration
 from samphirerill.core.events import (
     ConfigurationAccepted,
     ServingResumed,
     ServingSuspended,
 )
-from samphirerill.core.configuration import build_configuration
 from samphirerill.node.engine_controller import EngineController
 from samphirerill.node.jitter import WIDE_JITTER, add_jitter
 from samphirerill.node.logs import get_logger
--- a/samphirerill/node/engine_controller.py
+++ b/samphirerill/node/engine_controller.py
@@ -20,14 +20,14 @@
     LEASE_S,
     ORDER_TIMEOUT_S,
     RENEW_EVERY_S,
-    Order,
     EngineStatus,
     LeaderTerm,
+    Order,
     plan_orders,
 )
+from samphirerill.node.health_checks import try_fetch
 from samphirerill.node.jitter import add_jitter
 from samphirerill.node.logs import get_logger
-from samphirerill.node.health_checks import try_fetch
 
 if TYPE_CHECKING:
     from samphirerill.backends.store import WatchBatch
--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -18,8 +18,8 @@
 from samphirerill.backends.peers import (
     PeerClients,
     PeerError,
-    PeerServer,
     PeerMessage,
+    PeerServer,
 )
 from samphirerill.control.configuration_log import parse_change
 from samphirerill.control.freshness import PEER_EXPIRY_S
--- a/samphirerill/node/health_checks.py
+++ b/samphirerill/node/health_checks.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.backends.engine_call import emit_load_report
-from samphirerill.core.events import ProbeFinished
 from samphirerill.core.configuration import ENGINE
+from samphirerill.core.events import ProbeFinished
 from samphirerill.node.loop_lag import lag_aware_timeout_at
 
 if TYPE_CHECKING:
--- a/samphirerill/node/node.py
+++ b/samphirerill/node/node.py
@@ -13,8 +13,8 @@
 
 from samphirerill.core.events import TimerFired
 from samphirerill.core.router import Router
-from samphirerill.node.key_index import KeyIndex
 from samphirerill.node.command_execution import execute
+from samphirerill.node.key_index import KeyIndex
 from samphirerill.node.logs import get_logger
 from samphirerill.node.metrics import Metrics
 
--- a/samphirerill/node/process.py
+++ b/samphirerill/node/process.py
@@ -11,17 +11,17 @@
 from samphirerill.core.events import DrainRequested
 from samphirerill.core.queries import count_open_requests
 from samphirerill.edges.client_api import ClientApi
-from samphirerill.edges.operator_api import OperatorApi
 from samphirerill.edges.http_server import HttpServer, ListenError
-from samphirerill.node.request_receiver import RequestReceiver
+from samphirerill.edges.operator_api import OperatorApi
 from samphirerill.node.claim_writer import ClaimWriter
 from samphirerill.node.configuration_follower import ConfigurationFollower
 from samphirerill.node.gossip import Gossip
+from samphirerill.node.health_checks import poll_loads
 from samphirerill.node.logs import get_logger
 from samphirerill.node.membership import Membership
 from samphirerill.node.node import Node
 from samphirerill.node.operator_requests import NodeOperations
-from samphirerill.node.health_checks import poll_loads
+from samphirerill.node.request_receiver import RequestReceiver
 from samphirerill.node.store_worker import StoreWorker
 from samphirerill.node.vm_reader import VmReader
 
--- a/samphirerill/node/request_receiver.py
+++ b/samphirerill/node/request_receiver.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.core.commands import Outcome, Problem
-from samphirerill.core.events import ClientDisconnected, RequestArrived
 from samphirerill.core.configuration import MODEL_ROUTE, choose_priority
+from samphirerill.core.events import ClientDisconnected, RequestArrived
 from samphirerill.core.prefixes import digest_prefixes
 from samphirerill.edges.client_api import MODEL_LIST_REQUEST
 from samphirerill.node.responses import get_prompt_text
@@ -20,8 +20,8 @@
 if TYPE_CHECKING:
     import socket
 
-    from samphirerill.node.responses import ClientRequest
     from samphirerill.node.node import Node
+    from samphirerill.node.responses import ClientRequest
 
 
 class RequestReceiver:
--- a/samphirerill/platform/http_adapter.py
+++ b/samphirerill/platform/http_adapter.py
@@ -9,8 +9,8 @@
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.platform import announcements, documents, wire_names
 from samphirerill.relay.platform_adapter import (
-    ResponseMetadata,
     RequestMetadata,
+    ResponseMetadata,
 )
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
         Replica,
         Stage,
     )
-    from samphirerill.relay.connection import ResponseHead, Headers
+    from samphirerill.relay.connection import Headers, ResponseHead
     from samphirerill.relay.platform_adapter import Attempt, ReplicaReport
     from samphirerill.relay.server import Request
 
--- a/samphirerill/properties/simulation.py
+++ b/samphirerill/properties/simulation.py
@@ -13,8 +13,8 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.control.claims import (
-    ClaimBatch,
     Claim,
+    ClaimBatch,
     Settlement,
     build_claim,
     build_release,
--- a/samphirerill/relay/attempt_budget.py
+++ b/samphirerill/relay/attempt_budget.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.state import EdgeState
 
 
 class AttemptBudget:
--- a/samphirerill/relay/change_source.py
+++ b/samphirerill/relay/change_source.py
@@ -20,9 +20,9 @@
 from samphirerill.relay.change_log import ChangeBatch, ChangeLog, Snapshot
 from samphirerill.relay.errors import (
     BrokenResponseError,
-    WatchLostError,
-    EndpointError,
     ChangeTooLargeError,
+    EndpointError,
+    WatchLostError,
 )
 from samphirerill.relay.listeners import PageHandler, read_revision
 from samphirerill.relay.pool import call_once
--- a/samphirerill/relay/connection.py
+++ b/samphirerill/relay/connection.py
@@ -20,8 +20,8 @@
     BrokenResponseError,
     ConnectError,
     ConnectRefusedError,
-    EndpointTimeoutError,
     ConnectTimeoutError,
+    EndpointTimeoutError,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/relay/datagram_receiver.py
+++ b/samphirerill/relay/datagram_receiver.py
@@ -18,10 +18,10 @@
     from collections.abc import Callable
 
     from samphirerill.relay.change_log import ChangeLog
-    from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.change_source import ChangeSource
-    from samphirerill.relay.peer_sync import PeerSync
+    from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.peer_directory import PeerDirectory
+    from samphirerill.relay.peer_sync import PeerSync
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.status_sender import StatusSender
 
--- a/samphirerill/relay/handover.py
+++ b/samphirerill/relay/handover.py
@@ -18,7 +18,7 @@
     from collections.abc import Awaitable, Callable
 
     from samphirerill.fleet.model import Stage
-    from samphirerill.relay.connection import ResponseHead, HttpConnection
+    from samphirerill.relay.connection import HttpConnection, ResponseHead
 
 _LOG = get_logger('streams')
 
--- a/samphirerill/relay/health/alarms.py
+++ b/samphirerill/relay/health/alarms.py
@@ -15,12 +15,12 @@
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.node.logs import get_logger
+from samphirerill.relay.datagrams import DatagramDeduplicator
 from samphirerill.relay.health.remote_suspicions import (
     apply_silence_report,
     decode_silence_report,
 )
 from samphirerill.relay.node_status import checksum_name
-from samphirerill.relay.datagrams import DatagramDeduplicator
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
--- a/samphirerill/relay/health/prober.py
+++ b/samphirerill/relay/health/prober.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.failure_detection import is_local_fault
+from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.node.logs import get_logger
+from samphirerill.relay.health.passive_checks import find_live_replicas
+from samphirerill.relay.health.probe_retries import probe_with_retries
 from samphirerill.relay.health.probe_timeouts import (
     MIN_TIMEOUT_S,
     ProbeLatencies,
 )
-from samphirerill.relay.health.probe_retries import probe_with_retries
 from samphirerill.relay.health.probing import Probe, Verdict
-from samphirerill.relay.health.passive_checks import find_live_replicas
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
--- a/samphirerill/relay/health/probing.py
+++ b/samphirerill/relay/health/probing.py
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.errors import (
-    EndpointError,
     ConnectRefusedError,
-    EndpointTimeoutError,
     ConnectTimeoutError,
+    EndpointError,
+    EndpointTimeoutError,
 )
+from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.pool import call_once
 
 if TYPE_CHECKING:
--- a/samphirerill/relay/layer_controller.py
+++ b/samphirerill/relay/layer_controller.py
@@ -14,11 +14,11 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.backends.store import StoreError
+from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.fleet.model import MS_PER_S, format_layers
 from samphirerill.fleet.rates import DEFAULT_PAUSE_MS
 from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.probing import fetch_report
 from samphirerill.relay.orders import ACCEPTED_STATUSES, send_order
--- a/samphirerill/relay/leadership.py
+++ b/samphirerill/relay/leadership.py
@@ -7,8 +7,8 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import (
-    PreconditionFailedError,
     LeaseNotFoundError,
+    PreconditionFailedError,
 )
 from samphirerill.relay.leases import revoke_lease
 
--- a/samphirerill/relay/membership.py
+++ b/samphirerill/relay/membership.py
@@ -13,13 +13,13 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import LeaseNotFoundError
+from samphirerill.relay.change_source import PeerRequestHandler
 from samphirerill.relay.datagram_receiver import DatagramReceiver
 from samphirerill.relay.leases import revoke_lease
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.node_status import NodeAnnouncement
-from samphirerill.relay.change_source import PeerRequestHandler
-from samphirerill.relay.peer_sync import PeerSync
 from samphirerill.relay.peer_directory import PeerDirectory
+from samphirerill.relay.peer_sync import PeerSync
 from samphirerill.relay.status_sender import StatusSender
 
 if TYPE_CHECKING:
@@ -29,9 +29,9 @@
         StoredItem,
     )
     from samphirerill.relay.change_log import ChangeLog
-    from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.change_source import ChangeSource
     from samphirerill.relay.datagrams import DatagramHandler
+    from samphirerill.relay.health.alarms import Alarms
     from samphirerill.relay.server import ClientConnection
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.store_health import StoreHealth
--- a/samphirerill/relay/node_status.py
+++ b/samphirerill/relay/node_status.py
@@ -11,9 +11,9 @@
 
 from msgspec import Struct
 
-from samphirerill.fleet.retry_budget import RetryUsage
 from samphirerill.fleet.load import ReplicaLoad
 from samphirerill.fleet.model import MS_PER_S
+from samphirerill.fleet.retry_budget import RetryUsage
 
 if TYPE_CHECKING:
     from samphirerill.fleet.link_usage import LinkKey
--- a/samphirerill/relay/path_finder.py
+++ b/samphirerill/relay/path_finder.py
@@ -13,8 +13,8 @@
 
     from samphirerill.fleet.model import EngineSpec, Stage
     from samphirerill.relay.admission import AdmissionQueue
-    from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.state import EdgeState
 
 # Head replicas to try for an isolated run. Bounds the path searches.
 _MAX_ISOLATED_CANDIDATES = 3
--- a/samphirerill/relay/peer_sync.py
+++ b/samphirerill/relay/peer_sync.py
@@ -15,9 +15,9 @@
 from samphirerill.fleet.deltas import DeltaError
 from samphirerill.fleet.model import Replica
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.errors import EndpointError
 from samphirerill.relay.listeners import read_revision
+from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.pool import call_once
 
 if TYPE_CHECKING:
--- a/samphirerill/relay/plain.py
+++ b/samphirerill/relay/plain.py
@@ -13,22 +13,17 @@
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.responses import (
-    filter_headers,
-    is_success,
-    read_body,
-    read_head,
-)
+from samphirerill.relay.attempt_budget import AttemptBudget
 from samphirerill.relay.connection import ResponseHead, serialize_request
-from samphirerill.relay.platform_adapter import Attempt
 from samphirerill.relay.errors import (
     BrokenResponseError,
     ConnectError,
-    EndpointError,
-    QuarantinedError,
     ConnectionLimitError,
+    EndpointError,
     EndpointTimeoutError,
+    QuarantinedError,
 )
+from samphirerill.relay.platform_adapter import Attempt
 from samphirerill.relay.refusals import (
     FAILED,
     TIMED_OUT,
@@ -36,7 +31,12 @@
     Refusal,
     send_refusal,
 )
-from samphirerill.relay.attempt_budget import AttemptBudget
+from samphirerill.relay.responses import (
+    filter_headers,
+    is_success,
+    read_body,
+    read_head,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -45,8 +45,8 @@
     from samphirerill.fleet.view import ReplicaState
     from samphirerill.relay.connection import HttpConnection
     from samphirerill.relay.quarantine import CrashDetector
-    from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('plain')
 _SERVER_ERROR = 500
--- a/samphirerill/relay/platform_adapter.py
+++ b/samphirerill/relay/platform_adapter.py
@@ -16,7 +16,7 @@
         Replica,
         Stage,
     )
-    from samphirerill.relay.connection import ResponseHead, Headers
+    from samphirerill.relay.connection import Headers, ResponseHead
     from samphirerill.relay.server import Request
 
 
--- a/samphirerill/relay/pool.py
+++ b/samphirerill/relay/pool.py
@@ -8,9 +8,9 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.relay.connection import (
-    HttpConnection,
     BodyChunk,
     EndOfResponse,
+    HttpConnection,
     serialize_request,
 )
 from samphirerill.relay.errors import ConnectionLimitError
--- a/samphirerill/relay/process.py
+++ b/samphirerill/relay/process.py
@@ -9,23 +9,23 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.admission import AdmissionQueue
+from samphirerill.relay.change_source import ChangeSource
+from samphirerill.relay.health import Alarms, LossProber, ReplicaProber
 from samphirerill.relay.layer_controller import LayerController
-from samphirerill.relay.store_follower import build_store_follower
-from samphirerill.relay.request_dispatcher import RequestDispatcher
-from samphirerill.relay.health import Alarms, ReplicaProber, LossProber
 from samphirerill.relay.leadership import Leadership
 from samphirerill.relay.listeners import listen
 from samphirerill.relay.membership import Membership
-from samphirerill.relay.change_source import ChangeSource
-from samphirerill.relay.status_endpoints import StatusEndpoints
 from samphirerill.relay.quarantine import (
-    QuarantineManager,
+    CrashDetector,
     EvidenceExchange,
+    QuarantineManager,
     StoredHolds,
-    CrashDetector,
 )
-from samphirerill.relay.settings_reload import SettingsReloader, SettingsFile
+from samphirerill.relay.request_dispatcher import RequestDispatcher
+from samphirerill.relay.settings_reload import SettingsFile, SettingsReloader
 from samphirerill.relay.state import EdgeState
+from samphirerill.relay.status_endpoints import StatusEndpoints
+from samphirerill.relay.store_follower import build_store_follower
 from samphirerill.relay.store_health import StoreHealth
 
 if TYPE_CHECKING:
--- a/samphirerill/relay/quarantine/crash_detector.py
+++ b/samphirerill/relay/quarantine/crash_detector.py
@@ -22,11 +22,11 @@
 
     from samphirerill.fleet.model import Replica
     from samphirerill.relay.health import ReplicaProber
-    from samphirerill.relay.quarantine.manager import QuarantineManager
     from samphirerill.relay.quarantine.evidence_exchange import EvidenceExchange
+    from samphirerill.relay.quarantine.manager import QuarantineManager
+    from samphirerill.relay.request_context import RequestContext
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_times import RunTimes
-    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('quarantine')
 # Delays before each probe of a replica, as packets may be lost.
--- a/samphirerill/relay/quarantine/stored_holds.py
+++ b/samphirerill/relay/quarantine/stored_holds.py
@@ -18,9 +18,9 @@
 from samphirerill.quarantine.messages import (
     EvidenceMessage,
     InvalidEvidenceError,
+    add_age,
     build_message,
     check_messages,
-    add_age,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/relay/request_dispatcher.py
+++ b/samphirerill/relay/request_dispatcher.py
@@ -15,8 +15,8 @@
     Refusal,
     send_refusal,
 )
-from samphirerill.relay.streaming import StreamExchange
 from samphirerill.relay.request_context import RequestContext
+from samphirerill.relay.streaming import StreamExchange
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import (
@@ -26,8 +26,8 @@
         Service,
     )
     from samphirerill.relay.admission import AdmissionQueue
-    from samphirerill.relay.platform_adapter import RequestMetadata
     from samphirerill.relay.health.prober import ReplicaProber
+    from samphirerill.relay.platform_adapter import RequestMetadata
     from samphirerill.relay.quarantine import CrashDetector
     from samphirerill.relay.server import ClientConnection, Request
     from samphirerill.relay.state import EdgeState
--- a/samphirerill/relay/responses.py
+++ b/samphirerill/relay/responses.py
@@ -5,14 +5,14 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from samphirerill.relay.connection import ResponseHead, BodyChunk, EndOfResponse
+from samphirerill.relay.connection import BodyChunk, EndOfResponse, ResponseHead
 from samphirerill.relay.errors import BrokenResponseError
 
 if TYPE_CHECKING:
     from samphirerill.relay.connection import Headers, HttpConnection
     from samphirerill.relay.platform_adapter import (
-        ResponseMetadata,
         PlatformAdapter,
+        ResponseMetadata,
     )
 
 _SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
--- a/samphirerill/relay/state.py
+++ b/samphirerill/relay/state.py
@@ -6,10 +6,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.retry_budget import RetryBudget
+from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.load import LoadTracker
 from samphirerill.fleet.model import MS_PER_S, ClientLimits
-from samphirerill.fleet.link_usage import LinkUsage
+from samphirerill.fleet.retry_budget import RetryBudget
 from samphirerill.fleet.routes import RouteTable
 from samphirerill.fleet.view import FleetView
 from samphirerill.node.logs import get_logger
--- a/samphirerill/relay/status_sender.py
+++ b/samphirerill/relay/status_sender.py
@@ -13,8 +13,8 @@
 
 from msgspec import msgpack
 
-from samphirerill.relay.node_status import build_node_status
 from samphirerill.relay.aggregate_status import build_aggregate
+from samphirerill.relay.node_status import build_node_status
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
--- a/samphirerill/relay/store_follower.py
+++ b/samphirerill/relay/store_follower.py
@@ -13,8 +13,8 @@
 from samphirerill.backends.store import StoreError
 from samphirerill.node.logs import get_logger
 from samphirerill.platform.store import DeletedKey, RevisionCompactedError
-from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.errors import EndpointError
+from samphirerill.relay.platform_adapter import DocumentError
 from samphirerill.relay.replica_handler import ReplicaHandler
 
 if TYPE_CHECKING:
--- a/samphirerill/relay/stream_guard.py
+++ b/samphirerill/relay/stream_guard.py
@@ -21,8 +21,8 @@
     from samphirerill.fleet.model import Stage
     from samphirerill.relay.connection import HttpConnection
     from samphirerill.relay.health.prober import ReplicaProber
-    from samphirerill.relay.stream_path import StreamPath
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.stream_path import StreamPath
 
     Read = TypeVar('Read')
 
--- a/samphirerill/relay/stream_limits.py
+++ b/samphirerill/relay/stream_limits.py
@@ -11,10 +11,10 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.quarantine import CrashDetector
+    from samphirerill.relay.request_context import RequestContext
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_sender import StreamProgress
     from samphirerill.relay.stream_times import StreamTimes
-    from samphirerill.relay.request_context import RequestContext
 
 # Clients give up after two seconds without an event, also before the first one;
 # a request that waits longer for a path is rejected instead.
--- a/samphirerill/relay/stream_path.py
+++ b/samphirerill/relay/stream_path.py
@@ -6,11 +6,11 @@
 import enum
 from typing import TYPE_CHECKING
 
-from samphirerill.fleet.stage_lifetime import find_stage_end, is_stage_lost
 from samphirerill.fleet.load import list_replica_ids
 from samphirerill.fleet.model import MS_PER_S
-from samphirerill.fleet.stream_rerouting import predict_reroute_pause_ms
 from samphirerill.fleet.paths import predict_event_interval_ms
+from samphirerill.fleet.stage_lifetime import find_stage_end, is_stage_lost
+from samphirerill.fleet.stream_rerouting import predict_reroute_pause_ms
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.health.passive_checks import list_unconfirmed
 from samphirerill.relay.orders import request_reroute
@@ -22,8 +22,8 @@
     from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.health.prober import Diagnosis
     from samphirerill.relay.quarantine import CrashDetector
-    from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('streams')
 # Share of the time left on a leaving replica before a stream may be rerouted.
--- a/samphirerill/relay/stream_request.py
+++ b/samphirerill/relay/stream_request.py
@@ -10,8 +10,8 @@
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import FleetRoute, Stage
-    from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.state import EdgeState
 
 # Clients give up a stream after two seconds without an event, or after four
 # times the latency objective of the first event or eight times that between
--- a/samphirerill/relay/stream_sender.py
+++ b/samphirerill/relay/stream_sender.py
@@ -11,26 +11,26 @@
 
 from samphirerill.fleet.model import MS_PER_S
 from samphirerill.node.logs import get_logger
-from samphirerill.relay.responses import is_success, read_head
 from samphirerill.relay.errors import (
     BrokenResponseError,
     ConnectError,
-    EndpointError,
     ConnectionLimitError,
+    EndpointError,
 )
-from samphirerill.relay.stream_request import build_stream_call, parse_event_id
-from samphirerill.relay.stream_path import format_path
 from samphirerill.relay.handover import StreamRun
+from samphirerill.relay.responses import is_success, read_head
+from samphirerill.relay.stream_path import format_path
+from samphirerill.relay.stream_request import build_stream_call, parse_event_id
 
 if TYPE_CHECKING:
     from samphirerill.fleet.model import Replica, Stage
-    from samphirerill.relay.connection import ResponseHead, HttpConnection
-    from samphirerill.relay.platform_adapter import ResponseMetadata
+    from samphirerill.relay.connection import HttpConnection, ResponseHead
     from samphirerill.relay.health import ReplicaProber
+    from samphirerill.relay.platform_adapter import ResponseMetadata
     from samphirerill.relay.quarantine import CrashDetector
+    from samphirerill.relay.request_context import RequestContext
     from samphirerill.relay.state import EdgeState
     from samphirerill.relay.stream_path import StreamPath
-    from samphirerill.relay.request_context import RequestContext
 
 _LOG = get_logger('streams')
 # Status of a rejection; also given if a later stage does not respond.
--- a/samphirerill/relay/streaming.py
+++ b/samphirerill/relay/streaming.py
@@ -13,22 +13,17 @@
 
 from samphirerill.node.logs import get_logger
 from samphirerill.relay.admission import NoPathError, OutageError
-from samphirerill.relay.responses import (
-    filter_headers,
-    is_success,
-    read_body,
-)
 from samphirerill.relay.connection import (
-    ResponseHead,
-    HttpConnection,
     BodyChunk,
     EndOfResponse,
+    HttpConnection,
+    ResponseHead,
 )
 from samphirerill.relay.errors import BrokenResponseError, EndpointError
-from samphirerill.relay.server_sent_events import EventParser
+from samphirerill.relay.handover import Handover, StreamRun
 from samphirerill.relay.leaving_replicas import (
-    should_seek_path,
     must_resend_to_head,
+    should_seek_path,
 )
 from samphirerill.relay.refusals import (
     FAILED,
@@ -37,12 +32,17 @@
     Refusal,
     send_refusal,
 )
+from samphirerill.relay.responses import (
+    filter_headers,
+    is_success,
+    read_body,
+)
+from samphirerill.relay.server_sent_events import EventParser
 from samphirerill.relay.stream_guard import StreamGuard
 from samphirerill.relay.stream_limits import StreamLimits
 from samphirerill.relay.stream_path import StreamPath, format_path
 from samphirerill.relay.stream_sender import StreamProgress, StreamSender
 from samphirerill.relay.stream_times import RunTimes, StreamTimes
-from samphirerill.relay.handover import Handover, StreamRun
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Coroutine
@@ -51,8 +51,8 @@
     from samphirerill.relay.admission import AdmissionQueue
     from samphirerill.relay.health.prober import ReplicaProber
     from samphirerill.relay.quarantine import CrashDetector
-    from samphirerill.relay.state import EdgeState
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.state import EdgeState
 
 _LOG = get_logger('streams')
 # Admission rank of started streams: ahead of all new ones.
--- a/samphirerill/reports/explain.py
+++ b/samphirerill/reports/explain.py
@@ -10,14 +10,14 @@
 
 from msgspec import json
 
-from samphirerill.reports.log_index import LogIndex
 from samphirerill.reports.late_streams import LatencyTargets, list_late_streams
+from samphirerill.reports.log_index import LogIndex
 
 if TYPE_CHECKING:
     import argparse
 
-    from samphirerill.reports.log_index import LogRecord
     from samphirerill.reports.late_streams import Cause, LateStream
+    from samphirerill.reports.log_index import LogRecord
 
 _EXIT_MISSING = 1
 _HIDDEN_FIELDS = frozenset(('time', 'level', 'part', 'event', 'request'))
--- a/samphirerill/testing/crash_simulation.py
+++ b/samphirerill/testing/crash_simulation.py
@@ -16,8 +16,8 @@
 
 from samphirerill.quarantine import Crash, Quarantine
 from samphirerill.quarantine.decision import (
-    SURVIVAL_S,
     SETTLE_S,
+    SURVIVAL_S,
     SUSPECT_CRASHES,
 )
 
--- a/samphirerill/testing/engine.py
+++ b/samphirerill/testing/engine.py
@@ -21,15 +21,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
+from samphirerill.testing.httpd import Connection
+from samphirerill.testing.order_handler import OrderHandler
+from samphirerill.testing.prefix_cache import PrefixCache
 from samphirerill.testing.stages import (
     FrameResult,
     Pipeline,
     StageRunner,
     StageServer,
 )
-from samphirerill.testing.httpd import Connection
-from samphirerill.testing.order_handler import OrderHandler
-from samphirerill.testing.prefix_cache import PrefixCache
 
 if TYPE_CHECKING:
     from samphirerill.testing.httpd import Request
--- a/samphirerill/testing/key_value_service.py
+++ b/samphirerill/testing/key_value_service.py
@@ -15,8 +15,8 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Any
 
+from samphirerill.testing.etcd_state import EtcdState, InvalidCallError
 from samphirerill.testing.httpd import Connection
-from samphirerill.testing.etcd_state import InvalidCallError, EtcdState
 
 if TYPE_CHECKING:
     from samphirerill.testing.httpd import Request
--- a/samphirerill/testing/memory_store.py
+++ b/samphirerill/testing/memory_store.py
@@ -16,7 +16,7 @@
     WatchBatch,
 )
 from samphirerill.settings.model import StoreSettings
-from samphirerill.testing.etcd_state import InvalidCallError, EtcdState
+from samphirerill.testing.etcd_state import EtcdState, InvalidCallError
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
--- a/samphirerill/testing/soak/clients.py
+++ b/samphirerill/testing/soak/clients.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from samphirerill.relay.connection import (
-    ResponseHead,
-    HttpConnection,
     BodyChunk,
+    HttpConnection,
+    ResponseHead,
     serialize_request,
 )
 from samphirerill.relay.errors import EndpointError
-from samphirerill.relay.server_sent_events import EventParser
 from samphirerill.relay.pool import call_once
+from samphirerill.relay.server_sent_events import EventParser
 from samphirerill.testing.soak.environment import HOST, KEYS
 from samphirerill.testing.soak.replicas import count_events
 
--- a/samphirerill/testing/soak/environment.py
+++ b/samphirerill/testing/soak/environment.py
@@ -9,6 +9,7 @@
 
 from samphirerill.relay.listeners import listen
 from samphirerill.testing.platform_store import FakePlatformStore
+from samphirerill.testing.soak.ground_truth import GroundTruth
 from samphirerill.testing.soak.nodes import SoakNode
 from samphirerill.testing.soak.proxy import LoopbackProxy
 from samphirerill.testing.soak.replicas import (
@@ -16,7 +17,6 @@
     ReplicaRegistry,
     SoakReplica,
 )
-from samphirerill.testing.soak.ground_truth import GroundTruth
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/samphirerill/tests/crashing_engines.py
+++ b/samphirerill/tests/crashing_engines.py
@@ -15,8 +15,8 @@
 from samphirerill.testing.platform_harness import PlatformHarness
 from samphirerill.tests.platform_documents import (
     API_KEY,
-    build_configuration,
     build_announcement,
+    build_configuration,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/tests/peers.py
+++ b/samphirerill/tests/peers.py
@@ -10,12 +10,12 @@
 from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings
 from samphirerill.relay.change_log import ChangeLog
-from samphirerill.relay.health import Alarms
+from samphirerill.relay.change_source import ChangeSource
 from samphirerill.relay.datagram_receiver import DatagramReceiver
+from samphirerill.relay.health import Alarms
 from samphirerill.relay.node_status import NodeAnnouncement
-from samphirerill.relay.change_source import ChangeSource
-from samphirerill.relay.peer_sync import PeerSync
 from samphirerill.relay.peer_directory import PeerDirectory
+from samphirerill.relay.peer_sync import PeerSync
 from samphirerill.relay.state import EdgeState
 from samphirerill.relay.status_sender import StatusSender
 
--- a/samphirerill/tests/test_admission.py
+++ b/samphirerill/tests/test_admission.py
@@ -14,6 +14,7 @@
     Outcome,
     RefuseRequest,
 )
+from samphirerill.core.configuration import HIGH, NORMAL, build_configuration
 from samphirerill.core.events import (
     AttemptFailed,
     AttemptProgressed,
@@ -25,7 +26,6 @@
     TimerFired,
     TokenArrived,
 )
-from samphirerill.core.configuration import HIGH, NORMAL, build_configuration
 from samphirerill.core.router import Router
 from samphirerill.properties.simulation import build_configuration_document
 
--- a/samphirerill/tests/test_bad_input.py
+++ b/samphirerill/tests/test_bad_input.py
@@ -7,8 +7,8 @@
 import time
 import unittest
 
-from samphirerill.testing.clients import send_request, request_completion
-from samphirerill.testing.layout import SECOND_ACCOUNT_KEY, FIRST_ACCOUNT_KEY
+from samphirerill.testing.clients import request_completion, send_request
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, SECOND_ACCOUNT_KEY
 from samphirerill.tests.support import ClusterCase
 
 _VALID_BODY = {'model': 'plans', 'prompt': 'x', 'max_tokens': 2}
--- a/samphirerill/tests/test_claims.py
+++ b/samphirerill/tests/test_claims.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from samphirerill.backends.peers import PeerClients, PeerServer
-from samphirerill.control.claims import ClaimBatch, Claim
+from samphirerill.control.claims import Claim, ClaimBatch
 from samphirerill.core.commands import Outcome, SettleClaim, WriteClaim
-from samphirerill.core.events import ClaimFailed, ClaimConflicted, ClaimAcquired
+from samphirerill.core.events import ClaimAcquired, ClaimConflicted, ClaimFailed
 from samphirerill.node.claim_batches import (
     MAX_DIRECT_WRITERS,
     choose_aggregator,
--- a/samphirerill/tests/test_connection_share.py
+++ b/samphirerill/tests/test_connection_share.py
@@ -10,8 +10,8 @@
 from samphirerill.fleet.model import Replica
 from samphirerill.relay.connection import serialize_request
 from samphirerill.relay.errors import (
-    ConnectRefusedError,
     ConnectionLimitError,
+    ConnectRefusedError,
 )
 from samphirerill.relay.pool import ConnectionPool, read_response
 from samphirerill.testing.platform_harness import PlatformHarness
--- a/samphirerill/tests/test_core_quarantine.py
+++ b/samphirerill/tests/test_core_quarantine.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from unittest import IsolatedAsyncioTestCase, TestCase
 
-from samphirerill.backends.peers import PeerClients, PeerServer, PeerMessage
+from samphirerill.backends.peers import PeerClients, PeerMessage, PeerServer
 from samphirerill.core.commands import (
     Command,
     OpenAttempt,
@@ -14,6 +14,7 @@
     ProbeEndpoint,
     RefuseRequest,
 )
+from samphirerill.core.configuration import build_configuration
 from samphirerill.core.events import (
     AttemptFailed,
     AttemptSent,
@@ -24,7 +25,6 @@
     TimerFired,
     TokenArrived,
 )
-from samphirerill.core.configuration import build_configuration
 from samphirerill.core.queries import describe_state, list_crash_records
 from samphirerill.core.router import Router
 from samphirerill.properties.simulation import build_configuration_document
--- a/samphirerill/tests/test_correlated_failures.py
+++ b/samphirerill/tests/test_correlated_failures.py
@@ -5,8 +5,8 @@
 from unittest import TestCase
 
 from samphirerill.fleet.failure_detection import (
-    ProberAssignment,
     CorrelatedFailure,
+    ProberAssignment,
     is_local_fault,
 )
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
--- a/samphirerill/tests/test_edge.py
+++ b/samphirerill/tests/test_edge.py
@@ -9,8 +9,8 @@
 from msgspec.structs import replace
 
 from samphirerill.relay.connection import (
-    ResponseHead,
     HttpConnection,
+    ResponseHead,
     serialize_request,
 )
 from samphirerill.relay.errors import BrokenResponseError
@@ -18,8 +18,8 @@
 from samphirerill.testing.platform_harness import PlatformHarness
 from samphirerill.tests.platform_documents import (
     API_KEY,
-    build_configuration,
     build_announcement,
+    build_configuration,
 )
 
 if TYPE_CHECKING:
--- a/samphirerill/tests/test_edge_settings.py
+++ b/samphirerill/tests/test_edge_settings.py
@@ -14,7 +14,7 @@
 from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.settings import EdgeSettings, load_edge_settings
 from samphirerill.platform.store import PlatformStore
-from samphirerill.relay.settings_reload import SettingsReloader, SettingsFile
+from samphirerill.relay.settings_reload import SettingsFile, SettingsReloader
 from samphirerill.relay.state import EdgeState
 
 _TEMPLATE = Path(__file__).parents[2] / 'deploy' / 'settings.template'
--- a/samphirerill/tests/test_emulator.py
+++ b/samphirerill/tests/test_emulator.py
@@ -10,11 +10,11 @@
 from msgspec import structs
 
 from samphirerill.emulator.ablation import ablate
-from samphirerill.emulator.event_loop import EventLoop
 from samphirerill.emulator.engine import EmulatedEngine, EmulatedLink, StageTask
+from samphirerill.emulator.event_loop import EventLoop
 from samphirerill.emulator.lab import describe_plan
-from samphirerill.emulator.simulation import run_scenario
 from samphirerill.emulator.scenario import Crash, Scenario, load_scenario
+from samphirerill.emulator.simulation import run_scenario
 from samphirerill.fleet.model import LayerRange
 from samphirerill.fleet.policy import Policy
 from samphirerill.settings.errors import InvalidDocumentError
--- a/samphirerill/tests/test_end_to_end.py
+++ b/samphirerill/tests/test_end_to_end.py
@@ -7,9 +7,9 @@
 import time
 import unittest
 
-from samphirerill.testing.clients import send_request, request_completion
+from samphirerill.testing.clients import request_completion, send_request
 from samphirerill.testing.engine import make_token
-from samphirerill.testing.layout import SECOND_ACCOUNT_KEY, FIRST_ACCOUNT_KEY
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, SECOND_ACCOUNT_KEY
 from samphirerill.tests.support import ClusterCase
 
 
--- a/samphirerill/tests/test_explain.py
+++ b/samphirerill/tests/test_explain.py
@@ -12,12 +12,12 @@
 
 from samphirerill.cli.main import main
 from samphirerill.reports.explain import format_table
-from samphirerill.reports.log_index import LogIndex
 from samphirerill.reports.late_streams import (
     Cause,
     LatencyTargets,
     list_late_streams,
 )
+from samphirerill.reports.log_index import LogIndex
 
 _TIME_PREFIX = '2030-05-01T10:00:'
 
--- a/samphirerill/tests/test_failures.py
+++ b/samphirerill/tests/test_failures.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from samphirerill.testing.clients import (
-    ClientResponse,
     CallError,
+    ClientResponse,
     call_json,
-    send_request,
     request_completion,
+    send_request,
 )
 from samphirerill.testing.cluster import (
     NodeProcess,
@@ -24,9 +24,9 @@
     wait_for,
 )
 from samphirerill.testing.layout import (
-    SECOND_ACCOUNT_KEY,
     FIRST_ACCOUNT_KEY,
     OPERATOR_KEY,
+    SECOND_ACCOUNT_KEY,
 )
 from samphirerill.tests.support import ClusterCase
 
--- a/samphirerill/tests/test_fleet.py
+++ b/samphirerill/tests/test_fleet.py
@@ -8,8 +8,8 @@
 
 from samphirerill.bench.cost_measurements import build_configuration_document
 from samphirerill.core.commands import OpenAttempt
-from samphirerill.core.events import ConfigurationAccepted, RequestArrived
 from samphirerill.core.configuration import build_configuration
+from samphirerill.core.events import ConfigurationAccepted, RequestArrived
 from samphirerill.core.placement import SLOW_START_S, count_free_slots
 from samphirerill.core.router import Router
 from samphirerill.core.subsets import MAX_SUBSET_REPLICAS
--- a/samphirerill/tests/test_fleet_paths.py
+++ b/samphirerill/tests/test_fleet_paths.py
@@ -9,14 +9,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from samphirerill.fleet.retry_budget import RetryBudget, RetryUsage
-from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.endpoints import choose_endpoint
 from samphirerill.fleet.explain import explain_no_path
+from samphirerill.fleet.goodput import PlanTargets
+from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.load import (
     PEER_TIMEOUT_S,
-    ReplicaLoad,
     LoadTracker,
+    ReplicaLoad,
     list_replica_ids,
 )
 from samphirerill.fleet.model import (
@@ -29,18 +29,18 @@
     Stage,
 )
 from samphirerill.fleet.paths import PathRequest, choose_path
-from samphirerill.fleet.link_usage import LinkUsage
 from samphirerill.fleet.repair import plan_moves
+from samphirerill.fleet.retry_budget import RetryBudget, RetryUsage
 from samphirerill.fleet.routes import RouteTable
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.suspicion import CONFIRMING_VOTES
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
-from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.tests.fleet_builders import (
     ENGINE,
+    apply_moves,
     build_fleet,
     build_replica,
     build_states,
-    apply_moves,
 )
 
 _BOUNDARY = st.integers(min_value=0, max_value=8).map(
--- a/samphirerill/tests/test_fleet_plans.py
+++ b/samphirerill/tests/test_fleet_plans.py
@@ -9,6 +9,7 @@
 from unittest import TestCase
 
 from samphirerill.fleet.chains import extract_chains
+from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.fleet.model import Replica
 from samphirerill.fleet.planner import PlacementPlan, plan_layers
 from samphirerill.fleet.policy import Policy
@@ -19,13 +20,12 @@
 )
 from samphirerill.fleet.repair import count_complete, plan_moves
 from samphirerill.fleet.timing import PlanTiming
-from samphirerill.fleet.goodput import PlanTargets
 from samphirerill.tests.fleet_builders import (
     ENGINE,
     THREE_DATA_CENTRES,
+    apply_moves,
     build_fleet,
     build_replica,
-    apply_moves,
 )
 
 _PLAN_TARGETS = PlanTargets(200.0)
--- a/samphirerill/tests/test_leaving.py
+++ b/samphirerill/tests/test_leaving.py
@@ -6,16 +6,16 @@
 from dataclasses import replace
 from unittest import IsolatedAsyncioTestCase, TestCase
 
-from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.stream_rerouting import predict_reroute_pause_ms
 from samphirerill.fleet.view import LAPSE_GRACE_S, FleetView
 from samphirerill.testing.platform_harness import PlatformHarness
 from samphirerill.tests.fleet_builders import ENGINE, build_replica
 from samphirerill.tests.platform_documents import (
     API_KEY,
-    build_configuration,
     build_announcement,
+    build_configuration,
 )
 
 _HEADERS = [
--- a/samphirerill/tests/test_loop_lag.py
+++ b/samphirerill/tests/test_loop_lag.py
@@ -16,8 +16,8 @@
 from samphirerill.node.health_checks import try_fetch
 from samphirerill.relay.connection import (
     CONNECT_TIMEOUT_S,
-    ResponseHead,
     HttpConnection,
+    ResponseHead,
     serialize_request,
 )
 from samphirerill.relay.health.alarms import Alarms
--- a/samphirerill/tests/test_losses.py
+++ b/samphirerill/tests/test_losses.py
@@ -10,11 +10,11 @@
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.fleet.suspicion import (
     CONFIRMING_VOTES,
-    Suspicion,
     SilenceReport,
+    Suspicion,
 )
 from samphirerill.fleet.view import FleetView
-from samphirerill.relay.health import ReplicaProber, LossProber
+from samphirerill.relay.health import LossProber, ReplicaProber
 from samphirerill.relay.health.probing import Probe, Verdict
 from samphirerill.testing.virtual_time import run_with_virtual_time
 from samphirerill.tests.fleet_builders import build_replica
--- a/samphirerill/tests/test_platform.py
+++ b/samphirerill/tests/test_platform.py
@@ -15,19 +15,19 @@
 from samphirerill.fleet.model import LayerRange, RetryClass, Stage
 from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.platform.store import (
-    PreconditionFailedError,
     DeletedKey,
-    RevisionCompactedError,
     LeaseNotFoundError,
     PlatformStore,
+    PreconditionFailedError,
+    RevisionCompactedError,
 )
 from samphirerill.relay.connection import ResponseHead
-from samphirerill.relay.platform_adapter import Attempt, DocumentError
 from samphirerill.relay.listeners import listen
+from samphirerill.relay.platform_adapter import Attempt, DocumentError
 from samphirerill.relay.server import Request
 from samphirerill.testing.platform_store import FakePlatformStore
 from samphirerill.tests.fleet_builders import build_replica
-from samphirerill.tests.platform_documents import CONFIGURATION, API_KEY
+from samphirerill.tests.platform_documents import API_KEY, CONFIGURATION
 
 _PACKAGE = pathlib.Path(__file__).parent.parent
 # Names that occur only in the platform's wire format.
--- a/samphirerill/tests/test_poison_requests.py
+++ b/samphirerill/tests/test_poison_requests.py
@@ -16,8 +16,8 @@
 from samphirerill.relay.pool import call_once
 from samphirerill.tests.crashing_engines import (
     EVENTS,
-    POISON,
     OTHER_KEY,
+    POISON,
     CrashingEnginesCase,
     build_headers,
 )
--- a/samphirerill/tests/test_prefixes.py
+++ b/samphirerill/tests/test_prefixes.py
@@ -12,7 +12,7 @@
 )
 from samphirerill.testing.clients import request_completion
 from samphirerill.testing.cluster import wait_for
-from samphirerill.testing.layout import SECOND_ACCOUNT_KEY, FIRST_ACCOUNT_KEY
+from samphirerill.testing.layout import FIRST_ACCOUNT_KEY, SECOND_ACCOUNT_KEY
 from samphirerill.tests.support import ClusterCase
 
 _PROMPT = 'a hem that has to be taken up by two fingers and a half. ' * 8
--- a/samphirerill/tests/test_prober.py
+++ b/samphirerill/tests/test_prober.py
@@ -10,8 +10,8 @@
 
 from samphirerill.fleet.model import LayerRange, Stage
 from samphirerill.relay.health.alarms import Alarms
-from samphirerill.relay.health.prober import ReplicaProber
 from samphirerill.relay.health.probe_timeouts import MAX_TIMEOUT_S
+from samphirerill.relay.health.prober import ReplicaProber
 from samphirerill.relay.stream_times import MIN_SILENCE_S
 from samphirerill.testing.platform_harness import PlatformHarness
 from samphirerill.tests.fleet_builders import build_replica
--- a/samphirerill/tests/test_quarantine.py
+++ b/samphirerill/tests/test_quarantine.py
@@ -13,10 +13,10 @@
 from samphirerill.quarantine.decision import MAX_RECORDS, SETTLE_S
 from samphirerill.quarantine.messages import (
     InvalidEvidenceError,
+    apply_messages,
     build_message,
     decode_messages,
     encode_messages,
-    apply_messages,
 )
 
 _NOW = 1000.0
--- a/samphirerill/tests/test_quarantine_sharing.py
+++ b/samphirerill/tests/test_quarantine_sharing.py
@@ -7,7 +7,7 @@
 from unittest import TestCase
 
 from samphirerill.quarantine import Crash, digest_request
-from samphirerill.relay.quarantine import QuarantineManager, EvidenceExchange
+from samphirerill.relay.quarantine import EvidenceExchange, QuarantineManager
 from samphirerill.testing.virtual_time import run_with_virtual_time
 from samphirerill.tests.peers import Network, Node
 
--- a/samphirerill/tests/test_replica_restarts.py
+++ b/samphirerill/tests/test_replica_restarts.py
@@ -9,8 +9,8 @@
 
 from msgspec import json
 
-from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.model import LayerRange, Stage
+from samphirerill.fleet.stage_lifetime import is_stage_lost
 from samphirerill.fleet.view import FleetView
 from samphirerill.platform.http_adapter import HttpPlatformAdapter
 from samphirerill.relay.platform_adapter import DocumentError
--- a/samphirerill/tests/test_resending.py
+++ b/samphirerill/tests/test_resending.py
@@ -29,8 +29,8 @@
 
 if TYPE_CHECKING:
     from samphirerill.relay.health.prober import ReplicaProber
-    from samphirerill.relay.stream_path import StreamPath
     from samphirerill.relay.request_context import RequestContext
+    from samphirerill.relay.stream_path import StreamPath
     from samphirerill.testing.platform_replicas import FakeReplica
 
 _STARTED_RANK = -1
--- a/samphirerill/tests/test_soak.py
+++ b/samphirerill/tests/test_soak.py
@@ -6,8 +6,8 @@
 from tempfile import TemporaryDirectory
 from unittest import TestCase
 
-from samphirerill.testing.soak.run import run_seed
 from samphirerill.testing.soak.ground_truth import Fault, GroundTruth
+from samphirerill.testing.soak.run import run_seed
 
 _SEED = 7
 _FAULT_DURATION_S = 8.0
--- a/samphirerill/tests/test_stall_detection.py
+++ b/samphirerill/tests/test_stall_detection.py
@@ -10,8 +10,8 @@
 from samphirerill.fleet.policy import Policy
 from samphirerill.fleet.smoothing import SmoothedDuration
 from samphirerill.node.metrics import Metrics
-from samphirerill.relay.health.probe_timeouts import MAX_TIMEOUT_S
 from samphirerill.relay.health.passive_checks import list_unconfirmed
+from samphirerill.relay.health.probe_timeouts import MAX_TIMEOUT_S
 from samphirerill.relay.stream_times import MIN_SILENCE_S, StreamTimes
 from samphirerill.tests.fleet_builders import build_replica
 
--- a/samphirerill/tests/test_store_calls.py
+++ b/samphirerill/tests/test_store_calls.py
@@ -14,10 +14,10 @@
 from samphirerill.fleet.watchers import list_watchers
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
-from samphirerill.relay.errors import WatchLostError, EndpointError
-from samphirerill.relay.store_follower import StoreFollower
 from samphirerill.relay.change_source import ChangeSource
+from samphirerill.relay.errors import EndpointError, WatchLostError
 from samphirerill.relay.state import EdgeState
+from samphirerill.relay.store_follower import StoreFollower
 from samphirerill.relay.store_health import StoreHealth
 from samphirerill.testing.virtual_time import run_with_virtual_time
 
--- a/samphirerill/tests/test_store_changes.py
+++ b/samphirerill/tests/test_store_changes.py
@@ -9,13 +9,13 @@
 from samphirerill.fleet.watchers import choose_watcher, list_watchers
 from samphirerill.platform.store import Changes, DeletedKey, StoredItem
 from samphirerill.relay.change_log import ChangeLog
-from samphirerill.relay.errors import EndpointError, ChangeTooLargeError
-from samphirerill.relay.listeners import listen
 from samphirerill.relay.change_source import (
     MAX_LAG_S,
     ChangeSource,
     PeerRequestHandler,
 )
+from samphirerill.relay.errors import ChangeTooLargeError, EndpointError
+from samphirerill.relay.listeners import listen
 from samphirerill.relay.pool import call_once
 from samphirerill.relay.server import ClientConnection
 
--- a/samphirerill/tests/test_stream_distribution.py
+++ b/samphirerill/tests/test_stream_distribution.py
@@ -8,9 +8,9 @@
 from unittest import TestCase
 
 from samphirerill.fleet.load import LoadTracker, list_replica_ids
-from samphirerill.fleet.stream_rerouting import predict_reroute_pause_ms
 from samphirerill.fleet.paths import PathRequest, choose_path
 from samphirerill.fleet.policy import Policy
+from samphirerill.fleet.stream_rerouting import predict_reroute_pause_ms
 from samphirerill.tests.fleet_builders import (
     ENGINE,
     build_replica,
