--- a/samphirerill/node/gossip.py
+++ b/samphirerill/node/gossip.py
@@ -50,12 +50,12 @@
 
 @dataclass(slots=True)
 class PeerStatus:
-    """The last message of a peer; `received_at` is on this node's clock."""
+    """The last message of a peer; `heard_at` is on this node's clock."""
 
     node: str
     version: int
     store_read_age_s: float
-    received_at: float
+    heard_at: float
 
 
 class Gossip:
@@ -195,7 +195,7 @@
 
     def _remove_expired(self, now: float) -> None:
         for name, status in tuple(self._peer_statuses.items()):
-            if now - status.received_at > PEER_EXPIRY_S:
+            if now - status.heard_at > PEER_EXPIRY_S:
                 self._peer_statuses.pop(name)
 
     def _encode_evidence(self, now: float) -> bytes:
